--- a/components/dispatch/src/choose.rs
+++ b/components/dispatch/src/choose.rs
@@ -13,7 +13,7 @@
 use types::prelude::*;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::homes::{Homes, held_tokens, prefixes_of, shared_tokens};
+use crate::affinity::{Homes, held_tokens, prefixes_of, shared_tokens};
 use crate::need::Need;
 use crate::policy::PlacingPolicy;
 use crate::trial::Permit;
--- a/components/dispatch/src/lib.rs
+++ b/components/dispatch/src/lib.rs
@@ -5,35 +5,35 @@
 //! chooses among them; [`RetryBudget`] bounds repeats; [`Cascade`] decides when a larger
 //! model is asked; [`Trial`] moves a service's traffic to a new version and judges it.
 
+mod affinity;
+mod aggregation;
 mod backlog;
 mod budget;
 mod cascade;
 mod choose;
 mod evidence;
-mod gathering;
 mod health;
-mod homes;
 mod lapsed;
-mod limiting;
 mod need;
+mod peer_loads;
 mod pins;
 mod policy;
-mod reading;
-mod sharing;
+mod prefill;
+mod rate_limits;
 mod trial;
 mod upstreams;
 
+pub use aggregation::{Gathering, RolloutMessage, RolloutMessageError, RolloutWord};
 pub use budget::{RetryBudget, RetryLimits, Use};
 pub use cascade::{Cascade, Draft};
 pub use choose::{Choice, NoUpstream};
 pub use evidence::{Arm, ArmCounts, Evidence, KINDS, kind_of};
-pub use gathering::{Gathering, RolloutMessage, RolloutMessageError, RolloutWord};
 pub use health::Ending;
 pub use lapsed::Lapsed;
 pub use need::{Need, PromptPart};
+pub use peer_loads::PeerLoads;
 pub use pins::Pins;
 pub use policy::{CascadePolicy, PlacingPolicy, Policy, PolicyError, RepeatPolicy, TimingPolicy};
 pub use ratelimit::{Advertised, Advertisement, Change as RateLimitChange, Fleet};
-pub use sharing::PeerLoads;
 pub use trial::{Gate, Permit, Trial, TrialLimits, TrialStep, Verdict};
 pub use upstreams::{Begun, LastSeen, Load, SharedLoad, Ticket, UpstreamIndex, Upstreams, run_key};
--- a/components/dispatch/src/trial.rs
+++ b/components/dispatch/src/trial.rs
@@ -5,10 +5,10 @@
 //! what a bad version may get is kept by count, whatever the judgement says: the new version
 //! has a small share until all that is still to come fits into the bound, and then gets
 //! everything, a second or two before the time is up. The judgement compares both versions
-//! over the same time, because upstreams also fail for other reasons ([`judge`]).
+//! over the same time, because upstreams also fail for other reasons ([`comparison`]).
 
+mod comparison;
 mod gate;
-mod judge;
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -17,8 +17,8 @@
 use types::prelude::*;
 
 use crate::evidence::Evidence;
+use comparison::{Counted, Doubt, Fault, Needed, fault_of, tells_failures};
 pub use gate::{Gate, Permit};
-use judge::{Counted, Doubt, Fault, Needed, fault_of, tells_failures};
 
 /// The new version gets its first requests this long after the order: by then every daemon
 /// has told which sessions are at work, and a restarted one has heard of it.
--- a/components/dispatch/src/upstreams.rs
+++ b/components/dispatch/src/upstreams.rs
@@ -13,7 +13,7 @@
 use crate::backlog::Backlog;
 use crate::health::{Ending, Health};
 use crate::policy::PlacingPolicy;
-use crate::reading::Reading;
+use crate::prefill::Reading;
 
 /// Prefixes remembered of one upstream; its memory holds some hundred of this length.
 const MAX_PREFIXES: usize = 2_048;
