--- a/components/dispatch/src/affinity.rs
+++ b/components/dispatch/src/affinity.rs
@@ -1,82 +1,87 @@
-//! Where prompts that begin alike belong.
+//! Cache affinity: which upstreams prompts with a common prefix are sent to.
 //!
-//! Reading the parts that prompts share takes an engine's time and is paid for, so prompts
-//! that share them go to the same upstream while it has room. Which one that is all daemons
-//! find without a word between them: the upstream whose hash with the shared parts is
-//! highest.
+//! Prefilling the parts that prompts share takes engine time and is paid for, so prompts with a
+//! common prefix go to the same upstream while it has room. All daemons find it without
+//! exchanging messages, by rendezvous hashing: it is the upstream whose hash with the shared
+//! parts is highest.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::need::Need;
 use crate::upstreams::{Entry, UpstreamIndex};
 
-/// Part of a prompt's shared tokens that its home is expected to hold without this daemon
-/// having sent it there.
-const HOME_HOLDS: f64 = 0.7;
+/// Share of a prompt's shared tokens that its preferred upstream is expected to have cached
+/// even if this daemon never sent them there.
+const EXPECTED_CACHED_SHARE: f64 = 0.7;
 
 /// An upstream that may be chosen.
 pub(crate) type Candidate<'a> = (UpstreamIndex, &'a Entry);
 
-/// The places of a prompt's homes among the candidates.
+/// Positions among the candidates of the upstreams preferred for a prompt.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Homes {
-    first: Option<usize>,
-    /// Where it goes when the first has no room.
-    second: Option<usize>,
-    /// The first of those in the daemon's own failure domain.
-    near: Option<usize>,
-    /// Who is expected to hold the shared parts.
-    holder: Option<usize>,
+pub(crate) struct AffinityTargets {
+    primary: Option<usize>,
+    /// Fallback when the primary has no room.
+    secondary: Option<usize>,
+    /// Highest hash within the daemon's own failure domain.
+    local: Option<usize>,
+    /// The one expected to have the shared parts cached.
+    expected_holder: Option<usize>,
 }
 
-impl Homes {
-    /// The homes of a prompt with these shared parts; `near` are the places in the daemon's
-    /// own failure domain, `again_ms` is what reading the parts once more costs, and `way_ms`
-    /// what the way to another failure domain does.
+impl AffinityTargets {
+    /// Finds the preferred upstreams of a prompt with these shared prefixes.
     ///
-    /// Guards against prompts that are read at every home they may have: with all three
-    /// expected to hold the parts, load and nearness chose among them at each daemon. With one a
-    /// fifth fewer shared tokens are read again.
-    pub(crate) fn of(
+    /// `local` are the positions in the daemon's own failure domain, `re_prefill_ms` is the
+    /// cost of prefilling the shared parts again, and `cross_domain_ms` that of going to
+    /// another failure domain.
+    ///
+    /// Only one upstream is expected to have the parts cached. Guards against prompts that are
+    /// prefilled at each of their preferred upstreams: with all three expected to have the
+    /// parts, load and locality decided among them at each daemon. With one, a fifth fewer
+    /// shared tokens are prefilled again.
+    pub(crate) fn new(
         candidates: &[Candidate<'_>],
-        near: &[usize],
+        local: &[usize],
         prefixes: &[u64],
-        again_ms: f64,
-        way_ms: f64,
+        re_prefill_ms: f64,
+        cross_domain_ms: f64,
     ) -> Self {
         let Some(prefix) = prefixes.last() else {
             return Self::default();
         };
-        let [first, second] = highest(candidates, 0..candidates.len(), *prefix);
-        let near = highest(candidates, near.iter().copied(), *prefix)[0];
-        let holder = match again_ms * HOME_HOLDS > way_ms {
-            true => first,
-            false => near.or(first),
+        let [primary, secondary] = two_highest(candidates, 0..candidates.len(), *prefix);
+        let local = two_highest(candidates, local.iter().copied(), *prefix)[0];
+        let expected_holder = match re_prefill_ms * EXPECTED_CACHED_SHARE > cross_domain_ms {
+            true => primary,
+            false => local.or(primary),
         };
         Self {
-            first,
-            second,
-            near,
-            holder,
+            primary,
+            secondary,
+            local,
+            expected_holder,
         }
     }
 
-    /// All of them.
-    pub(crate) fn places(&self) -> impl Iterator<Item = usize> {
-        [self.first, self.second, self.near].into_iter().flatten()
+    /// Positions of all preferred upstreams.
+    pub(crate) fn positions(&self) -> impl Iterator<Item = usize> {
+        [self.primary, self.secondary, self.local]
+            .into_iter()
+            .flatten()
     }
 
-    /// Tokens of the shared parts that the upstream at a place is expected to hold, where this
+    /// Shared tokens that the upstream at a position is expected to have cached, where this
     /// daemon knows of `known`.
-    pub(crate) fn held(&self, place: usize, known: u32, shared: u32) -> f64 {
-        match self.holder == Some(place) {
-            true => f64::from(known).max(f64::from(shared) * HOME_HOLDS),
+    pub(crate) fn expected_cached(&self, position: usize, known: u32, shared: u32) -> f64 {
+        match self.expected_holder == Some(position) {
+            true => f64::from(known).max(f64::from(shared) * EXPECTED_CACHED_SHARE),
             false => f64::from(known),
         }
     }
 }
 
-/// A hash of the model and the parts so far, for each shared part.
+/// Hashes of the model and the prompt up to the end of each shared part.
 pub(crate) fn prefixes_of(need: &Need<'_>) -> Vec<u64> {
     let model = need.model.map_or("", |model| model);
     let mut hash = xxh3_64_with_seed(model.as_bytes(), 0);
@@ -90,14 +95,14 @@
         .collect()
 }
 
-/// Tokens of the parts that a prompt shares with others.
+/// Number of tokens in the parts that a prompt shares with others.
 pub(crate) fn shared_tokens(need: &Need<'_>) -> u32 {
     let shared = need.parts.len().saturating_sub(1);
     need.parts.iter().take(shared).map(|part| part.tokens).sum()
 }
 
-/// Tokens of the longest prefix that this daemon sent there.
-pub(crate) fn held_tokens(entry: &Entry, need: &Need<'_>, prefixes: &[u64]) -> u32 {
+/// Number of tokens in the longest prefix that this daemon sent to the upstream.
+pub(crate) fn known_cached_tokens(entry: &Entry, need: &Need<'_>, prefixes: &[u64]) -> u32 {
     let known = prefixes
         .iter()
         .take_while(|hash| entry.prefixes.contains_key(hash))
@@ -105,15 +110,15 @@
     need.parts.iter().take(known).map(|part| part.tokens).sum()
 }
 
-/// The two places whose upstreams have the highest hash with a prefix.
-fn highest(
+/// Positions of the two upstreams whose hash with a prefix is highest.
+fn two_highest(
     candidates: &[Candidate<'_>],
-    places: impl Iterator<Item = usize>,
+    positions: impl Iterator<Item = usize>,
     prefix: u64,
 ) -> [Option<usize>; 2] {
-    let hashed = places.map(|place| {
-        let id = candidates[place].1.spec.id.as_str();
-        (xxh3_64_with_seed(id.as_bytes(), prefix), place)
+    let hashed = positions.map(|position| {
+        let id = candidates[position].1.spec.id.as_str();
+        (xxh3_64_with_seed(id.as_bytes(), prefix), position)
     });
     let mut best = [None, None];
     for hashed in hashed {
@@ -123,5 +128,5 @@
             best[1] = Some(hashed);
         }
     }
-    best.map(|hashed| hashed.map(|(_, place)| place))
+    best.map(|hashed| hashed.map(|(_, position)| position))
 }
--- a/components/dispatch/src/backlog.rs
+++ b/components/dispatch/src/backlog.rs
@@ -1,4 +1,4 @@
-//! What was sent to an upstream and has not begun to answer.
+//! Requests sent to an upstream that have not begun to be answered.
 
 use std::collections::VecDeque;
 
@@ -14,14 +14,14 @@
 #[derive(Debug, Default)]
 pub(crate) struct Backlog {
     waiting: VecDeque<Waiting>,
-    /// The upstream has been at the oldest since.
-    at_oldest_since: Time,
+    /// When the upstream is assumed to have started on the oldest request.
+    oldest_started_at: Time,
 }
 
 impl Backlog {
     pub(crate) fn push(&mut self, now: Time, ticket: u64, expected_ms: f64) {
         if self.waiting.is_empty() {
-            self.at_oldest_since = now;
+            self.oldest_started_at = now;
         }
         self.waiting.push_back(Waiting {
             ticket,
@@ -30,20 +30,20 @@
     }
 
     pub(crate) fn remove(&mut self, now: Time, ticket: u64) {
-        let place = self.waiting.iter().position(|w| w.ticket == ticket);
-        if let Some(place) = place {
-            self.waiting.remove(place);
-            self.at_oldest_since = now;
+        let position = self.waiting.iter().position(|w| w.ticket == ticket);
+        if let Some(position) = position {
+            self.waiting.remove(position);
+            self.oldest_started_at = now;
         }
     }
 
-    /// Expected time until the upstream comes to a new request, in ms.
-    pub(crate) fn ms(&self, now: Time) -> f64 {
+    /// Expected time until the upstream starts on a new request, in ms.
+    pub(crate) fn wait_ms(&self, now: Time) -> f64 {
         let Some(oldest) = self.waiting.front() else {
             return 0.0;
         };
-        let whole = self.waiting.iter().map(|w| w.expected_ms).sum::<f64>();
-        let done = now.since(self.at_oldest_since).as_secs_f64() * 1_000.0;
-        whole - done.min(oldest.expected_ms)
+        let total_ms = self.waiting.iter().map(|w| w.expected_ms).sum::<f64>();
+        let done_ms = now.since(self.oldest_started_at).as_secs_f64() * 1_000.0;
+        total_ms - done_ms.min(oldest.expected_ms)
     }
 }
--- a/components/dispatch/src/choose.rs
+++ b/components/dispatch/src/choose.rs
@@ -1,65 +1,67 @@
-//! Which upstream gets a request.
+//! Choice of the upstream for a request.
 //!
-//! For engines the cost of a choice is the time until the first event: what was sent there
-//! and has not begun to answer, and the part of the prompt that the engine must read. All
-//! daemons agree on a home engine of each shared prompt by rendezvous hashing, so what one
-//! daemon had read there serves the others too; a home that is behind loses to others.
-//! For plain services it is the requests out there. A few candidates are
-//! compared at random besides, so that daemons do not all follow one picture. Upstreams of
-//! the own failure domain are looked at more closely and cost less.
+//! For engines, the cost of an upstream is the expected time until the first event: the
+//! requests sent there that have not begun to answer, and the part of the prompt that the
+//! engine must prefill. All daemons agree on a preferred engine of each shared prefix by
+//! rendezvous hashing, so a prefix that one daemon had cached there serves the others too; a
+//! preferred engine with a long backlog loses to others. For plain services, the cost follows
+//! from the outstanding requests. A few random candidates are compared as well, so that daemons
+//! do not all act on the same view. Upstreams in the daemon's own failure domain are sampled
+//! more often and cost less.
 
 use rand::seq::SliceRandom;
 use rand::{Rng, RngExt};
 use types::prelude::*;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::affinity::{Homes, held_tokens, prefixes_of, shared_tokens};
+use crate::affinity::{AffinityTargets, known_cached_tokens, prefixes_of, shared_tokens};
 use crate::need::Need;
 use crate::policy::PlacingPolicy;
 use crate::trial::Permit;
 use crate::upstreams::{ENGINE_BASE_MS, Entry, Load, UpstreamIndex, Upstreams};
 
-/// Candidates drawn at random beside the homes, from all and from the own failure domain
-/// each, of a short prompt: with more of them the daemons would follow one picture that is some hundred ms old.
-const DRAWN: usize = 2;
-/// Candidates of a long prompt, which is worth a closer look.
-const DRAWN_LONG: usize = 12;
-/// Reading that takes this long makes a prompt a long one, in ms.
-const LONG_MS: f64 = 250.0;
-/// Delay by each request that an engine runs, in ms: a batch's step grows by about a
-/// hundredth of a millisecond a request and an answer has some hundred steps.
-const RUNNING_MS: f64 = 2.0;
-/// An upstream that just started takes about so many times as long.
-const COLD_TIMES: f64 = 2.0;
-
-/// Where a request goes.
+/// Random candidates of a short prompt, drawn once from all upstreams and once from those in
+/// the daemon's own failure domain. With more of them, all daemons would act on the same view,
+/// which is some hundred ms old.
+const RANDOM_CANDIDATES: usize = 2;
+/// Random candidates of a long prompt, for which a wider comparison pays off.
+const RANDOM_CANDIDATES_LONG: usize = 12;
+/// Prefill time from which a prompt counts as long, in ms.
+const LONG_PREFILL_MS: f64 = 250.0;
+/// Delay caused by each request that an engine runs, in ms: a batch's step grows by about a
+/// hundredth of a millisecond per request, and an answer has some hundred steps.
+const RUNNING_REQUEST_MS: f64 = 2.0;
+/// Factor by which an upstream that just started is slower.
+const COLD_FACTOR: f64 = 2.0;
+
+/// The upstream chosen for a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Choice {
-    /// The upstream.
+    /// Index of the upstream.
     pub index: UpstreamIndex,
-    /// What the request means for it.
+    /// Load that the request adds to the upstream.
     pub load: Load,
-    /// The prefixes that it will hold.
+    /// Hashes of the prompt prefixes that the upstream will have cached.
     pub prefixes: Vec<u64>,
 }
 
-/// Why a request goes nowhere.
+/// Why no upstream was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("{}", self.reason())]
 pub enum NoUpstream {
-    /// None is listed that it may run on.
+    /// No upstream is listed that the request may run on.
     Unknown,
-    /// Those that it may run on were tried.
+    /// All upstreams that the request may run on were tried.
     Tried,
-    /// The rate limits of those that it may run on allow no request now.
+    /// The rate limits of all remaining upstreams allow no request now.
     Limited {
-        /// One of them does from this moment on.
+        /// When the first of them allows one.
         until: Time,
     },
 }
 
 impl NoUpstream {
-    /// In words.
+    /// Describes the reason in a message to the caller.
     #[must_use]
     pub fn reason(self) -> &'static str {
         match self {
@@ -73,8 +75,8 @@
 impl Upstreams {
     /// Chooses an upstream.
     ///
-    /// One that is set aside is taken only when there is no other: a guess at its health
-    /// is no reason to refuse.
+    /// An ejected one is chosen only when there is no other: ejection is a guess at its health
+    /// and no reason to refuse a request.
     ///
     /// # Errors
     /// Says why there is none.
@@ -95,20 +97,24 @@
         if untried.is_empty() {
             return Err(NoUpstream::Tried);
         }
-        self.keep_open(now, &mut untried)?;
-        let sets_aside = self.policy.sets_aside;
-        let is_well = |entry: &Entry| {
-            let is_free = now.has_reached(entry.busy_until);
-            is_free && (!sets_aside || !entry.health.is_aside(now))
+        self.retain_admitted(now, &mut untried)?;
+        let ejects_outliers = self.policy.sets_aside;
+        let is_available = |entry: &Entry| {
+            let is_backoff_over = now.has_reached(entry.backoff_until);
+            is_backoff_over && (!ejects_outliers || !entry.health.is_ejected(now))
+        };
+        let available = untried.iter().filter(|(_, entry)| is_available(entry));
+        let available = available.copied().collect::<Vec<_>>();
+        let mut eligible = if available.is_empty() {
+            untried
+        } else {
+            available
         };
-        let well = untried.iter().filter(|(_, entry)| is_well(entry));
-        let well = well.copied().collect::<Vec<_>>();
-        let mut eligible = if well.is_empty() { untried } else { well };
         if let Permit::Few(_, share) = need.permit {
-            keep_few(&mut eligible, *share, permitted.len());
+            retain_subset(&mut eligible, *share, permitted.len());
         }
         if need.apart {
-            keep_emptiest(&mut eligible);
+            retain_least_loaded(&mut eligible);
         }
         Ok(self.cheapest(now, &eligible, need, rng))
     }
@@ -128,27 +134,27 @@
     ) -> Choice {
         let prefixes = prefixes_of(need);
         let all = (0..eligible.len()).collect::<Vec<_>>();
-        let is_near = |place: &usize| eligible[*place].1.spec.failure_domain == *need.near;
-        let near = all.iter().copied().filter(is_near).collect::<Vec<_>>();
-        let again_ms = self.reading_again_ms(need);
+        let is_local = |position: &usize| eligible[*position].1.spec.failure_domain == *need.near;
+        let local = all.iter().copied().filter(is_local).collect::<Vec<_>>();
+        let re_prefill_ms = self.re_prefill_cost_ms(need);
         let far_ms = self.policy.far_ms;
-        let homes = match self.policy.uses_homes {
-            true => Homes::of(eligible, &near, &prefixes, again_ms, far_ms),
-            false => Homes::default(),
+        let targets = match self.policy.uses_homes {
+            true => AffinityTargets::new(eligible, &local, &prefixes, re_prefill_ms, far_ms),
+            false => AffinityTargets::default(),
         };
-        let whole_ms = self.reading_ms(need.model, f64::from(need.prompt_tokens));
-        let count = match whole_ms > LONG_MS {
-            true => DRAWN_LONG,
-            false => DRAWN,
+        let full_prefill_ms = self.prefill_ms(need.model, f64::from(need.prompt_tokens));
+        let count = match full_prefill_ms > LONG_PREFILL_MS {
+            true => RANDOM_CANDIDATES_LONG,
+            false => RANDOM_CANDIDATES,
         };
         let drawn = draw(&all, count, rng);
-        let drawn_near = draw(&near, count, rng);
-        let places = homes.places().chain(drawn).chain(drawn_near);
-        let priced = places.map(|place| {
-            let (index, entry) = eligible[place];
-            let known = held_tokens(entry, need, &prefixes);
-            let held = homes.held(place, known, shared_tokens(need));
-            let load = self.load(now, entry, need, held);
+        let drawn_local = draw(&local, count, rng);
+        let positions = targets.positions().chain(drawn).chain(drawn_local);
+        let priced = positions.map(|position| {
+            let (index, entry) = eligible[position];
+            let known = known_cached_tokens(entry, need, &prefixes);
+            let cached = targets.expected_cached(position, known, shared_tokens(need));
+            let load = self.load(now, entry, need, cached);
             let cost = cost(now, &self.policy, entry, &load, need);
             (cost, index, load)
         });
@@ -161,32 +167,32 @@
         }
     }
 
-    fn load(&self, now: Time, entry: &Entry, need: &Need<'_>, held: f64) -> Load {
+    fn load(&self, now: Time, entry: &Entry, need: &Need<'_>, cached: f64) -> Load {
         if need.parts.is_empty() {
             return self.plain_load(entry, need);
         }
         let shared = f64::from(shared_tokens(need));
-        let missing = (f64::from(need.prompt_tokens) - held).max(0.0);
+        let missing = (f64::from(need.prompt_tokens) - cached).max(0.0);
         Load {
             missing: missing as u32,
-            missing_shared: (shared - held).max(0.0) as u32,
-            expected_ms: ENGINE_BASE_MS + self.reading_ms(need.model, missing),
-            unheld_ms: ENGINE_BASE_MS + self.reading_ms(need.model, f64::from(need.prompt_tokens)),
-            wait_ms: entry.backlog.ms(now) + entry.others.backlog_ms,
+            missing_shared: (shared - cached).max(0.0) as u32,
+            expected_ms: ENGINE_BASE_MS + self.prefill_ms(need.model, missing),
+            unheld_ms: ENGINE_BASE_MS + self.prefill_ms(need.model, f64::from(need.prompt_tokens)),
+            wait_ms: entry.backlog.wait_ms(now) + entry.remote.backlog_ms,
         }
     }
 
-    /// What reading a prompt's shared parts once more costs, in ms.
-    fn reading_again_ms(&self, need: &Need<'_>) -> f64 {
+    /// Cost of prefilling a prompt's shared parts again, in ms.
+    fn re_prefill_cost_ms(&self, need: &Need<'_>) -> f64 {
         let shared = f64::from(shared_tokens(need));
-        self.reading_ms(need.model, shared) + shared / 1_000.0 * self.policy.read_again_ms_per_1000
+        self.prefill_ms(need.model, shared) + shared / 1_000.0 * self.policy.read_again_ms_per_1000
     }
 
     fn plain_load(&self, entry: &Entry, need: &Need<'_>) -> Load {
         let expected_ms = self.plain_ms(need.service);
-        let out = entry.in_flight + entry.others.in_flight;
+        let outstanding = entry.in_flight + entry.remote.in_flight;
         let slots = entry.spec.slots.max(1);
-        let waiting = out.saturating_sub(slots - 1);
+        let waiting = outstanding.saturating_sub(slots - 1);
         Load {
             missing: 0,
             missing_shared: 0,
@@ -198,44 +204,47 @@
 }
 
 fn cost(now: Time, policy: &PlacingPolicy, entry: &Entry, load: &Load, need: &Need<'_>) -> f64 {
-    let is_far = entry.spec.failure_domain != *need.near;
-    let far = if is_far { policy.far_ms } else { 0.0 };
-    let cold = match entry.spec.cold_for > Span::ZERO {
-        true => COLD_TIMES,
+    let is_cross_domain = entry.spec.failure_domain != *need.near;
+    let cross_domain = if is_cross_domain { policy.far_ms } else { 0.0 };
+    let cold_factor = match entry.spec.cold_for > Span::ZERO {
+        true => COLD_FACTOR,
         false => 1.0,
     };
-    let out = f64::from(entry.in_flight + entry.others.in_flight);
-    let each = match need.parts.is_empty() {
+    let outstanding = f64::from(entry.in_flight + entry.remote.in_flight);
+    let per_request_ms = match need.parts.is_empty() {
         true => load.expected_ms / f64::from(entry.spec.slots.max(1)),
-        false => RUNNING_MS + policy.harm_share * load.expected_ms,
+        false => RUNNING_REQUEST_MS + policy.harm_share * load.expected_ms,
     };
-    let read_again = f64::from(load.missing_shared) / 1_000.0 * policy.read_again_ms_per_1000;
+    let re_prefill = f64::from(load.missing_shared) / 1_000.0 * policy.read_again_ms_per_1000;
     let silence = entry.silent_ms(now) * policy.silence_share;
-    (load.wait_ms + load.expected_ms + out * each) * cold + far + read_again + silence
+    (load.wait_ms + load.expected_ms + outstanding * per_request_ms) * cold_factor
+        + cross_domain
+        + re_prefill
+        + silence
 }
 
-/// Keeps those that have least to do.
-fn keep_emptiest(eligible: &mut Vec<(UpstreamIndex, &Entry)>) {
-    let out = |entry: &Entry| entry.in_flight + entry.others.in_flight;
-    let least = eligible.iter().map(|(_, entry)| out(entry)).min();
-    eligible.retain(|(_, entry)| Some(out(entry)) == least);
+/// Retains the upstreams with the fewest outstanding requests.
+fn retain_least_loaded(eligible: &mut Vec<(UpstreamIndex, &Entry)>) {
+    let outstanding = |entry: &Entry| entry.in_flight + entry.remote.in_flight;
+    let least = eligible.iter().map(|(_, entry)| outstanding(entry)).min();
+    eligible.retain(|(_, entry)| Some(outstanding(entry)) == least);
 }
 
-/// Keeps a share of `all` upstreams, the same ones at every daemon.
-fn keep_few(eligible: &mut Vec<(UpstreamIndex, &Entry)>, share: Share, all: usize) {
-    let few = (share.get() * all as f64).ceil() as usize;
+/// Retains a share of the `total` upstreams, the same ones at every daemon.
+fn retain_subset(eligible: &mut Vec<(UpstreamIndex, &Entry)>, share: Share, total: usize) {
+    let count = (share.get() * total as f64).ceil() as usize;
     eligible.sort_by_key(|(_, entry)| xxh3_64(entry.spec.id.as_str().as_bytes()));
-    eligible.truncate(few.max(1));
+    eligible.truncate(count.max(1));
 }
 
-/// Places drawn at random; all of them, in any order, when they are few: of equal ones the
-/// first is taken.
-fn draw(places: &[usize], count: usize, rng: &mut impl Rng) -> Vec<usize> {
-    if places.len() <= count {
-        let mut all = places.to_vec();
-        all.shuffle(rng);
-        return all;
+/// Draws `count` positions at random. When there are no more than that, returns all of them
+/// shuffled, since the first of equally cheap candidates is chosen.
+fn draw(positions: &[usize], count: usize, rng: &mut impl Rng) -> Vec<usize> {
+    if positions.len() <= count {
+        let mut shuffled = positions.to_vec();
+        shuffled.shuffle(rng);
+        return shuffled;
     }
-    let drawn = (0..count).map(|_| places[rng.random_range(0..places.len())]);
+    let drawn = (0..count).map(|_| positions[rng.random_range(0..positions.len())]);
     drawn.collect()
 }
--- a/components/dispatch/src/lib.rs
+++ b/components/dispatch/src/lib.rs
@@ -1,9 +1,10 @@
-//! Which upstream, which model, which version, and whether to try again.
+//! Chooses the upstream, model and version for a request, and decides on retries.
 //!
-//! Everything here is a value that is given the time and random numbers and touches no
-//! socket, clock or thread. [`Upstreams`] is what one daemon knows of the upstreams and
-//! chooses among them; [`RetryBudget`] bounds repeats; [`Cascade`] decides when a larger
-//! model is asked; [`Trial`] moves a service's traffic to a new version and judges it.
+//! Everything here is a plain value that is given the time and random numbers and touches no
+//! socket, clock or thread. [`Upstreams`] holds what one daemon knows of the upstreams and
+//! chooses among them; [`RetryBudget`] bounds retries; [`Cascade`] decides when a request is
+//! escalated to a larger model; [`Trial`] moves a service's traffic to a new version and judges
+//! it.
 
 mod affinity;
 mod aggregation;
--- a/components/dispatch/src/need.rs
+++ b/components/dispatch/src/need.rs
@@ -1,4 +1,4 @@
-//! What a request needs of an upstream.
+//! What a request requires of an upstream.
 
 use std::sync::Arc;
 
@@ -10,29 +10,30 @@
 /// A part of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Tells its text from others.
+    /// Identifies the part's text.
     pub id: u64,
-    /// Its length.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
-/// What a request needs.
+/// What a request requires of an upstream.
 #[derive(Debug, Clone)]
 pub struct Need<'a> {
-    /// The service.
+    /// Requested service.
     pub service: &'a Arc<str>,
-    /// The model, of engines.
+    /// Requested model; `None` for services that are not engines.
     pub model: Option<&'a Arc<str>>,
-    /// The prompt's parts in order; the last is the request's own.
+    /// The prompt's parts in order; only the last is not shared with other requests.
     pub parts: &'a [PromptPart],
-    /// Tokens of the whole prompt.
+    /// Length of the whole prompt in tokens.
     pub prompt_tokens: u32,
-    /// Versions that it may run on.
+    /// Versions that the request may run on.
     pub permit: &'a Permit,
-    /// Upstreams that it must not go to again.
+    /// Upstreams that are not tried again.
     pub exclude: &'a [UpstreamIndex],
-    /// Whether it is to run where fewest others do: its upstream may end under it.
+    /// Whether to choose the upstream with the fewest outstanding requests, since this request
+    /// may crash it.
     pub apart: bool,
-    /// Where this daemon stands.
+    /// The daemon's own failure domain.
     pub near: &'a FailureDomain,
 }
--- a/components/dispatch/src/rate_limits.rs
+++ b/components/dispatch/src/rate_limits.rs
@@ -9,43 +9,43 @@
 use crate::choose::NoUpstream;
 use crate::upstreams::{Entry, UpstreamIndex, Upstreams};
 
-/// An upstream that refuses is asked again after this at the latest, whatever it wishes: others'
-/// requests end, and it may have room sooner than it thought.
-const LONGEST_BUSY: Span = Span::from_secs(5);
+/// Longest time for which an upstream that refused is left alone, whatever it asked for:
+/// others' requests end, and it may have room sooner than it expected.
+const MAX_BACKOFF: Span = Span::from_secs(5);
 
 impl Upstreams {
-    /// The rate limits known.
+    /// Returns the known rate limits.
     #[must_use]
     pub fn rate_limits(&self) -> &RateLimits {
         &self.limits
     }
 
-    /// An upstream's rate limit.
+    /// Returns an upstream's rate limit.
     #[must_use]
     pub fn rate_limit(&self, index: UpstreamIndex) -> Option<Rate> {
         self.limits.rate(self.entries.get(&index)?.run)
     }
 
-    /// Upstreams that have a rate limit.
+    /// Iterates over the ids and limits of the upstreams that have a rate limit.
     pub fn limited(&self) -> impl Iterator<Item = (String, Rate)> {
         let rate = |entry: &Entry| self.limits.rate(entry.run);
         let entries = self.entries.values();
         entries.filter_map(move |entry| Some((entry.spec.id.to_string(), rate(entry)?)))
     }
 
-    /// The upstream of a run, as it is listed.
+    /// Finds the listed upstream of a run.
     #[must_use]
     pub fn find_run(&self, run: RunKey) -> Option<&Arc<Upstream>> {
         let entry = self.entries.values().find(|entry| entry.run == run);
         entry.map(|entry| &entry.spec)
     }
 
-    /// Takes the daemons that share the limits.
+    /// Sets the daemons that share the limits.
     pub fn set_fleet(&mut self, now: Time, fleet: &Arc<Fleet>) {
         self.limits.set_fleet(now, fleet);
     }
 
-    /// Takes the rate limit of an answer.
+    /// Records the rate limit in an answer whose request was sent at `sent_at`.
     pub fn observe_rate_limit(
         &mut self,
         now: Time,
@@ -57,17 +57,17 @@
         self.limits.observe(now, run, sent_at, advertised)
     }
 
-    /// Merges an upstream's rate limit as another daemon advertises it.
+    /// Merges a rate limit that another daemon advertises.
     pub fn merge_rate_limit(&mut self, now: Time, ad: &Advertisement) -> Option<Change> {
         self.limits.merge(now, ad)
     }
 
-    /// The rate limits to advertise to other daemons.
+    /// Returns the rate limits to advertise to other daemons.
     pub fn advertise_rate_limits(&mut self, now: Time) -> Vec<Advertisement> {
         self.limits.advertise(now)
     }
 
-    /// Takes one more send to an upstream, if its rate limit allows it.
+    /// Takes a token for one more request to an upstream, if its rate limit allows it.
     pub fn take_send(&mut self, now: Time, index: UpstreamIndex) -> bool {
         let Some(entry) = self.entries.get(&index) else {
             return false;
@@ -79,18 +79,19 @@
         is_open
     }
 
-    /// Takes an upstream's wish to get nothing before a moment.
+    /// Leaves an upstream alone until `until`, as it asked for, but no longer than
+    /// [`MAX_BACKOFF`].
     pub fn leave_alone(&mut self, now: Time, index: UpstreamIndex, until: Time) {
         if let Some(entry) = self.entries.get_mut(&index) {
-            entry.busy_until = until.min(now + LONGEST_BUSY);
+            entry.backoff_until = until.min(now + MAX_BACKOFF);
         }
     }
 
-    /// Keeps the upstreams whose rate limits allow a request now.
+    /// Retains the upstreams whose rate limits allow a request now.
     ///
     /// # Errors
     /// When none does; says when one will.
-    pub(crate) fn keep_open(
+    pub(crate) fn retain_admitted(
         &self,
         now: Time,
         candidates: &mut Vec<(UpstreamIndex, &Entry)>,
--- a/components/dispatch/src/upstreams.rs
+++ b/components/dispatch/src/upstreams.rs
@@ -1,4 +1,4 @@
-//! What one daemon knows of the upstreams.
+//! The upstreams as one daemon knows them.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -13,70 +13,70 @@
 use crate::backlog::Backlog;
 use crate::health::{Ending, Health};
 use crate::policy::PlacingPolicy;
-use crate::prefill::Reading;
+use crate::prefill::PrefillTimes;
 
-/// Prefixes remembered of one upstream; its memory holds some hundred of this length.
+/// Prefixes remembered per upstream; an engine's cache holds some hundred of them.
 const MAX_PREFIXES: usize = 2_048;
-/// First guess of a plain service's time, in ms.
-const FIRST_PLAIN_MS: f64 = 50.0;
-/// Time of an engine that does not depend on the prompt, in ms.
+/// Expected time of a plain service's answer before the first one, in ms.
+const DEFAULT_PLAIN_MS: f64 = 50.0;
+/// Part of an engine's time to the first event that does not depend on the prompt, in ms.
 pub(crate) const ENGINE_BASE_MS: f64 = 20.0;
-/// A shorter prompt says little of a token's time.
-const FEWEST_TOKENS: u32 = 500;
-/// Weight of a new figure in the means of a service.
+/// Prefills of fewer tokens are not sampled: they say little about the time per token.
+const MIN_SAMPLE_TOKENS: u32 = 500;
+/// Weight of a new sample in the means of a service.
 const MEAN_WEIGHT: f64 = 0.05;
 
-/// One run of an upstream, as long as it is listed or has work.
+/// Identifies one run of an upstream while it is listed or has outstanding requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UpstreamIndex(u64);
 
-/// What a request means for an upstream.
+/// Load that a request adds to an upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Load {
-    /// Tokens to be read that the upstream is not known to hold.
+    /// Tokens to prefill that the upstream is not known to have cached.
     pub missing: u32,
-    /// Of these, tokens of parts that other requests share.
+    /// Those of them in parts that other requests share.
     pub missing_shared: u32,
-    /// Expected time of the upstream's own until it answers, in ms.
+    /// Expected time until the first event once the upstream starts on the request, in ms.
     pub expected_ms: f64,
-    /// The same if it held nothing of the prompt, in ms.
+    /// The same if the upstream had nothing of the prompt cached, in ms.
     pub unheld_ms: f64,
-    /// Expected time until the upstream comes to it, in ms.
+    /// Expected time until the upstream starts on the request, in ms.
     pub wait_ms: f64,
 }
 
-/// Names a request that was sent to an upstream.
+/// Identifies a request that was sent to an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Ticket(pub(crate) u64);
 
-/// A request that begins to be answered.
+/// The start of an answer.
 #[derive(Debug)]
 pub struct Begun<'a> {
-    /// By whom.
+    /// The upstream that answers.
     pub index: UpstreamIndex,
-    /// Which.
+    /// The request that is answered.
     pub ticket: Ticket,
-    /// What was expected of it.
+    /// Load that was expected when the request was sent.
     pub load: &'a Load,
-    /// The model, of engines.
+    /// The model; `None` for services that are not engines.
     pub model: Option<&'a Arc<str>>,
-    /// How long it took, in ms.
+    /// Time from sending the request to the start of the answer, in ms.
     pub ms: f64,
 }
 
-/// An upstream as this daemon knew it last.
+/// An upstream as this daemon last knew it.
 #[derive(Debug, Clone)]
 pub struct LastSeen {
-    /// Which.
+    /// Identifies the upstream's run.
     pub index: UpstreamIndex,
-    /// As it was listed.
+    /// The upstream's entry in the list.
     pub spec: Arc<Upstream>,
     /// When anything was last read from it.
     pub heard_at: Time,
 }
 
 impl LastSeen {
-    /// Names its run.
+    /// Identifies the upstream's run to other daemons.
     #[must_use]
     pub fn run(&self) -> UpstreamRun {
         UpstreamRun {
@@ -86,18 +86,19 @@
     }
 }
 
-/// What one daemon has out at an upstream, in few bytes.
+/// One daemon's outstanding requests at an upstream, in compact form.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SharedLoad {
-    /// A hash of the upstream's id.
+    /// Hash of the upstream's id and start, see [`run_key`].
     pub upstream: u32,
-    /// Expected time of what has not begun to answer, in ms.
+    /// Expected time of the requests that have not begun to be answered, in ms.
     pub backlog_ms: u16,
-    /// Requests out.
+    /// Number of outstanding requests.
     pub in_flight: u16,
 }
 
-/// Names a run in few bytes: what daemons have out at a former run is no load of the next.
+/// Hashes the id and start of an upstream's run to four bytes. The start is included so that
+/// requests outstanding at a former run do not count as load of the next.
 #[must_use]
 pub fn run_key(id: &UpstreamId, started_at: Option<WallTime>) -> RunKey {
     let started_at = started_at.map_or(0, |at| at.0);
@@ -110,21 +111,21 @@
     pub(crate) run: RunKey,
     pub(crate) health: Health,
     pub(crate) in_flight: u32,
-    /// What was sent from here and has not begun to answer.
+    /// This daemon's requests there that have not begun to be answered.
     pub(crate) backlog: Backlog,
-    /// The same at other daemons, as they last said.
-    pub(crate) others: OthersLoad,
+    /// The load by other daemons, as last reported.
+    pub(crate) remote: RemoteLoad,
     /// When anything was last read from it.
     pub(crate) heard_at: Time,
-    /// Since when it has had work from here without a break.
+    /// Since when this daemon has had requests outstanding there without a break.
     busy_since: Time,
-    /// Prefixes that were sent there, by a hash of model and parts, and when.
+    /// Hashes of the model and the prompt prefixes sent there, with the time of sending.
     pub(crate) prefixes: HashMap<u64, Time>,
-    /// It refused a request and wants none before this.
-    pub(crate) busy_until: Time,
-    /// Not to be chosen any more: draining or gone, or it said so itself.
+    /// It refused a request and asked for none before this.
+    pub(crate) backoff_until: Time,
+    /// Gets no new requests: it is draining or not listed, or said itself that it leaves.
     pub(crate) is_leaving: bool,
-    /// Another run of a program has its address: this one is over, whatever the list says.
+    /// Another program run has its address, so this run is over even if it is still listed.
     is_replaced: bool,
     is_listed: bool,
 }
@@ -138,7 +139,8 @@
         }
     }
 
-    /// How long it has had work from here and said nothing on any connection, in ms.
+    /// How long it has had requests of this daemon outstanding without sending anything on any
+    /// connection, in ms.
     pub(crate) fn silent_ms(&self, now: Time) -> f64 {
         if self.in_flight == 0 {
             return 0.0;
@@ -148,14 +150,14 @@
     }
 }
 
-/// What other daemons have out at an upstream.
+/// Requests that other daemons have outstanding at an upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub(crate) struct OthersLoad {
+pub(crate) struct RemoteLoad {
     pub(crate) backlog_ms: f64,
     pub(crate) in_flight: u32,
 }
 
-/// Means over a service.
+/// Moving means over the upstreams of a service.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ServiceMeans {
     pub(crate) plain_ms: f64,
@@ -163,7 +165,7 @@
     bad: f64,
 }
 
-/// What one daemon knows of the upstreams.
+/// The upstreams as one daemon knows them.
 #[derive(Debug, Default)]
 pub struct Upstreams {
     pub(crate) policy: PlacingPolicy,
@@ -171,16 +173,16 @@
     pub(crate) by_service: HashMap<Arc<str>, Vec<UpstreamIndex>>,
     by_id: HashMap<UpstreamId, UpstreamIndex>,
     pub(crate) means: HashMap<Arc<str>, ServiceMeans>,
-    /// How long engines read, by model.
-    reading: HashMap<Arc<str>, Reading>,
+    /// Prefill times by model.
+    prefill_times: HashMap<Arc<str>, PrefillTimes>,
     /// Rate limits that upstreams advertise.
     pub(crate) limits: RateLimits,
-    next: u64,
+    next_index: u64,
     next_ticket: u64,
 }
 
 impl Upstreams {
-    /// Knows none yet; chooses by this policy.
+    /// Creates an empty table whose choices follow this policy.
     #[must_use]
     pub fn new(policy: PlacingPolicy) -> Self {
         Self {
@@ -189,14 +191,14 @@
         }
     }
 
-    /// Takes the present list. Who is no longer on it gets nothing new; says who went from it
-    /// without having said before that it would leave.
+    /// Replaces the list of upstreams. Those no longer listed get no new requests. Returns
+    /// those that disappeared without having announced that they leave.
     pub fn configure(&mut self, listed: &[Arc<Upstream>]) -> Vec<LastSeen> {
         for entry in self.entries.values_mut() {
             entry.is_listed = false;
         }
         for spec in listed {
-            self.list(spec);
+            self.upsert(spec);
         }
         let mut gone = Vec::new();
         for (index, entry) in &mut self.entries {
@@ -209,23 +211,24 @@
         gone
     }
 
-    /// An upstream as it is known now.
+    /// Returns what is known of an upstream.
     #[must_use]
     pub fn last_seen(&self, index: UpstreamIndex) -> Option<LastSeen> {
         let entry = self.entries.get(&index)?;
         Some(entry.last_seen(index))
     }
 
-    /// A run of an upstream's program by its id and start.
+    /// Finds a run of an upstream's program by its id and start.
     #[must_use]
     pub fn find(&self, id: &UpstreamId, started_at: Option<WallTime>) -> Option<LastSeen> {
-        let is_it = |entry: &Entry| entry.spec.id == *id && entry.spec.started_at == started_at;
+        let is_match = |entry: &Entry| entry.spec.id == *id && entry.spec.started_at == started_at;
         let mut entries = self.entries.iter();
-        let (index, entry) = entries.find(|(_, entry)| is_it(entry))?;
+        let (index, entry) = entries.find(|(_, entry)| is_match(entry))?;
         Some(entry.last_seen(*index))
     }
 
-    /// Whether an upstream gets nothing new: it said that it leaves, or is gone from the list.
+    /// Whether an upstream gets no new requests: it said that it leaves, or is no longer
+    /// listed.
     #[must_use]
     pub fn is_leaving(&self, index: UpstreamIndex) -> bool {
         self.entries
@@ -233,34 +236,36 @@
             .is_none_or(|entry| entry.is_leaving)
     }
 
-    /// Guards against an upstream that starts again under its id: what was believed of the
-    /// former run (prompts held, backlog, health, leaving, kept connections, which go by index)
-    /// is not so of the next, which therefore gets an entry of its own.
-    fn list(&mut self, spec: &Arc<Upstream>) {
+    /// Adds or updates a listed upstream.
+    ///
+    /// Guards against an upstream that restarts under its id: the state of the former run
+    /// (cached prompts, backlog, health, leaving, and kept connections, which are stored by
+    /// index) is not true of the next, which therefore gets an entry of its own.
+    fn upsert(&mut self, spec: &Arc<Upstream>) {
         let is_draining = spec.state == UpstreamState::Draining;
-        let held = self.by_id.get(&spec.id);
-        let held = held.and_then(|index| self.entries.get_mut(index));
-        if let Some(entry) = held.filter(|entry| entry.spec.started_at == spec.started_at) {
+        let known = self.by_id.get(&spec.id);
+        let known = known.and_then(|index| self.entries.get_mut(index));
+        if let Some(entry) = known.filter(|entry| entry.spec.started_at == spec.started_at) {
             entry.is_listed = true;
-            // An entry that lapsed while the store was away comes back with its upstream,
-            // so being listed as ready again lifts what its absence meant.
+            // An entry that lapsed while the store was unreachable comes back with its
+            // upstream, so being listed as ready again undoes the effect of its absence.
             entry.is_leaving = is_draining || entry.is_replaced;
             entry.spec = Arc::clone(spec);
             return;
         }
-        let index = UpstreamIndex(self.next);
-        self.next += 1;
+        let index = UpstreamIndex(self.next_index);
+        self.next_index += 1;
         let entry = Entry {
             spec: Arc::clone(spec),
             run: run_key(&spec.id, spec.started_at),
             health: Health::default(),
             in_flight: 0,
             backlog: Backlog::default(),
-            others: OthersLoad::default(),
+            remote: RemoteLoad::default(),
             heard_at: Time::ZERO,
             busy_since: Time::ZERO,
             prefixes: HashMap::new(),
-            busy_until: Time::ZERO,
+            backoff_until: Time::ZERO,
             is_leaving: is_draining,
             is_replaced: false,
             is_listed: true,
@@ -271,7 +276,7 @@
         service.push(index);
     }
 
-    /// Drops entries that are neither listed nor at work.
+    /// Drops entries that are neither listed nor have outstanding requests.
     fn forget_idle(&mut self) {
         let entries = &mut self.entries;
         entries.retain(|_, entry| entry.is_listed || entry.in_flight > 0);
@@ -281,13 +286,14 @@
         }
     }
 
-    /// What is known of an upstream from the list.
+    /// Returns an upstream's entry in the list.
     #[must_use]
     pub fn spec(&self, index: UpstreamIndex) -> Option<&Arc<Upstream>> {
         self.entries.get(&index).map(|entry| &entry.spec)
     }
 
-    /// Notes that a request goes to an upstream; the ticket names it from then on.
+    /// Records that a request is sent to an upstream; the returned ticket identifies it from
+    /// then on.
     pub fn started(
         &mut self,
         now: Time,
@@ -306,7 +312,7 @@
         self.limits.take(now, entry.run);
         entry.in_flight += 1;
         entry.backlog.push(now, ticket.0, load.expected_ms);
-        entry.health.chosen();
+        entry.health.note_chosen();
         if entry.prefixes.len() + prefixes.len() > MAX_PREFIXES {
             entry.prefixes.clear();
         }
@@ -316,22 +322,22 @@
         ticket
     }
 
-    /// Notes that something was read from an upstream.
+    /// Records that something was read from an upstream.
     pub fn heard(&mut self, now: Time, index: UpstreamIndex) {
         if let Some(entry) = self.entries.get_mut(&index) {
             entry.heard_at = now;
         }
     }
 
-    /// How long an upstream with work has said nothing on any connection, counted from
-    /// `since` at the earliest.
+    /// How long an upstream has sent nothing on any connection, counted from `since` at the
+    /// earliest.
     #[must_use]
     pub fn mute_for(&self, now: Time, index: UpstreamIndex, since: Time) -> Span {
         let heard_at = self.entries.get(&index).map(|entry| entry.heard_at);
         now.since(heard_at.unwrap_or_default().max(since))
     }
 
-    /// Notes that a request begins to be answered.
+    /// Records the start of an answer.
     pub fn answering(&mut self, now: Time, begun: &Begun<'_>) {
         let Some(entry) = self.entries.get_mut(&begun.index) else {
             return;
@@ -341,9 +347,9 @@
         let load = begun.load;
         let service = entry.spec.service.clone();
         match begun.model {
-            Some(model) if load.missing >= FEWEST_TOKENS && load.wait_ms < ENGINE_BASE_MS => {
-                let reading = self.reading.entry(model.clone()).or_default();
-                reading.note(load.missing, (begun.ms - ENGINE_BASE_MS).max(1.0));
+            Some(model) if load.missing >= MIN_SAMPLE_TOKENS && load.wait_ms < ENGINE_BASE_MS => {
+                let prefill_times = self.prefill_times.entry(model.clone()).or_default();
+                prefill_times.record(load.missing, (begun.ms - ENGINE_BASE_MS).max(1.0));
             }
             Some(_) => {}
             None => {
@@ -353,7 +359,7 @@
         }
     }
 
-    /// Notes a request's end.
+    /// Records the end of a request.
     pub fn ended(&mut self, now: Time, index: UpstreamIndex, ticket: Ticket, ending: Ending) {
         let Some(entry) = self.entries.get_mut(&index) else {
             return;
@@ -362,9 +368,9 @@
         entry.backlog.remove(now, ticket.0);
         let service = entry.spec.service.clone();
         let means = means_of(&mut self.means, &service);
-        means.note(ending);
-        let peers_share = means.bad_share();
-        entry.health.note(now, ending, peers_share);
+        means.record(ending);
+        let peers_share = means.failure_share();
+        entry.health.record(now, ending, peers_share);
         entry.is_replaced |= ending == Ending::Replaced;
         entry.is_leaving |= entry.is_replaced;
         if entry.in_flight == 0 && !entry.is_listed {
@@ -372,19 +378,21 @@
         }
     }
 
-    /// What this daemon has out, for the other daemons: busy upstreams only.
+    /// Returns this daemon's outstanding requests for the other daemons; idle upstreams are
+    /// left out.
     #[must_use]
     pub fn own_loads(&self, now: Time) -> Vec<SharedLoad> {
         let busy = self.entries.values().filter(|entry| entry.in_flight > 0);
         let loads = busy.map(|entry| SharedLoad {
             upstream: entry.run.0,
-            backlog_ms: entry.backlog.ms(now).min(f64::from(u16::MAX)) as u16,
+            backlog_ms: entry.backlog.wait_ms(now).min(f64::from(u16::MAX)) as u16,
             in_flight: u16::try_from(entry.in_flight).unwrap_or(u16::MAX),
         });
         loads.collect()
     }
 
-    /// Takes what all other daemons have out.
+    /// Sets the sums of all other daemons' backlogs, in ms, and outstanding requests, by run
+    /// key.
     pub fn set_others(&mut self, loads: &HashMap<u32, (f64, u32)>) {
         if !self.policy.counts_others {
             return;
@@ -392,23 +400,23 @@
         for entry in self.entries.values_mut() {
             let load = loads.get(&entry.run.0).copied();
             let (backlog_ms, in_flight) = load.unwrap_or_default();
-            entry.others = OthersLoad {
+            entry.remote = RemoteLoad {
                 backlog_ms,
                 in_flight,
             };
         }
     }
 
-    /// Expected time to read so many tokens of a prompt, in ms.
-    pub(crate) fn reading_ms(&self, model: Option<&Arc<str>>, tokens: f64) -> f64 {
-        let learnt = model.and_then(|model| self.reading.get(model).copied());
-        tokens * learnt.unwrap_or_default().token_ms(tokens as u32)
+    /// Expected time to prefill `tokens` tokens, in ms.
+    pub(crate) fn prefill_ms(&self, model: Option<&Arc<str>>, tokens: f64) -> f64 {
+        let learned = model.and_then(|model| self.prefill_times.get(model).copied());
+        tokens * learned.unwrap_or_default().token_ms(tokens as u32)
     }
 
-    /// Expected time of a plain service, in ms.
+    /// Expected time of a plain service's answer, in ms.
     pub(crate) fn plain_ms(&self, service: &str) -> f64 {
         let means = self.means.get(service);
-        means.map_or(FIRST_PLAIN_MS, |means| means.plain_ms)
+        means.map_or(DEFAULT_PLAIN_MS, |means| means.plain_ms)
     }
 }
 
@@ -417,14 +425,14 @@
     service: &Arc<str>,
 ) -> &'a mut ServiceMeans {
     means.entry(service.clone()).or_insert(ServiceMeans {
-        plain_ms: FIRST_PLAIN_MS,
+        plain_ms: DEFAULT_PLAIN_MS,
         good: 1.0,
         bad: 0.0,
     })
 }
 
 impl ServiceMeans {
-    fn note(&mut self, ending: Ending) {
+    fn record(&mut self, ending: Ending) {
         let (good, bad) = match ending {
             Ending::Good => (1.0, 0.0),
             Ending::Failed | Ending::Broken | Ending::Silent => (0.0, 1.0),
@@ -434,7 +442,7 @@
         self.bad += MEAN_WEIGHT * (bad - self.bad);
     }
 
-    fn bad_share(&self) -> f64 {
+    fn failure_share(&self) -> f64 {
         self.bad / (self.good + self.bad).max(f64::EPSILON)
     }
 }
