--- a/components/dispatch/src/budget.rs
+++ b/components/dispatch/src/budget.rs
@@ -1,9 +1,10 @@
-//! How many repeats a service may be sent.
+//! Retry budget of a service.
 //!
-//! Repeats are what turns a failing service into a dead one, so the fleet may send only a
-//! share of the callers' requests once more, over a sliding window. Each daemon keeps that
-//! share of its own requests, and its part of a fixed allowance: the sum over all daemons
-//! then keeps the bound without a word between them, also while some are cut off.
+//! Retries overload a service that is already failing, so the fleet may send only a share of
+//! the callers' requests again, over a sliding window. A retry here is any request sent once
+//! more, after a failure or to a larger model. Each daemon keeps to that share of its own
+//! requests and its part of a fixed allowance, so the sum over all daemons keeps the bound
+//! without messages, even while some are cut off.
 
 use std::collections::VecDeque;
 
@@ -11,48 +12,48 @@
 
 use crate::policy::RepeatPolicy;
 
-/// The window slides in so many steps.
-const STEPS: u64 = 20;
+/// Number of steps in which the window slides.
+const WINDOW_STEPS: u64 = 20;
 
-/// What the operators allow.
+/// The operators' bound on retries.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryLimits {
-    /// Repeats for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Repeats beyond that, of the whole fleet.
+    /// Retries beyond that, of the whole fleet.
     pub allowance: f64,
-    /// Over.
+    /// Length of the sliding window.
     pub window: Span,
 }
 
-/// What a repeat is for.
+/// Reason for a retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Use {
     /// An attempt failed.
     Failure,
-    /// A larger model is to answer.
+    /// Escalation to a larger model.
     LargerModel,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Step {
+struct WindowStep {
     ends_at: Time,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
-/// Requests and repeats of one service at one daemon.
+/// Requests and retries of one service at one daemon.
 #[derive(Debug)]
 pub struct RetryBudget {
     limits: RetryLimits,
     policy: RepeatPolicy,
-    steps: VecDeque<Step>,
-    /// Daemons that share the allowance.
+    steps: VecDeque<WindowStep>,
+    /// Number of daemons that share the allowance.
     daemons: usize,
 }
 
 impl RetryBudget {
-    /// Nothing was sent yet.
+    /// Creates a budget without any requests.
     #[must_use]
     pub fn new(limits: RetryLimits, policy: RepeatPolicy) -> Self {
         Self {
@@ -68,14 +69,14 @@
         self.daemons = daemons.max(1);
     }
 
-    /// Notes a caller's request.
+    /// Records a caller's request.
     pub fn requested(&mut self, now: Time) {
         self.step(now).requests += 1;
     }
 
-    /// Takes a repeat if there is one left.
-    pub fn take(&mut self, now: Time, what: Use) -> bool {
-        let share = match what {
+    /// Takes one retry from the budget; returns whether it is allowed.
+    pub fn take(&mut self, now: Time, reason: Use) -> bool {
+        let share = match reason {
             Use::Failure => self.policy.used_share,
             Use::LargerModel => self.policy.used_share * self.policy.choice_share,
         };
@@ -85,18 +86,18 @@
             .iter()
             .map(|s| f64::from(s.requests))
             .sum::<f64>();
-        let repeats = self.steps.iter().map(|s| f64::from(s.repeats)).sum::<f64>();
+        let retries = self.steps.iter().map(|s| f64::from(s.retries)).sum::<f64>();
         let allowance = self.limits.allowance / self.daemons as f64;
         let bound = share * (self.limits.ratio * requests + allowance);
-        let is_left = repeats + 1.0 <= bound;
-        if is_left {
-            self.step(now).repeats += 1;
+        let is_allowed = retries + 1.0 <= bound;
+        if is_allowed {
+            self.step(now).retries += 1;
         }
-        is_left
+        is_allowed
     }
 
-    /// The present step; those that left the window go.
-    fn step(&mut self, now: Time) -> &mut Step {
+    /// Returns the current step, after dropping those that left the window.
+    fn step(&mut self, now: Time) -> &mut WindowStep {
         let window = self.limits.window;
         while self
             .steps
@@ -105,11 +106,11 @@
         {
             self.steps.pop_front();
         }
-        let width = Span(window.0 / STEPS);
+        let width = Span(window.0 / WINDOW_STEPS);
         if self.steps.back().is_none_or(|step| now >= step.ends_at) {
-            self.steps.push_back(Step {
+            self.steps.push_back(WindowStep {
                 ends_at: now + width,
-                ..Step::default()
+                ..WindowStep::default()
             });
         }
         let last = self.steps.len() - 1;
--- a/components/dispatch/src/policy.rs
+++ b/components/dispatch/src/policy.rs
@@ -1,43 +1,48 @@
-//! What decides, and by which bounds.
+//! Settings of the decisions in this crate.
 //!
-//! The defaults are what serves. A policy file changes single entries, so that what each
-//! mechanism is worth can be measured on the same build: with one of them off, on the same
-//! days.
+//! A policy file may override single entries of the defaults, so that a mechanism can be
+//! switched off and compared on the same build under the same load.
 
 use poison::PoisonPolicy;
 use serde::{Deserialize, Serialize};
 
-/// Part of a prompt's reading time that each stream beside it is charged with. An engine
-/// reads in chunks and makes one token of every stream between two of them; a chunk of a
-/// long prompt takes the largest model 0.4 s, so an event of six tokens takes 2.4 s where
-/// 1.5 s are allowed. Long prompts thus gather where few streams run, and streams avoid
-/// where long prompts wait.
-const HARM_SHARE: f64 = 0.08;
-/// Times that the silence of an upstream with work counts as cost.
+/// Share of a prompt's prefill time that is charged for each stream running beside it.
 ///
-/// Guards against an engine that stands still: it reads a long prompt of another daemon's, or
-/// its host has gone dark. What is sent there waits as long as its streams do, and no backlog
-/// that is known here says so. Twice as long as it was silent, since it may be silent as long again.
-const SILENCE_SHARE: f64 = 2.0;
-/// Extra cost of another failure domain, in ms: its round trip of a few, and bytes between failure
-/// domains are paid for. With far less, requests leave their failure domain for little; with far more,
-/// the load of one is no longer evened out by the others.
-const FAR_MS: f64 = 120.0;
-/// Extra cost of reading a thousand shared tokens that another engine holds, in ms: besides
-/// the time it is paid for, some 4% of the price of an answer to a long prompt, and it
-/// displaces what the engine held.
-const READ_AGAIN_MS_PER_1000: f64 = 50.0;
-/// Part of the bound on repeats that is used: counts of daemons that just restarted are lost, and
-/// the step's width blurs the window by a twentieth.
-const USED_SHARE: f64 = 0.93;
-/// Part of that which choosing a larger model may use; the rest stays for failures.
+/// An engine prefills in chunks and makes one token of every stream between two of them. A
+/// chunk of a long prompt takes the largest model 0.4 s, so an event of six tokens takes 2.4 s
+/// where 1.5 s are allowed. The charge collects long prompts where few streams run, and keeps
+/// streams away from where long prompts wait.
+const PREFILL_DELAY_SHARE: f64 = 0.08;
+/// Factor by which the silence of an upstream with outstanding requests counts as cost.
 ///
-/// Guards against a crash of many engines that uses up the choice: the repeats of what it
-/// broke stand in the window for all of its length, and with 0.8 of 0.85 a seventh of all unsure
-/// answers were kept for eight seconds after half of 112 engines had crashed.
-const CHOICE_SHARE: f64 = 0.95;
+/// Guards against an engine that makes no progress: it prefills a long prompt of another
+/// daemon, or its host is unreachable. A request sent there waits as long as its streams do,
+/// and no backlog known to this daemon shows that. The factor is 2 since the upstream may stay
+/// silent for as long again.
+const SILENCE_COST_FACTOR: f64 = 2.0;
+/// Extra cost of an upstream in another failure domain, in ms.
+///
+/// The round trip takes a few ms, and traffic between failure domains is paid for. A much lower
+/// cost sends requests out of their failure domain for little gain; a much higher one no longer
+/// lets failure domains even out each other's load.
+const CROSS_DOMAIN_COST_MS: f64 = 120.0;
+/// Extra cost of prefilling a thousand shared tokens that another engine has cached, in ms.
+///
+/// Besides its time, a re-prefill costs some 4% of the price of an answer to a long prompt, and
+/// evicts what the engine had cached.
+const RE_PREFILL_COST_MS_PER_1000: f64 = 50.0;
+/// Share of the retry budget that is used. The rest covers the counts that restarted daemons
+/// lose, and the width of a window step, which blurs the window by a twentieth.
+const USED_BUDGET_SHARE: f64 = 0.93;
+/// Share of the used budget that escalations to a larger model may take; the rest is reserved
+/// for retries after failures.
+///
+/// Guards against a crash of many engines that leaves no budget for escalations: the retries of
+/// the failed requests count for the whole window. With 0.8 of 0.85, a seventh of all
+/// low-confidence answers were kept for eight seconds after half of 112 engines had crashed.
+const ESCALATION_BUDGET_SHARE: f64 = 0.95;
 
-/// What decides, and by which bounds.
+/// Settings of the decisions in this crate.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Policy {
@@ -45,74 +50,75 @@
     pub cascade: CascadePolicy,
     /// Which upstream gets a request.
     pub placing: PlacingPolicy,
-    /// How much of the fleet's budget of repeats is used.
+    /// How much of the fleet's retry budget is used.
     pub repeats: RepeatPolicy,
-    /// What is done about upstreams and requests that are late.
+    /// How late upstreams and requests are handled.
     pub timing: TimingPolicy,
-    /// When a request that ends its upstreams is barred.
+    /// When a request content that crashes upstreams is quarantined.
     pub poison: PoisonPolicy,
 }
 
-/// Which model answers. Confidences are of 0 to 100; above 100 none is reached.
+/// Settings for the choice of the model. Confidences range from 0 to 100; a bound above 100 is
+/// never reached.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct CascadePolicy {
-    /// An answer of the smallest model is kept from this confidence on.
+    /// Confidence from which an answer of the smallest model is kept.
     pub keep_from: u8,
-    /// An answer of a model in between is kept from this confidence on.
+    /// Confidence from which an answer of a medium-sized model is kept.
     pub keep_middle_from: u8,
-    /// From this confidence on the next size is asked, below it the largest.
+    /// Confidence from which the next larger model is asked; below it the largest is.
     pub next_size_from: u8,
-    /// Where the largest would be late a model in between is asked from this confidence on.
+    /// Confidence from which a medium-sized model is asked when the largest would be late.
     pub middle_from: u8,
-    /// Part of the objective within which a larger model's first event must be expected.
+    /// Share of the objective within which a larger model's first event must be expected.
     pub in_time_share: f64,
 }
 
-/// Which upstream gets a request.
+/// Settings for the choice of the upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlacingPolicy {
-    /// Prompts go where others that begin alike went.
+    /// Whether prompts are sent where others with the same prefix went (cache affinity).
     pub uses_homes: bool,
-    /// What other daemons have out counts.
+    /// Whether the outstanding requests of other daemons count.
     pub counts_others: bool,
-    /// Upstreams that fail are set aside.
+    /// Whether failing upstreams are ejected.
     pub sets_aside: bool,
-    /// Part of a prompt's reading time that each stream beside it is charged with.
+    /// Share of a prompt's prefill time that is charged for each stream running beside it.
     pub harm_share: f64,
-    /// Times that the silence of an upstream with work counts as cost.
+    /// Factor by which the silence of an upstream with outstanding requests counts as cost.
     pub silence_share: f64,
-    /// Extra cost of another failure domain, in ms.
+    /// Extra cost of an upstream in another failure domain, in ms.
     pub far_ms: f64,
-    /// Extra cost of reading a thousand shared tokens once more, in ms.
+    /// Extra cost of prefilling a thousand shared tokens again, in ms.
     pub read_again_ms_per_1000: f64,
 }
 
-/// How much of the fleet's budget of repeats is used.
+/// Settings for the use of the fleet's retry budget.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RepeatPolicy {
-    /// Part of the budget that is used at all.
+    /// Share of the budget that is used at all.
     pub used_share: f64,
-    /// Part of that which asking a larger model may use; the rest stays for failures.
+    /// Share of the used budget that escalations may take; the rest is reserved for failures.
     pub choice_share: f64,
 }
 
-/// What is done about upstreams and requests that are late.
+/// Settings for late upstreams and requests.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TimingPolicy {
-    /// A silent upstream is left for another.
+    /// Whether a request leaves a silent upstream for another.
     pub leaves_silent: bool,
-    /// Engines are told which requests go first.
+    /// Whether engines are told which requests to run first.
     pub ranks: bool,
-    /// A caller that comes before the first configuration waits a moment for it.
+    /// Whether a request that arrives before the first configuration waits a moment for it.
     pub waits_for_configuration: bool,
 }
 
 impl Default for CascadePolicy {
-    /// The bounds and where they come from stand with [`crate::Cascade`].
+    /// See [`crate::Cascade`] for the reasons behind these bounds.
     fn default() -> Self {
         Self {
             keep_from: 60,
@@ -130,10 +136,10 @@
             uses_homes: true,
             counts_others: true,
             sets_aside: true,
-            harm_share: HARM_SHARE,
-            silence_share: SILENCE_SHARE,
-            far_ms: FAR_MS,
-            read_again_ms_per_1000: READ_AGAIN_MS_PER_1000,
+            harm_share: PREFILL_DELAY_SHARE,
+            silence_share: SILENCE_COST_FACTOR,
+            far_ms: CROSS_DOMAIN_COST_MS,
+            read_again_ms_per_1000: RE_PREFILL_COST_MS_PER_1000,
         }
     }
 }
@@ -141,8 +147,8 @@
 impl Default for RepeatPolicy {
     fn default() -> Self {
         Self {
-            used_share: USED_SHARE,
-            choice_share: CHOICE_SHARE,
+            used_share: USED_BUDGET_SHARE,
+            choice_share: ESCALATION_BUDGET_SHARE,
         }
     }
 }
@@ -157,20 +163,20 @@
     }
 }
 
-/// An entry that cannot be used.
+/// A policy entry whose value is out of range.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
-#[error("{entry}: {value} is out of range; {right}")]
+#[error("{entry}: {value} is out of range; {allowed}")]
 pub struct PolicyError {
     entry: &'static str,
     value: f64,
-    right: &'static str,
+    allowed: &'static str,
 }
 
 impl Policy {
-    /// Checks every entry that a type does not check.
+    /// Checks the range of every entry whose type allows invalid values.
     ///
     /// # Errors
-    /// Names the first entry that cannot be used, and what would be right.
+    /// Names the first invalid entry and its allowed range.
     pub fn check(&self) -> Result<(), PolicyError> {
         let cascade = &self.cascade;
         let confidence = "a confidence is 0 to 100, 101 for never";
@@ -220,15 +226,15 @@
 fn check(
     entry: &'static str,
     value: f64,
-    most: f64,
-    right: &'static str,
+    max: f64,
+    allowed: &'static str,
 ) -> Result<(), PolicyError> {
-    match (0.0..=most).contains(&value) {
+    match (0.0..=max).contains(&value) {
         true => Ok(()),
         false => Err(PolicyError {
             entry,
             value,
-            right,
+            allowed,
         }),
     }
 }
