--- a/components/dispatch/src/evidence.rs
+++ b/components/dispatch/src/evidence.rs
@@ -1,4 +1,4 @@
-//! What the fleet has seen of two versions of a service.
+//! Outcomes of requests to two versions of a service, as counted during a roll-out.
 
 use routes::Repeat;
 use serde::{Deserialize, Serialize};
@@ -6,52 +6,55 @@
 
 use crate::upstreams::Load;
 
-/// An answer that takes so many times as long as expected is slow. A version that is bad in
-/// this way takes eight times as long for a part of its requests; a mean over all of them
-/// varies so much that 58 answers did not show it, their share does after about ten.
-const SLOW_TIMES: f64 = 3.0;
+/// Factor over the expected time from which an answer counts as slow.
+///
+/// A version that is bad in this way takes eight times as long for a part of its requests. The
+/// mean over all requests varies so much that it does not show this in 58 answers, while the
+/// share of slow answers does after about ten.
+const SLOW_FACTOR: f64 = 3.0;
 
-/// Answers of one version, counted since the order.
+/// Outcomes of one version's requests, counted since the order.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct ArmCounts {
     /// Requests sent.
     pub sent: u32,
-    /// Whole good answers.
+    /// Complete good answers.
     pub good: u32,
-    /// Failures that the upstream told itself.
+    /// Failures that the upstream reported.
     pub bad: u32,
     /// Answers that broke off or never came.
     pub broken: u32,
     /// Answers that began, whether or not they ended.
     pub begun: u32,
-    /// Of these, those that began much later than expected.
+    /// Those of them that began much later than expected.
     pub slow: u32,
-    /// Requests out now.
+    /// Requests outstanding now.
     pub out: u32,
 }
 
 impl ArmCounts {
-    /// Answers, good and bad.
+    /// Number of ended answers, good and bad.
     #[must_use]
     pub fn answers(&self) -> u32 {
         self.good + self.bad + self.broken
     }
 
-    /// Notes that an answer begins and how its time compares with what `load` lets expect.
+    /// Records the start of an answer and whether it is slow compared with the time expected by
+    /// `load`.
     ///
-    /// Guards against a slow version whose streams have not ended when it is to be judged: of
-    /// 68 requests that it got in 16 s, 16 had ended, the fast ones. And against a good
-    /// version that looks slow because its upstreams are new: they hold no prompts yet, so
-    /// all of a prompt counts as to be read, wherever it went.
+    /// Counting starts guards against a slow version whose streams have not ended when it is
+    /// judged: of 68 requests that it got in 16 s, 16 had ended, the fast ones. Expecting the
+    /// whole prompt to be prefilled, wherever it went, guards against a good version that looks
+    /// slow because its upstreams are new and have no prompts cached yet.
     pub fn note_begun(&mut self, measured_ms: f64, load: &Load) {
         self.begun += 1;
         let expected_ms = load.wait_ms + load.unheld_ms;
-        if measured_ms > SLOW_TIMES * expected_ms.max(1.0) {
+        if measured_ms > SLOW_FACTOR * expected_ms.max(1.0) {
             self.slow += 1;
         }
     }
 
-    /// What was counted since an earlier moment; what is out stays.
+    /// Returns the counts since an earlier moment; outstanding requests stay as they are.
     #[must_use]
     pub fn since(&self, earlier: &Self) -> Self {
         Self {
@@ -77,11 +80,12 @@
     }
 }
 
-/// Kinds of requests that are compared each with its own: some fail for their own sake far
-/// more often than others, and a mix of them hides a version that fails.
+/// Number of request kinds, each of which is compared only with its own. Some kinds fail far
+/// more often than others whatever the version, and a mix of them would hide a version that
+/// fails.
 pub const KINDS: usize = 3;
 
-/// The place of a kind of request among [`KINDS`].
+/// Returns the position of a kind of request, below [`KINDS`].
 #[must_use]
 pub fn kind_of(repeat: Repeat) -> usize {
     match repeat {
@@ -91,15 +95,15 @@
     }
 }
 
-/// Answers of one version, by kind of request.
+/// Outcomes of one version's requests, by kind of request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Arm {
-    /// By [`kind_of`].
+    /// Counts at the position that [`kind_of`] returns.
     pub kinds: [ArmCounts; KINDS],
 }
 
 impl Arm {
-    /// All kinds together.
+    /// Sums the counts of all kinds.
     #[must_use]
     pub fn sum(&self) -> ArmCounts {
         let mut sum = ArmCounts::default();
@@ -114,34 +118,35 @@
         }
     }
 
-    /// What was counted since an earlier moment.
+    /// Returns the counts since an earlier moment.
     #[must_use]
     pub fn since(&self, earlier: &Self) -> Self {
         let kinds = std::array::from_fn(|kind| self.kinds[kind].since(&earlier.kinds[kind]));
         Self { kinds }
     }
 
-    /// Forgets requests that are out.
+    /// Drops the counts of outstanding requests.
     pub fn forget_out(&mut self) {
         self.kinds.iter_mut().for_each(|counts| counts.out = 0);
     }
 }
 
-/// What one daemon has seen of a roll-out.
+/// What one daemon, or the fleet together, has counted during a roll-out.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Evidence {
     /// The store's revision of the order.
     pub order: u64,
-    /// How long the daemon knows the order, so that one that restarted does not begin anew.
+    /// Time since the daemon learned of the order, in ms; a daemon that restarted continues
+    /// from it.
     pub elapsed_ms: u32,
-    /// The new version.
+    /// Outcomes of the new version.
     pub new: Arm,
-    /// All others.
+    /// Outcomes of all other versions.
     pub old: Arm,
 }
 
 impl Evidence {
-    /// What was seen since an earlier moment.
+    /// Returns the counts since an earlier moment.
     #[must_use]
     pub fn since(&self, earlier: &Self) -> Self {
         Self {
@@ -151,7 +156,7 @@
         }
     }
 
-    /// How long its daemon knows the order.
+    /// Time since the daemon learned of the order.
     #[must_use]
     pub fn elapsed(&self) -> Span {
         Span::from_millis(u64::from(self.elapsed_ms))
--- a/components/dispatch/src/lapsed.rs
+++ b/components/dispatch/src/lapsed.rs
@@ -1,4 +1,4 @@
-//! Entries of upstreams that went while the store was away.
+//! Upstreams whose entry disappeared while the store was unreachable.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,79 +6,80 @@
 use routes::Upstream;
 use types::prelude::*;
 
-/// Added to the time in which entries are to be back: the watch's way.
-const MARGIN: Span = Span::from_millis(100);
+/// Delay of the store's watch, added to the time in which entries are expected back.
+const WATCH_DELAY: Span = Span::from_millis(100);
 
-/// Upstreams whose entry went while the store was out of reach, or just after.
+/// Upstreams whose entry disappeared while the store was unreachable or shortly after.
 ///
-/// Guards against an outage that lets the leases of living upstreams run out: all of them
-/// would vanish at once and every request would be refused, though they serve. The time is
-/// counted from the store's return, so that an upstream which really left after a cut of
-/// this daemon alone gets work no longer than that.
+/// Guards against an outage that lets the leases of live upstreams expire: all of them would
+/// disappear at once, and every request would be refused though they serve. The grace period is
+/// counted from the store's return, so that an upstream which really left while only this
+/// daemon was cut off gets no requests after it.
 #[derive(Debug)]
 pub struct Lapsed {
     relisted_within: Span,
-    /// Out of reach now.
-    is_away: bool,
-    /// Until then an entry that goes may have lapsed only.
-    unsettled_until: Time,
-    held: BTreeMap<UpstreamId, (Arc<Upstream>, Time)>,
+    /// Whether the store is unreachable now.
+    is_store_unreachable: bool,
+    /// An entry that disappears before this may only have lapsed.
+    grace_until: Time,
+    lapsed: BTreeMap<UpstreamId, (Arc<Upstream>, Time)>,
 }
 
 impl Lapsed {
-    /// The store is settled; entries that lapse are back within so long of its return.
+    /// Creates an empty set while the store is reachable. Lapsed entries are expected back
+    /// within `relisted_within` of the store's return.
     #[must_use]
     pub fn new(relisted_within: Span) -> Self {
         Self {
             relisted_within,
-            is_away: false,
-            unsettled_until: Time::ZERO,
-            held: BTreeMap::new(),
+            is_store_unreachable: false,
+            grace_until: Time::ZERO,
+            lapsed: BTreeMap::new(),
         }
     }
 
-    /// Notes that the store is out of reach.
+    /// Records that the store is unreachable.
     pub fn store_failed(&mut self) {
-        self.is_away = true;
+        self.is_store_unreachable = true;
     }
 
-    /// Notes that the store answers.
+    /// Records that the store answers.
     pub fn store_answered(&mut self, now: Time) {
-        if self.is_away {
-            self.is_away = false;
-            self.unsettled_until = now + self.relisted_within + MARGIN;
-            let until = self.unsettled_until;
-            for (_, held_until) in self.held.values_mut() {
-                *held_until = until.min(*held_until);
+        if self.is_store_unreachable {
+            self.is_store_unreachable = false;
+            self.grace_until = now + self.relisted_within + WATCH_DELAY;
+            let until = self.grace_until;
+            for (_, kept_until) in self.lapsed.values_mut() {
+                *kept_until = until.min(*kept_until);
             }
         }
     }
 
-    /// Notes an entry that went. Kept for a while if it may have lapsed only.
+    /// Records an entry that disappeared. It is kept for a while if it may only have lapsed.
     pub fn gone(&mut self, now: Time, upstream: Arc<Upstream>) {
-        let until = match self.is_away {
-            true => now + self.relisted_within + MARGIN,
-            false => self.unsettled_until,
+        let until = match self.is_store_unreachable {
+            true => now + self.relisted_within + WATCH_DELAY,
+            false => self.grace_until,
         };
         if now < until {
-            self.held.insert(upstream.id.clone(), (upstream, until));
+            self.lapsed.insert(upstream.id.clone(), (upstream, until));
         }
     }
 
-    /// Notes an entry that is there.
+    /// Records an entry that is listed.
     pub fn listed(&mut self, id: &UpstreamId) {
-        self.held.remove(id);
+        self.lapsed.remove(id);
     }
 
-    /// Drops those that are not back in time; whether there were any.
+    /// Drops the entries that were not listed again in time; returns whether there were any.
     pub fn expire(&mut self, now: Time) -> bool {
-        let before = self.held.len();
-        self.held.retain(|_, (_, until)| now < *until);
-        self.held.len() != before
+        let before = self.lapsed.len();
+        self.lapsed.retain(|_, (_, until)| now < *until);
+        self.lapsed.len() != before
     }
 
-    /// Those that may be back.
+    /// Iterates over the entries that may be listed again.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Upstream>> {
-        self.held.values().map(|(upstream, _)| upstream)
+        self.lapsed.values().map(|(upstream, _)| upstream)
     }
 }
--- a/components/dispatch/src/peer_loads.rs
+++ b/components/dispatch/src/peer_loads.rs
@@ -1,8 +1,8 @@
-//! What other daemons have out at upstreams.
+//! Outstanding requests of other daemons at upstreams.
 //!
-//! Each daemon sees its own requests only, a small part of what an upstream has to do.
-//! Upstreams' own reports are some hundred ms old and paid for; so daemons tell each other
-//! what they have out. A daemon that falls silent takes its figures with it.
+//! Each daemon sees only its own requests, a small part of an upstream's load. Upstreams' own
+//! reports are some hundred ms old and paid for, so daemons report their outstanding requests
+//! to each other. The report of a daemon that falls silent expires.
 
 use std::collections::HashMap;
 
@@ -10,32 +10,34 @@
 
 use crate::upstreams::SharedLoad;
 
-/// A daemon's figures count for so long after they came: a large fleet takes some rounds of telling.
-const FRESH: Span = Span::from_millis(1_400);
+/// How long a daemon's report counts after it arrived: in a large fleet gossip takes some
+/// rounds.
+const REPORT_LIFETIME: Span = Span::from_millis(1_400);
 #[derive(Debug)]
-struct Said {
+struct Report {
     until: Time,
     loads: Vec<SharedLoad>,
 }
 
-/// The latest figures of each other daemon.
+/// The latest report of each other daemon.
 #[derive(Debug, Default)]
 pub struct PeerLoads {
-    by_daemon: HashMap<DaemonId, Said>,
+    by_daemon: HashMap<DaemonId, Report>,
 }
 
 impl PeerLoads {
-    /// Takes a daemon's figures in place of its last ones.
+    /// Replaces a daemon's report.
     pub fn take(&mut self, now: Time, daemon: DaemonId, loads: Vec<SharedLoad>) {
-        let until = now + FRESH;
-        self.by_daemon.insert(daemon, Said { until, loads });
+        let until = now + REPORT_LIFETIME;
+        self.by_daemon.insert(daemon, Report { until, loads });
     }
 
-    /// Sums by upstream over all daemons that spoke lately.
+    /// Sums the backlog, in ms, and the outstanding requests over all unexpired reports, by run
+    /// key.
     pub fn sums(&mut self, now: Time) -> HashMap<u32, (f64, u32)> {
-        self.by_daemon.retain(|_, said| now < said.until);
+        self.by_daemon.retain(|_, report| now < report.until);
         let mut sums = HashMap::<u32, (f64, u32)>::new();
-        for load in self.by_daemon.values().flat_map(|said| &said.loads) {
+        for load in self.by_daemon.values().flat_map(|report| &report.loads) {
             let sum = sums.entry(load.upstream).or_default();
             sum.0 += f64::from(load.backlog_ms);
             sum.1 += u32::from(load.in_flight);
--- a/components/dispatch/src/pins.rs
+++ b/components/dispatch/src/pins.rs
@@ -1,11 +1,12 @@
-//! Versions that sessions are on.
+//! Session pins: the version that each session is on.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use types::prelude::*;
 
-/// Sessions remembered; beyond it the stalest go. About 100 bytes each.
+/// Sessions remembered, at about 100 bytes each. At the bound expired ones are dropped, and new
+/// ones are not added if none has expired.
 const MAX_PINS: usize = 20_000;
 
 #[derive(Debug, Clone)]
@@ -21,17 +22,18 @@
 }
 
 impl Pins {
-    /// The version that a session is on.
+    /// Returns the version that a session is on.
     #[must_use]
     pub fn get(&self, now: Time, session: u64) -> Option<&Arc<str>> {
         let pin = self.pins.get(&session)?;
         (now < pin.used_until).then_some(&pin.version)
     }
 
-    /// Notes that a session is served by a version, and until when it is at least.
+    /// Records that a session is served by a version and stays on it until `used_until` at
+    /// least.
     ///
     /// Set at a request's start for as long as it may run, and at its end for as long as the
-    /// session may then be idle: a session is idle from the end of its last request on.
+    /// session may then be idle, which is counted from the end of its last request.
     pub fn set(&mut self, now: Time, session: u64, version: &Arc<str>, used_until: Time) {
         if self.pins.len() >= MAX_PINS {
             self.pins.retain(|_, pin| now < pin.used_until);
@@ -46,7 +48,7 @@
         self.pins.insert(session, pin);
     }
 
-    /// Sessions at work on another version than this one.
+    /// Iterates over the active sessions on another version than this one.
     pub fn not_on<'a>(
         &'a self,
         now: Time,
@@ -59,13 +61,13 @@
         other.map(|(session, _)| *session)
     }
 
-    /// Sessions held.
+    /// Number of sessions held.
     #[must_use]
     pub fn len(&self) -> usize {
         self.pins.len()
     }
 
-    /// Whether none is held.
+    /// Whether no session is held.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.pins.is_empty()
