--- a/components/dispatch/src/trial.rs
+++ b/components/dispatch/src/trial.rs
@@ -1,14 +1,14 @@
-//! Moving a service to a new version, and judging it on the way.
+//! Canary roll-out of a new version of a service, and the judgement of that version.
 //!
-//! A version can be bad from its start, after a while, under load or on one route, and one
-//! that is bad under more load than there is shows nothing at all. So the operators' bound on
-//! what a bad version may get is kept by count, whatever the judgement says: the new version
-//! has a small share until all that is still to come fits into the bound, and then gets
-//! everything, a second or two before the time is up. The judgement compares both versions
-//! over the same time, because upstreams also fail for other reasons ([`comparison`]).
-
-mod comparison;
+//! A version can be bad from its start, after a while, under load or on one route, and one that
+//! is bad only under more load than there is shows nothing at all. So the operators' bound on
+//! the requests that a bad version may get is enforced by count, whatever the judgement: the
+//! new version has a small canary share until all requests still to come fit into the bound,
+//! and then gets everything, a second or two before the time is up. The judgement compares both
+//! versions over the same time, because upstreams also fail for other reasons ([`judge`]).
+
 mod gate;
+mod judge;
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -17,43 +17,45 @@
 use types::prelude::*;
 
 use crate::evidence::Evidence;
-use comparison::{Counted, Doubt, Fault, Needed, fault_of, tells_failures};
 pub use gate::{Gate, Permit};
-
-/// The new version gets its first requests this long after the order: by then every daemon
-/// has told which sessions are at work, and a restarted one has heard of it.
-const OPEN_AFTER: Span = Span::from_millis(2_500);
-/// Part of the allowed exposure that the first share uses: the rest is for the time in which
-/// the new version carries everything and requests on the old one end. With 0.15 a version
-/// that was slow on half of its requests had 16 answers when it was to be judged.
-const FIRST_SHARE_OF_BOUND: f64 = 0.3;
-/// Sessions stay on their version in the first half of a roll-out, so the share may only
-/// rise in the second.
-const RISE_FROM: f64 = 0.52;
-/// Part of the bound that the count may reach: requests may come faster than before, and
-/// daemons hear of each other's counts some hundred ms late.
-const COUNTED_SHARE: f64 = 0.9;
-/// The present rate of requests is taken over so long: a shorter one is a matter of chance.
-const PACE_SPAN: Span = Span::from_secs(2);
-/// Completed when nothing runs on the old version any more, so long after the new one got
-/// everything. A version that is bad under load shows it within a second of that; completed
-/// sooner it could not be taken back.
-const CARRIES_ALL_FOR: Span = Span::from_millis(1_200);
-/// Completed so long before the time is up at the latest: daemons may learn of an order half a
-/// second late, a slow store's answer takes 0.4 s, and another daemon's turn 0.6 s. With 0.8 s
-/// one good roll-out in eleven was written too late. A stream that is still out goes on at
-/// another upstream.
-const COMPLETE_BEFORE: Span = Span::from_millis(1_500);
-/// Good answers before the share may rise, unless there is hardly any traffic.
-const PROOF_ANSWERS: u32 = 40;
-/// Without proof the share rises from here on: there is hardly any traffic then.
-const UNPROVED_FROM: f64 = 0.62;
-
-/// From this part of the allowed exposure on a suspicion is enough: what comes after it can
-/// not be taken back, and a good version that is taken back costs little beside it.
-const SPENT_SHARE: f64 = 0.85;
-
-/// What the operators allow.
+use judge::{Certainty, FailureScope, Fault, FaultConfirmation, fails_more, find_fault};
+
+/// Delay after the order until the new version gets its first requests: by then every daemon
+/// has reported its active sessions, and a restarted one has learned of the order.
+const CANARY_DELAY: Span = Span::from_millis(2_500);
+/// Share of the allowed exposure that the canary uses. The rest is for the time in which the
+/// new version has the full share and requests on the old one end. A share of 0.15 is too
+/// small: a version that was slow on half of its requests had 16 answers when it was to be
+/// judged.
+const CANARY_EXPOSURE_SHARE: f64 = 0.3;
+/// Progress of the roll-out from which the new version may get the full share: sessions stay on
+/// their version in the first half.
+const FULL_SHARE_FROM: f64 = 0.52;
+/// Share of the exposure bound that the count may reach: requests may come faster than before,
+/// and daemons learn of each other's counts some hundred ms late.
+const USABLE_EXPOSURE_SHARE: f64 = 0.9;
+/// Window of the current request rate; a shorter one is too noisy.
+const RATE_WINDOW: Span = Span::from_secs(2);
+/// Least time at the full share before completion, once nothing runs on the old version any
+/// more. A version that is bad under load shows it within a second; a completed one cannot be
+/// reverted.
+const MIN_FULL_SHARE_TIME: Span = Span::from_millis(1_200);
+/// Time before the end at which the roll-out is decided at the latest.
+///
+/// Daemons may learn of an order half a second late, a slow store's answer takes 0.4 s, and
+/// another daemon's turn 0.6 s; with 0.8 s, one good roll-out in eleven was written too late. A
+/// stream that is still outstanding continues at another upstream.
+const DECISION_MARGIN: Span = Span::from_millis(1_500);
+/// Answers of the new version before the full share, unless there is hardly any traffic.
+const MIN_CANARY_ANSWERS: u32 = 40;
+/// Progress from which the full share needs no such answers: there is hardly any traffic then.
+const UNPROVED_FULL_SHARE_FROM: f64 = 0.62;
+
+/// Used share of the allowed exposure from which a suspicion suffices to revert: what comes
+/// after cannot be taken back, and reverting a good version costs little beside it.
+const SUSPICION_EXPOSURE_SHARE: f64 = 0.85;
+
+/// The operators' bound on requests to a bad version.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TrialLimits {
     /// Share of a service's requests that a bad version may get.
@@ -62,10 +64,10 @@
     pub allowance: f64,
 }
 
-/// What became of the new version.
+/// Judgement of the new version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// Not known yet.
+    /// Not decided yet.
     Open,
     /// It may serve alone, and does.
     Good,
@@ -76,19 +78,19 @@
 }
 
 impl Verdict {
-    /// Whether the new version is to be taken back.
+    /// Whether the new version is to be reverted.
     #[must_use]
     pub fn is_bad(self) -> bool {
         matches!(self, Self::Failing | Self::Slow)
     }
 }
 
-/// What a trial wants now.
+/// Result of a step of the trial.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TrialStep {
     /// How to divide traffic.
     pub gate: Gate,
-    /// What became of the new version.
+    /// Judgement of the new version.
     pub verdict: Verdict,
 }
 
@@ -97,37 +99,37 @@
 pub struct Trial {
     order: RolloutOrder,
     limits: TrialLimits,
-    since: Time,
-    /// How long peers knew the order before this process did.
-    before: Span,
-    /// Sessions that stay where they are, by [`Gate::mark`].
+    known_since: Time,
+    /// How much longer peers have known the order than this process.
+    peers_ahead: Span,
+    /// Sessions that stay on their version, by [`Gate::mark`].
     staying: Arc<BTreeSet<u32>>,
-    /// The new version, and those taken back before.
+    /// The new version, and those reverted before.
     barred: Arc<[Arc<str>]>,
-    /// As the store says.
+    /// State as recorded in the store.
     state: RolloutState,
     verdict: Verdict,
-    /// Faults that may be a moment's.
-    doubt: Doubt,
-    /// The share that the new version has, and what was seen of it before.
-    level: Level,
-    /// Nothing before the first look.
-    pace: Option<Pace>,
+    /// Faults that may be transient.
+    confirmation: FaultConfirmation,
+    /// The new version's current share, and the evidence from before it.
+    share_level: ShareLevel,
+    /// `None` before the first step.
+    request_rate: Option<RequestRate>,
 }
 
-/// How fast requests came of late.
+/// Current rate of requests.
 #[derive(Debug, Clone, Copy)]
-struct Pace {
+struct RequestRate {
     since: Time,
     sent: u32,
-    /// A second, over the last whole [`PACE_SPAN`].
+    /// Requests a second, over the last whole [`RATE_WINDOW`].
     rate: f64,
 }
 
-impl Pace {
-    /// Takes the requests sent so far. What was sent before the first look, by other daemons before
-    /// this one started, says nothing of the present.
-    fn noted(before: Option<Self>, now: Time, sent: u32) -> Self {
+impl RequestRate {
+    /// Updates the rate with the requests sent so far. Those sent before the first step, by
+    /// other daemons before this one started, say nothing about the current rate.
+    fn updated(before: Option<Self>, now: Time, sent: u32) -> Self {
         let first = Self {
             since: now,
             sent,
@@ -136,28 +138,28 @@
         let Some(before) = before else {
             return first;
         };
-        let lasted = now.since(before.since);
-        if lasted < PACE_SPAN {
+        let elapsed = now.since(before.since);
+        if elapsed < RATE_WINDOW {
             return before;
         }
-        let came = f64::from(sent.saturating_sub(before.sent));
+        let arrived = f64::from(sent.saturating_sub(before.sent));
         Self {
-            rate: came / lasted.as_secs_f64(),
+            rate: arrived / elapsed.as_secs_f64(),
             ..first
         }
     }
 }
 
-/// A step of the rising share.
+/// A period in which the new version's share is constant.
 #[derive(Debug, Clone, Copy, Default)]
-struct Level {
+struct ShareLevel {
     share: f64,
     since: Time,
     before: Evidence,
 }
 
 impl Trial {
-    /// An order that was just seen.
+    /// Creates a trial for an order that was just learned of.
     #[must_use]
     pub fn new(now: Time, order: RolloutOrder, limits: TrialLimits) -> Self {
         let barred = Arc::from([order.to.clone()]);
@@ -165,67 +167,67 @@
             barred,
             order,
             limits,
-            since: now,
-            before: Span::ZERO,
+            known_since: now,
+            peers_ahead: Span::ZERO,
             staying: Arc::default(),
             state: RolloutState::Running,
             verdict: Verdict::Open,
-            doubt: Doubt::default(),
-            level: Level::default(),
-            pace: None,
+            confirmation: FaultConfirmation::default(),
+            share_level: ShareLevel::default(),
+            request_rate: None,
         }
     }
 
-    /// The same, after a roll-out of the service that this order replaces: what that one took
-    /// back stays barred, unless it is wanted now.
+    /// Carries over the barred versions of the roll-out that this order replaces: what that one
+    /// reverted stays barred, unless it is ordered now.
     #[must_use]
     pub fn after(mut self, earlier: &Self) -> Self {
         let is_bad = earlier.verdict.is_bad() || earlier.state == RolloutState::Reverted;
         let skipped = usize::from(!is_bad);
-        let taken_back = earlier.barred.iter().skip(skipped);
-        let taken_back = taken_back.filter(|version| **version != self.order.to);
-        self.barred = self.barred.iter().chain(taken_back).cloned().collect();
+        let reverted = earlier.barred.iter().skip(skipped);
+        let reverted = reverted.filter(|version| **version != self.order.to);
+        self.barred = self.barred.iter().chain(reverted).cloned().collect();
         self
     }
 
-    /// The order.
+    /// Returns the order.
     #[must_use]
     pub fn order(&self) -> &RolloutOrder {
         &self.order
     }
 
-    /// How far it is, as the store or this daemon's judgement says.
+    /// Returns the roll-out's state, by the store or this daemon's judgement.
     #[must_use]
     pub fn state(&self) -> RolloutState {
         self.state
     }
 
-    /// How long the order is known.
+    /// Returns the time since the order became known.
     #[must_use]
     pub fn elapsed(&self, now: Time) -> Span {
-        now.since(self.since) + self.before
+        now.since(self.known_since) + self.peers_ahead
     }
 
-    /// Takes what the store says; a decision is never taken back.
+    /// Sets the state recorded in the store; a decision is never undone.
     pub fn set_state(&mut self, state: RolloutState) {
         self.state = self.state.max(state);
     }
 
-    /// Takes a peer's clock of this order if it is ahead.
+    /// Adopts a peer's elapsed time of this order if it is ahead.
     ///
-    /// Guards against a daemon that restarts in the middle of a roll-out and begins it anew:
+    /// Guards against a daemon that restarts in the middle of a roll-out and begins it again:
     /// it would send sessions back to the old version, up to its end.
     pub fn known_for(&mut self, now: Time, elapsed: Span) {
         let ahead = elapsed - self.elapsed(now);
-        self.before = self.before + ahead;
+        self.peers_ahead = self.peers_ahead + ahead;
     }
 
-    /// Takes sessions that some daemon saw at work on another version.
+    /// Adds sessions that some daemon saw active on another version.
     pub fn keep(&mut self, sessions: impl IntoIterator<Item = u32>) {
-        let fresh = sessions.into_iter().filter(|s| !self.staying.contains(s));
-        let fresh = fresh.collect::<Vec<_>>();
-        if !fresh.is_empty() {
-            Arc::make_mut(&mut self.staying).extend(fresh);
+        let unknown = sessions.into_iter().filter(|s| !self.staying.contains(s));
+        let unknown = unknown.collect::<Vec<_>>();
+        if !unknown.is_empty() {
+            Arc::make_mut(&mut self.staying).extend(unknown);
         }
     }
 
@@ -236,15 +238,17 @@
         }
     }
 
-    /// Judges the new version on the fleet's evidence and says how to divide traffic.
+    /// Judges the new version by the fleet's evidence and returns how to divide traffic.
+    ///
+    /// `can_serve` caps the new version's share.
     pub fn step(&mut self, now: Time, fleet: &Evidence, can_serve: f64) -> TrialStep {
         if !self.verdict.is_bad() && self.state == RolloutState::Running {
             self.verdict = self.judge(now, fleet);
         }
-        self.pace = Some(Pace::noted(self.pace, now, sent(fleet)));
+        self.request_rate = Some(RequestRate::updated(self.request_rate, now, sent(fleet)));
         let share = self.share(now, fleet, can_serve);
-        if share != self.level.share {
-            self.level = Level {
+        if share != self.share_level.share {
+            self.share_level = ShareLevel {
                 share,
                 since: now,
                 before: *fleet,
@@ -257,7 +261,7 @@
                 barred: Arc::clone(&self.barred),
                 order: self.order.revision,
                 share,
-                keeps_sessions: self.progress(now) < RISE_FROM,
+                keeps_sessions: self.progress(now) < FULL_SHARE_FROM,
                 first_share: self.first_share(),
                 staying: Arc::clone(&self.staying),
             },
@@ -270,7 +274,7 @@
         self.elapsed(now).as_secs_f64() / within
     }
 
-    /// Time until it must be decided.
+    /// Time left until the end of the roll-out.
     fn left(&self, now: Time) -> Span {
         self.order.within - self.elapsed(now)
     }
@@ -281,10 +285,10 @@
             Some(Fault::Slow) => return Verdict::Slow,
             None => {}
         }
-        let carries_all = self.level.share >= 1.0;
-        let is_alone = fleet.old.sum().out == 0 && carries_all;
-        let has_lasted = now.since(self.level.since) >= CARRIES_ALL_FOR;
-        let is_due = is_alone && has_lasted || self.left(now) <= COMPLETE_BEFORE;
+        let has_full_share = self.share_level.share >= 1.0;
+        let serves_alone = fleet.old.sum().out == 0 && has_full_share;
+        let has_lasted = now.since(self.share_level.since) >= MIN_FULL_SHARE_TIME;
+        let is_due = serves_alone && has_lasted || self.left(now) <= DECISION_MARGIN;
         match is_due {
             true if is_suspect(fleet) => Verdict::Failing,
             true => Verdict::Good,
@@ -292,62 +296,65 @@
         }
     }
 
-    /// What is wrong with the new version, if that is sure enough.
+    /// Returns the new version's fault, if it is certain enough.
     ///
-    /// While its share is small, slow answers must go on to count: waiting costs a few of them
-    /// then. Once it carries much, each moment costs many.
+    /// While its share is small, slow answers must persist to count, since waiting costs only a
+    /// few of them. Once the share is large, each moment costs many.
     fn fault(&mut self, now: Time, fleet: &Evidence) -> Option<Fault> {
-        let at_once = if self.has_spent(now, fleet) {
-            self.fault_of_level(fleet, Needed::Suspicion)
-        } else if self.progress(now) >= RISE_FROM {
-            self.fault_of_level(fleet, Needed::Proof)
+        let at_once = if self.has_used_exposure(now, fleet) {
+            self.fault_at_level(fleet, Certainty::Suspicion)
+        } else if self.progress(now) >= FULL_SHARE_FROM {
+            self.fault_at_level(fleet, Certainty::Proof)
         } else {
-            tells_failures(fleet, Needed::Proof).then_some(Fault::Failing)
+            fails_more(fleet, Certainty::Proof).then_some(Fault::Failing)
         };
-        at_once.or_else(|| self.doubt.lasting(now, fleet))
+        at_once.or_else(|| self.confirmation.confirmed(now, fleet))
     }
 
-    /// What is wrong with the new version by all that was seen, or by the failures that were
-    /// seen at its present share.
+    /// Returns the new version's fault, by all evidence or by the failures at its current
+    /// share.
     ///
-    /// Guards against a version that turns bad late: hundreds of good answers from before
-    /// make a tenth of bad ones look like a twentieth.
-    fn fault_of_level(&self, fleet: &Evidence, needed: Needed) -> Option<Fault> {
+    /// Guards against a version that turns bad late: hundreds of good answers from before make
+    /// a tenth of bad ones look like a twentieth.
+    fn fault_at_level(&self, fleet: &Evidence, certainty: Certainty) -> Option<Fault> {
         let present = Evidence {
-            new: fleet.new.since(&self.level.before.new),
+            new: fleet.new.since(&self.share_level.before.new),
             ..*fleet
         };
-        let by_all = fault_of(fleet, Counted::Told, needed);
-        by_all.or_else(|| tells_failures(&present, needed).then_some(Fault::Failing))
+        let by_all = find_fault(fleet, FailureScope::Reported, certainty);
+        by_all.or_else(|| fails_more(&present, certainty).then_some(Fault::Failing))
     }
 
-    /// Whether most of the allowed exposure is used up, by the rate of requests so far.
-    fn has_spent(&self, now: Time, fleet: &Evidence) -> bool {
+    /// Whether most of the allowed exposure is used up, at the mean request rate so far.
+    fn has_used_exposure(&self, now: Time, fleet: &Evidence) -> bool {
         let (new, old) = (fleet.new.sum().sent, fleet.old.sum().sent);
         let by_the_end = f64::from(new + old) / self.progress(now).clamp(0.05, 1.0);
         let allowed = self.limits.exposure * by_the_end + self.limits.allowance;
-        f64::from(new) > SPENT_SHARE * allowed
+        f64::from(new) > SUSPICION_EXPOSURE_SHARE * allowed
     }
 
-    /// Whether everything from now on fits into the allowed exposure, at the rate so far.
+    /// Whether all requests still to come fit into the allowed exposure, at the higher of the
+    /// mean and the current rate.
     ///
-    /// Guards against a version that is bad under more load than there is: it answers well
-    /// and is not taken back, and at a share that rose by its good answers it got more than
-    /// twice of what operators allow a bad version. Nor may traffic that grows be reckoned by its mean:
-    /// what comes last, when the new version has everything, is the fastest.
-    fn fits_all(&self, now: Time, fleet: &Evidence) -> bool {
+    /// Guards against a version that is bad under more load than there is: it answers well and
+    /// is not reverted, and with a share that rose by its good answers it got more than twice
+    /// of what operators allow a bad version. The mean rate alone would underestimate growing
+    /// traffic, which is fastest at the end, when the new version has the full share.
+    fn rest_fits_exposure(&self, now: Time, fleet: &Evidence) -> bool {
         let new = f64::from(fleet.new.sum().sent);
         let all = f64::from(sent(fleet));
         let elapsed = self.elapsed(now).as_secs_f64().max(1.0);
-        let present = self.pace.map_or(0.0, |pace| pace.rate);
+        let present = self
+            .request_rate
+            .map_or(0.0, |request_rate| request_rate.rate);
         let rate = (all / elapsed).max(present);
         let to_come = rate * self.left(now).as_secs_f64();
         let allowed = self.limits.exposure * (all + to_come) + self.limits.allowance;
-        new + to_come <= COUNTED_SHARE * allowed
+        new + to_come <= USABLE_EXPOSURE_SHARE * allowed
     }
 
     fn first_share(&self) -> f64 {
-        self.limits.exposure * FIRST_SHARE_OF_BOUND
+        self.limits.exposure * CANARY_EXPOSURE_SHARE
     }
 
     fn share(&self, now: Time, fleet: &Evidence, can_serve: f64) -> f64 {
@@ -359,15 +366,17 @@
         if self.verdict.is_bad() {
             return 0.0;
         }
-        if now.since(self.since) < OPEN_AFTER {
+        if now.since(self.known_since) < CANARY_DELAY {
             return 0.0;
         }
         let progress = self.progress(now);
-        let is_proved = fleet.new.sum().answers() >= PROOF_ANSWERS || progress >= UNPROVED_FROM;
-        let carries_all = self.level.share >= 1.0;
-        let is_fit = is_proved && !is_suspect(fleet);
-        let may_rise = progress >= RISE_FROM && is_fit && self.fits_all(now, fleet);
-        let share = match carries_all || may_rise {
+        let has_proof =
+            fleet.new.sum().answers() >= MIN_CANARY_ANSWERS || progress >= UNPROVED_FULL_SHARE_FROM;
+        let has_full_share = self.share_level.share >= 1.0;
+        let may_serve = has_proof && !is_suspect(fleet);
+        let may_rise =
+            progress >= FULL_SHARE_FROM && may_serve && self.rest_fits_exposure(now, fleet);
+        let share = match has_full_share || may_rise {
             true => 1.0,
             false => self.first_share(),
         };
@@ -375,17 +384,18 @@
     }
 }
 
-/// Requests sent to either version.
+/// Number of requests sent to either version.
 fn sent(fleet: &Evidence) -> u32 {
     fleet.new.sum().sent + fleet.old.sum().sent
 }
 
-/// Whether the new version tells more failures than chance explains, though too few for a proof.
+/// Whether the new version reports more failures than chance explains, though too few for a
+/// proof.
 ///
-/// Guards against a bad version that is completed because its time is up: a fault of a rare kind of
-/// request shows three or four times at a small share, a completed version cannot be taken back,
-/// and callers run into it until the operators act. A good one that is taken back on such a
-/// suspicion is only late.
+/// Guards against a bad version that is completed because its time is up: a fault of a rare
+/// kind of request shows three or four times at a small share, a completed version cannot be
+/// reverted, and callers run into it until the operators act. A good version that is reverted
+/// on such a suspicion is only late.
 fn is_suspect(fleet: &Evidence) -> bool {
-    tells_failures(fleet, Needed::Suspicion)
+    fails_more(fleet, Certainty::Suspicion)
 }
--- a/components/dispatch/src/trial/gate.rs
+++ b/components/dispatch/src/trial/gate.rs
@@ -1,4 +1,4 @@
-//! How traffic is divided between two versions.
+//! Division of traffic between two versions.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -8,13 +8,13 @@
 /// Which versions a request may run on.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Permit {
-    /// Any.
+    /// Any version.
     Any,
-    /// Only this one.
+    /// Only this version.
     Only(Arc<str>),
-    /// Only this one, and only a part of its upstreams.
+    /// Only this version, and only this share of its upstreams.
     Few(Arc<str>, Share),
-    /// Any but these.
+    /// Any version but these.
     Not(Arc<[Arc<str>]>),
 }
 
@@ -30,35 +30,35 @@
     }
 }
 
-/// How traffic is divided now; a copy for the threads that serve.
+/// Current division of a service's traffic, copied to the threads that serve.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Gate {
-    /// The service.
+    /// The service that is rolled out.
     pub service: Arc<str>,
     /// The new version.
     pub to: Arc<str>,
-    /// The new version, and those that earlier orders brought and that were taken back.
+    /// The new version, and those of earlier orders that were reverted.
     ///
-    /// Guards against an order that follows one that was taken back: the upstreams of the bad
-    /// version leave seconds later, and the new order alone bars only its own.
+    /// Guards against an order that follows a reverted one: the upstreams of the bad version
+    /// leave seconds later, and the new order alone bars only its own version.
     pub barred: Arc<[Arc<str>]>,
     /// The store's revision of the order.
     pub order: u64,
     /// Share of sessions that go to the new version.
     pub share: f64,
-    /// Whether a session stays on the old version that it is on.
+    /// Whether a session that is on the old version stays there.
     pub keeps_sessions: bool,
-    /// Share of sessions that will go to the new version first. While [`Gate::share`] is
-    /// still nothing, those of them that are at work on another version are noted.
+    /// Share of sessions that the new version will get first. While [`Gate::share`] is zero,
+    /// those of them that are active on another version are noted.
     pub first_share: f64,
-    /// Sessions that were at work on another version when the new one was opened to some,
-    /// by [`Gate::mark`].
+    /// Sessions that were active on another version when the new one got its first requests, by
+    /// [`Gate::mark`].
     pub staying: Arc<BTreeSet<u32>>,
 }
 
 impl Gate {
-    /// Which versions a session may run on; `place` is its hash, `pinned` the version it
-    /// is on.
+    /// Returns the versions that a session may run on; `place` is the session's hash, `pinned`
+    /// the version it is on.
     #[must_use]
     pub fn permit(&self, place: u64, pinned: Option<&Arc<str>>) -> Permit {
         if self.share >= 1.0 {
@@ -70,10 +70,11 @@
         let is_on_old = pinned.is_some_and(|version| *version != self.to)
             || self.staying.contains(&Self::mark(place));
         let is_on_new = pinned.is_some_and(|version| *version == self.to);
-        let is_chosen = part_of(place) < self.share;
+        let is_chosen = position_in_range(place) < self.share;
         match is_on_new || (is_chosen && !(is_on_old && self.keeps_sessions)) {
-            // A part of the requests on all of its upstreams would not show a version that
-            // is bad under load; on as large a part of them it makes the load to come.
+            // Spread over all of its upstreams, a part of the requests would not show a version
+            // that is bad under load. Sent to an equal part of the upstreams, it causes the
+            // load to come.
             true => Permit::Few(self.to.clone(), Share::clamped(self.share)),
             false => Permit::Not(Arc::clone(&self.barred)),
         }
@@ -81,23 +82,23 @@
 }
 
 impl Gate {
-    /// A session in four bytes.
+    /// Shortens a session's hash to four bytes.
     #[must_use]
     pub fn mark(place: u64) -> u32 {
         place as u32
     }
 
-    /// Whether a session at work is to be noted, so that every daemon keeps it where it is.
+    /// Whether an active session is to be noted, so that every daemon keeps it on its version.
     ///
-    /// Guards against a session whose requests come through several daemons: one that
-    /// never saw it takes it for new and moves it in the middle.
+    /// Guards against a session whose requests come through several daemons: one that never saw
+    /// it takes it for new and moves it to the other version.
     #[must_use]
     pub fn notes(&self, place: u64) -> bool {
-        self.share <= 0.0 && self.keeps_sessions && part_of(place) < self.first_share
+        self.share <= 0.0 && self.keeps_sessions && position_in_range(place) < self.first_share
     }
 }
 
-/// Where a hash lies between 0 and 1.
-fn part_of(place: u64) -> f64 {
+/// Maps a hash to the range from 0 to 1.
+fn position_in_range(place: u64) -> f64 {
     place as f64 / u64::MAX as f64
 }
