--- a/components/ratelimit/src/advertised.rs
+++ b/components/ratelimit/src/advertised.rs
@@ -1,36 +1,36 @@
-//! What an answer says of its upstream's rate limit, and the form in which daemons exchange it.
+//! Rate limits as advertised by upstreams and as exchanged between daemons.
 
 use serde::{Deserialize, Serialize};
 use types::prelude::*;
 
-/// One run of an upstream's program, as a hash of its id and start.
+/// Identifies one run of an upstream's program, by a hash of its id and start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RunKey(pub u32);
 
-/// What an answer says of its upstream's rate limit.
+/// What an answer says about its upstream's rate limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub enum Advertised {
     /// No limit.
     #[default]
     Nothing,
-    /// Requests a second from all daemons together.
+    /// Limit in requests a second, from all daemons together.
     Limit(Rate),
-    /// A limit that cannot be read; says nothing either way.
+    /// An invalid limit, which neither sets nor lifts one.
     Invalid,
 }
 
-/// What became of a limit.
+/// Change of a limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Change {
-    /// A limit where there was none.
+    /// A limit was set where there was none.
     Named(Rate),
-    /// Another limit than before.
+    /// The limit has a new value.
     Changed(Rate),
-    /// No limit any more.
+    /// The limit was lifted.
     Lifted {
-        /// For so long it was known here.
+        /// How long the limit had its last value at this daemon.
         after: Span,
-        /// Requests that this daemon sent to the upstream meanwhile.
+        /// Requests that this daemon sent to the upstream while it was limited.
         sent: u64,
     },
 }
@@ -38,26 +38,26 @@
 /// An upstream's limit as daemons exchange it.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Advertisement {
-    /// Whose.
+    /// Run of the upstream that has the limit.
     pub run: RunKey,
-    /// Raised by each change; the highest one holds.
+    /// Version, raised by each change; the highest one wins.
     pub version: u32,
-    /// Requests a second; none for a limit that was lifted.
+    /// Requests a second; `None` for a lifted limit.
     pub rate: Option<f32>,
-    /// How long ago an answer said so.
+    /// Time since an answer last confirmed it, in ms.
     pub age_ms: u16,
 }
 
 impl Advertisement {
-    /// The limit, if it is a proper one.
+    /// Returns the limit, if it is finite and positive.
     pub(crate) fn rate(&self) -> Option<Rate> {
         let rate = self.rate.map(f64::from);
         rate.filter(|rate| rate.is_finite() && *rate > 0.0)
             .map(Rate)
     }
 
-    /// Whether its values are valid.
-    pub(crate) fn is_proper(&self) -> bool {
+    /// Whether the limit is either valid or lifted.
+    pub(crate) fn is_valid(&self) -> bool {
         self.rate.is_none() || self.rate().is_some()
     }
 }
--- a/components/ratelimit/src/bucket.rs
+++ b/components/ratelimit/src/bucket.rs
@@ -1,11 +1,11 @@
-//! A token bucket.
+//! Token bucket.
 
 use types::prelude::*;
 
-/// Requests that may be sent at once beside one: what comes within this span.
+/// Span whose tokens may be saved up in addition to one.
 const BURST: Span = Span::from_millis(100);
 
-/// Tokens of one request each, refilled at a rate.
+/// Bucket of tokens, one per request, refilled at a rate.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct TokenBucket {
     tokens: f64,
@@ -21,27 +21,27 @@
     }
 
     fn tokens(&self, now: Time, rate: Rate) -> f64 {
-        let most = 1.0 + rate.over(BURST);
-        (self.tokens + rate.over(now.since(self.filled_at))).min(most)
+        let capacity = 1.0 + rate.over(BURST);
+        (self.tokens + rate.over(now.since(self.filled_at))).min(capacity)
     }
 
-    /// Refills up to now; to be called before the rate changes.
+    /// Refills the bucket up to now; to be called before the rate changes.
     pub(crate) fn refill(&mut self, now: Time, rate: Rate) {
         self.tokens = self.tokens(now, rate);
         self.filled_at = now;
     }
 
-    /// When a request may be sent next.
+    /// Returns when a request may be sent next.
     pub(crate) fn ready_at(&self, now: Time, rate: Rate) -> Time {
         let missing = 1.0 - self.tokens(now, rate);
         match missing <= 0.0 {
             true => now,
-            // Rounded up, so that a token is there at that moment.
+            // Rounded up, so that the token is there at that moment.
             false => now + Span::from_secs_f64(missing / rate.0) + Span::from_micros(1),
         }
     }
 
-    /// Takes a token, also one that is not there yet.
+    /// Takes a token; the count may become negative.
     pub(crate) fn take(&mut self, now: Time, rate: Rate) {
         self.refill(now, rate);
         self.tokens -= 1.0;
--- a/components/ratelimit/src/fleet.rs
+++ b/components/ratelimit/src/fleet.rs
@@ -1,12 +1,13 @@
-//! Which daemons may send to an upstream with a limit.
+//! Choice of the daemons that may send to an upstream with a limit.
 
 use types::prelude::*;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 use crate::advertised::RunKey;
 
-/// A daemon that just started knows too few others to draw senders for so long.
-pub const SETTLE: Span = Span::from_secs(5);
+/// How long a daemon that just started sends nothing to limited upstreams: it knows too few
+/// others to determine the senders.
+pub const SETTLING_TIME: Span = Span::from_secs(5);
 
 /// The daemons that share the limits.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -16,8 +17,8 @@
 }
 
 impl Fleet {
-    /// This daemon and all others that have a part: those present, and those that went without a
-    /// word not long ago.
+    /// Creates a fleet of this daemon and all others that have a share: those present, and
+    /// those that disappeared recently without leaving.
     pub fn new<'a>(me: &DaemonId, others: impl Iterator<Item = &'a DaemonId>) -> Self {
         let hash = |id: &DaemonId| xxh3_64(id.as_str().as_bytes());
         Self {
@@ -26,12 +27,12 @@
         }
     }
 
-    /// Daemons, this one included.
+    /// Number of daemons, including this one.
     pub(crate) fn size(&self) -> usize {
         self.others.len() + 1
     }
 
-    /// This daemon's place in the order of an upstream's senders.
+    /// Returns this daemon's rank in the order of an upstream's senders, from 0.
     pub(crate) fn rank(&self, run: RunKey) -> usize {
         let score = |daemon: u64| {
             (
@@ -44,10 +45,10 @@
     }
 }
 
-/// How many daemons send to an upstream with this limit.
+/// Returns how many daemons send to an upstream with this limit.
 ///
-/// Each may have a burst of one request, so that their number is bounded by the rate; two at
-/// least, for the case that one is down.
+/// Each may have a burst of one request, so the rate bounds their number; at least two, in case
+/// one is down.
 pub(crate) fn senders(rate: Rate, fleet: usize) -> usize {
     let count = (rate.0 as usize).saturating_add(2);
     count.min(fleet.max(1))
--- a/components/ratelimit/src/limit.rs
+++ b/components/ratelimit/src/limit.rs
@@ -1,4 +1,4 @@
-//! One upstream's limit at one daemon.
+//! State of one upstream's limit at one daemon.
 
 use types::prelude::*;
 
@@ -6,23 +6,24 @@
 use crate::bucket::TokenBucket;
 use crate::fleet::{Fleet, senders};
 
-/// An upstream is asked this often at least, however low its limit: its answers are the only
-/// sign that the limit is lifted.
-const LEAST_RATE: Rate = Rate(0.25);
-/// After so long without an answer that tells the limit, others than its senders may probe.
-const QUIET: Span = Span::from_secs(4);
-/// One daemon after the other, each for so long.
+/// Least rate of requests, however low the limit: the upstream's answers are the only sign that
+/// the limit is lifted.
+const MIN_RATE: Rate = Rate(0.25);
+/// Time without an answer that confirms the limit after which daemons other than its senders
+/// may probe.
+const PROBE_AFTER: Span = Span::from_secs(4);
+/// Length of each daemon's turn to probe.
 const PROBE_TURN: Span = Span::from_secs(1);
 
-/// One upstream's limit.
+/// State of one upstream's limit at one daemon.
 #[derive(Debug)]
 pub(crate) struct Limit {
     pub(crate) version: u32,
-    /// None once it was lifted.
+    /// `None` once it was lifted.
     pub(crate) rate: Option<Rate>,
-    /// When this daemon learned of it.
+    /// When this daemon learned of the current value.
     pub(crate) changed_at: Time,
-    /// When an answer last advertised it, at any daemon.
+    /// When an answer to any daemon last confirmed it.
     pub(crate) confirmed_at: Time,
     pub(crate) sent: u64,
     rank: usize,
@@ -46,22 +47,22 @@
         }
     }
 
-    /// This daemon's part of the rate, if it is a sender.
-    fn part(&self) -> Option<Rate> {
+    /// Returns this daemon's share of the rate, if it is a sender.
+    fn share(&self) -> Option<Rate> {
         let rate = self.rate?;
         let senders = senders(rate, self.fleet);
-        let rate = rate.0.max(LEAST_RATE.0);
+        let rate = rate.0.max(MIN_RATE.0);
         (self.rank < senders).then(|| Rate(rate / senders as f64))
     }
 
-    /// Takes another state.
+    /// Sets a new version and rate; returns what changed.
     pub(crate) fn set(&mut self, now: Time, version: u32, rate: Option<Rate>) -> Option<Change> {
         self.version = version;
         if self.rate == rate {
             return None;
         }
         let before = self.rate;
-        self.change_part(now, |limit| limit.rate = rate);
+        self.change_share(now, |limit| limit.rate = rate);
         let after = now.since(self.changed_at);
         self.changed_at = now;
         match (before, rate) {
@@ -77,46 +78,48 @@
         }
     }
 
-    /// Takes another fleet.
+    /// Sets the fleet.
     pub(crate) fn set_fleet(&mut self, now: Time, run: RunKey, fleet: &Fleet) {
-        self.change_part(now, |limit| {
+        self.change_share(now, |limit| {
             limit.rank = fleet.rank(run);
             limit.fleet = fleet.size();
         });
     }
 
-    /// Changes what the part follows from. A part that is new is earned from now on: whoever had it
-    /// before may have just used it.
-    fn change_part(&mut self, now: Time, change: impl FnOnce(&mut Self)) {
-        let before = self.part();
+    /// Applies a change that affects this daemon's share. The tokens of a new share accrue from
+    /// now on, since its former owner may just have used them.
+    fn change_share(&mut self, now: Time, change: impl FnOnce(&mut Self)) {
+        let before = self.share();
         change(self);
         match before {
-            Some(part) => self.bucket.refill(now, part),
+            Some(share) => self.bucket.refill(now, share),
             None => self.bucket = TokenBucket::empty(now),
         }
     }
 
-    /// When this daemon may send next; nothing without a limit.
+    /// Returns when this daemon may send next; `None` without a limit.
     pub(crate) fn ready_at(&self, now: Time, settled_at: Time) -> Option<Time> {
         let rate = self.rate?;
         if now < settled_at {
             return Some(settled_at);
         }
-        match self.part() {
-            Some(part) => Some(self.bucket.ready_at(now, part)),
+        match self.share() {
+            Some(share) => Some(self.bucket.ready_at(now, share)),
             None if self.is_prober(now, rate) => Some(now),
-            // Some sender has a token after about so long.
-            None => Some(now + Span::from_secs_f64(1.0 / rate.0.max(LEAST_RATE.0))),
+            // Some sender has a token after about this time.
+            None => Some(now + Span::from_secs_f64(1.0 / rate.0.max(MIN_RATE.0))),
         }
     }
 
-    /// Whether no answer has confirmed the limit for long, and it is this daemon's turn to probe.
+    /// Whether no answer has confirmed the limit for [`PROBE_AFTER`], and it is this daemon's
+    /// turn to probe.
     fn is_prober(&self, now: Time, rate: Rate) -> bool {
-        let quiet = now.since(self.confirmed_at);
-        if quiet < QUIET || self.probed_at.is_some_and(|at| now.since(at) < QUIET) {
+        let unconfirmed = now.since(self.confirmed_at);
+        if unconfirmed < PROBE_AFTER || self.probed_at.is_some_and(|at| now.since(at) < PROBE_AFTER)
+        {
             return false;
         }
-        let turn = (quiet - QUIET).as_micros() / PROBE_TURN.as_micros();
+        let turn = (unconfirmed - PROBE_AFTER).as_micros() / PROBE_TURN.as_micros();
         let senders = senders(rate, self.fleet);
         let others = self.fleet.saturating_sub(senders).max(1);
         self.rank == senders + turn as usize % others
@@ -128,8 +131,8 @@
             return;
         }
         self.sent += 1;
-        match self.part() {
-            Some(part) => self.bucket.take(now, part),
+        match self.share() {
+            Some(share) => self.bucket.take(now, share),
             None => self.probed_at = Some(now),
         }
     }
--- a/components/ratelimit/src/table.rs
+++ b/components/ratelimit/src/table.rs
@@ -6,34 +6,34 @@
 use types::prelude::*;
 
 use crate::advertised::{Advertised, Advertisement, Change, RunKey};
-use crate::fleet::{Fleet, SETTLE};
+use crate::fleet::{Fleet, SETTLING_TIME};
 use crate::limit::Limit;
 
-/// A limit that no answer has confirmed for so long is dropped.
-const FORGET: Span = Span::from_secs(60);
-/// A lifted limit is advertised as such for so long.
-const KEEP_LIFTED: Span = Span::from_secs(10);
-/// Limits in one message.
+/// A limit that no answer has confirmed for this long is dropped.
+const MAX_UNCONFIRMED: Span = Span::from_secs(60);
+/// How long a lifted limit is still advertised as lifted.
+const LIFTED_RETENTION: Span = Span::from_secs(10);
+/// Most limits in one message.
 const MAX_ADVERTISED: usize = 32;
-/// Of these, the ones that changed last; all others take turns.
-const NEWEST: usize = 16;
-/// Limits known at most: more than there are upstreams.
+/// Number of them that are the most recently changed limits; the others take turns.
+const MAX_NEWEST: usize = 16;
+/// Most limits kept; there are fewer upstreams.
 const MAX_LIMITS: usize = 16_384;
 
 /// Whether a request may be sent to an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// It may.
+    /// It may be sent now.
     Open,
-    /// Its limit allows none before this.
+    /// The upstream's limit allows none now.
     Limited {
         /// When to try again.
         until: Time,
     },
 }
 
-/// A rate as it travels between daemons, so that all of them compare the same figure.
-fn as_advertised(rate: Rate) -> Rate {
+/// Rounds a rate as in an advertisement, so that all daemons compare the same value.
+fn rounded(rate: Rate) -> Rate {
     Rate(f64::from(
         (rate.0 as f32).clamp(f32::MIN_POSITIVE, f32::MAX),
     ))
@@ -45,27 +45,28 @@
     limits: BTreeMap<RunKey, Limit>,
     fleet: Arc<Fleet>,
     settled_at: Time,
-    /// The last one that was advertised in turn.
+    /// The limit that was last advertised in turn.
     cursor: Option<RunKey>,
 }
 
 impl RateLimits {
-    /// Takes the daemons that share the limits.
+    /// Sets the daemons that share the limits.
     pub fn set_fleet(&mut self, now: Time, fleet: &Arc<Fleet>) {
         if self.fleet == *fleet {
             return;
         }
-        self.settled_at = Time::ZERO + SETTLE;
+        self.settled_at = Time::ZERO + SETTLING_TIME;
         self.fleet = Arc::clone(fleet);
         for (run, limit) in &mut self.limits {
             limit.set_fleet(now, *run, fleet);
         }
     }
 
-    /// Takes what an answer advertises whose request was sent at `sent_at`.
+    /// Records what an answer advertises whose request was sent at `sent_at`; returns what
+    /// changed.
     ///
-    /// Answers overtake each other: one without a limit lifts it only if its request was sent after
-    /// the limit was last confirmed.
+    /// Answers may arrive out of order: one without a limit lifts it only if its request was
+    /// sent after the limit was last confirmed.
     pub fn observe(
         &mut self,
         now: Time,
@@ -76,7 +77,7 @@
         let rate = match advertised {
             Advertised::Invalid => return None,
             Advertised::Nothing => None,
-            Advertised::Limit(rate) => Some(as_advertised(rate)),
+            Advertised::Limit(rate) => Some(rounded(rate)),
         };
         let limit = match rate {
             Some(_) => self.entry(now, run)?,
@@ -105,9 +106,10 @@
 
     /// Merges what another daemon advertises; returns what changed.
     ///
-    /// Of two states with the same version the lower limit holds, and none is the highest.
+    /// Of two states with the same version the lower limit wins; no limit counts as the
+    /// highest.
     pub fn merge(&mut self, now: Time, ad: &Advertisement) -> Option<Change> {
-        if !ad.is_proper() {
+        if !ad.is_valid() {
             return None;
         }
         let rate = ad.rate();
@@ -124,20 +126,20 @@
             return limit.set(now, ad.version, rate);
         }
         limit.confirmed_at = limit.confirmed_at.max(confirmed_at);
-        let of = |rate: Option<Rate>| rate.map_or(f64::INFINITY, |rate| rate.0);
-        let is_lower = of(rate) < of(limit.rate);
+        let value = |rate: Option<Rate>| rate.map_or(f64::INFINITY, |rate| rate.0);
+        let is_lower = value(rate) < value(limit.rate);
         is_lower.then(|| limit.set(now, ad.version, rate))?
     }
 
-    /// The limits to advertise to other daemons now.
+    /// Returns the limits to advertise to other daemons now.
     pub fn advertise(&mut self, now: Time) -> Vec<Advertisement> {
         self.expire(now);
         let mut known = self.limits.iter().collect::<Vec<_>>();
         if known.len() > MAX_ADVERTISED {
             known.sort_by_key(|(_, limit)| std::cmp::Reverse(limit.changed_at));
-            let mut others = known.split_off(NEWEST);
+            let mut others = known.split_off(MAX_NEWEST);
             others.sort_by_key(|(run, _)| (Some(**run) <= self.cursor, **run));
-            others.truncate(MAX_ADVERTISED - NEWEST);
+            others.truncate(MAX_ADVERTISED - MAX_NEWEST);
             self.cursor = others.last().map(|(run, _)| **run);
             known.append(&mut others);
         }
@@ -149,12 +151,12 @@
 
     fn expire(&mut self, now: Time) {
         self.limits.retain(|_, limit| match limit.rate {
-            Some(_) => now.since(limit.confirmed_at) < FORGET,
-            None => now.since(limit.changed_at) < KEEP_LIFTED,
+            Some(_) => now.since(limit.confirmed_at) < MAX_UNCONFIRMED,
+            None => now.since(limit.changed_at) < LIFTED_RETENTION,
         });
     }
 
-    /// Whether this daemon may send to an upstream now.
+    /// Returns whether this daemon may send to an upstream now.
     #[must_use]
     pub fn admission(&self, now: Time, run: RunKey) -> Admission {
         let limit = self.limits.get(&run);
@@ -171,19 +173,19 @@
         }
     }
 
-    /// An upstream's limit.
+    /// Returns an upstream's limit.
     #[must_use]
     pub fn rate(&self, run: RunKey) -> Option<Rate> {
         self.limits.get(&run)?.rate
     }
 
-    /// Whether nothing is known of any limit.
+    /// Whether no limit is known, lifted ones included.
     #[must_use]
     pub fn is_unused(&self) -> bool {
         self.limits.is_empty()
     }
 
-    /// Upstreams that have a limit.
+    /// Number of upstreams that have a limit.
     #[must_use]
     pub fn len(&self) -> usize {
         let limits = self.limits.values();
