--- a/components/dispatch/tests/budget.rs
+++ b/components/dispatch/tests/budget.rs
@@ -1,4 +1,4 @@
-//! The bound on repeats.
+//! Tests of the retry budget.
 
 use dispatch::{RepeatPolicy, RetryBudget, RetryLimits, Use};
 use types::prelude::*;
@@ -18,29 +18,29 @@
     Time::ZERO + Span::from_millis(millis)
 }
 
-fn taken(budget: &mut RetryBudget, now: Time, what: Use) -> usize {
-    (0..1_000).take_while(|_| budget.take(now, what)).count()
+fn count_allowed(budget: &mut RetryBudget, now: Time, reason: Use) -> usize {
+    (0..1_000).take_while(|_| budget.take(now, reason)).count()
 }
 
 #[test]
-fn repeats_over_any_window_stay_below_the_bound() {
-    // All answers fail for a minute. Each daemon would send every request once more, and
-    // the fleet together would exceed what operators allow, in some window or other.
+fn retries_in_any_window_stay_below_the_bound() {
+    // All answers fail for a minute. If each daemon sent every request once more, the fleet
+    // together would exceed the operators' bound in some window.
     let mut budget = budget(4);
-    let mut sent = Vec::new();
-    let mut requests = Vec::new();
+    let mut retries = Vec::new();
+    let mut callers = Vec::new();
     for step in 0..6_000 {
         let now = at(step * 10);
         budget.requested(now);
-        requests.push(now);
+        callers.push(now);
         if budget.take(now, Use::Failure) {
-            sent.push(now);
+            retries.push(now);
         }
     }
     for from in (0..50_000).step_by(130) {
         let within = |t: &&Time| **t >= at(from) && **t < at(from + 10_000);
-        let repeats = sent.iter().filter(within).count() as f64;
-        let asked = requests.iter().filter(within).count() as f64;
+        let repeats = retries.iter().filter(within).count() as f64;
+        let asked = callers.iter().filter(within).count() as f64;
         assert!(
             repeats <= 0.5 * asked + 5.0,
             "{repeats} of {asked} from {from} ms"
@@ -50,22 +50,22 @@
 
 #[test]
 fn the_allowance_is_shared_by_all_daemons() {
-    assert_eq!(taken(&mut budget(1), at(0), Use::Failure), 18);
-    assert_eq!(taken(&mut budget(10), at(0), Use::Failure), 1);
+    assert_eq!(count_allowed(&mut budget(1), at(0), Use::Failure), 18);
+    assert_eq!(count_allowed(&mut budget(10), at(0), Use::Failure), 1);
 }
 
 #[test]
-fn larger_models_leave_a_part_for_failures() {
+fn escalations_leave_a_share_for_failures() {
     let mut budget = budget(1);
     (0..100).for_each(|_| budget.requested(at(0)));
-    assert_eq!(taken(&mut budget, at(1), Use::LargerModel), 61);
-    assert_eq!(taken(&mut budget, at(2), Use::Failure), 4);
+    assert_eq!(count_allowed(&mut budget, at(1), Use::LargerModel), 61);
+    assert_eq!(count_allowed(&mut budget, at(2), Use::Failure), 4);
 }
 
 #[test]
-fn a_fleet_keeps_the_bound_while_its_daemons_restart() {
-    // Every answer fails at twenty daemons, which are killed and start anew in turn. Each
-    // forgets what it sent; the fleet together must not exceed what operators allow.
+fn the_fleet_bound_holds_while_daemons_restart() {
+    // Every answer fails at twenty daemons, which are killed and restarted in turn. Each
+    // forgets its own retries, and the fleet together could exceed the operators' bound.
     let mut fleet = (0..20).map(|_| budget(20)).collect::<Vec<_>>();
     let (mut asked, mut repeats) = (Vec::new(), Vec::new());
     for step in 0..60_000_u64 {
@@ -76,8 +76,8 @@
         }
         fleet[place].requested(now);
         asked.push(now);
-        for what in [Use::LargerModel, Use::Failure] {
-            if fleet[place].take(now, what) {
+        for reason in [Use::LargerModel, Use::Failure] {
+            if fleet[place].take(now, reason) {
                 repeats.push(now);
             }
         }
@@ -94,9 +94,9 @@
 }
 
 #[test]
-fn a_crash_leaves_the_choice_of_larger_models() {
-    // Half of all engines crash. What they broke is sent once more, and these repeats stand in
-    // the window for ten seconds; unsure answers of that time were kept for want of repeats.
+fn a_crash_leaves_budget_for_escalations() {
+    // Half of all engines crash. The retries of the failed requests count for the whole window
+    // of ten seconds, and low-confidence answers of that time were kept for want of budget.
     let limits = RetryLimits {
         ratio: 0.9,
         allowance: 2.5,
--- a/components/dispatch/tests/choose.rs
+++ b/components/dispatch/tests/choose.rs
@@ -1,4 +1,4 @@
-//! The choice of an upstream.
+//! Tests of the choice of an upstream.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -72,7 +72,7 @@
         Ok(choice.index)
     }
 
-    /// Chooses without sending.
+    /// Chooses an upstream without sending a request.
     fn choice(&mut self, now: Time, parts: &[PromptPart]) -> dispatch::Choice {
         let need = Need {
             service: &self.service,
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_shared_prompt_finds_the_upstream_that_holds_it() {
+fn a_shared_prompt_goes_to_the_upstream_that_has_it_cached() {
     let mut setup = Setup::new(18);
     for shared in 0..20 {
         let first = setup.pick(at(0), &prompt(shared), &[], &Permit::Any);
@@ -109,9 +109,10 @@
 }
 
 #[test]
-fn an_upstream_that_others_keep_busy_is_avoided() {
-    // Nine daemons send to the same upstreams and each sees its own ninth. Without the
-    // others' word the home of a prompt would get it behind seconds of their work.
+fn an_upstream_loaded_by_other_daemons_is_avoided() {
+    // Nine daemons send to the same upstreams and each sees only its own ninth. Without the
+    // others' reports, a prompt would go to its preferred upstream behind seconds of their
+    // requests.
     let mut setup = Setup::new(2);
     let home = setup
         .pick(at(0), &prompt(1), &[], &Permit::Any)
@@ -126,7 +127,7 @@
 }
 
 #[test]
-fn an_upstream_out_of_reach_is_set_aside_and_tried_again() {
+fn an_unreachable_upstream_is_ejected_and_tried_again() {
     let mut setup = Setup::new(2);
     let first = setup.pick(at(0), &[], &[], &Permit::Any).expect("one");
     let load = dispatch::Load::default();
@@ -142,7 +143,7 @@
 }
 
 #[test]
-fn upstreams_set_aside_serve_when_there_is_no_other() {
+fn ejected_upstreams_serve_when_there_is_no_other() {
     let mut setup = Setup::new(1);
     let only = setup.pick(at(0), &[], &[], &Permit::Any).expect("one");
     let load = dispatch::Load::default();
@@ -154,15 +155,15 @@
 }
 
 #[test]
-fn an_upstream_that_fails_more_than_its_peers_is_set_aside() {
-    // An upstream fails half of its requests while its health check is good. Callers would
-    // meet it as often as the sound ones.
+fn an_upstream_that_fails_more_than_its_peers_is_ejected() {
+    // An upstream fails half of its requests while its health check passes. Callers would meet
+    // it as often as the healthy ones.
     let mut setup = Setup::new(4);
-    let grey = setup.pick(at(0), &[], &[], &Permit::Any).expect("one");
+    let failing = setup.pick(at(0), &[], &[], &Permit::Any).expect("one");
     let load = dispatch::Load::default();
     for round in 0..8 {
-        for index in setup.all() {
-            let ending = match index == grey && round % 2 == 0 {
+        for index in setup.listed_upstreams() {
+            let ending = match index == failing && round % 2 == 0 {
                 true => Ending::Failed,
                 false => Ending::Good,
             };
@@ -170,11 +171,11 @@
             setup.upstreams.ended(at(round), index, ticket, ending);
         }
     }
-    assert!((10..200).all(|t| setup.pick(at(t), &[], &[], &Permit::Any) != Ok(grey)));
+    assert!((10..200).all(|t| setup.pick(at(t), &[], &[], &Permit::Any) != Ok(failing)));
 }
 
 impl Setup {
-    fn all(&mut self) -> Vec<UpstreamIndex> {
+    fn listed_upstreams(&mut self) -> Vec<UpstreamIndex> {
         let mut all = Vec::new();
         while let Ok(index) = self.pick(at(0), &[], &all, &Permit::Any) {
             all.push(index);
@@ -221,7 +222,7 @@
 }
 
 #[test]
-fn a_few_upstreams_of_a_new_version_get_its_first_requests() {
+fn a_canary_uses_a_subset_of_the_new_upstreams() {
     let mut setup = Setup::new(10);
     let permit = Permit::Few(Arc::from("v1"), Share::clamped(0.15));
     let picks = (0..200).map(|_| setup.pick(at(0), &[], &[], &permit).expect("one"));
@@ -230,9 +231,9 @@
 }
 
 #[test]
-fn an_upstream_that_was_replaced_stays_away_while_it_is_still_listed() {
-    // Another program has the upstream's address and says so. The list lags by seconds; every
-    // change of it would bring the dead entry back, and each request there is wasted.
+fn a_replaced_upstream_is_not_chosen_while_still_listed() {
+    // Another program has the upstream's address and says so. The list lags by seconds; each
+    // update of it would bring the dead entry back, and every request there is wasted.
     let mut setup = Setup::new(1);
     let index = setup.pick(at(0), &[], &[], &Permit::Any).expect("one");
     let load = dispatch::Load::default();
@@ -248,7 +249,7 @@
 }
 
 /// The same upstream as listed by a later run under its id.
-fn run_of(id: usize, started_at: u64) -> Arc<Upstream> {
+fn upstream_run(id: usize, started_at: u64) -> Arc<Upstream> {
     let spec = upstream(id, "v1", UpstreamState::Ready);
     Arc::new(Upstream {
         started_at: Some(WallTime(started_at)),
@@ -257,26 +258,26 @@
 }
 
 #[test]
-fn a_run_that_starts_again_under_its_id_is_believed_nothing_of_the_former() {
-    // An engine crashes with a long backlog and starts again under its id. It holds no prompt
-    // any more and has nothing to do; taken for the former run it would get prompts for what
-    // they share, and be left out of everything else until answers came that never will.
+fn a_restarted_upstream_does_not_inherit_the_state_of_its_former_run() {
+    // An engine crashes with a long backlog and restarts under its id, without cached prompts
+    // or requests. Taken for the former run, it would get prompts for their shared parts and be
+    // avoided for everything else until answers came that never will.
     let mut setup = Setup::new(0);
-    setup.upstreams.configure(&[run_of(0, 7)]);
+    setup.upstreams.configure(&[upstream_run(0, 7)]);
     let first = setup
         .pick(at(0), &prompt(1), &[], &Permit::Any)
         .expect("one");
-    let held = setup.choice(at(1), &prompt(1));
-    assert_eq!(held.load.missing_shared, 0, "sent there before");
+    let second = setup.choice(at(1), &prompt(1));
+    assert_eq!(second.load.missing_shared, 0, "sent there before");
     let ticket = setup
         .upstreams
-        .started(at(1), first, &held.load, &held.prefixes);
-    setup.upstreams.configure(&[run_of(0, 8)]);
+        .started(at(1), first, &second.load, &second.prefixes);
+    setup.upstreams.configure(&[upstream_run(0, 8)]);
     let next = setup.choice(at(2), &prompt(1));
     assert_ne!(next.index, first);
     assert!(next.load.missing_shared > 0, "nothing is held any more");
     assert_eq!(next.load.wait_ms, 0.0);
-    // How the former run's request ends says nothing of the present run.
+    // How the former run's request ends says nothing about the present run.
     setup
         .upstreams
         .ended(at(3), first, ticket, Ending::Unreachable);
@@ -289,25 +290,25 @@
 }
 
 #[test]
-fn what_others_have_out_at_a_former_run_is_no_load_of_the_next() {
+fn requests_outstanding_at_a_former_run_are_no_load_of_the_next() {
     let mut setup = Setup::new(0);
-    setup.upstreams.configure(&[run_of(0, 7)]);
+    setup.upstreams.configure(&[upstream_run(0, 7)]);
     let choice = setup.choice(at(0), &prompt(1));
     setup
         .upstreams
         .started(at(0), choice.index, &choice.load, &choice.prefixes);
     let loads = setup.upstreams.own_loads(at(0));
     let mut other = Setup::new(0);
-    other.upstreams.configure(&[run_of(0, 8)]);
+    other.upstreams.configure(&[upstream_run(0, 8)]);
     let told = loads.iter().map(|l| (l.upstream, (4_000.0, 9)));
     other.upstreams.set_others(&told.collect());
     assert_eq!(other.choice(at(1), &prompt(1)).load.wait_ms, 0.0);
 }
 
 #[test]
-fn a_long_shared_prompt_is_read_at_one_upstream_whichever_daemon_sends_it() {
-    // Daemons in four failure domains send prompts that begin alike. Each took an upstream
-    // of its own failure domain for the home, so the same text was read four times.
+fn a_long_shared_prompt_is_prefilled_at_one_upstream_by_all_daemons() {
+    // Daemons in four failure domains send prompts with a common prefix. Each preferred an
+    // upstream of its own failure domain, so the same text was prefilled four times.
     let domains = ["east", "west", "north", "south"];
     let listed = (0..12).map(|id| {
         let spec = upstream(id, "v1", UpstreamState::Ready);
@@ -335,20 +336,21 @@
     for shared in 0..40 {
         assert_eq!(readers(&mut daemons, &prompt(shared)), 1, "prompt {shared}");
     }
-    // A short one is not worth the way: one reader in each failure domain at most.
+    // A short one is not worth the round trip: at most one upstream in each failure domain
+    // prefills it.
     let [mut short, own] = prompt(99);
     short.tokens = 600;
     assert!((2..=4).contains(&readers(&mut daemons, &[short, own])));
 }
 
 #[test]
-fn an_engine_that_says_nothing_while_it_has_work_is_avoided() {
-    // An engine reads a long prompt that another daemon sent, or its host has gone dark. All
-    // streams from it stand still, and the next request would wait there too, though this
-    // daemon knows of no backlog.
+fn a_silent_engine_with_outstanding_requests_is_avoided() {
+    // An engine prefills a long prompt of another daemon, or its host is unreachable. All of
+    // its streams stall, and the next request would wait there too, though this daemon knows of
+    // no backlog.
     let mut setup = Setup::new(4);
     let load = dispatch::Load::default();
-    let all = setup.all();
+    let all = setup.listed_upstreams();
     for index in &all {
         setup.upstreams.started(at(0), *index, &load, &[]);
     }
--- a/components/dispatch/tests/lapsed.rs
+++ b/components/dispatch/tests/lapsed.rs
@@ -1,4 +1,4 @@
-//! Entries that go while the store is away.
+//! Tests of entries that disappear while the store is unreachable.
 
 use std::sync::Arc;
 
@@ -25,10 +25,9 @@
 }
 
 #[test]
-fn entries_that_lapsed_in_an_outage_are_kept_for_two_seconds() {
-    // The store is down for some seconds and drops every lease meanwhile. When it is back,
-    // its list is empty for a moment. Callers would all be refused though every upstream
-    // serves.
+fn entries_that_lapsed_in_a_store_outage_are_kept_for_two_seconds() {
+    // The store is down for some seconds, in which all leases expire. When it is back its list
+    // is empty for a moment, and all callers would be refused though every upstream serves.
     let mut lapsed = Lapsed::new(Span::from_secs(2));
     lapsed.store_failed();
     lapsed.store_answered(at(10));
@@ -43,10 +42,10 @@
 }
 
 #[test]
-fn an_entry_that_goes_after_a_cut_is_dropped_two_seconds_after_the_return() {
-    // A daemon alone is cut off and comes back at 10 s. An upstream leaves at 11 s. Were it
-    // kept for two seconds from its own going, it would get work until after 13 s, which is
-    // later than an upstream that leaves may.
+fn an_entry_removed_after_a_cut_is_dropped_two_seconds_after_the_store_returns() {
+    // One daemon alone is cut off and comes back at 10 s. An upstream leaves at 11 s. If it
+    // were kept for two seconds from then, it would get requests until after 13 s, longer than
+    // an upstream that leaves may.
     let mut lapsed = Lapsed::new(Span::from_secs(2));
     lapsed.store_failed();
     lapsed.store_answered(at(10));
@@ -57,7 +56,7 @@
 }
 
 #[test]
-fn an_entry_that_goes_while_all_is_well_is_gone() {
+fn an_entry_removed_while_the_store_is_reachable_is_not_kept() {
     let mut lapsed = Lapsed::new(Span::from_secs(2));
     lapsed.gone(at(11), upstream("one"));
     assert_eq!(lapsed.iter().count(), 0);
--- a/components/dispatch/tests/limits.rs
+++ b/components/dispatch/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Rate limits in the choice of an upstream.
+//! Tests of rate limits in the choice of an upstream.
 
 use std::sync::Arc;
 
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Sends a request; how it ends there.
+    /// Sends a request that ends as given.
     fn send(&mut self, now: Time, ending: Ending) -> Result<UpstreamIndex, NoUpstream> {
         let need = Need {
             service: &self.service,
@@ -63,13 +63,14 @@
         Ok(choice.index)
     }
 
-    fn observe(&mut self, now: Time, index: UpstreamIndex, said: Advertised) {
-        self.upstreams.observe_rate_limit(now, index, now, said);
+    fn observe(&mut self, now: Time, index: UpstreamIndex, advertised: Advertised) {
+        self.upstreams
+            .observe_rate_limit(now, index, now, advertised);
     }
 }
 
 #[test]
-fn others_take_what_a_limited_upstream_may_not_get() {
+fn requests_beyond_a_limit_go_to_other_upstreams() {
     let mut setup = Setup::new(3);
     let first = setup.send(at(0), Ending::Good).expect("one is listed");
     setup.observe(at(0), first, Advertised::Limit(Rate(2.0)));
@@ -79,7 +80,7 @@
 }
 
 #[test]
-fn a_limited_upstream_is_not_taken_for_ill() {
+fn a_rate_limit_does_not_eject_an_upstream() {
     let mut setup = Setup::new(1);
     let only = setup.send(at(0), Ending::Good).expect("one is listed");
     setup.observe(at(0), only, Advertised::Limit(Rate(2.0)));
@@ -107,7 +108,7 @@
 }
 
 #[test]
-fn an_upstream_that_refused_is_asked_when_there_is_no_other() {
+fn an_upstream_that_refused_is_chosen_when_there_is_no_other() {
     let mut setup = Setup::new(1);
     let only = setup.send(at(0), Ending::Refused).expect("one is listed");
     setup.upstreams.leave_alone(at(0), only, at(60_000));
--- a/components/dispatch/tests/policy.rs
+++ b/components/dispatch/tests/policy.rs
@@ -1,4 +1,4 @@
-//! Files that change entries of the policy.
+//! Tests of policy files.
 
 use dispatch::Policy;
 use serde_norway::Value;
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn what_is_left_out_keeps_its_default() {
+fn omitted_entries_keep_their_defaults() {
     let policy = read("cascade: {keep_from: 40}").expect("right");
     assert_eq!(policy.cascade.keep_from, 40);
     assert_eq!(policy.placing, Policy::default().placing);
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_wrong_entry_is_named() {
+fn an_invalid_entry_is_named() {
     let wrong = [
         "cascade: {keep_form: 40}",
         "cascade: {keep_from: 102}",
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn the_page_has_every_entry_with_its_default() {
+fn the_documentation_has_every_entry_with_its_default() {
     let page = include_str!("../../../docs/POLICY.md");
     let policy = serde_norway::to_value(Policy::default()).expect("plain values");
     let Value::Mapping(parts) = policy else {
--- a/components/dispatch/tests/trial.rs
+++ b/components/dispatch/tests/trial.rs
@@ -1,4 +1,4 @@
-//! Roll-outs, judged on the fleet's evidence.
+//! Tests of roll-outs, judged by the fleet's evidence.
 
 use std::sync::Arc;
 
@@ -28,8 +28,8 @@
     Time::ZERO + Span::from_secs_f64(secs)
 }
 
-/// What is expected of a request to an upstream that holds its prompt.
-fn expected(ms: f64) -> Load {
+/// Expected load of a request to an upstream that has its prompt cached.
+fn load_of(ms: f64) -> Load {
     Load {
         expected_ms: ms,
         unheld_ms: ms,
@@ -37,13 +37,13 @@
     }
 }
 
-/// A good answer after so long, of a request of which this was expected.
-fn answered(counts: &mut ArmCounts, ms: f64, load: &Load) {
+/// Counts a good answer that began after `ms` where `load` was expected.
+fn note_answer(counts: &mut ArmCounts, ms: f64, load: &Load) {
     counts.note_begun(ms, load);
     counts.good += 1;
 }
 
-/// So many good and bad answers, each as fast as `times` what was expected.
+/// Counts `good` and `bad` answers; the good ones take `times` the expected time.
 fn arm(good: u32, bad: u32, times: f64) -> ArmCounts {
     let mut counts = ArmCounts {
         sent: good + bad,
@@ -51,9 +51,9 @@
         ..ArmCounts::default()
     };
     for n in 0..good {
-        // A spread as of real answers: half as long to twice as long.
+        // Spread of the times of real answers: half as long to twice as long.
         let spread = [0.5, 0.8, 1.0, 1.3, 2.0][n as usize % 5];
-        answered(&mut counts, 100.0 * times * spread, &expected(100.0));
+        note_answer(&mut counts, 100.0 * times * spread, &load_of(100.0));
     }
     counts
 }
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_good_version_gets_a_small_share_first_and_then_everything() {
+fn a_good_version_gets_a_canary_share_and_then_everything() {
     let mut trial = trial(Time::ZERO);
     let good = evidence(arm(40, 1, 1.0), arm(400, 5, 1.0));
     let shares = [1.0, 3.0, 9.0, 11.0, 14.3, 17.0, 18.2];
@@ -83,10 +83,10 @@
 }
 
 #[test]
-fn a_version_that_never_shows_its_fault_gets_no_more_than_operators_allow() {
-    // A version is bad under more load than there is. All of its answers are good, so nothing
-    // tells it from a good one; at a share that rose with its good answers it got 906 of 2,491
-    // requests where 404 were allowed.
+fn a_version_that_looks_good_stays_within_the_exposure_bound() {
+    // A version is bad only under more load than there is, so all of its answers are good. With
+    // a share that rose with its good answers it got 906 of 2,491 requests where 404 were
+    // allowed.
     for (rate, secs, exposure) in [
         (125_u32, 20, 0.15),
         (30, 20, 0.15),
@@ -102,18 +102,18 @@
             ..order()
         };
         let mut trial = Trial::new(Time::ZERO, order, limits);
-        let (mut new, mut old, mut owed) = (0, 0, 0.0);
+        let (mut new, mut old, mut due) = (0, 0, 0.0);
         let mut completed_at = None;
         for step in 0..secs * 10 {
             let now = at(step as f64 / 10.0);
-            let told = trial.step(now, &evidence(arm(new, 0, 1.0), arm(old, 0, 1.0)), 1.0);
-            if told.verdict == Verdict::Good && completed_at.is_none() {
+            let step_result = trial.step(now, &evidence(arm(new, 0, 1.0), arm(old, 0, 1.0)), 1.0);
+            if step_result.verdict == Verdict::Good && completed_at.is_none() {
                 completed_at = Some(now);
             }
             let is_done = completed_at.is_some();
-            owed += if is_done { 1.0 } else { told.gate.share } * f64::from(rate) / 10.0;
-            let sent = owed as u32;
-            owed -= f64::from(sent);
+            due += if is_done { 1.0 } else { step_result.gate.share } * f64::from(rate) / 10.0;
+            let sent = due as u32;
+            due -= f64::from(sent);
             new += sent;
             old += (rate / 10).saturating_sub(sent);
         }
@@ -127,9 +127,10 @@
     }
 }
 
-/// What a version gets that shows nothing until it is completed, and what it may get: requests come at
-/// this rate after so many tenths of a second, and it gets `sends` for each that goes to it.
-fn got_and_allowed(secs: u32, rate: impl Fn(u32) -> f64, sends: f64) -> (f64, f64) {
+/// Returns how many requests a version gets that shows no fault until it is completed, and its
+/// bound. Requests arrive at `rate` a second, by tenths of a second since the order, and each
+/// one causes `sends` requests to the version once it has the full share.
+fn requests_and_bound(secs: u32, rate: impl Fn(u32) -> f64, sends: f64) -> (f64, f64) {
     let order = RolloutOrder {
         within: Span::from_secs(u64::from(secs)),
         ..order()
@@ -140,11 +141,11 @@
     for tenth in 0..secs * 10 {
         let now = at(f64::from(tenth) / 10.0);
         let seen = evidence(arm(new as u32, 0, 1.0), arm(old as u32, 0, 1.0));
-        let told = trial.step(now, &seen, 1.0);
-        is_done |= told.verdict == Verdict::Good;
-        let share = if is_done { 1.0 } else { told.gate.share };
+        let step_result = trial.step(now, &seen, 1.0);
+        is_done |= step_result.verdict == Verdict::Good;
+        let share = if is_done { 1.0 } else { step_result.gate.share };
         let came = rate(tenth) / 10.0;
-        // At a small share it shows nothing.
+        // At a small share it shows no fault.
         let sends = if share < 1.0 { 1.0 } else { sends };
         new += came * share * sends;
         old += came * (1.0 - share);
@@ -154,28 +155,30 @@
 }
 
 #[test]
-fn traffic_that_grows_counts_at_its_present_rate() {
-    // A version is bad under more load than there is, and requests come faster towards the end of its
-    // roll-out. What was to come was reckoned by the mean since the order; when everything went to
-    // the new version, 361 requests came where 252 were reckoned: 436 in all, of 389 allowed.
+fn growing_traffic_counts_at_its_current_rate() {
+    // A version is bad only under more load than there is, and traffic grows towards the end of
+    // its roll-out. The requests to come were estimated by the mean rate since the order: when
+    // the version got the full share, 361 requests came where 252 were expected, 436 in all of
+    // 389 allowed.
     let grows = |tenth| if tenth < 100 { 105.0 } else { 190.0 };
-    let (got, allowed) = got_and_allowed(17, grows, 1.0);
+    let (got, allowed) = requests_and_bound(17, grows, 1.0);
     assert!(got <= allowed, "{got} of {allowed}");
 }
 
 #[test]
 fn what_a_failing_version_gets_again_is_allowed_for() {
-    // The same on a small service: once the version has everything it fails a part of it, and each
-    // failure is sent again, mostly to the same version. It got 176 requests of 163 allowed.
+    // The same on a small service: once the version has the full share it fails some requests,
+    // and each failure is retried, mostly at the same version. It got 176 requests of 163
+    // allowed.
     let even = |tenth| if tenth < 150 { 44.0 } else { 52.0 };
-    let (got, allowed) = got_and_allowed(18, even, 1.2);
+    let (got, allowed) = requests_and_bound(18, even, 1.2);
     assert!(got <= allowed, "{got} of {allowed}");
 }
 
 #[test]
 fn a_version_is_not_completed_while_requests_run_on_the_old_one() {
-    // Once a roll-out is completed the old upstreams stop at once, so a stream that is
-    // still out there would be cut.
+    // Once a roll-out is completed the old upstreams stop at once, which would cut a stream
+    // that is still outstanding there.
     let mut trial = trial(Time::ZERO);
     let idle = evidence(arm(20, 0, 1.0), arm(400, 5, 1.0));
     let mut busy = idle;
@@ -184,16 +187,16 @@
     assert_eq!(trial.step(at(18.3), &idle, 1.0).verdict, Verdict::Open);
     assert_eq!(trial.step(at(18.45), &busy, 1.0).verdict, Verdict::Open);
     assert_eq!(trial.step(at(18.46), &idle, 1.0).verdict, Verdict::Good);
-    // Time is up: what is still out goes on elsewhere.
-    assert_eq!(trial_at_the_end(&busy), Verdict::Good);
+    // Time is up: outstanding streams continue elsewhere.
+    assert_eq!(verdict_at_the_end(&busy), Verdict::Good);
 }
 
-fn trial_at_the_end(seen: &Evidence) -> Verdict {
+fn verdict_at_the_end(seen: &Evidence) -> Verdict {
     trial(Time::ZERO).step(at(18.5), seen, 1.0).verdict
 }
 
 #[test]
-fn a_version_that_fails_is_taken_back_after_a_few_bad_answers() {
+fn a_failing_version_is_reverted_after_a_few_bad_answers() {
     let mut trial = trial(Time::ZERO);
     let bad = evidence(arm(6, 6, 1.0), arm(90, 1, 1.0));
     let step = trial.step(at(2.0), &bad, 1.0);
@@ -201,7 +204,7 @@
     assert_eq!(step.gate.share, 0.0);
 }
 
-/// So many good answers and others that broke off.
+/// Counts `good` answers and `broken` ones that broke off.
 fn broken(good: u32, broken: u32) -> ArmCounts {
     ArmCounts {
         sent: good + broken,
@@ -211,10 +214,10 @@
 }
 
 #[test]
-fn an_upstream_that_crashes_does_not_condemn_its_version() {
-    // One of the new version's two upstreams crashes with six streams out. The old version's
-    // upstreams that crashed with it are not counted yet. Everything that comes after is fine,
-    // and yet the version was taken back for those six.
+fn a_crash_of_one_upstream_does_not_revert_its_version() {
+    // One of the new version's two upstreams crashes with six streams outstanding. The old
+    // version's upstreams that crashed at the same time are not counted yet. All later answers
+    // are good, but the version was reverted for those six.
     let mut trial = trial(Time::ZERO);
     let crash = evidence(broken(16, 6), broken(410, 3));
     assert_eq!(trial.step(at(5.0), &crash, 1.0).verdict, Verdict::Open);
@@ -225,7 +228,7 @@
 }
 
 #[test]
-fn a_crash_of_many_upstreams_does_not_condemn_a_version_that_carries_much() {
+fn a_crash_of_many_upstreams_does_not_revert_a_version_with_a_large_share() {
     // A quarter of all upstreams crash at once while the new version has a quarter of the
     // traffic. Its broken answers are counted some 100 ms before the old version's.
     let mut trial = trial(Time::ZERO);
@@ -238,7 +241,7 @@
 }
 
 #[test]
-fn a_version_whose_answers_go_on_breaking_off_is_taken_back() {
+fn a_version_whose_answers_keep_breaking_off_is_reverted() {
     let mut trial = trial(Time::ZERO);
     let first = evidence(broken(10, 6), broken(410, 3));
     assert_eq!(trial.step(at(5.0), &first, 1.0).verdict, Verdict::Open);
@@ -248,9 +251,9 @@
 }
 
 #[test]
-fn a_moment_in_which_answers_are_slow_does_not_condemn_a_version() {
-    // One of the new version's two upstreams reads a long prompt; five answers there wait for
-    // it. The version was taken back as several times slower after ten answers in all.
+fn a_burst_of_slow_answers_does_not_revert_a_version() {
+    // One of the new version's two upstreams prefills a long prompt, and five answers wait for
+    // it. The version was reverted as several times slower after ten answers in all.
     let mut trial = trial(Time::ZERO);
     let old = arm(420, 0, 1.0);
     let moment = evidence(slow(5, 5), old);
@@ -263,39 +266,40 @@
 }
 
 #[test]
-fn upstreams_that_hold_no_prompts_yet_do_not_look_slow() {
-    // The new version's upstreams just started. A prompt of which others hold nine tenths is
-    // read there whole, ten times as long; every second answer of a good version looked slow.
+fn upstreams_without_cached_prompts_do_not_look_slow() {
+    // The new version's upstreams just started and prefill the whole of a prompt of which
+    // others have nine tenths cached, which takes ten times as long. Every second answer of a
+    // good version looked slow.
     let mut counts = ArmCounts::default();
     let load = Load {
         expected_ms: 50.0,
         unheld_ms: 500.0,
         ..Load::default()
     };
-    answered(&mut counts, 500.0, &load);
+    note_answer(&mut counts, 500.0, &load);
     assert_eq!((counts.good, counts.slow), (1, 0));
-    answered(&mut counts, 4_000.0, &load);
+    note_answer(&mut counts, 4_000.0, &load);
     assert_eq!((counts.good, counts.slow), (2, 1), "eight times as long");
 }
 
-/// So many answers in time and others that took eight times as long.
+/// Counts `in_time` answers in time and `slow` ones that took eight times as long.
 fn slow(in_time: u32, slow: u32) -> ArmCounts {
     let mut counts = arm(in_time, 0, 1.0);
-    (0..slow).for_each(|_| answered(&mut counts, 800.0, &expected(100.0)));
+    (0..slow).for_each(|_| note_answer(&mut counts, 800.0, &load_of(100.0)));
     counts
 }
 
 #[test]
-fn failures_that_both_versions_have_condemn_neither() {
-    // Half of all answers are lost on the way for some seconds. The new version would be
-    // taken back for what the old one suffers as well.
+fn failures_of_both_versions_do_not_revert_the_new_one() {
+    // Half of all answers are lost on the network for some seconds. The new version would be
+    // reverted for failures that the old one has as well.
     let mut trial = trial(Time::ZERO);
     let both = evidence(arm(30, 20, 1.0), arm(300, 200, 1.0));
     assert_eq!(trial.step(at(2.0), &both, 1.0).verdict, Verdict::Open);
 }
 
 #[test]
-fn a_version_that_is_several_times_slower_is_taken_back() {
+fn a_version_that_is_several_times_slower_is_reverted() {
     let mut trial = trial(Time::ZERO);
     let first = evidence(arm(10, 0, 4.0), arm(300, 0, 1.0));
     assert_eq!(trial.step(at(3.0), &first, 1.0).verdict, Verdict::Open);
@@ -305,9 +309,9 @@
 }
 
 #[test]
-fn a_version_that_is_slow_on_a_part_of_its_requests_is_taken_back() {
-    // Half of the requests take eight times as long on a small service. The mean varies so
-    // much that it tells nothing until everything runs on the new version.
+fn a_version_that_is_slow_on_a_part_of_its_requests_is_reverted() {
+    // Half of the requests take eight times as long on a small service. The mean varies too
+    // much to show this before the new version has the full share.
     let mut trial = trial(Time::ZERO);
     let first = evidence(slow(6, 6), arm(60, 2, 1.0));
     assert_eq!(trial.step(at(5.0), &first, 1.0).verdict, Verdict::Open);
@@ -317,9 +321,9 @@
 }
 
 #[test]
-fn a_version_that_is_bad_under_load_is_taken_back_before_it_is_completed() {
-    // A version fails once it carries everything. Completed a second after, its old one is
-    // gone and cannot be gone back to.
+fn a_version_that_is_bad_under_load_is_reverted_before_completion() {
+    // A version fails once it has the full share. If it were completed within a second, the old
+    // version would be gone and could not be restored.
     let mut trial = trial(Time::ZERO);
     let good = evidence(arm(40, 2, 1.0), arm(400, 5, 1.0));
     assert_eq!(trial.step(at(18.2), &good, 1.0).gate.share, 1.0);
@@ -329,9 +333,9 @@
 }
 
 #[test]
-fn good_answers_of_earlier_steps_do_not_hide_a_version_that_turns_bad() {
-    // A version was good for 450 answers. Once it carries everything one answer in seven
-    // fails. All together that is 1 in 50, which proved nothing.
+fn good_answers_at_an_earlier_share_do_not_hide_a_version_that_turns_bad() {
+    // A version was good for 450 answers. Once it has the full share, one answer in seven
+    // fails. Over all answers that is 1 in 50, which proved nothing.
     let mut trial = trial(Time::ZERO);
     let good = evidence(arm(450, 0, 1.0), arm(9_000, 9, 1.0));
     assert_eq!(trial.step(at(18.2), &good, 1.0).gate.share, 1.0);
@@ -340,18 +344,18 @@
 }
 
 #[test]
-fn prompts_that_new_upstreams_do_not_hold_are_no_suspicion() {
-    // Most of the allowed exposure is used up, and nine in a hundred answers more are slow
-    // than at the old version, whose upstreams hold the prompts.
+fn slow_answers_for_want_of_cached_prompts_are_no_suspicion() {
+    // Most of the allowed exposure is used up, and the share of slow answers is nine in a
+    // hundred above that of the old version, whose upstreams have the prompts cached.
     let mut trial = trial(Time::ZERO);
     let cold = evidence(slow(112, 19), arm(810, 0, 1.0));
     assert_eq!(trial.step(at(15.0), &cold, 1.0).verdict, Verdict::Open);
 }
 
 #[test]
-fn a_part_of_the_requests_goes_to_a_part_of_the_new_upstreams() {
-    // A version fails under load only. Spread over all of its upstreams the first requests
-    // would look fine, up to the moment at which it carries everything.
+fn a_share_of_the_requests_goes_to_the_same_share_of_the_new_upstreams() {
+    // A version fails only under load. Spread over all of its upstreams, the first requests
+    // would look fine until it has the full share.
     let few = |share| Permit::Few(Arc::from("v2"), Share::clamped(share));
     assert_eq!(gate(0.25, true).permit(0, None), few(0.25));
     assert_eq!(gate(0.5, false).permit(0, None), few(0.5));
@@ -362,7 +366,7 @@
 }
 
 #[test]
-fn a_version_that_turns_bad_after_a_good_judgement_of_its_first_answers_is_taken_back() {
+fn a_version_that_turns_bad_after_good_first_answers_is_reverted() {
     let mut trial = trial(Time::ZERO);
     let good = evidence(arm(60, 0, 1.0), arm(400, 4, 1.0));
     assert_eq!(trial.step(at(11.0), &good, 1.0).gate.share, 0.045);
@@ -372,9 +376,9 @@
 }
 
 #[test]
-fn a_daemon_that_restarts_in_a_roll_out_goes_on_where_its_peers_are() {
-    // A daemon is killed 16 s into a roll-out and is back at once. Its own clock begins at
-    // zero. Took it the order for new, it would send sessions back to the old version until
+fn a_daemon_that_restarts_in_a_roll_out_adopts_its_peers_elapsed_time() {
+    // A daemon is killed 16 s into a roll-out and restarts at once. Its own clock begins at
+    // zero. If it took the order for new, it would send sessions back to the old version until
     // that is stopped, and cut their streams.
     let mut trial = trial(at(0.05));
     trial.known_for(at(0.1), Span::from_millis(16_300));
@@ -383,7 +387,7 @@
 }
 
 #[test]
-fn a_decision_that_is_written_down_is_never_taken_back() {
+fn a_recorded_decision_is_never_undone() {
     let mut trial = trial(Time::ZERO);
     trial.set_state(RolloutState::Reverted);
     trial.set_state(RolloutState::Running);
@@ -422,8 +426,8 @@
 }
 
 #[test]
-fn a_session_at_work_stays_also_at_daemons_that_never_saw_it() {
-    // The requests of a session come through several daemons. A roll-out begins between two
+fn an_active_session_stays_also_at_daemons_that_never_saw_it() {
+    // The requests of a session come through several daemons, and a roll-out begins between two
     // of them. The second daemon never saw the session and would take it for a new one.
     let (old, new) = (Arc::from("v1"), Arc::from("v2"));
     let (session, other) = (5, 6);
@@ -440,10 +444,10 @@
 }
 
 #[test]
-fn requests_that_fail_for_their_own_sake_do_not_hide_a_failing_version() {
+fn a_kind_of_request_that_often_fails_does_not_hide_a_failing_version() {
     // A third of a service's requests fail in one of seven cases whatever the version. Of the
-    // others the new version fails one in ten and the old one hardly any. Of all together
-    // that is 12% beside 5%, which 90 answers do not tell from chance.
+    // others the new version fails one in ten and the old one hardly any. Over all kinds
+    // together that is 12% against 5%, which 90 answers do not distinguish from chance.
     let mut trial = trial(Time::ZERO);
     let mut seen = evidence(arm(54, 6, 1.0), arm(399, 1, 1.0));
     seen.new.kinds[1] = arm(26, 4, 1.0);
@@ -452,17 +456,17 @@
     let mut fine = evidence(arm(60, 0, 1.0), arm(399, 1, 1.0));
     fine.new.kinds[1] = arm(23, 7, 1.0);
     fine.old.kinds[1] = arm(172, 28, 1.0);
-    assert_eq!(trial_of_fine(&fine), Verdict::Open);
+    assert_eq!(verdict_at_15_s(&fine), Verdict::Open);
 }
 
-fn trial_of_fine(seen: &Evidence) -> Verdict {
+fn verdict_at_15_s(seen: &Evidence) -> Verdict {
     trial(Time::ZERO).step(at(15.0), seen, 1.0).verdict
 }
 
 #[test]
 fn a_suspicion_is_enough_once_the_allowed_exposure_is_nearly_used_up() {
-    // On a small service a version fails six in a hundred under load, where the old one
-    // fails one. That is no proof until far more requests than operators allow have run.
+    // On a small service a version fails six in a hundred under load, where the old one fails
+    // one. That is no proof until far more requests have run than the operators allow.
     let mut trial = trial(Time::ZERO);
     let early = evidence(arm(77, 5, 1.0), arm(521, 2, 1.0));
     assert_eq!(trial.step(at(15.0), &early, 1.0).verdict, Verdict::Open);
@@ -473,7 +477,8 @@
 #[test]
 fn a_handful_of_failures_by_chance_is_no_proof() {
     // A plain service on which one answer in ten fails whatever the version. Four of the new
-    // version's first eight fail, and one that is not repeated: five where one is expected.
+    // version's first eight fail, and one request that is not retried: five where one is
+    // expected.
     let mut trial = trial(Time::ZERO);
     let mut chance = evidence(arm(10, 1, 1.0), arm(144, 0, 1.0));
     chance.new.kinds[1] = arm(4, 4, 1.0);
@@ -482,13 +487,15 @@
 }
 
 #[test]
-fn a_version_under_suspicion_is_not_completed_because_time_is_up() {
-    // A new version fails one request of two of a rare kind. On its small share that is two to four
-    // failures of 46 answers, where the old one tells none of 900: no proof. When its time was nearly up
-    // it got everything and a quarter of a second later was completed, which nothing takes back:
-    // callers ran into its failures until the operators ordered another.
-    // Evidence: lines of three plays that went so, "decided Good" with 45 good and 3 bad; in three
-    // others the fifth failure came in time.
+fn a_suspected_version_is_not_completed_when_time_is_up() {
+    // A new version fails half of the requests of a rare kind. At its small share that is two
+    // to four failures in 46 answers, against none in 900 of the old one: no proof. When its
+    // time was nearly up it got the full share and was completed a quarter of a second later,
+    // which nothing undoes: callers met its failures until the operators ordered another
+    // version.
+    //
+    // In three runs it was completed with 45 good and 3 bad answers; in three others the fifth
+    // failure came in time.
     let short = RolloutOrder {
         within: Span::from_secs(17),
         ..order()
@@ -501,7 +508,7 @@
         let step = trial.step(at(15.6), &seen, 1.0);
         assert_eq!((step.verdict, step.gate.share), (Verdict::Failing, 0.0));
     }
-    // Two failures are no suspicion, and more of them come at once with all of the traffic.
+    // Two failures are no suspicion, and more of them follow at once with the full share.
     let mut trial = Trial::new(Time::ZERO, short, LIMITS);
     let two = evidence(arm(44, 2, 1.0), arm(900, 0, 1.0));
     assert_eq!(trial.step(at(15.2), &two, 1.0).gate.share, 1.0);
@@ -510,22 +517,22 @@
 }
 
 #[test]
-fn chance_is_no_suspicion() {
-    // Most of the exposure is used up, and the new version has had three more bad answers
-    // among 300 than the old one would have.
+fn an_excess_within_chance_is_no_suspicion() {
+    // Most of the exposure is used up, and the new version has three more bad answers in 300
+    // than the old one would have.
     let mut trial = trial(Time::ZERO);
     let chance = evidence(arm(290, 10, 1.0), arm(680, 16, 1.0));
     assert_eq!(trial.step(at(15.0), &chance, 1.0).verdict, Verdict::Open);
 }
 
 #[test]
-fn a_slow_version_is_told_by_answers_that_have_begun() {
-    // A version takes eight times as long for half of its requests. When it is to be judged, its
-    // slow streams are still out, and of those that have ended three of sixteen were slow.
+fn a_slow_version_is_detected_by_answers_that_have_begun() {
+    // A version takes eight times as long for half of its requests. When it is judged its slow
+    // streams are still outstanding, and three of the sixteen that have ended were slow.
     let mut trial = trial(Time::ZERO);
     let mut new = slow(13, 3);
     for _ in 0..22 {
-        new.note_begun(800.0, &expected(100.0));
+        new.note_begun(800.0, &load_of(100.0));
         new.sent += 1;
         new.out += 1;
     }
@@ -535,9 +542,9 @@
 }
 
 #[test]
-fn a_version_that_was_taken_back_stays_barred_when_another_is_ordered() {
-    // A new version was bad and taken back; its upstreams leave seconds later. The next order
-    // came within these, barred its own version only, and sessions went to the bad one.
+fn a_reverted_version_stays_barred_when_another_is_ordered() {
+    // A bad version was reverted; its upstreams leave seconds later. The next order came within
+    // these seconds and barred only its own version, so sessions went to the bad one.
     let mut first = trial(Time::ZERO);
     first.set_state(RolloutState::Reverted);
     let next = |to: &str| RolloutOrder {
@@ -553,14 +560,14 @@
     let mut second = Trial::new(at(5.0), next("v3"), LIMITS).after(&first);
     let allowed = ["v1", "v2", "v3"].map(|version| allows(&mut second, version));
     assert_eq!(allowed, [true, false, false]);
-    // An order that wants the version once more is a trial of it again.
+    // Ordering the version again starts a new trial of it.
     let again = Trial::new(at(5.0), next("v2"), LIMITS).after(&second);
     let third = Trial::new(at(5.0), next("v4"), LIMITS);
     assert!(
         allows(&mut third.after(&again), "v3"),
         "v3 was not taken back"
     );
-    // One that was completed is not barred.
+    // A completed version is not barred.
     let mut good = trial(Time::ZERO);
     good.set_state(RolloutState::Completed);
     let mut after = Trial::new(at(5.0), next("v3"), LIMITS).after(&good);
