--- a/components/ratelimit/tests/it/fleet.rs
+++ b/components/ratelimit/tests/it/fleet.rs
@@ -1,111 +1,128 @@
-//! Whether fleets of 6 to 300 daemons keep limits, beside kills, cuts, joins and lost messages.
+//! Checks that fleets of 6 to 300 daemons keep limits while daemons are killed, partitioned or
+//! join, and while messages are lost.
 
 use types::prelude::*;
 
-use crate::world::{Day, Got, play};
+use crate::world::{Outcome, Scenario, simulate};
 
 const FLEETS: [usize; 4] = [6, 20, 88, 300];
 
-/// Fleets of all sizes with a load that grows with them.
-fn fleets(change: impl Fn(&mut Day)) -> impl Iterator<Item = Day> {
+/// Scenarios for fleets of all sizes, with a load that grows with the fleet and three seeds
+/// each.
+fn scenarios(change: impl Fn(&mut Scenario)) -> impl Iterator<Item = Scenario> {
     FLEETS.into_iter().flat_map(move |daemons| {
-        let mut day = Day {
+        let mut scenario = Scenario {
             daemons,
             requests_per_s: 60.0 + 3.0 * daemons as f64,
-            ..Day::default()
+            ..Scenario::default()
         };
-        change(&mut day);
-        let base = day.seed;
-        (0..3).map(move |n| Day {
-            seed: base * 100 + n,
-            ..day.clone()
+        change(&mut scenario);
+        let base_seed = scenario.seed;
+        (0..3).map(move |n| Scenario {
+            seed: base_seed * 100 + n,
+            ..scenario.clone()
         })
     })
 }
 
-fn limited(day: &Day) -> Vec<(f64, Got)> {
-    let got = play(day);
-    let limits = day.limits.iter().zip(got);
-    limits.filter_map(|(l, got)| Some(((*l)?, got))).collect()
+fn limited_outcomes(scenario: &Scenario) -> Vec<(f64, Outcome)> {
+    let outcomes = simulate(scenario);
+    let limits = scenario.limits.iter().zip(outcomes);
+    limits
+        .filter_map(|(l, outcome)| Some(((*l)?, outcome)))
+        .collect()
 }
 
-/// Checks all requests, those by daemons that no answer had told included.
-fn check_all(day: &Day) {
-    for (limit, got) in limited(day) {
-        let allowed = Got::allowed(limit);
-        assert!(got.worst <= allowed, "{limit}/s: {got:?}, {day:?}");
+/// Checks all requests, including those by daemons that no answer had informed of the limit.
+fn check_all(scenario: &Scenario) {
+    for (limit, outcome) in limited_outcomes(scenario) {
+        let allowed = Outcome::allowed(limit);
+        assert!(
+            outcome.worst <= allowed,
+            "{limit}/s: {outcome:?}, {scenario:?}"
+        );
     }
 }
 
-/// Checks requests by daemons that an answer had told.
-fn check_told(day: &Day) {
-    for (limit, got) in limited(day) {
-        let allowed = Got::allowed(limit);
-        assert!(got.worst_told <= allowed, "{limit}/s: {got:?}, {day:?}");
+/// Checks the requests by daemons that an answer had informed of the limit.
+fn check_informed(scenario: &Scenario) {
+    for (limit, outcome) in limited_outcomes(scenario) {
+        let allowed = Outcome::allowed(limit);
+        assert!(
+            outcome.worst_informed <= allowed,
+            "{limit}/s: {outcome:?}, {scenario:?}"
+        );
     }
 }
 
 #[test]
 fn a_limit_is_kept_by_fleets_of_any_size() {
-    fleets(|_| {}).for_each(|day| check_all(&day));
+    scenarios(|_| {}).for_each(|scenario| check_all(&scenario));
 }
 
 #[test]
 fn a_limit_far_below_or_above_one_a_second_is_kept() {
     let limits = || vec![Some(0.05), Some(0.5), Some(9.0), Some(40.0), None];
-    fleets(|day| day.limits = limits()).for_each(|day| check_all(&day));
+    scenarios(|scenario| scenario.limits = limits()).for_each(|scenario| check_all(&scenario));
 }
 
 #[test]
 fn limits_of_all_upstreams_are_kept_and_used() {
     let limits = || (0..12).map(|n| Some(2.0 + f64::from(n) / 10.0)).collect();
-    for day in fleets(|day| day.limits = limits()) {
-        check_all(&day);
-        let seconds = (day.named.1 - day.named.0 - 3) as f64;
-        let (allowed, used) = limited(&day).iter().fold((0.0, 0), |sum, (limit, got)| {
-            (sum.0 + limit * seconds, sum.1 + got.limited)
-        });
+    for scenario in scenarios(|scenario| scenario.limits = limits()) {
+        check_all(&scenario);
+        let seconds = (scenario.advertised.1 - scenario.advertised.0 - 3) as f64;
+        let (allowed, used) = limited_outcomes(&scenario)
+            .iter()
+            .fold((0.0, 0), |sum, (limit, outcome)| {
+                (sum.0 + limit * seconds, sum.1 + outcome.limited)
+            });
         let share = used as f64 / allowed;
-        assert!(share > 0.7, "{share} of what the limits allow, {day:?}");
+        assert!(
+            share > 0.7,
+            "{share} of what the limits allow, {scenario:?}"
+        );
     }
 }
 
 #[test]
 fn a_limit_is_kept_though_messages_between_daemons_are_lost() {
-    fleets(|day| day.lost = 0.5).for_each(|day| check_all(&day));
+    scenarios(|scenario| scenario.lost = 0.5).for_each(|scenario| check_all(&scenario));
 }
 
 #[test]
-fn a_limit_is_kept_by_both_sides_of_a_cut() {
-    // Each side takes over the part of the other and sends all that the limit allows.
-    fleets(|day| day.cut = Some((3, 38))).for_each(|day| check_told(&day));
-    fleets(|day| day.cut = Some((8, 30))).for_each(|day| check_all(&day));
+fn a_limit_is_kept_by_both_sides_of_a_partition() {
+    // Each side would take over the other's share and send all that the limit allows.
+    scenarios(|scenario| scenario.cut = Some((3, 38)))
+        .for_each(|scenario| check_informed(&scenario));
+    scenarios(|scenario| scenario.cut = Some((8, 30))).for_each(|scenario| check_all(&scenario));
 }
 
 #[test]
-fn a_limit_is_kept_while_daemons_are_killed_and_start_again() {
-    // A daemon that starts knows nobody and takes the whole limit for its own.
-    let change = |day: &mut Day| day.kill_every = Some(Span::from_millis(1_300));
-    fleets(change).for_each(|day| check_told(&day));
+fn a_limit_is_kept_while_daemons_are_killed_and_restarted() {
+    // A daemon that just started knows no others and would take the whole limit for its share.
+    let change = |scenario: &mut Scenario| scenario.kill_every = Some(Span::from_millis(1_300));
+    scenarios(change).for_each(|scenario| check_informed(&scenario));
 }
 
 #[test]
-fn a_limit_is_kept_after_all_daemons_start_at_once() {
-    fleets(|day| day.killed_all_at = Some(14)).for_each(|day| check_told(&day));
+fn a_limit_is_kept_after_all_daemons_restart_at_once() {
+    scenarios(|scenario| scenario.killed_all_at = Some(14))
+        .for_each(|scenario| check_informed(&scenario));
 }
 
 #[test]
 fn a_limit_is_kept_while_the_fleet_grows() {
-    let change = |day: &mut Day| day.join_every = Some(Span::from_millis(800));
-    fleets(change).for_each(|day| check_told(&day));
+    let change = |scenario: &mut Scenario| scenario.join_every = Some(Span::from_millis(800));
+    scenarios(change).for_each(|scenario| check_informed(&scenario));
 }
 
 #[test]
-fn an_upstream_whose_limit_ended_does_not_stay_idle() {
-    for day in fleets(|day| day.limits = vec![Some(1.3), Some(0.05), None]) {
-        for (limit, got) in limited(&day) {
-            let idle = got.idle_after.expect("requests after its end");
-            assert!(idle < Span::from_secs(9), "{limit}/s: {idle}, {day:?}");
+fn an_upstream_gets_requests_again_after_its_limit_ends() {
+    for scenario in scenarios(|scenario| scenario.limits = vec![Some(1.3), Some(0.05), None]) {
+        for (limit, outcome) in limited_outcomes(&scenario) {
+            let idle = outcome.idle_after.expect("requests after its end");
+            assert!(idle < Span::from_secs(9), "{limit}/s: {idle}, {scenario:?}");
         }
     }
 }
--- a/components/ratelimit/tests/it/main.rs
+++ b/components/ratelimit/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! Rate limits at one daemon, and kept by fleets in simulated time.
+//! Tests of rate limits, at one daemon and over fleets in simulated time.
 
 mod fleet;
 mod table;
--- a/components/ratelimit/tests/it/table.rs
+++ b/components/ratelimit/tests/it/table.rs
@@ -1,4 +1,4 @@
-//! What one daemon makes of answers and of what peers tell.
+//! Tests of one daemon's table of limits.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
     Advertised::Limit(Rate(rate))
 }
 
-fn told(version: u32, rate: Option<f32>, age_ms: u16) -> Advertisement {
+fn advertisement(version: u32, rate: Option<f32>, age_ms: u16) -> Advertisement {
     Advertisement {
         run: RUN,
         version,
@@ -24,8 +24,8 @@
     }
 }
 
-/// Requests that one daemon sends in a span, asking every ms.
-fn sends(limits: &mut RateLimits, from: u64, to: u64) -> usize {
+/// Counts the requests that one daemon sends in a span, trying every ms.
+fn count_sent(limits: &mut RateLimits, from: u64, to: u64) -> usize {
     let is_sent = |ms: &u64| {
         let is_open = limits.admission(at(*ms), RUN) == Admission::Open;
         if is_open {
@@ -37,22 +37,22 @@
 }
 
 #[test]
-fn a_single_daemon_keeps_the_whole_rate() {
+fn a_single_daemon_uses_the_whole_rate() {
     let mut limits = RateLimits::default();
     assert_eq!(
         limits.observe(at(0), RUN, at(0), limit(2.0)),
         Some(Change::Named(Rate(2.0)))
     );
-    assert_eq!(sends(&mut limits, 1, 10_000), 19);
+    assert_eq!(count_sent(&mut limits, 1, 10_000), 19);
     assert_eq!(
-        sends(&mut limits, 60_000, 60_100),
+        count_sent(&mut limits, 60_000, 60_100),
         1,
         "no more than one is saved up"
     );
 }
 
 #[test]
-fn an_answer_that_was_overtaken_does_not_lift_a_limit() {
+fn an_answer_out_of_order_does_not_lift_a_limit() {
     let mut limits = RateLimits::default();
     limits.observe(at(1_000), RUN, at(900), limit(2.0));
     assert_eq!(
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn what_cannot_be_read_changes_nothing() {
+fn an_invalid_limit_changes_nothing() {
     let mut limits = RateLimits::default();
     assert_eq!(limits.observe(at(1), RUN, at(0), Advertised::Invalid), None);
     assert!(limits.is_empty());
@@ -74,7 +74,7 @@
     assert_eq!(limits.observe(at(9), RUN, at(8), Advertised::Invalid), None);
     assert_eq!(limits.rate(RUN), Some(Rate(2.0)));
     for rate in [f32::NAN, f32::INFINITY, 0.0, -1.0] {
-        assert_eq!(limits.merge(at(10), &told(9, Some(rate), 0)), None);
+        assert_eq!(limits.merge(at(10), &advertisement(9, Some(rate), 0)), None);
     }
     assert_eq!(limits.rate(RUN), Some(Rate(2.0)));
 }
@@ -82,30 +82,38 @@
 #[test]
 fn an_older_message_does_not_bring_a_lifted_limit_back() {
     let mut limits = RateLimits::default();
-    limits.merge(at(1_000), &told(4, Some(2.0), 0));
-    assert!(limits.merge(at(2_000), &told(5, None, 0)).is_some());
-    assert_eq!(limits.merge(at(2_500), &told(4, Some(2.0), 0)), None);
+    limits.merge(at(1_000), &advertisement(4, Some(2.0), 0));
+    assert!(
+        limits
+            .merge(at(2_000), &advertisement(5, None, 0))
+            .is_some()
+    );
+    assert_eq!(
+        limits.merge(at(2_500), &advertisement(4, Some(2.0), 0)),
+        None
+    );
     assert!(limits.is_empty());
     assert_eq!(
-        limits.merge(at(3_000), &told(6, Some(1.0), 0)),
+        limits.merge(at(3_000), &advertisement(6, Some(1.0), 0)),
         Some(Change::Named(Rate(1.0)))
     );
 }
 
 #[test]
-fn of_two_limits_seen_at_once_the_lower_holds() {
+fn of_two_limits_with_one_version_the_lower_wins() {
     let mut limits = RateLimits::default();
-    limits.merge(at(1_000), &told(4, Some(2.0), 0));
-    limits.merge(at(1_000), &told(4, Some(3.0), 0));
+    limits.merge(at(1_000), &advertisement(4, Some(2.0), 0));
+    limits.merge(at(1_000), &advertisement(4, Some(3.0), 0));
     assert_eq!(limits.rate(RUN), Some(Rate(2.0)));
-    limits.merge(at(1_000), &told(4, Some(1.0), 0));
-    limits.merge(at(1_000), &told(4, None, 0));
+    limits.merge(at(1_000), &advertisement(4, Some(1.0), 0));
+    limits.merge(at(1_000), &advertisement(4, None, 0));
     assert_eq!(limits.rate(RUN), Some(Rate(1.0)));
 }
 
 #[test]
-fn a_rate_that_travelled_is_the_same_rate() {
-    // A limit that changes by its way between daemons would be news for ever.
+fn an_advertised_rate_equals_the_original() {
+    // A rate that is rounded on its way between daemons would look like a new limit again and
+    // again.
     let (mut one, mut other) = (RateLimits::default(), RateLimits::default());
     one.observe(at(0), RUN, at(0), limit(2.1));
     for ad in one.advertise(at(10)) {
@@ -123,22 +131,22 @@
     let mut limits = RateLimits::default();
     let me = DaemonId::new("me").expect("a name");
     limits.set_fleet(at(10), &Arc::new(Fleet::new(&me, [].iter())));
-    limits.merge(at(20), &told(1, Some(50.0), 0));
-    assert_eq!(sends(&mut limits, 21, 4_900), 0);
-    assert!(sends(&mut limits, 5_100, 6_000) > 0);
+    limits.merge(at(20), &advertisement(1, Some(50.0), 0));
+    assert_eq!(count_sent(&mut limits, 21, 4_900), 0);
+    assert!(count_sent(&mut limits, 5_100, 6_000) > 0);
 }
 
 #[test]
-fn what_nobody_hears_of_any_more_is_forgotten() {
+fn an_unconfirmed_limit_is_dropped() {
     let mut limits = RateLimits::default();
-    limits.merge(at(0), &told(1, Some(2.0), 0));
+    limits.merge(at(0), &advertisement(1, Some(2.0), 0));
     assert_eq!(limits.advertise(at(59_000)).len(), 1);
     assert!(limits.advertise(at(61_000)).is_empty());
     assert_eq!(limits.admission(at(61_000), RUN), Admission::Open);
 }
 
 #[test]
-fn a_message_names_a_bounded_number_of_limits_and_all_in_turn() {
+fn a_message_holds_a_bounded_number_of_limits_and_all_take_turns() {
     let mut limits = RateLimits::default();
     for run in 0..100 {
         limits.observe(at(1), RunKey(run), at(0), limit(2.0));
@@ -160,7 +168,7 @@
         let others = ids.iter().filter(|other| *other != me);
         let mut limits = RateLimits::default();
         limits.set_fleet(at(0), &Arc::new(Fleet::new(me, others)));
-        limits.merge(at(10_000), &told(1, Some(1.5), 0));
+        limits.merge(at(10_000), &advertisement(1, Some(1.5), 0));
         limits
     });
     let mut fleet = fleet.by_ref().collect::<Vec<_>>();
--- a/components/ratelimit/tests/it/world.rs
+++ b/components/ratelimit/tests/it/world.rs
@@ -1,8 +1,8 @@
-//! A fleet of daemons before upstreams with limits, in simulated time.
+//! Simulates a fleet of daemons that send to upstreams with limits.
 //!
-//! Each daemon has the product's table and knows what its own answers and its peers say. Daemons
-//! that come and go are learnt of late, messages are delayed and lost, and answers begin up to some
-//! seconds after their requests were sent, so that they overtake each other.
+//! Each daemon has the product's table and knows what its own answers and its peers say.
+//! Daemons learn late of others that come and go, messages are delayed and lost, and answers
+//! begin up to some seconds after their requests were sent, so that they arrive out of order.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
@@ -13,40 +13,40 @@
 use ratelimit::{Admission, Advertised, Advertisement, Fleet, RateLimits, RunKey};
 use types::prelude::*;
 
-/// Requests are counted over.
+/// Window over which requests are counted.
 const WINDOW: Span = Span::from_secs(4);
 const STEP: Span = Span::from_millis(10);
-/// Daemons tell each other this often.
-const TELL: Span = Span::from_millis(200);
-/// A fleet of up to so many tells everybody, a larger one a few.
-const SMALL: usize = 16;
-const TOLD: usize = 4;
+/// Interval at which daemons send their limits to each other.
+const GOSSIP_INTERVAL: Span = Span::from_millis(200);
+/// A fleet below this size sends its messages to all daemons, a larger one to a few.
+const SMALL_FLEET: usize = 16;
+const GOSSIP_FANOUT: usize = 4;
 
-/// What is played.
+/// What is simulated.
 #[derive(Debug, Clone)]
-pub struct Day {
+pub struct Scenario {
     pub seed: u64,
     pub daemons: usize,
     pub seconds: u64,
     /// Requests a second over all daemons.
     pub requests_per_s: f64,
-    /// The limit of each upstream; none for one that takes everything.
+    /// Limit of each upstream; `None` for one that takes everything.
     pub limits: Vec<Option<f64>>,
-    /// Limits are named in this span of seconds.
-    pub named: (u64, u64),
-    /// Part of the messages that is lost.
+    /// Span of seconds in which limits are advertised.
+    pub advertised: (u64, u64),
+    /// Share of the messages that is lost.
     pub lost: f64,
-    /// A daemon is killed every so often, and back two seconds later.
+    /// Interval at which a daemon is killed; it restarts two seconds later.
     pub kill_every: Option<Span>,
-    /// Daemons are cut in halves in this span of seconds.
+    /// Span of seconds in which the fleet is partitioned into halves.
     pub cut: Option<(u64, u64)>,
-    /// A new daemon joins every so often.
+    /// Interval at which a new daemon joins.
     pub join_every: Option<Span>,
-    /// All daemons are killed at this second.
+    /// Second at which all daemons are killed and restart.
     pub killed_all_at: Option<u64>,
 }
 
-impl Default for Day {
+impl Default for Scenario {
     fn default() -> Self {
         Self {
             seed: 1,
@@ -54,7 +54,7 @@
             seconds: 40,
             requests_per_s: 120.0,
             limits: vec![Some(2.1), Some(1.3), None, None],
-            named: (5, 30),
+            advertised: (5, 30),
             lost: 0.0,
             kill_every: None,
             cut: None,
@@ -64,20 +64,21 @@
     }
 }
 
-/// What came of a day, by upstream.
+/// Result of a scenario for one upstream.
 #[derive(Debug, Default, Clone)]
-pub struct Got {
-    /// Arrivals by everybody in the worst window, from three seconds after the first naming on.
+pub struct Outcome {
+    /// Arrivals from all daemons in the worst window, from three seconds after the limit's
+    /// start.
     pub worst: usize,
-    /// The same by daemons that an answer had told half a second before.
-    pub worst_told: usize,
-    /// Arrivals while the limit was named, from three seconds on.
+    /// The same from daemons that an answer had informed at least half a second before.
+    pub worst_informed: usize,
+    /// Arrivals while the limit was advertised, from three seconds after its start.
     pub limited: usize,
-    /// How long after the limit's end the first request came.
+    /// Time from the limit's end to the first request after it.
     pub idle_after: Option<Span>,
 }
 
-impl Got {
+impl Outcome {
     pub fn allowed(limit: f64) -> usize {
         (1.5 * limit * WINDOW.as_secs_f64() + 5.0) as usize
     }
@@ -88,22 +89,22 @@
     limits: RateLimits,
     started_at: Time,
     is_up: bool,
-    /// Others whose coming this one has learnt of, and when it learns of more.
+    /// Other daemons known to this one, and when it learns of more.
     knows: BTreeSet<usize>,
-    learns: Vec<(Time, usize)>,
-    told_at: BTreeMap<usize, Time>,
+    learn_queue: Vec<(Time, usize)>,
+    informed_at: BTreeMap<usize, Time>,
 }
 
 impl Daemon {
-    /// This daemon's own clock.
-    fn own(&self, now: Time) -> Time {
+    /// Converts a time to this daemon's own clock.
+    fn local_time(&self, now: Time) -> Time {
         Time(now.since(self.started_at).as_micros())
     }
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// The answer's head comes back to a daemon's run that sent it then.
+    /// An answer's head arrives at the daemon's run that sent the request at `sent_at`.
     Answer {
         daemon: usize,
         run_at: Time,
@@ -112,12 +113,12 @@
     },
     Message {
         to: usize,
-        place: usize,
+        message: usize,
     },
 }
 
-struct Play<'a> {
-    day: &'a Day,
+struct Simulation<'a> {
+    scenario: &'a Scenario,
     rng: ChaCha8Rng,
     daemons: Vec<Daemon>,
     events: BinaryHeap<Reverse<(Time, u64, Event)>>,
@@ -130,71 +131,73 @@
     Time::ZERO + Span::from_secs(seconds)
 }
 
-/// Plays a day.
-pub fn play(day: &Day) -> Vec<Got> {
-    let mut play = Play {
-        day,
-        rng: ChaCha8Rng::seed_from_u64(day.seed),
+/// Simulates a scenario and returns the outcome for each upstream.
+pub fn simulate(scenario: &Scenario) -> Vec<Outcome> {
+    let mut simulation = Simulation {
+        scenario,
+        rng: ChaCha8Rng::seed_from_u64(scenario.seed),
         daemons: Vec::new(),
         events: BinaryHeap::new(),
         messages: Vec::new(),
         next_event: 0,
-        arrivals: vec![Vec::new(); day.limits.len()],
+        arrivals: vec![Vec::new(); scenario.limits.len()],
     };
-    for _ in 0..day.daemons {
-        play.join(Time::ZERO);
+    for _ in 0..scenario.daemons {
+        simulation.join(Time::ZERO);
     }
     let mut now = Time::ZERO;
-    let mut tell_at = Time::ZERO;
-    let mut kill_at = day.kill_every.map(|every| secs(6) + every);
-    let mut join_at = day.join_every.map(|every| secs(6) + every);
-    let mut back = Vec::<(Time, usize)>::new();
-    while now < secs(day.seconds) {
-        play.deliver(now);
-        for (_, daemon) in back.extract_if(.., |(at, _)| *at <= now) {
-            play.restart(now, daemon);
+    let mut gossip_at = Time::ZERO;
+    let mut kill_at = scenario.kill_every.map(|every| secs(6) + every);
+    let mut join_at = scenario.join_every.map(|every| secs(6) + every);
+    let mut restarts = Vec::<(Time, usize)>::new();
+    while now < secs(scenario.seconds) {
+        simulation.deliver(now);
+        for (_, daemon) in restarts.extract_if(.., |(at, _)| *at <= now) {
+            simulation.restart(now, daemon);
         }
-        if day.killed_all_at.is_some_and(|at| now == secs(at)) {
-            for daemon in 0..play.daemons.len() {
-                play.restart(now, daemon);
+        if scenario.killed_all_at.is_some_and(|at| now == secs(at)) {
+            for daemon in 0..simulation.daemons.len() {
+                simulation.restart(now, daemon);
             }
         }
         if kill_at.is_some_and(|at| now >= at) {
-            let daemon = play.rng.random_range(0..play.daemons.len());
-            play.daemons[daemon].is_up = false;
-            back.push((now + Span::from_secs(2), daemon));
-            kill_at = day.kill_every.map(|every| now + every);
+            let daemon = simulation.rng.random_range(0..simulation.daemons.len());
+            simulation.daemons[daemon].is_up = false;
+            restarts.push((now + Span::from_secs(2), daemon));
+            kill_at = scenario.kill_every.map(|every| now + every);
         }
         if join_at.is_some_and(|at| now >= at) {
-            play.join(now);
-            join_at = day.join_every.map(|every| now + every);
+            simulation.join(now);
+            join_at = scenario.join_every.map(|every| now + every);
         }
-        if now >= tell_at {
-            play.tell(now);
-            tell_at = now + TELL;
+        if now >= gossip_at {
+            simulation.gossip(now);
+            gossip_at = now + GOSSIP_INTERVAL;
         }
-        play.requests(now);
+        simulation.requests(now);
         now = now + STEP;
     }
-    let limits = day.limits.iter().zip(&play.arrivals);
-    limits.map(|(_, arrivals)| got(day, arrivals)).collect()
+    let limits = scenario.limits.iter().zip(&simulation.arrivals);
+    limits
+        .map(|(_, arrivals)| outcome(scenario, arrivals))
+        .collect()
 }
 
-impl Play<'_> {
-    fn learns(&mut self, now: Time) -> Time {
-        let most = if self.daemons.len() > SMALL {
+impl Simulation<'_> {
+    fn learn_time(&mut self, now: Time) -> Time {
+        let max_ms = if self.daemons.len() > SMALL_FLEET {
             4_500
         } else {
             800
         };
-        now + Span::from_millis(self.rng.random_range(50..most))
+        now + Span::from_millis(self.rng.random_range(50..max_ms))
     }
 
     fn join(&mut self, now: Time) {
         let new = self.daemons.len();
         for other in 0..new {
-            let at = self.learns(now);
-            self.daemons[other].learns.push((at, new));
+            let at = self.learn_time(now);
+            self.daemons[other].learn_queue.push((at, new));
         }
         self.daemons.push(Daemon {
             id: DaemonId::new(&format!("daemon-{new}")).expect("a name"),
@@ -202,43 +205,43 @@
             started_at: now,
             is_up: true,
             knows: BTreeSet::new(),
-            learns: Vec::new(),
-            told_at: BTreeMap::new(),
+            learn_queue: Vec::new(),
+            informed_at: BTreeMap::new(),
         });
         self.learn_all(now, new);
     }
 
-    /// A daemon without a memory learns of all others, one after the other.
+    /// Schedules when a daemon that just started learns of all others.
     fn learn_all(&mut self, now: Time, daemon: usize) {
         for other in (0..self.daemons.len()).filter(|other| *other != daemon) {
-            let at = self.learns(now);
-            self.daemons[daemon].learns.push((at, other));
+            let at = self.learn_time(now);
+            self.daemons[daemon].learn_queue.push((at, other));
         }
         self.set_fleet(now, daemon);
     }
 
     fn restart(&mut self, now: Time, daemon: usize) {
-        let it = &mut self.daemons[daemon];
-        it.limits = RateLimits::default();
-        it.started_at = now;
-        it.is_up = true;
-        it.knows.clear();
-        it.learns.clear();
-        it.told_at.clear();
+        let this = &mut self.daemons[daemon];
+        this.limits = RateLimits::default();
+        this.started_at = now;
+        this.is_up = true;
+        this.knows.clear();
+        this.learn_queue.clear();
+        this.informed_at.clear();
         self.learn_all(now, daemon);
     }
 
     fn set_fleet(&mut self, now: Time, daemon: usize) {
-        let it = &self.daemons[daemon];
-        let others = it.knows.iter().map(|other| &self.daemons[*other].id);
-        let fleet = Arc::new(Fleet::new(&it.id, others));
-        let it = &mut self.daemons[daemon];
-        let own = it.own(now);
-        it.limits.set_fleet(own, &fleet);
+        let this = &self.daemons[daemon];
+        let others = this.knows.iter().map(|other| &self.daemons[*other].id);
+        let fleet = Arc::new(Fleet::new(&this.id, others));
+        let this = &mut self.daemons[daemon];
+        let local = this.local_time(now);
+        this.limits.set_fleet(local, &fleet);
     }
 
     fn is_cut(&self, now: Time, a: usize, b: usize) -> bool {
-        let cut = self.day.cut;
+        let cut = self.scenario.cut;
         cut.is_some_and(|(from, to)| now >= secs(from) && now < secs(to)) && a % 2 != b % 2
     }
 
@@ -263,112 +266,114 @@
                     upstream,
                     sent_at,
                 } => self.answer(at, daemon, run_at, upstream, sent_at),
-                Event::Message { to, place } => {
-                    let told = std::mem::take(&mut self.messages[place]);
+                Event::Message { to, message } => {
+                    let ads = std::mem::take(&mut self.messages[message]);
                     let daemon = &mut self.daemons[to];
                     if daemon.is_up {
-                        let own = daemon.own(at);
-                        for ad in &told {
-                            daemon.limits.merge(own, ad);
+                        let local = daemon.local_time(at);
+                        for ad in &ads {
+                            daemon.limits.merge(local, ad);
                         }
                     }
                 }
             }
         }
         for daemon in 0..self.daemons.len() {
-            let it = &mut self.daemons[daemon];
-            let due = it.learns.extract_if(.., |(at, _)| *at <= now);
+            let this = &mut self.daemons[daemon];
+            let due = this.learn_queue.extract_if(.., |(at, _)| *at <= now);
             let due = due.map(|(_, other)| other).collect::<Vec<_>>();
             if !due.is_empty() {
-                it.knows.extend(due);
+                this.knows.extend(due);
                 self.set_fleet(now, daemon);
             }
         }
     }
 
-    fn limit_named(&self, at: Time, upstream: usize) -> Option<f64> {
-        let (from, to) = self.day.named;
-        let is_named = at >= secs(from) && at < secs(to);
-        self.day.limits[upstream].filter(|_| is_named)
+    fn advertised_limit(&self, at: Time, upstream: usize) -> Option<f64> {
+        let (from, to) = self.scenario.advertised;
+        let is_advertised = at >= secs(from) && at < secs(to);
+        self.scenario.limits[upstream].filter(|_| is_advertised)
     }
 
     fn answer(&mut self, at: Time, daemon: usize, run_at: Time, upstream: usize, sent_at: Time) {
-        let limit = self.limit_named(at, upstream);
-        let it = &mut self.daemons[daemon];
-        if !it.is_up || it.started_at != run_at {
+        let limit = self.advertised_limit(at, upstream);
+        let this = &mut self.daemons[daemon];
+        if !this.is_up || this.started_at != run_at {
             return;
         }
-        let said = match limit {
+        let answer = match limit {
             Some(limit) => {
-                it.told_at.entry(upstream).or_insert(at);
+                this.informed_at.entry(upstream).or_insert(at);
                 Advertised::Limit(Rate(limit))
             }
             None => Advertised::Nothing,
         };
-        let (own, own_sent) = (it.own(at), it.own(sent_at));
-        it.limits.observe(own, run(upstream), own_sent, said);
+        let (local, local_sent_at) = (this.local_time(at), this.local_time(sent_at));
+        this.limits
+            .observe(local, run(upstream), local_sent_at, answer);
     }
 
-    fn tell(&mut self, now: Time) {
+    fn gossip(&mut self, now: Time) {
         for from in 0..self.daemons.len() {
             if !self.daemons[from].is_up {
                 continue;
             }
-            let own = self.daemons[from].own(now);
-            let told = self.daemons[from].limits.advertise(own);
+            let local = self.daemons[from].local_time(now);
+            let ads = self.daemons[from].limits.advertise(local);
             let known = self.daemons[from].knows.iter().copied().collect::<Vec<_>>();
-            if told.is_empty() || known.is_empty() {
+            if ads.is_empty() || known.is_empty() {
                 continue;
             }
-            let count = if known.len() < SMALL {
+            let count = if known.len() < SMALL_FLEET {
                 known.len()
             } else {
-                TOLD
+                GOSSIP_FANOUT
             };
             for n in 0..count {
-                let to = match known.len() < SMALL {
+                let to = match known.len() < SMALL_FLEET {
                     true => known[n],
                     false => known[self.rng.random_range(0..known.len())],
                 };
-                let is_lost = self.day.lost > 0.0 && self.rng.random_bool(self.day.lost);
+                let is_lost = self.scenario.lost > 0.0 && self.rng.random_bool(self.scenario.lost);
                 if is_lost || self.is_cut(now, from, to) {
                     continue;
                 }
-                let place = self.messages.len();
-                self.messages.push(told.clone());
+                let message = self.messages.len();
+                self.messages.push(ads.clone());
                 let at = now + Span::from_millis(self.rng.random_range(1..250));
-                self.push(at, Event::Message { to, place });
+                self.push(at, Event::Message { to, message });
             }
         }
     }
 
     fn requests(&mut self, now: Time) {
-        let mean = self.day.requests_per_s * STEP.as_secs_f64();
+        let mean = self.scenario.requests_per_s * STEP.as_secs_f64();
         let mut count = mean as usize;
         count += usize::from(self.rng.random_bool(mean.fract()));
         for _ in 0..count {
             let daemon = self.rng.random_range(0..self.daemons.len());
-            let it = &self.daemons[daemon];
-            if !it.is_up {
+            let this = &self.daemons[daemon];
+            if !this.is_up {
                 continue;
             }
-            let own = it.own(now);
-            let open = (0..self.day.limits.len())
-                .filter(|u| it.limits.admission(own, run(*u)) == Admission::Open)
+            let local = this.local_time(now);
+            let open = (0..self.scenario.limits.len())
+                .filter(|u| this.limits.admission(local, run(*u)) == Admission::Open)
                 .collect::<Vec<_>>();
             if open.is_empty() {
                 continue;
             }
             let upstream = open[self.rng.random_range(0..open.len())];
-            let it = &mut self.daemons[daemon];
-            it.limits.take(own, run(upstream));
-            let told = it.told_at.get(&upstream);
-            let is_told = told.is_some_and(|at| now.since(*at) >= Span::from_millis(500));
-            let run_at = it.started_at;
-            self.arrivals[upstream].push((now, is_told));
+            let this = &mut self.daemons[daemon];
+            this.limits.take(local, run(upstream));
+            let informed_at = this.informed_at.get(&upstream);
+            let is_informed =
+                informed_at.is_some_and(|at| now.since(*at) >= Span::from_millis(500));
+            let run_at = this.started_at;
+            self.arrivals[upstream].push((now, is_informed));
             let slow = self.rng.random_bool(0.1);
-            let most = if slow { 3_000 } else { 100 };
-            let at = now + Span::from_millis(self.rng.random_range(5..most));
+            let max_ms = if slow { 3_000 } else { 100 };
+            let at = now + Span::from_millis(self.rng.random_range(5..max_ms));
             self.push(
                 at,
                 Event::Answer {
@@ -386,14 +391,14 @@
     RunKey(upstream as u32 * 7_919 + 13)
 }
 
-fn got(day: &Day, arrivals: &[(Time, bool)]) -> Got {
-    let (from, to) = (secs(day.named.0 + 3), secs(day.named.1));
-    let mut got = Got::default();
+fn outcome(scenario: &Scenario, arrivals: &[(Time, bool)]) -> Outcome {
+    let (from, to) = (secs(scenario.advertised.0 + 3), secs(scenario.advertised.1));
+    let mut outcome = Outcome::default();
     let worst = |is_counted: &dyn Fn(bool) -> bool| {
         let mut window = VecDeque::new();
         let mut worst = 0;
-        for (at, is_told) in arrivals {
-            if !is_counted(*is_told) || *at < secs(day.named.0) || *at >= to {
+        for (at, is_informed) in arrivals {
+            if !is_counted(*is_informed) || *at < secs(scenario.advertised.0) || *at >= to {
                 continue;
             }
             window.push_back(*at);
@@ -409,11 +414,11 @@
         }
         worst
     };
-    got.worst = worst(&|_| true);
-    got.worst_told = worst(&|is_told| is_told);
+    outcome.worst = worst(&|_| true);
+    outcome.worst_informed = worst(&|is_informed| is_informed);
     let limited = arrivals.iter().filter(|(at, _)| *at >= from && *at < to);
-    got.limited = limited.count();
+    outcome.limited = limited.count();
     let after = arrivals.iter().find(|(at, _)| *at >= to);
-    got.idle_after = after.map(|(at, _)| at.since(to));
-    got
+    outcome.idle_after = after.map(|(at, _)| at.since(to));
+    outcome
 }
