--- a/components/dispatch/src/aggregation.rs
+++ b/components/dispatch/src/aggregation.rs
@@ -48,7 +48,7 @@
 
 /// Bytes that are not a valid message.
 #[derive(Debug, thiserror::Error)]
-#[error("a peer's word on a roll-out cannot be read: {0}")]
+#[error("a peer's message on a roll-out cannot be read: {0}")]
 pub struct RolloutMessageError(#[from] postcard::Error);
 
 impl RolloutMessage {
--- a/components/dispatch/src/pins.rs
+++ b/components/dispatch/src/pins.rs
@@ -5,8 +5,8 @@
 
 use types::prelude::*;
 
-/// Sessions remembered, at about 100 bytes each. At the bound expired ones are dropped, and new
-/// ones are not added if none has expired.
+/// Sessions remembered, at about 100 bytes each. At the bound expired ones are dropped; if none
+/// has expired, nothing more is recorded.
 const MAX_PINS: usize = 20_000;
 
 #[derive(Debug, Clone)]
--- a/components/dispatch/src/rate_limits.rs
+++ b/components/dispatch/src/rate_limits.rs
@@ -80,7 +80,7 @@
     }
 
     /// Leaves an upstream alone until `until`, as it asked for, but no longer than
-    /// [`MAX_BACKOFF`].
+    /// `MAX_BACKOFF`.
     pub fn leave_alone(&mut self, now: Time, index: UpstreamIndex, until: Time) {
         if let Some(entry) = self.entries.get_mut(&index) {
             entry.backoff_until = until.min(now + MAX_BACKOFF);
--- a/components/dispatch/src/trial.rs
+++ b/components/dispatch/src/trial.rs
@@ -46,13 +46,13 @@
 /// another daemon's turn 0.6 s; with 0.8 s, one good roll-out in eleven was written too late. A
 /// stream that is still outstanding continues at another upstream.
 const DECISION_MARGIN: Span = Span::from_millis(1_500);
-/// Answers of the new version before the full share, unless there is hardly any traffic.
+/// Answers of the new version needed for the full share, unless there is hardly any traffic.
 const MIN_CANARY_ANSWERS: u32 = 40;
 /// Progress from which the full share needs no such answers: there is hardly any traffic then.
 const UNPROVED_FULL_SHARE_FROM: f64 = 0.62;
 
 /// Used share of the allowed exposure from which a suspicion suffices to revert: what comes
-/// after cannot be taken back, and reverting a good version costs little beside it.
+/// after cannot be taken back, and reverting a good version costs little in comparison.
 const SUSPICION_EXPOSURE_SHARE: f64 = 0.85;
 
 /// The operators' bound on requests to a bad version.
@@ -338,7 +338,7 @@
     ///
     /// Guards against a version that is bad under more load than there is: it answers well and
     /// is not reverted, and with a share that rose by its good answers it got more than twice
-    /// of what operators allow a bad version. The mean rate alone would underestimate growing
+    /// what the operators allow a bad version. The mean rate alone would underestimate growing
     /// traffic, which is fastest at the end, when the new version has the full share.
     fn rest_fits_exposure(&self, now: Time, fleet: &Evidence) -> bool {
         let new = f64::from(fleet.new.sum().sent);
--- a/components/dispatch/src/trial/judge.rs
+++ b/components/dispatch/src/trial/judge.rs
@@ -13,8 +13,8 @@
 const MIN_BAD_ANSWERS: u32 = 5;
 /// Least excess of the share of bad answers over the old version's.
 const MIN_FAILURE_EXCESS: f64 = 0.06;
-/// Least excess of the share of slow answers: more of them are chance, as prompts wait for
-/// others.
+/// Least excess of the share of slow answers. It is larger than for failures, since prompts
+/// that wait for others make more slow answers by chance.
 const MIN_SLOW_EXCESS: f64 = 0.15;
 /// Standard errors between the versions for a proof: 3.5 give one false alarm in some thousand
 /// comparisons.
