--- a/components/dispatch/src/trial/judge.rs
+++ b/components/dispatch/src/trial/judge.rs
@@ -1,46 +1,48 @@
-//! Whether a new version is worse than the old one, by the fleet's evidence.
+//! Statistical comparison of a new version with the old one, by the fleet's evidence.
 //!
-//! Both versions are compared over the same time, each kind of request with its own. What an
-//! upstream itself tells as a failure counts at once. Connections that break and answers
-//! that are slow come in bunches, when one upstream crashes or reads a long prompt, so they
-//! count only if they go on.
+//! Both versions are compared over the same time, each kind of request with its own. A failure
+//! that an upstream reports counts at once. Broken connections and slow answers come in bursts,
+//! when one upstream crashes or prefills a long prompt, so they count only if they persist.
 
 use types::prelude::*;
 
 use crate::evidence::{Arm, ArmCounts, Evidence, KINDS};
 
-/// Fewest bad or slow answers for a judgement: five by chance at a failure rate of 2% and
-/// 40 answers have a probability under 0.002.
-const FEWEST: u32 = 5;
-/// Excess of the share of bad answers over the old version's.
-const BAD_EXCESS: f64 = 0.06;
-/// Excess of the share of slow answers: more of them are chance, as prompts wait for others.
-const SLOW_EXCESS: f64 = 0.15;
-/// Standard errors between the versions: 3.5 is one false alarm in some thousand looks.
-const ERRORS: f64 = 3.5;
-/// The same on the scale of square roots, on which counts as small as five are spread like
-/// larger ones. The errors above are too small for them: five bad answers where one is
-/// expected lie 3.8 of them apart and come up once in 200 looks. On this scale that is 2.4.
-const ROOT_ERRORS: f64 = 2.8;
-/// Standard errors that make a suspicion. With 2.0 and without a least excess three of
-/// sixteen good roll-outs were taken back.
-const SUSPICION: f64 = 2.5;
-/// Part of the excess that a proof needs, for a suspicion.
-const SUSPICION_EXCESS: f64 = 0.5;
+/// Fewest bad or slow answers for a proof: five by chance at a failure rate of 2% and 40
+/// answers have a probability under 0.002.
+const MIN_BAD_ANSWERS: u32 = 5;
+/// Least excess of the share of bad answers over the old version's.
+const MIN_FAILURE_EXCESS: f64 = 0.06;
+/// Least excess of the share of slow answers. It is larger than for failures, since prompts
+/// that wait for others make more slow answers by chance.
+const MIN_SLOW_EXCESS: f64 = 0.15;
+/// Standard errors between the versions for a proof: 3.5 give one false alarm in some thousand
+/// comparisons.
+const PROOF_STD_ERRORS: f64 = 3.5;
+/// The same on a square root scale, on which counts as small as five have the same spread as
+/// larger ones. [`PROOF_STD_ERRORS`] is too low for small counts: five bad answers where one is
+/// expected are 3.8 standard errors apart and occur once in 200 comparisons. On this scale that
+/// is 2.4.
+const PROOF_ROOT_STD_ERRORS: f64 = 2.8;
+/// Standard errors for a suspicion. With 2.0 and no least excess, three of sixteen good
+/// roll-outs were reverted.
+const SUSPICION_STD_ERRORS: f64 = 2.5;
+/// Share of a proof's least excess that is needed for a suspicion.
+const SUSPICION_EXCESS_FACTOR: f64 = 0.5;
 /// Fewest bad or slow answers for a suspicion.
-const SUSPICION_FEWEST: f64 = 3.0;
-/// A fault that may be a moment's is looked at anew from here on: by then the reports of
-/// all daemons on that moment have been added up.
-const SETTLED_AFTER: Span = Span::from_millis(600);
-/// New answers of the new version that decide whether it lasted.
-const LASTING_ANSWERS: u32 = 8;
-/// Bad ones among them at least.
-const LASTING_FEWEST: f64 = 2.0;
-/// Standard errors between the versions in this second look; after a proof in the first
-/// the two together are one false alarm in some ten thousand.
-const LASTING_ERRORS: f64 = 2.0;
-
-/// What is wrong with a version.
+const SUSPICION_MIN_BAD_ANSWERS: f64 = 3.0;
+/// Delay until a possibly transient fault is compared again: by then all daemons' reports of
+/// that moment have been added up.
+const CONFIRMATION_DELAY: Span = Span::from_millis(600);
+/// Answers of the new version after that delay that decide whether the fault persists.
+const CONFIRMATION_MIN_ANSWERS: u32 = 8;
+/// Fewest bad answers among them.
+const CONFIRMATION_MIN_BAD_ANSWERS: f64 = 2.0;
+/// Standard errors between the versions for a confirmation; together with the proof before it
+/// this gives one false alarm in some ten thousand comparisons.
+const CONFIRMATION_STD_ERRORS: f64 = 2.0;
+
+/// A fault of a version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Fault {
     /// It fails more often than the old one.
@@ -49,148 +51,159 @@
     Slow,
 }
 
-/// How sure a judgement must be.
+/// Certainty that a judgement requires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Needed {
-    /// Most of the allowed exposure is still there.
+pub(super) enum Certainty {
+    /// Required while most of the allowed exposure is unused.
     Proof,
-    /// It is used up.
+    /// Sufficient once the exposure is nearly used up.
     Suspicion,
-    /// After a proof, for what came since.
-    Lasting,
+    /// Required of the answers that come after a proof.
+    Confirmation,
 }
 
-/// Which bad answers count.
+/// Which failed answers count.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Counted {
-    /// Failures that upstreams told themselves.
-    Told,
-    /// These, and answers that broke off.
+pub(super) enum FailureScope {
+    /// Failures that upstreams reported.
+    Reported,
+    /// Reported failures and answers that broke off.
     All,
 }
 
-impl Counted {
-    fn failed(self, counts: &ArmCounts) -> Part {
+impl FailureScope {
+    fn failed(self, counts: &ArmCounts) -> Proportion {
         let failed = match self {
-            Self::Told => counts.bad,
+            Self::Reported => counts.bad,
             Self::All => counts.bad + counts.broken,
         };
-        Part::new(failed, counts.answers())
+        Proportion::new(failed, counts.answers())
     }
 }
 
-/// What is wrong with the new version, if it is as sure as needed.
-pub(super) fn fault_of(fleet: &Evidence, counted: Counted, needed: Needed) -> Option<Fault> {
-    let failed = |counts: &ArmCounts| counted.failed(counts);
-    let slow = |counts: &ArmCounts| Part::new(counts.slow, counts.begun);
-    if is_worse(fleet, failed, BAD_EXCESS, needed) {
+/// Returns the new version's fault, if it is as certain as required.
+pub(super) fn find_fault(
+    fleet: &Evidence,
+    scope: FailureScope,
+    certainty: Certainty,
+) -> Option<Fault> {
+    let failed = |counts: &ArmCounts| scope.failed(counts);
+    let slow = |counts: &ArmCounts| Proportion::new(counts.slow, counts.begun);
+    if is_worse(fleet, failed, MIN_FAILURE_EXCESS, certainty) {
         return Some(Fault::Failing);
     }
     let has_old = fleet.old.sum().begun > 0;
-    // A suspicion is half as much as a proof; of slow answers that much is made by prompts
-    // that new upstreams do not hold yet, and no bad version is slow on so few.
-    let least = match needed {
-        Needed::Suspicion => SLOW_EXCESS / SUSPICION_EXCESS,
-        Needed::Proof | Needed::Lasting => SLOW_EXCESS,
+    // A suspicion needs half of a proof's excess. For slow answers the full excess is required,
+    // since prompts that new upstreams have not cached yet cause half of it, and no bad version
+    // is slow on so few.
+    let min_excess = match certainty {
+        Certainty::Suspicion => MIN_SLOW_EXCESS / SUSPICION_EXCESS_FACTOR,
+        Certainty::Proof | Certainty::Confirmation => MIN_SLOW_EXCESS,
     };
-    let is_slower = has_old && is_worse(fleet, slow, least, needed);
+    let is_slower = has_old && is_worse(fleet, slow, min_excess, certainty);
     is_slower.then_some(Fault::Slow)
 }
 
-/// Whether the new version itself tells clearly more failures.
-pub(super) fn tells_failures(fleet: &Evidence, needed: Needed) -> bool {
-    let told = |counts: &ArmCounts| Counted::Told.failed(counts);
-    is_worse(fleet, told, BAD_EXCESS, needed)
+/// Whether the new version's upstreams report clearly more failures.
+pub(super) fn fails_more(fleet: &Evidence, certainty: Certainty) -> bool {
+    let reported = |counts: &ArmCounts| FailureScope::Reported.failed(counts);
+    is_worse(fleet, reported, MIN_FAILURE_EXCESS, certainty)
 }
 
 fn is_worse(
     fleet: &Evidence,
-    part: impl Fn(&ArmCounts) -> Part,
-    least: f64,
-    needed: Needed,
+    part: impl Fn(&ArmCounts) -> Proportion,
+    min_excess: f64,
+    certainty: Certainty,
 ) -> bool {
     let excess = Excess::of(&fleet.new, &fleet.old, part);
-    excess.iter().any(|excess| excess.is_there(least, needed))
+    excess
+        .iter()
+        .any(|excess| excess.exceeds(min_excess, certainty))
 }
 
-/// A fault that was seen, and may be over.
+/// A fault that was proved and may be over.
 #[derive(Debug, Clone, Copy)]
-struct Seen {
-    look_at: Time,
-    /// What the fleet had seen when the second look began.
+struct PendingFault {
+    confirm_from: Time,
+    /// The fleet's evidence when the confirmation began.
     before: Option<Evidence>,
 }
 
-/// Faults that may be a moment's.
+/// Confirmation of faults that may be transient.
 ///
-/// Guards against a good version that is taken back because one of its few upstreams
-/// crashed or read a long prompt: all of its answers of that moment break or are slow, and
-/// a test that takes each for an independent one is sure after six of them. Such a fault
-/// must show again in the answers that come after it.
+/// Guards against a good version that is reverted because one of its few upstreams crashed or
+/// prefilled a long prompt: all of its answers of that moment break or are slow, and a test
+/// that takes each for an independent one is certain after six of them. Such a fault must show
+/// again in the answers that come after it.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Doubt {
-    /// Evidence up to here was looked at and found to be a moment's.
-    over: Evidence,
-    seen: Option<Seen>,
+pub(super) struct FaultConfirmation {
+    /// Evidence whose faults were found to be transient.
+    dismissed: Evidence,
+    pending: Option<PendingFault>,
 }
 
-impl Doubt {
-    /// What is wrong with the new version, once that lasts.
-    pub(super) fn lasting(&mut self, now: Time, fleet: &Evidence) -> Option<Fault> {
-        let Some(seen) = &mut self.seen else {
-            let is_there =
-                fault_of(&fleet.since(&self.over), Counted::All, Needed::Proof).is_some();
-            self.seen = is_there.then_some(Seen {
-                look_at: now + SETTLED_AFTER,
+impl FaultConfirmation {
+    /// Returns the new version's fault once it is confirmed.
+    pub(super) fn confirmed(&mut self, now: Time, fleet: &Evidence) -> Option<Fault> {
+        let Some(pending) = &mut self.pending else {
+            let is_proved = find_fault(
+                &fleet.since(&self.dismissed),
+                FailureScope::All,
+                Certainty::Proof,
+            )
+            .is_some();
+            self.pending = is_proved.then_some(PendingFault {
+                confirm_from: now + CONFIRMATION_DELAY,
                 before: None,
             });
             return None;
         };
-        if now < seen.look_at {
+        if now < pending.confirm_from {
             return None;
         }
-        let since = fleet.since(seen.before.get_or_insert(*fleet));
-        if since.new.sum().answers() < LASTING_ANSWERS {
+        let since = fleet.since(pending.before.get_or_insert(*fleet));
+        if since.new.sum().answers() < CONFIRMATION_MIN_ANSWERS {
             return None;
         }
-        let fault = fault_of(&since, Counted::All, Needed::Lasting);
+        let fault = find_fault(&since, FailureScope::All, Certainty::Confirmation);
         if fault.is_none() {
-            self.over = *fleet;
-            self.seen = None;
+            self.dismissed = *fleet;
+            self.pending = None;
         }
         fault
     }
 }
 
-/// A part of some answers.
+/// A number of answers out of a total.
 #[derive(Debug, Clone, Copy)]
-struct Part {
-    part: f64,
-    all: f64,
+struct Proportion {
+    count: f64,
+    total: f64,
 }
 
-impl Part {
-    fn new(part: u32, all: u32) -> Self {
+impl Proportion {
+    fn new(count: u32, total: u32) -> Self {
         Self {
-            part: f64::from(part),
-            all: f64::from(all),
+            count: f64::from(count),
+            total: f64::from(total),
         }
     }
 }
 
-/// How much more of something the new version has than the old one's answers lead to expect,
-/// each kind of request compared with its own (the test of Mantel and Haenszel).
+/// Excess of the new version's count over what the old one's answers lead to expect, each kind
+/// of request compared with its own (the Mantel-Haenszel test).
 #[derive(Debug, Clone, Copy, Default)]
 struct Excess {
-    seen: f64,
+    observed: f64,
     expected: f64,
     variance: f64,
     answers: f64,
 }
 
 impl Excess {
-    /// Of each kind of request alone, and of all together.
-    fn of(new: &Arm, old: &Arm, part: impl Fn(&ArmCounts) -> Part) -> [Self; KINDS + 1] {
+    /// Computes the excess of each kind of request, and of all together.
+    fn of(new: &Arm, old: &Arm, part: impl Fn(&ArmCounts) -> Proportion) -> [Self; KINDS + 1] {
         let mut excess = [Self::default(); KINDS + 1];
         for (kind, (new, old)) in new.kinds.iter().zip(&old.kinds).enumerate() {
             excess[kind].add(part(new), part(old));
@@ -199,37 +212,41 @@
         excess
     }
 
-    fn add(&mut self, new: Part, old: Part) {
-        let all = new.all + old.all;
-        self.seen += new.part;
-        self.answers += new.all;
+    fn add(&mut self, new: Proportion, old: Proportion) {
+        let total = new.total + old.total;
+        self.observed += new.count;
+        self.answers += new.total;
         // Without answers of the old version nothing bad is expected.
-        if old.all == 0.0 {
+        if old.total == 0.0 {
             return;
         }
-        let part = new.part + old.part;
-        self.expected += new.all * part / all;
-        let rest = (all - part) / (all * all * (all - 1.0).max(1.0));
-        self.variance += new.all * old.all * part * rest;
+        let count = new.count + old.count;
+        self.expected += new.total * count / total;
+        let rest = (total - count) / (total * total * (total - 1.0).max(1.0));
+        self.variance += new.total * old.total * count * rest;
     }
 
-    /// Whether there is more than `least` of it, and more than by chance.
-    fn is_there(&self, least: f64, needed: Needed) -> bool {
-        let above = self.seen - self.expected;
-        match needed {
-            Needed::Proof => {
-                let enough = self.seen >= f64::from(FEWEST) && above > least * self.answers;
-                let roots = 2.0 * (self.seen.sqrt() - self.expected.sqrt());
-                enough && above > ERRORS * self.variance.sqrt() && roots > ROOT_ERRORS
+    /// Whether the excess share is above `min_excess` and more than chance explains.
+    fn exceeds(&self, min_excess: f64, certainty: Certainty) -> bool {
+        let above = self.observed - self.expected;
+        match certainty {
+            Certainty::Proof => {
+                let is_enough = self.observed >= f64::from(MIN_BAD_ANSWERS)
+                    && above > min_excess * self.answers;
+                let roots = 2.0 * (self.observed.sqrt() - self.expected.sqrt());
+                is_enough
+                    && above > PROOF_STD_ERRORS * self.variance.sqrt()
+                    && roots > PROOF_ROOT_STD_ERRORS
             }
-            Needed::Suspicion => {
-                let least = SUSPICION_EXCESS * least * self.answers;
-                let enough = self.seen >= SUSPICION_FEWEST && above > least;
-                enough && above > SUSPICION * self.variance.sqrt()
+            Certainty::Suspicion => {
+                let min_excess = SUSPICION_EXCESS_FACTOR * min_excess * self.answers;
+                let is_enough = self.observed >= SUSPICION_MIN_BAD_ANSWERS && above > min_excess;
+                is_enough && above > SUSPICION_STD_ERRORS * self.variance.sqrt()
             }
-            Needed::Lasting => {
-                let enough = self.seen >= LASTING_FEWEST && above > least * self.answers;
-                enough && above > LASTING_ERRORS * self.variance.sqrt()
+            Certainty::Confirmation => {
+                let is_enough = self.observed >= CONFIRMATION_MIN_BAD_ANSWERS
+                    && above > min_excess * self.answers;
+                is_enough && above > CONFIRMATION_STD_ERRORS * self.variance.sqrt()
             }
         }
     }
