--- a/components/poison/src/lib.rs
+++ b/components/poison/src/lib.rs
@@ -14,11 +14,11 @@
 mod runs;
 mod shared;
 mod suspects;
-mod word;
+mod updates;
 
 pub use content::{Content, ContentError};
 pub use policy::PoisonPolicy;
 pub use runs::{Run, RunEnd, Runs, Under};
 pub use shared::SharedSuspects;
 pub use suspects::{Admission, Barred, Change, Suspects};
-pub use word::{Fate, UpstreamRun, Word, Words, WordsError};
+pub use updates::{Fate, UpstreamRun, Word, Words, WordsError};
--- a/components/poison/src/suspects.rs
+++ b/components/poison/src/suspects.rs
@@ -4,11 +4,11 @@
 //! itself: the same words lead to the same bars. A bar lapses; then one daemon at a time sends
 //! the content once more, and its fate decides.
 
-mod ends;
+mod answered;
+mod attribution;
+mod crashes;
 mod evidence;
-mod judging;
-mod news;
-mod whole;
+mod outbox;
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -19,11 +19,11 @@
 use crate::content::Content;
 use crate::policy::PoisonPolicy;
 use crate::runs::Under;
-use crate::word::{Fate, UpstreamRun, Word, Words};
-use ends::Ends;
+use crate::updates::{Fate, UpstreamRun, Word, Words};
+use answered::Whole;
+use crashes::Ends;
 use evidence::{End, Suspect};
-use news::News;
-use whole::Whole;
+use outbox::News;
 
 /// Contents held at most. A rack that is lost takes hundreds with it at one moment; those under
 /// which one upstream ended go first.
--- a/components/poison/src/suspects/judging.rs
+++ b/components/poison/src/suspects/attribution.rs
@@ -8,7 +8,7 @@
 use super::evidence::Suspect;
 use super::{Change, Suspects};
 use crate::content::Content;
-use crate::word::UpstreamRun;
+use crate::updates::UpstreamRun;
 
 /// The chance that bars a content of a customer of whom several are barred: one in a thousand of
 /// its requests that upstreams ended under in spite of themselves is refused for a while.
--- a/components/poison/src/suspects/ends.rs
+++ b/components/poison/src/suspects/crashes.rs
@@ -4,7 +4,7 @@
 
 use types::prelude::*;
 
-use crate::word::UpstreamRun;
+use crate::updates::UpstreamRun;
 
 /// Ends of upstreams remembered, for the rate at which they come,
 const MAX_ENDS: usize = 4_096;
--- a/components/poison/src/suspects/evidence.rs
+++ b/components/poison/src/suspects/evidence.rs
@@ -11,10 +11,10 @@
 use types::prelude::*;
 
 use super::Barred;
-use super::ends::Ends;
+use super::crashes::Ends;
 use crate::content::Content;
 use crate::policy::PoisonPolicy;
-use crate::word::UpstreamRun;
+use crate::updates::UpstreamRun;
 
 /// Ends kept of one content; more say nothing more.
 const MAX_ENDS: usize = 16;
--- a/components/poison/src/suspects/news.rs
+++ b/components/poison/src/suspects/outbox.rs
@@ -9,7 +9,7 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::content::Content;
-use crate::word::{Fate, Word, Words};
+use crate::updates::{Fate, Word, Words};
 
 /// Words that wait to be told.
 const MAX_NEWS: usize = 256;
--- a/components/poison/tests/fleet.rs
+++ b/components/poison/tests/fleet.rs
@@ -3,11 +3,11 @@
 //! `BUCKTHORNCROSS_PLAY_SEEDS=60 cargo test --release -p poison --test fleet -- --nocapture` plays
 //! more seeds by hand and prints the figures.
 
-#[path = "support/fleet.rs"]
-mod world;
+#[path = "support/simulation.rs"]
+mod simulation;
 
+use simulation::{Day, Fleet, Result};
 use types::prelude::*;
-use world::{Day, Fleet, Result};
 
 /// Repeats of a request that may reach an upstream later than three seconds after the third end
 /// under it.
