--- a/components/poison/src/lib.rs
+++ b/components/poison/src/lib.rs
@@ -1,13 +1,14 @@
-//! Requests that end the upstreams which run them.
+//! Detection and quarantine of request contents that crash upstreams.
 //!
-//! A caller's request may crash each upstream that begins to run it. Sent again, by this daemon
-//! or by the caller, it takes the next one with it, and everything else that ran there. Nothing
-//! in an attempt's id tells such a request: it is the same [`Content`] each time. [`Runs`] keeps
-//! what was under way at each upstream, so that an upstream's end can be put down to contents.
+//! A caller's request may crash each upstream that starts to run it. Retried by this daemon or by
+//! the caller, it crashes the next one as well, and breaks everything else that runs there. An
+//! attempt's id does not identify such a request, but its [`Content`] is the same each time.
+//! [`Runs`] tracks the attempts in flight at each upstream, so that a crash can be attributed to
+//! contents.
 //!
-//! [`Suspects`] adds up what all daemons tell of it, and says which contents are barred: those
-//! whose ends chance does not explain. Everything here is a value that is given the time, and
-//! touches no socket, clock or thread.
+//! [`Suspects`] combines the crash reports of all daemons and decides which contents are
+//! quarantined: those whose crashes chance does not explain. Everything here is a plain value that
+//! is passed the time and uses no socket, clock or thread.
 
 mod content;
 mod policy;
@@ -21,4 +22,4 @@
 pub use runs::{Run, RunEnd, Runs, Under};
 pub use shared::SharedSuspects;
 pub use suspects::{Admission, Barred, Change, Suspects};
-pub use updates::{Fate, UpstreamRun, Word, Words, WordsError};
+pub use updates::{ContentEvent, ContentUpdate, UpdatesError, UpstreamRun, Words};
--- a/components/poison/src/runs.rs
+++ b/components/poison/src/runs.rs
@@ -1,9 +1,9 @@
-//! What was under way at each upstream when it ended.
+//! Attempts in flight at each upstream when it crashes.
 //!
-//! An upstream's end is seen late and in pieces: each connection to it breaks by itself, the
-//! next one is refused, other daemons tell. A run that was given up a moment before its upstream's
-//! end may have ended it as well: engines begin to run a draft before its connection closes. So
-//! runs are remembered for a while after they are over.
+//! A crash is noticed late and piecemeal: each connection breaks by itself, the next one is
+//! refused, other daemons report it. An attempt that was given up a moment before a crash may have
+//! caused it as well, since engines start to run a draft before its connection closes. So ended
+//! attempts are kept for a while.
 
 use std::collections::{BTreeSet, HashMap};
 use std::hash::Hash;
@@ -13,132 +13,136 @@
 
 use crate::content::Content;
 
-/// Runs that are over are remembered for so long: an upstream's entry in the list goes some four
-/// seconds after its end.
-const REMEMBERED: Span = Span::from_secs(10);
-/// Runs remembered of one upstream at most: more than one runs side by side.
-const MAX_RUNS: usize = 256;
-/// A run that was given up so long before its upstream's end has nothing to do with it: an
-/// upstream stops within some hundred ms of the connection's close.
-const GIVEN_UP_WITHIN: Span = Span::from_millis(500);
-/// The same where the end's moment is not known: the upstream's entry goes within this.
-const ENTRY_GOES_WITHIN: Span = Span::from_secs(5);
-/// An upstream of which anything is read so long after a run broke there did not end with it.
-const BROKEN_WITHIN: Span = Span::from_millis(50);
+/// Ended attempts are kept this long, since an upstream's entry leaves the list some four seconds
+/// after its crash.
+const ENDED_KEPT: Span = Span::from_secs(10);
+/// Attempts tracked per upstream at most, which is more than one runs side by side.
+const MAX_ATTEMPTS: usize = 256;
+/// An attempt that was given up longer than this before its upstream's crash did not cause it: an
+/// upstream stops running it within some hundred ms of the connection's close.
+const GIVEN_UP_WINDOW: Span = Span::from_millis(500);
+/// The same bound where the time of the crash is unknown: a crashed upstream's entry leaves the
+/// list within this time.
+const ENTRY_REMOVAL_WINDOW: Span = Span::from_secs(5);
+/// An upstream from which anything is read longer than this after an attempt broke off did not
+/// crash then.
+const BROKEN_WINDOW: Span = Span::from_millis(50);
 
-/// Names a run at an upstream.
+/// Identifies an attempt at an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Run(u64);
 
-/// How a run was over.
+/// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunEnd {
-    /// The upstream answered to the end.
+    /// The upstream answered completely.
     Whole,
-    /// The upstream told a failure: it may not have run it at all, so that it says nothing.
+    /// The upstream reported a failure. It may not have run the request at all, so this is no
+    /// evidence either way.
     Failed,
-    /// The upstream broke off.
+    /// The connection to the upstream broke.
     Broken,
-    /// It was given up here: dropped draft, silent upstream, caller that left.
+    /// This daemon gave it up: a dropped draft, a silent upstream, a caller that left.
     GivenUp,
-    /// It did not begin.
+    /// The upstream did not start to run it.
     NotRun,
 }
 
-/// A content that was under way at an upstream when that ended.
+/// A content that was in flight at an upstream when it crashed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Under {
-    /// Which.
+    /// The content that was in flight.
     pub content: Content,
-    /// Whose request it was.
+    /// The customer that sent the request.
     pub customer: Option<Arc<str>>,
-    /// Whether there was a sign that it ran: the first of its answer.
+    /// Whether the upstream had shown that it started to run it: the first part of an answer.
     pub had_begun: bool,
-    /// How long it had run, from that sign, or from its sending if none came.
+    /// How long it had run, counted from that sign, or from its sending if none came.
     pub ran: Span,
 }
 
 #[derive(Debug, Clone)]
-struct Held {
+struct Attempt {
     run: Run,
     content: Content,
     customer: Option<Arc<str>>,
     sent_at: Time,
     had_begun: bool,
-    /// When it was sent, or the last sign that it begins.
+    /// When it was sent, or the last sign that the upstream started to run it.
     began_at: Time,
-    /// Broken or given up, and when.
-    over: Option<(RunEnd, Time)>,
+    /// How and when it ended, if its connection broke or it was given up.
+    ended: Option<(RunEnd, Time)>,
 }
 
-impl Held {
-    /// As under the end of its upstream, if it was.
-    fn under(&self, end: &End) -> Option<Under> {
-        let (how, over_at) = self.over?;
+impl Attempt {
+    /// Describes the attempt for its upstream's crash, if it was in flight then.
+    fn crashed_under(&self, crash: &KnownCrash) -> Option<Under> {
+        let (how, ended_at) = self.ended?;
         let is_given_up = how == RunEnd::GivenUp;
         let slack = match is_given_up {
-            true => GIVEN_UP_WITHIN,
-            false => BROKEN_WITHIN,
+            true => GIVEN_UP_WINDOW,
+            false => BROKEN_WINDOW,
         };
-        let latest = over_at + slack;
-        let has_outlived_it = end.heard_at > latest;
-        let has_ended_later = match end.broke_at {
-            Some(broke_at) => broke_at > latest,
-            None => end.known_at > over_at + ENTRY_GOES_WITHIN,
+        let latest_related = ended_at + slack;
+        let has_survived = crash.heard_at > latest_related;
+        let has_crashed_later = match crash.broke_at {
+            Some(broke_at) => broke_at > latest_related,
+            None => crash.known_at > ended_at + ENTRY_REMOVAL_WINDOW,
         };
-        if is_given_up && has_ended_later || has_outlived_it {
+        if is_given_up && has_crashed_later || has_survived {
             return None;
         }
-        let ended_at = match is_given_up {
-            true => end
+        let stopped_at = match is_given_up {
+            true => crash
                 .broke_at
-                .unwrap_or(latest.min(end.known_at))
-                .max(over_at),
-            false => over_at,
+                .unwrap_or(latest_related.min(crash.known_at))
+                .max(ended_at),
+            false => ended_at,
         };
         Some(Under {
             content: self.content,
             customer: self.customer.clone(),
             had_begun: self.had_begun,
-            ran: ended_at.since(self.began_at),
+            ran: stopped_at.since(self.began_at),
         })
     }
 }
 
-/// What is known of an upstream's end.
+/// What is known of an upstream's crash.
 #[derive(Debug, Clone, Copy)]
-struct End {
+struct KnownCrash {
     known_at: Time,
-    /// When anything was last read from it.
+    /// When anything was last read from the upstream.
     heard_at: Time,
-    /// When a run first broke that it did not outlive.
+    /// When the first of the attempts broke that the upstream did not survive.
     broke_at: Option<Time>,
 }
 
 #[derive(Debug, Default)]
-struct AtUpstream {
-    runs: Vec<Held>,
-    end: Option<End>,
+struct UpstreamAttempts {
+    attempts: Vec<Attempt>,
+    crash: Option<KnownCrash>,
 }
 
-/// What is or was under way at each upstream, whatever `U` names a run of one's program.
+/// Attempts in flight or recently ended at each upstream. `U` identifies a run of an upstream's
+/// program.
 #[derive(Debug)]
 pub struct Runs<U> {
-    by_upstream: HashMap<U, AtUpstream>,
-    next: u64,
+    by_upstream: HashMap<U, UpstreamAttempts>,
+    next_id: u64,
 }
 
 impl<U> Default for Runs<U> {
     fn default() -> Self {
         Self {
             by_upstream: HashMap::new(),
-            next: 0,
+            next_id: 0,
         }
     }
 }
 
 impl<U: Copy + Eq + Hash> Runs<U> {
-    /// Notes that a customer's content is sent to an upstream.
+    /// Records that a customer's content is sent to an upstream.
     pub fn sent(
         &mut self,
         now: Time,
@@ -146,162 +150,186 @@
         content: Content,
         customer: Option<Arc<str>>,
     ) -> Run {
-        let run = Run(self.next);
-        self.next += 1;
-        let held = self.by_upstream.entry(upstream).or_default();
-        if held.runs.len() >= MAX_RUNS {
-            held.runs.remove(0);
+        let run = Run(self.next_id);
+        self.next_id += 1;
+        let at_upstream = self.by_upstream.entry(upstream).or_default();
+        if at_upstream.attempts.len() >= MAX_ATTEMPTS {
+            at_upstream.attempts.remove(0);
         }
-        held.runs.push(Held {
+        at_upstream.attempts.push(Attempt {
             run,
             content,
             customer,
             sent_at: now,
             had_begun: false,
             began_at: now,
-            over: None,
+            ended: None,
         });
         run
     }
 
-    /// Notes a later sign that the upstream began to run it.
+    /// Records a sign that the upstream started to run an attempt.
     pub fn began(&mut self, now: Time, upstream: U, run: Run) {
-        self.answers(upstream, run);
-        if let Some(held) = self.held(upstream, run) {
-            held.had_begun = true;
-            held.began_at = now;
+        self.forget_crash_if_answering(upstream, run);
+        if let Some(attempt) = self.attempt_mut(upstream, run) {
+            attempt.had_begun = true;
+            attempt.began_at = now;
         }
     }
 
-    /// Notes that an upstream answers what was sent to it after its end: it is another start of the
-    /// program, under the same name.
-    fn answers(&mut self, upstream: U, run: Run) {
+    /// Forgets an upstream's crash if it answers an attempt that was sent after it: the program was
+    /// restarted under the same name.
+    fn forget_crash_if_answering(&mut self, upstream: U, run: Run) {
         let Some(at_upstream) = self.by_upstream.get_mut(&upstream) else {
             return;
         };
-        let held = at_upstream.runs.iter().find(|held| held.run == run);
-        let sent_at = held.map(|held| held.sent_at);
+        let attempt = at_upstream
+            .attempts
+            .iter()
+            .find(|attempt| attempt.run == run);
+        let sent_at = attempt.map(|attempt| attempt.sent_at);
         if at_upstream
-            .end
-            .is_some_and(|end| sent_at > Some(end.known_at))
+            .crash
+            .is_some_and(|crash| sent_at > Some(crash.known_at))
         {
-            at_upstream.end = None;
+            at_upstream.crash = None;
         }
     }
 
-    /// Notes that a run is over. Says what it was under if its upstream is known to have ended.
+    /// Records that an attempt ended. Returns it for attribution if its upstream is known to have
+    /// crashed.
     pub fn over(&mut self, now: Time, upstream: U, run: Run, end: RunEnd) -> Option<Under> {
         if end == RunEnd::Whole {
-            self.answers(upstream, run);
+            self.forget_crash_if_answering(upstream, run);
         }
         let at_upstream = self.by_upstream.get_mut(&upstream)?;
-        let place = at_upstream.runs.iter().position(|held| held.run == run)?;
-        match (end, at_upstream.end) {
+        let place = at_upstream
+            .attempts
+            .iter()
+            .position(|attempt| attempt.run == run)?;
+        match (end, at_upstream.crash) {
             (RunEnd::Whole | RunEnd::Failed | RunEnd::NotRun, _) => {
-                at_upstream.runs.remove(place);
+                at_upstream.attempts.remove(place);
                 None
             }
             (_, None) => {
-                at_upstream.runs[place].over = Some((end, now));
+                at_upstream.attempts[place].ended = Some((end, now));
                 None
             }
-            (_, Some(known)) => {
-                let mut held = at_upstream.runs.remove(place);
-                held.over = Some((end, now));
-                held.under(&known)
+            (_, Some(crash)) => {
+                let mut attempt = at_upstream.attempts.remove(place);
+                attempt.ended = Some((end, now));
+                attempt.crashed_under(&crash)
             }
         }
     }
 
-    /// Upstreams at which one of these contents was given up, and of which it is not known that
-    /// they ended.
+    /// Upstreams at which one of these contents was given up and that are not known to have
+    /// crashed.
     #[must_use]
     pub fn given_up(&self, contents: &BTreeSet<Content>) -> Vec<U> {
-        let is_one = |held: &Held| {
-            let is_given_up = held.over.is_some_and(|(how, _)| how == RunEnd::GivenUp);
-            is_given_up && contents.contains(&held.content)
+        let is_match = |attempt: &Attempt| {
+            let is_given_up = attempt.ended.is_some_and(|(how, _)| how == RunEnd::GivenUp);
+            is_given_up && contents.contains(&attempt.content)
         };
-        let unknown = self
+        let not_crashed = self
             .by_upstream
             .iter()
-            .filter(|(_, held)| held.end.is_none());
-        let given_up = unknown.filter(|(_, held)| held.runs.iter().any(is_one));
+            .filter(|(_, at_upstream)| at_upstream.crash.is_none());
+        let given_up =
+            not_crashed.filter(|(_, at_upstream)| at_upstream.attempts.iter().any(is_match));
         given_up.map(|(upstream, _)| *upstream).collect()
     }
 
-    /// Notes that an upstream ended of which something was last read at `heard_at`, and says what
-    /// had begun there and is known to have stopped. Those whose connections have not shown it yet
-    /// follow by [`Self::over`]. Nothing if the end was known before.
+    /// Records the crash of an upstream from which anything was last read at `heard_at`. Returns
+    /// the ended attempts that were in flight then; those whose connections have not broken yet are
+    /// returned by [`Self::over`]. Returns nothing if the crash was known before.
     pub fn ended(&mut self, now: Time, upstream: U, heard_at: Time) -> Option<Vec<Under>> {
         let at_upstream = self.by_upstream.entry(upstream).or_default();
-        if at_upstream.end.is_some() {
+        if at_upstream.crash.is_some() {
             return None;
         }
-        let broken = at_upstream.runs.iter().filter_map(|held| match held.over {
-            Some((RunEnd::Broken, at)) if heard_at <= at + BROKEN_WITHIN => Some(at),
-            _ => None,
-        });
-        let end = End {
+        let broken = at_upstream
+            .attempts
+            .iter()
+            .filter_map(|attempt| match attempt.ended {
+                Some((RunEnd::Broken, at)) if heard_at <= at + BROKEN_WINDOW => Some(at),
+                _ => None,
+            });
+        let crash = KnownCrash {
             known_at: now,
             heard_at,
             broke_at: broken.min(),
         };
-        at_upstream.end = Some(end);
-        let over = at_upstream.runs.extract_if(.., |held| held.over.is_some());
-        Some(over.filter_map(|held| held.under(&end)).collect())
+        at_upstream.crash = Some(crash);
+        let ended = at_upstream
+            .attempts
+            .extract_if(.., |attempt| attempt.ended.is_some());
+        Some(
+            ended
+                .filter_map(|attempt| attempt.crashed_under(&crash))
+                .collect(),
+        )
     }
 
-    /// Whether an upstream is known to have ended.
+    /// Whether an upstream is known to have crashed.
     #[must_use]
     pub fn has_ended(&self, upstream: U) -> bool {
-        let held = self.by_upstream.get(&upstream);
-        held.is_some_and(|at_upstream| at_upstream.end.is_some())
+        let at_upstream = self.by_upstream.get(&upstream);
+        at_upstream.is_some_and(|at_upstream| at_upstream.crash.is_some())
     }
 
-    /// Whether a run broke at an upstream of which it is not known that it ended.
+    /// Whether an attempt broke at an upstream that is not known to have crashed.
     #[must_use]
     pub fn has_broken(&self, upstream: U) -> bool {
-        self.is_over_at(upstream, RunEnd::Broken)
+        self.has_ended_as(upstream, RunEnd::Broken)
     }
 
-    /// Whether a run was given up at an upstream of which it is not known that it ended.
+    /// Whether an attempt was given up at an upstream that is not known to have crashed.
     #[must_use]
     pub fn has_given_up(&self, upstream: U) -> bool {
-        self.is_over_at(upstream, RunEnd::GivenUp)
+        self.has_ended_as(upstream, RunEnd::GivenUp)
     }
 
-    fn is_over_at(&self, upstream: U, end: RunEnd) -> bool {
-        let held = self.by_upstream.get(&upstream);
-        let held = held.filter(|at_upstream| at_upstream.end.is_none());
-        let is_so = |held: &Held| held.over.is_some_and(|(how, _)| how == end);
-        held.is_some_and(|at_upstream| at_upstream.runs.iter().any(is_so))
+    fn has_ended_as(&self, upstream: U, end: RunEnd) -> bool {
+        let at_upstream = self.by_upstream.get(&upstream);
+        let at_upstream = at_upstream.filter(|at_upstream| at_upstream.crash.is_none());
+        let ended_so = |attempt: &Attempt| attempt.ended.is_some_and(|(how, _)| how == end);
+        at_upstream.is_some_and(|at_upstream| at_upstream.attempts.iter().any(ended_so))
     }
 
-    /// Forgets what was over long ago.
+    /// Drops attempts and crashes that are too old to matter.
     pub fn tidy(&mut self, now: Time) {
         self.by_upstream.retain(|_, at_upstream| {
-            let is_young =
-                |held: &mut Held| held.over.is_none_or(|(_, at)| now.since(at) < REMEMBERED);
-            at_upstream.runs.retain_mut(is_young);
-            let known_at = at_upstream.end.map(|end| end.known_at);
-            !at_upstream.runs.is_empty() || known_at.is_some_and(|at| now.since(at) < REMEMBERED)
+            let is_recent = |attempt: &mut Attempt| {
+                attempt
+                    .ended
+                    .is_none_or(|(_, at)| now.since(at) < ENDED_KEPT)
+            };
+            at_upstream.attempts.retain_mut(is_recent);
+            let known_at = at_upstream.crash.map(|crash| crash.known_at);
+            !at_upstream.attempts.is_empty()
+                || known_at.is_some_and(|at| now.since(at) < ENDED_KEPT)
         });
     }
 
-    /// Upstreams that something is remembered of.
+    /// Number of upstreams with an attempt or a crash on record.
     #[must_use]
     pub fn len(&self) -> usize {
         self.by_upstream.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether no upstream has an attempt or a crash on record.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.by_upstream.is_empty()
     }
 
-    fn held(&mut self, upstream: U, run: Run) -> Option<&mut Held> {
+    fn attempt_mut(&mut self, upstream: U, run: Run) -> Option<&mut Attempt> {
         let at_upstream = self.by_upstream.get_mut(&upstream)?;
-        at_upstream.runs.iter_mut().find(|held| held.run == run)
+        at_upstream
+            .attempts
+            .iter_mut()
+            .find(|attempt| attempt.run == run)
     }
 }
--- a/components/poison/src/suspects.rs
+++ b/components/poison/src/suspects.rs
@@ -1,8 +1,8 @@
-//! What is held against contents, by all daemons together, and which of them are barred.
+//! Crashes attributed to contents by all daemons together, and which contents are quarantined.
 //!
-//! Each daemon adds up all words, so that an end each at three daemons is three, and judges by
-//! itself: the same words lead to the same bars. A bar lapses; then one daemon at a time sends
-//! the content once more, and its fate decides.
+//! Each daemon merges all updates, so that one crash each at three daemons counts as three, and
+//! judges by itself: the same updates lead to the same quarantines. When a quarantine expires, one
+//! daemon at a time sends the content once more, and the outcome of this half-open trial decides.
 
 mod answered;
 mod attribution;
@@ -19,93 +19,95 @@
 use crate::content::Content;
 use crate::policy::PoisonPolicy;
 use crate::runs::Under;
-use crate::updates::{Fate, UpstreamRun, Word, Words};
-use answered::Whole;
-use crashes::Ends;
-use evidence::{End, Suspect};
-use outbox::News;
-
-/// Contents held at most. A rack that is lost takes hundreds with it at one moment; those under
-/// which one upstream ended go first.
+use crate::updates::{ContentEvent, ContentUpdate, UpstreamRun, Words};
+use answered::RecentlyAnswered;
+use crashes::UpstreamCrashes;
+use evidence::{Crash, Suspect};
+use outbox::Outbox;
+
+/// Contents tracked at most. A lost rack makes suspects of hundreds at one moment; those with a
+/// single crash are dropped first.
 const MAX_SUSPECTS: usize = 1_024;
-/// A content that had run for longer did not end its upstream: one that does, does so when
-/// the upstream begins to run it.
-const SOON: Span = Span::from_secs(3);
-/// Ends are remembered for this long after they came, or after their content's bar lapsed.
-const REMEMBERED: Span = Span::from_secs(600);
-/// Words of before a content was cleared may come so much later.
-const FORGIVEN_FOR: Span = Span::from_secs(60);
-/// Contents of which this is remembered.
-const MAX_FORGIVEN: usize = 1_024;
-/// A daemon that tries a content has its answer within.
-const TRIED_FOR: Span = Span::from_secs(10);
-/// When a bar lapses, daemons may try one after the other, each so long after the one before,
-/// so that the first one's word is everywhere by then,
-const TRY_EACH: Span = Span::from_millis(500);
-/// and all of them within this.
-const TRY_ALL: Span = Span::from_secs(60);
+/// A content that had run for longer did not crash its upstream: one that does, does so when the
+/// upstream starts to run it.
+const MAX_RAN: Span = Span::from_secs(3);
+/// Crashes are kept for this long after they happened, or after their content's quarantine expired.
+const CRASHES_KEPT: Span = Span::from_secs(600);
+/// Reports of crashes from before a content was cleared may arrive this much later.
+const CLEARED_KEPT: Span = Span::from_secs(60);
+/// Cleared contents remembered at most.
+const MAX_CLEARED: usize = 1_024;
+/// A trial's outcome is known within this time; until then no other daemon starts one.
+const TRIAL_TIMEOUT: Span = Span::from_secs(10);
+/// Delay between the trials of two daemons after a quarantine expires, so that every daemon has
+/// heard of the first trial before the next would start.
+const TRIAL_SPACING: Span = Span::from_millis(500);
+/// Bound on these delays in a large fleet.
+const MAX_TRIAL_SPREAD: Span = Span::from_secs(60);
 
 /// Whether a content may be sent to an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// It may.
+    /// It may be sent.
     Open,
-    /// Once, to see whether its bar still holds.
+    /// It may be sent once, as the half-open trial after its quarantine expired.
     Trial,
-    /// Not before this moment.
+    /// It is quarantined.
     Barred {
-        /// When it may be tried again.
+        /// When a trial may be sent.
         until: Time,
     },
 }
 
-/// A content that is barred, for operators.
+/// A quarantined content, for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Barred {
-    /// Which.
+    /// The quarantined content.
     pub content: Content,
-    /// Whose requests they are.
+    /// The customer that sends these requests.
     pub customer: Option<Arc<str>>,
-    /// Since when.
+    /// When the quarantine started.
     pub since: Time,
-    /// When it is tried again.
+    /// When the quarantine expires.
     pub until: Time,
-    /// Upstreams that ended under it, and how long it had run there.
+    /// Upstreams that crashed under it, and how long it had run there.
     pub ends: Vec<(UpstreamRun, Span)>,
 }
 
-/// What changed when words were added up.
+/// A change of the set of quarantined contents.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
-    /// A content is barred.
+    /// A content is quarantined.
     Barred(Barred),
-    /// A content is barred no more: answered whole, lifted, or other contents explain its ends.
+    /// A content is no longer quarantined: it was answered completely, its quarantine was lifted,
+    /// or other contents explain its crashes.
     Cleared(Content),
 }
 
-/// What is held against contents.
+/// Contents suspected of crashing upstreams, and the evidence against them.
 #[derive(Debug, Default)]
 pub struct Suspects {
     policy: PoisonPolicy,
-    /// Tells this daemon's turns to try from the others'.
-    me: u64,
+    /// Hash of the daemon's name; gives each daemon another trial delay.
+    daemon_hash: u64,
     daemons: usize,
     suspects: HashMap<Content, Suspect>,
-    ends: Ends,
-    whole: Whole,
-    /// Up to when ends under a content do not count: it was answered whole, or lifted.
-    forgiven: HashMap<Content, Time>,
-    news: News,
+    crashes: UpstreamCrashes,
+    answered: RecentlyAnswered,
+    /// Crashes up to this time do not count: the content was answered completely or its quarantine
+    /// lifted.
+    cleared: HashMap<Content, Time>,
+    outbox: Outbox,
     changes: Vec<Change>,
 }
 
 impl Suspects {
-    /// Of a daemon of this name.
+    /// Creates an empty table for the daemon with this name.
     #[must_use]
-    pub fn new(policy: PoisonPolicy, me: &str) -> Self {
+    pub fn new(policy: PoisonPolicy, daemon: &str) -> Self {
         Self {
             policy,
-            me: xxh3_64(me.as_bytes()),
+            daemon_hash: xxh3_64(daemon.as_bytes()),
             daemons: 1,
             ..Self::default()
         }
@@ -114,86 +116,88 @@
     /// Sets how many daemons and upstreams there are.
     pub fn set_fleet(&mut self, daemons: usize, upstreams: usize) {
         self.daemons = daemons;
-        self.ends.upstreams = upstreams;
+        self.crashes.upstreams = upstreams;
     }
 
-    /// Whether a content may be sent.
+    /// Decides whether a content may be sent now.
     #[must_use]
     pub fn admission(&self, now: Time, content: Content) -> Admission {
         let suspect = self.suspects.get(&content);
-        let Some(suspect) = suspect.filter(|suspect| suspect.barred_since.is_some()) else {
+        let Some(suspect) = suspect.filter(|suspect| suspect.quarantined_since.is_some()) else {
             return Admission::Open;
         };
-        let lapses_at = suspect.lapses_at(&self.policy);
-        let tried_until = suspect.tried_at.map(|at| at + TRIED_FOR);
-        let until = lapses_at.max(tried_until.unwrap_or_default());
+        let expires_at = suspect.expires_at(&self.policy);
+        let trial_until = suspect.trial_at.map(|at| at + TRIAL_TIMEOUT);
+        let until = expires_at.max(trial_until.unwrap_or_default());
         if now < until {
             return Admission::Barred { until };
         }
-        match now.has_reached(until + self.turn(content)) {
+        match now.has_reached(until + self.trial_delay(content)) {
             true => Admission::Trial,
             false => Admission::Barred {
-                until: until + self.turn(content),
+                until: until + self.trial_delay(content),
             },
         }
     }
 
-    /// How long after a bar's lapse this daemon may try the content.
-    fn turn(&self, content: Content) -> Span {
-        let all = TRY_EACH.times(self.daemons.saturating_sub(1) as u64);
-        let all = all.min(TRY_ALL).as_micros();
-        let drawn = xxh3_64(content.to_string().as_bytes()) ^ self.me;
-        Span(drawn % (all + 1))
+    /// How long after a quarantine's expiry this daemon may send the trial.
+    fn trial_delay(&self, content: Content) -> Span {
+        let spread = TRIAL_SPACING.times(self.daemons.saturating_sub(1) as u64);
+        let spread = spread.min(MAX_TRIAL_SPREAD).as_micros();
+        let draw = xxh3_64(content.to_string().as_bytes()) ^ self.daemon_hash;
+        Span(draw % (spread + 1))
     }
 
-    /// Whether upstreams ended under a content so often that it should run where few others do.
+    /// Whether a content is one crash short of quarantine or closer, so that it should run where
+    /// few others do.
     #[must_use]
     pub fn is_suspect(&self, content: Content) -> bool {
         let suspect = self.suspects.get(&content);
         suspect.is_some_and(|suspect| suspect.count() + 1 >= self.policy.least_ends as usize)
     }
 
-    /// Whether an upstream ended under a content.
+    /// Whether any crash is attributed to a content.
     #[must_use]
     pub fn is_held(&self, content: Content) -> bool {
         self.suspects.contains_key(&content)
     }
 
-    /// Notes that this daemon sends a content to see whether its bar still holds.
+    /// Records that this daemon sends a content as the trial after its quarantine expired.
     pub fn tried(&mut self, now: Time, content: Content) {
-        self.take_one(now, content, Fate::Tried, now);
+        self.merge(now, content, ContentEvent::Trial, now);
     }
 
-    /// Notes what an upstream ended under at this daemon.
+    /// Records a crash of an upstream and the requests that this daemon had in flight there.
     pub fn ended(&mut self, now: Time, upstream: &UpstreamRun, under: &[Under]) {
-        self.ends.note(upstream, now);
+        self.crashes.record(upstream, now);
         for under in under {
             let ran_ms = u32::try_from(under.ran.as_millis()).unwrap_or(u32::MAX);
-            let fate = Fate::Ended {
+            let event = ContentEvent::Crashed {
                 upstream: upstream.clone(),
                 customer: under.customer.clone(),
                 had_begun: under.had_begun,
                 ran_ms,
             };
-            self.take_one(now, under.content, fate, now);
+            self.merge(now, under.content, event, now);
         }
-        self.judge(now);
+        self.reevaluate(now);
     }
 
-    /// Notes that a content was answered whole here.
+    /// Records that this daemon got a complete answer to a content.
     pub fn whole(&mut self, now: Time, content: Content) {
-        self.whole.note(now, content);
+        self.answered.record(now, content);
         if self.suspects.contains_key(&content) {
-            self.take_one(now, content, Fate::Whole, now);
-            self.judge(now);
+            self.merge(now, content, ContentEvent::Answered, now);
+            self.reevaluate(now);
         }
     }
 
-    /// Takes a bar as it stands in the store: the upstreams that ended under a content, and how long
-    /// it had run there. When they ended is not known any more; it counts from now.
+    /// Takes over a quarantine from the store: the upstreams that crashed under a content, and how
+    /// long it had run there. The times of the crashes are not stored; they count from now.
     ///
-    /// Guards against a daemon that starts and finds too little in this to prove it: it would
-    /// take the bar for over, delete it, and so end it everywhere.
+    /// A restored quarantine holds without further proof. Otherwise a daemon that just started,
+    /// with too little evidence of its own, would take the quarantine for over, delete it from the
+    /// store and so end it everywhere.
     pub fn restore(
         &mut self,
         now: Time,
@@ -201,116 +205,121 @@
         customer: Option<&Arc<str>>,
         ends: impl IntoIterator<Item = (UpstreamRun, Span)>,
     ) {
-        let held = self.suspects.get(&content);
-        if held.is_some_and(|suspect| suspect.barred_since.is_some()) {
+        let known = self.suspects.get(&content);
+        if known.is_some_and(|suspect| suspect.quarantined_since.is_some()) {
             return;
         }
         for (upstream, ran) in ends {
-            let end = End {
+            let crash = Crash {
                 had_begun: true,
                 ran,
                 at: now,
             };
-            self.add_end(content, customer, &upstream, end);
+            self.add_crash(content, customer, &upstream, crash);
         }
         if let Some(suspect) = self.suspects.get_mut(&content) {
-            suspect.is_told = true;
+            suspect.is_restored = true;
         }
-        self.judge(now);
+        self.reevaluate(now);
     }
 
-    /// Whether an upstream ended under a content that is barred.
+    /// Whether a quarantined content explains the crash of an upstream.
     #[must_use]
     pub fn explains(&self, upstream: &UpstreamRun) -> bool {
-        let mut barred = self.suspects.values().filter(|s| s.barred_since.is_some());
-        barred.any(|suspect| suspect.ends.contains_key(upstream))
+        let mut quarantined = self
+            .suspects
+            .values()
+            .filter(|s| s.quarantined_since.is_some());
+        quarantined.any(|suspect| suspect.crashes.contains_key(upstream))
     }
 
-    /// Whether contents are barred at all.
+    /// Whether the policy quarantines contents at all.
     #[must_use]
     pub fn bars(&self) -> bool {
         self.policy.bars
     }
 
-    /// Lifts a content's bar on an operator's word; whether there was one.
+    /// Lifts a content's quarantine for an operator. Returns whether any crash was attributed to
+    /// it.
     pub fn lift(&mut self, now: Time, content: Content) -> bool {
-        let is_held = self.suspects.contains_key(&content);
-        if is_held {
-            self.take_one(now, content, Fate::Lifted, now);
-            self.judge(now);
+        let is_known = self.suspects.contains_key(&content);
+        if is_known {
+            self.merge(now, content, ContentEvent::Lifted, now);
+            self.reevaluate(now);
         }
-        is_held
+        is_known
     }
 
-    /// Takes other daemons' words. Returns upstreams of which they tell that they ended.
-    pub fn take(&mut self, now: Time, words: Words) -> Vec<UpstreamRun> {
-        let mut ended = BTreeSet::new();
-        for Word {
+    /// Merges another daemon's updates. Returns the upstreams that they report as crashed.
+    pub fn take(&mut self, now: Time, updates: Words) -> Vec<UpstreamRun> {
+        let mut crashed = BTreeSet::new();
+        for ContentUpdate {
             content,
-            fate,
+            event,
             age_ms,
-        } in words.0
+        } in updates.0
         {
             let at = now - Span::from_millis(u64::from(age_ms));
-            if let Fate::Ended { upstream, .. } = &fate {
-                self.ends.note(upstream, at);
-                ended.insert(upstream.clone());
+            if let ContentEvent::Crashed { upstream, .. } = &event {
+                self.crashes.record(upstream, at);
+                crashed.insert(upstream.clone());
             }
-            if matches!(fate, Fate::Ended { .. })
-                && let Some(cleared_at) = self.cleared(&content, at)
+            if matches!(event, ContentEvent::Crashed { .. })
+                && let Some(cleared_at) = self.cleared_until(&content, at)
             {
-                // Who told this has not heard of it.
-                self.tell(now, content, Fate::Whole, cleared_at);
+                // The sender does not know yet that the content was cleared.
+                self.queue(now, content, ContentEvent::Answered, cleared_at);
                 continue;
             }
-            self.take_one(now, content, fate, at);
+            self.merge(now, content, event, at);
         }
-        self.judge(now);
-        ended.into_iter().collect()
+        self.reevaluate(now);
+        crashed.into_iter().collect()
     }
 
-    /// Adds one word up; what is news is told on.
-    fn take_one(&mut self, now: Time, content: Content, fate: Fate, at: Time) {
-        if now.since(at) > REMEMBERED {
+    /// Merges one event and queues it for other daemons if it was new.
+    fn merge(&mut self, now: Time, content: Content, event: ContentEvent, at: Time) {
+        if now.since(at) > CRASHES_KEPT {
             return;
         }
-        let is_news = match &fate {
-            Fate::Ended {
+        let is_new = match &event {
+            ContentEvent::Crashed {
                 upstream,
                 customer,
                 had_begun,
                 ran_ms,
             } => {
-                let end = End {
+                let crash = Crash {
                     had_begun: *had_begun,
                     ran: Span::from_millis(u64::from(*ran_ms)),
                     at,
                 };
-                self.add_end(content, customer.as_ref(), upstream, end)
+                self.add_crash(content, customer.as_ref(), upstream, crash)
             }
-            Fate::Whole | Fate::Lifted => self.forgive(content, at),
-            Fate::Tried => {
+            ContentEvent::Answered | ContentEvent::Lifted => self.clear(content, at),
+            ContentEvent::Trial => {
                 let suspect = self.suspects.get_mut(&content);
                 suspect.is_some_and(|suspect| {
-                    let is_later = suspect.tried_at.is_none_or(|held| held < at);
-                    suspect.tried_at = suspect.tried_at.max(Some(at));
-                    is_later
+                    let is_newer = suspect.trial_at.is_none_or(|known| known < at);
+                    suspect.trial_at = suspect.trial_at.max(Some(at));
+                    is_newer
                 })
             }
         };
-        if is_news {
-            self.tell(now, content, fate, at);
+        if is_new {
+            self.queue(now, content, event, at);
         }
     }
 
-    fn add_end(
+    /// Adds a crash to a content's evidence. Returns whether that changed anything.
+    fn add_crash(
         &mut self,
         content: Content,
         customer: Option<&Arc<str>>,
         upstream: &UpstreamRun,
-        end: End,
+        crash: Crash,
     ) -> bool {
-        if end.ran > SOON || self.cleared(&content, end.at).is_some() {
+        if crash.ran > MAX_RAN || self.cleared_until(&content, crash.at).is_some() {
             return false;
         }
         if !self.suspects.contains_key(&content) {
@@ -318,92 +327,95 @@
         }
         let suspect = self.suspects.entry(content).or_default();
         suspect.customer = customer.cloned();
-        suspect.add(upstream.clone(), end)
+        suspect.add(upstream.clone(), crash)
     }
 
-    /// Until when a content is cleared, if an end under it at this moment is.
-    fn cleared(&self, content: &Content, at: Time) -> Option<Time> {
-        let forgiven = self.forgiven.get(content).copied();
-        let forgiven = forgiven.filter(|up_to| at <= *up_to);
-        forgiven.or_else(|| self.whole.clears(content, at))
+    /// Time up to which a content is cleared, if that covers a crash at the given time.
+    fn cleared_until(&self, content: &Content, at: Time) -> Option<Time> {
+        let cleared = self.cleared.get(content).copied();
+        let cleared = cleared.filter(|up_to| at <= *up_to);
+        cleared.or_else(|| self.answered.cleared_until(content, at))
     }
 
-    /// Drops what is held against a content up to a moment; whether there was anything.
+    /// Drops a content's crashes up to the given time. Returns whether there were any.
     ///
-    /// Guards against words of before that come later: they would bar it again.
-    fn forgive(&mut self, content: Content, up_to: Time) -> bool {
-        if self.forgiven.len() < MAX_FORGIVEN || self.forgiven.contains_key(&content) {
-            let held = self.forgiven.entry(content).or_default();
-            *held = up_to.max(*held);
+    /// The time is remembered, since late reports of these crashes would quarantine the content
+    /// again.
+    fn clear(&mut self, content: Content, up_to: Time) -> bool {
+        if self.cleared.len() < MAX_CLEARED || self.cleared.contains_key(&content) {
+            let known = self.cleared.entry(content).or_default();
+            *known = up_to.max(*known);
         }
         let Some(suspect) = self.suspects.get_mut(&content) else {
             return false;
         };
-        let before = suspect.ends.len();
-        suspect.ends.retain(|_, end| end.at > up_to);
-        suspect.is_told = false;
-        suspect.ends.len() < before
+        let before = suspect.crashes.len();
+        suspect.crashes.retain(|_, crash| crash.at > up_to);
+        suspect.is_restored = false;
+        suspect.crashes.len() < before
     }
 
-    /// Drops half of those that least is held against, the oldest first, when there is no room.
+    /// Drops half of the suspects when the table is full: those with the fewest crashes, the oldest
+    /// first.
     fn make_room(&mut self) {
         if self.suspects.len() < MAX_SUSPECTS {
             return;
         }
-        let weight = |suspect: &Suspect| (suspect.count(), suspect.last_at());
-        let mut held = self
+        let weight = |suspect: &Suspect| (suspect.count(), suspect.last_crash_at());
+        let mut by_weight = self
             .suspects
             .iter()
             .map(|(c, s)| (weight(s), *c))
             .collect::<Vec<_>>();
-        held.sort();
-        for (_, content) in held.iter().take(MAX_SUSPECTS / 2) {
+        by_weight.sort();
+        for (_, content) in by_weight.iter().take(MAX_SUSPECTS / 2) {
             self.suspects.remove(content);
         }
     }
 
-    fn tell(&mut self, now: Time, content: Content, fate: Fate, at: Time) {
-        self.news.push(now, content, fate, at);
+    fn queue(&mut self, now: Time, content: Content, event: ContentEvent, at: Time) {
+        self.outbox.push(now, content, event, at);
     }
 
-    /// Words to be told to other daemons now.
+    /// Takes the updates to send to other daemons now.
     pub fn news(&mut self, now: Time) -> Words {
         let suspects = &self.suspects;
-        let ends = |content: &Content| suspects.get(content).map_or(0, Suspect::count);
-        self.news.take(now, ends)
+        let crash_count = |content: &Content| suspects.get(content).map_or(0, Suspect::count);
+        self.outbox.take(now, crash_count)
     }
 
-    /// What changed since the last time.
+    /// Takes the changes since the last call.
     pub fn changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Everything that is barred.
+    /// All quarantined contents.
     #[must_use]
     pub fn barred(&self) -> Vec<Barred> {
         let suspects = self.suspects.iter();
-        let barred = suspects.filter_map(|(content, suspect)| suspect.bar(*content, &self.policy));
+        let barred =
+            suspects.filter_map(|(content, suspect)| suspect.quarantine(*content, &self.policy));
         barred.collect()
     }
 
-    /// Forgets what is too old.
+    /// Drops what is too old to matter.
     pub fn tidy(&mut self, now: Time) {
-        self.whole.forget(now);
-        self.forgiven
-            .retain(|_, up_to| now.since(*up_to) < FORGIVEN_FOR);
-        self.ends.forget(now);
+        self.answered.expire(now);
+        self.cleared
+            .retain(|_, up_to| now.since(*up_to) < CLEARED_KEPT);
+        self.crashes.expire(now);
         let policy = self.policy;
         self.suspects
-            .retain(|_, suspect| now.since(suspect.lapses_at(&policy)) < REMEMBERED);
+            .retain(|_, suspect| now.since(suspect.expires_at(&policy)) < CRASHES_KEPT);
     }
 
-    /// Contents that something is held against.
+    /// Number of contents that a crash is attributed to.
     #[must_use]
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Whether nothing is held against any content.
+    /// Whether no crash is attributed to any content.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
--- a/components/poison/src/suspects/answered.rs
+++ b/components/poison/src/suspects/answered.rs
@@ -1,4 +1,4 @@
-//! Contents that were answered whole of late, here.
+//! Contents that this daemon got complete answers to recently.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -6,43 +6,43 @@
 
 use crate::content::Content;
 
-/// What was answered whole so lately does not end upstreams. Guards against a request that
-/// many callers send alike: a rack that is lost has it running at three upstreams at once.
-const WHOLE_FOR: Span = Span::from_secs(5);
-/// Contents answered whole of late that are remembered.
-const MAX_WHOLE: usize = 4_096;
+/// A content that was answered this recently does not crash upstreams. Guards against quarantining
+/// a request that many callers send alike: it may run at three upstreams of a rack that is lost.
+const CLEARED_FOR: Span = Span::from_secs(5);
+/// Answers remembered at most.
+const MAX_ANSWERED: usize = 4_096;
 
-/// Contents that were answered whole of late.
+/// Contents that were answered completely within [`CLEARED_FOR`].
 #[derive(Debug, Default)]
-pub(crate) struct Whole {
+pub(crate) struct RecentlyAnswered {
     order: VecDeque<(Content, Time)>,
-    last: HashMap<Content, Time>,
+    last_answered: HashMap<Content, Time>,
 }
 
-impl Whole {
-    pub(crate) fn note(&mut self, now: Time, content: Content) {
-        self.forget(now);
+impl RecentlyAnswered {
+    pub(crate) fn record(&mut self, now: Time, content: Content) {
+        self.expire(now);
         self.order.push_back((content, now));
-        self.last.insert(content, now);
+        self.last_answered.insert(content, now);
     }
 
-    pub(crate) fn forget(&mut self, now: Time) {
+    pub(crate) fn expire(&mut self, now: Time) {
         while let Some((content, at)) = self.order.front().copied() {
-            if now.since(at) < WHOLE_FOR && self.order.len() < MAX_WHOLE {
+            if now.since(at) < CLEARED_FOR && self.order.len() < MAX_ANSWERED {
                 return;
             }
             self.order.pop_front();
-            if self.last.get(&content) == Some(&at) {
-                self.last.remove(&content);
+            if self.last_answered.get(&content) == Some(&at) {
+                self.last_answered.remove(&content);
             }
         }
     }
 
-    /// Until when a content is clear, if it was answered whole less than [`WHOLE_FOR`] before a
-    /// moment, or since.
-    pub(crate) fn clears(&self, content: &Content, at: Time) -> Option<Time> {
-        let whole_at = self.last.get(content).copied();
-        let clears = whole_at.filter(|whole_at| at.since(*whole_at) < WHOLE_FOR);
-        clears.map(|whole_at| whole_at.max(at))
+    /// Time up to which a content is cleared of crashes, if it was answered less than
+    /// [`CLEARED_FOR`] before `at`, or later.
+    pub(crate) fn cleared_until(&self, content: &Content, at: Time) -> Option<Time> {
+        let answered_at = self.last_answered.get(content).copied();
+        let clearing = answered_at.filter(|answered_at| at.since(*answered_at) < CLEARED_FOR);
+        clearing.map(|answered_at| answered_at.max(at))
     }
 }
--- a/components/poison/src/suspects/attribution.rs
+++ b/components/poison/src/suspects/attribution.rs
@@ -1,4 +1,4 @@
-//! Which contents are barred.
+//! Decides which contents crashes are attributed to, and so which are quarantined.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -10,108 +10,120 @@
 use crate::content::Content;
 use crate::updates::UpstreamRun;
 
-/// The chance that bars a content of a customer of whom several are barred: one in a thousand of
-/// its requests that upstreams ended under in spite of themselves is refused for a while.
-const CHANCE_OF_KNOWN: f64 = 1e-3;
+/// Largest chance at which a content is quarantined when several others of its customer are: one in
+/// a thousand of that customer's harmless requests that are in flight at a crash is refused for a
+/// while.
+const MAX_CHANCE_OF_REPEATED: f64 = 1e-3;
 
 impl Suspects {
-    /// Bars the contents that explain ends best, and clears those whose ends others explain.
+    /// Quarantines the contents that explain crashes best, and clears those whose crashes others
+    /// explain.
     ///
-    /// Guards against a request that is barred for another one's sake: what runs beside the
-    /// culprit and is retried with it ends with it, once, twice and now and then three times.
-    pub(super) fn judge(&mut self, now: Time) {
+    /// Guards against quarantining a harmless request for the culprit's crashes: what runs next to
+    /// the culprit and is retried with it is hit by the same crashes once, twice and now and then
+    /// three times.
+    pub(super) fn reevaluate(&mut self, now: Time) {
         if !self.policy.bars {
             return;
         }
-        let mut proved = Proved::default();
-        let told = self.suspects.iter().filter(|(_, suspect)| suspect.is_told);
-        told.for_each(|(content, suspect)| proved.add(*content, suspect));
-        while let Some(content) = self.best(&proved) {
-            proved.add(content, &self.suspects[&content]);
+        let mut culprits = Culprits::default();
+        let restored = self
+            .suspects
+            .iter()
+            .filter(|(_, suspect)| suspect.is_restored);
+        restored.for_each(|(content, suspect)| culprits.add(*content, suspect));
+        while let Some(content) = self.least_likely(&culprits) {
+            culprits.add(content, &self.suspects[&content]);
         }
         for (content, suspect) in &mut self.suspects {
-            match (suspect.barred_since, proved.contents.contains(content)) {
+            match (
+                suspect.quarantined_since,
+                culprits.contents.contains(content),
+            ) {
                 (None, true) => {
-                    suspect.barred_since = Some(now);
-                    let bar = suspect.bar(*content, &self.policy);
-                    self.changes.extend(bar.map(Change::Barred));
+                    suspect.quarantined_since = Some(now);
+                    let quarantine = suspect.quarantine(*content, &self.policy);
+                    self.changes.extend(quarantine.map(Change::Barred));
                 }
                 (Some(_), false) => {
-                    suspect.barred_since = None;
+                    suspect.quarantined_since = None;
                     self.changes.push(Change::Cleared(*content));
                 }
                 _ => {}
             }
         }
-        self.suspects.retain(|_, suspect| !suspect.ends.is_empty());
+        self.suspects
+            .retain(|_, suspect| !suspect.crashes.is_empty());
     }
 
-    /// Of the contents that chance does not explain, the one that it explains worst.
-    fn best(&self, proved: &Proved) -> Option<Content> {
+    /// Of the contents whose crashes chance does not explain, the one with the least likely
+    /// crashes.
+    fn least_likely(&self, culprits: &Culprits) -> Option<Content> {
         let others = self.suspects.iter();
-        let others = others.filter(|(content, _)| !proved.contents.contains(*content));
-        let judged = others.filter_map(|(content, suspect)| {
-            let needed = self.needed(proved.of_customer(suspect));
-            if suspect.count() < needed.ends {
+        let others = others.filter(|(content, _)| !culprits.contents.contains(*content));
+        let candidates = others.filter_map(|(content, suspect)| {
+            let threshold = self.threshold(culprits.count_of_customer(suspect));
+            if suspect.count() < threshold.crashes {
                 return None;
             }
-            let chance = suspect.chance(&proved.explained, &self.ends)?;
-            (chance <= needed.chance).then_some((chance / needed.chance, *content))
+            let chance = suspect.chance(&culprits.explained, &self.crashes)?;
+            (chance <= threshold.chance).then_some((chance / threshold.chance, *content))
         });
-        let best = judged.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-        best.map(|(_, content)| content)
+        let least_likely = candidates.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+        least_likely.map(|(_, content)| content)
     }
 
-    /// What bars a content of a customer of whom so many others are barred.
+    /// The evidence that it takes to quarantine a content when this many others of its customer are
+    /// quarantined.
     ///
-    /// Guards against a customer that sends one such request after the other: each would end as
-    /// many upstreams as the first. One other is no reason yet: its customer's ordinary requests
-    /// are hit beside it like everybody's.
-    fn needed(&self, others: usize) -> Needed {
-        let least = self.policy.least_ends as usize;
+    /// Guards against a customer that sends one such request after another, each of which would
+    /// crash as many upstreams as the first. One other is no reason yet: the customer's ordinary
+    /// requests are hit next to it like everybody's.
+    fn threshold(&self, others: usize) -> Threshold {
+        let min_crashes = self.policy.least_ends as usize;
         match others {
-            0 | 1 => Needed {
-                ends: least,
+            0 | 1 => Threshold {
+                crashes: min_crashes,
                 chance: self.policy.chance,
             },
-            others => Needed {
-                ends: least.saturating_sub(others - 1).max(1),
-                chance: self.policy.chance.max(CHANCE_OF_KNOWN),
+            others => Threshold {
+                crashes: min_crashes.saturating_sub(others - 1).max(1),
+                chance: self.policy.chance.max(MAX_CHANCE_OF_REPEATED),
             },
         }
     }
 }
 
-/// What bars a content.
-struct Needed {
-    ends: usize,
+/// The evidence that it takes to quarantine a content.
+struct Threshold {
+    crashes: usize,
     chance: f64,
 }
 
-/// What is proved so far.
+/// Contents that crashes are attributed to so far.
 #[derive(Default)]
-struct Proved {
+struct Culprits {
     contents: BTreeSet<Content>,
-    /// Ends that these explain.
+    /// Crashes that these contents explain.
     explained: BTreeSet<UpstreamRun>,
     by_customer: HashMap<Arc<str>, usize>,
 }
 
-impl Proved {
+impl Culprits {
     fn add(&mut self, content: Content, suspect: &Suspect) {
-        let ends = suspect.counted();
+        let crashes = suspect.counted();
         self.explained
-            .extend(ends.map(|(upstream, _)| upstream.clone()));
+            .extend(crashes.map(|(upstream, _)| upstream.clone()));
         self.contents.insert(content);
         if let Some(customer) = &suspect.customer {
             *self.by_customer.entry(customer.clone()).or_default() += 1;
         }
     }
 
-    /// How many others of its customer are proved.
-    fn of_customer(&self, suspect: &Suspect) -> usize {
+    /// Number of culprits of the same customer.
+    fn count_of_customer(&self, suspect: &Suspect) -> usize {
         let customer = suspect.customer.as_ref();
-        let proved = customer.and_then(|customer| self.by_customer.get(customer));
-        proved.copied().unwrap_or(0)
+        let culprits = customer.and_then(|customer| self.by_customer.get(customer));
+        culprits.copied().unwrap_or(0)
     }
 }
--- a/components/poison/src/suspects/evidence.rs
+++ b/components/poison/src/suspects/evidence.rs
@@ -1,9 +1,10 @@
-//! How well a content explains the ends of the upstreams that it ran at.
+//! How likely it is that a content was in flight at its crashes by chance.
 //!
-//! Of two requests that three upstreams ended under, the one that ends them is there within a
-//! moment of each run's begin; the other was caught in long runs, or where many upstreams end.
-//! So the ends are held against chance: upstreams end at some rate by themselves, a content has run
-//! for some time in all, and the number of ends that fall into it by chance is Poisson's.
+//! Of two requests that were in flight at the same three crashes, the one that causes them crashes
+//! its upstream shortly after each start; the other was caught in long runs, or at a time when many
+//! upstreams crash. So the crashes are tested against chance: upstreams crash at some rate by
+//! themselves, a content has run for some time in total, and the number of crashes that fall into
+//! that time by chance has a Poisson distribution.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -11,142 +12,155 @@
 use types::prelude::*;
 
 use super::Barred;
-use super::crashes::Ends;
+use super::crashes::UpstreamCrashes;
 use crate::content::Content;
 use crate::policy::PoisonPolicy;
 use crate::updates::UpstreamRun;
 
-/// Ends kept of one content; more say nothing more.
-const MAX_ENDS: usize = 16;
-/// A run counts for this long at least: an end is noticed some ten ms after it.
-const LEAST_RAN: Span = Span::from_millis(20);
-
-/// The usual rate of ends is taken over this long before a content's first, its own among them,
-const USUAL_OVER: Span = Span::from_secs(60);
-/// and held against that of others from this long before it on: ends come in bursts, in which
-/// much is hit three times by chance.
-const BURST_BEFORE: Span = Span::from_secs(2);
-/// What runs beside a content that ends its upstream has run for up to this long by then, in
-/// seconds: half an answer's time.
-const BESIDE_S: f64 = 0.5;
-
-/// An upstream's end under a content.
+/// Crashes kept per content; more add no information.
+const MAX_CRASHES_PER_CONTENT: usize = 16;
+/// A run counts for at least this long, since a crash is noticed some ten ms after it.
+const MIN_RAN: Span = Span::from_millis(20);
+
+/// The usual crash rate is taken from this long before a content's first crash on, its own crashes
+/// included.
+const USUAL_WINDOW: Span = Span::from_secs(60);
+/// The rate of all other crashes is taken from this long before the first on, and the larger of the
+/// two rates counts: crashes come in bursts, in which many harmless requests are hit three times by
+/// chance.
+const BURST_WINDOW: Span = Span::from_secs(2);
+/// A harmless request next to a culprit has run for up to this long when the upstream crashes, in
+/// seconds: half the time of an answer.
+const BYSTANDER_RAN_S: f64 = 0.5;
+
+/// A crash of an upstream while a content was in flight there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct End {
-    /// Whether there was a sign that the content ran there.
+pub(crate) struct Crash {
+    /// Whether the upstream had shown that it started to run the content.
     pub(crate) had_begun: bool,
-    /// How long it had run there.
+    /// How long the content had run there.
     pub(crate) ran: Span,
     pub(crate) at: Time,
 }
 
-impl End {
-    fn ran_s(&self) -> f64 {
-        self.ran.max(LEAST_RAN).as_secs_f64()
+impl Crash {
+    fn ran_seconds(&self) -> f64 {
+        self.ran.max(MIN_RAN).as_secs_f64()
     }
 }
 
-/// What is held against one content.
+/// The evidence against one content.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Suspect {
     pub(crate) customer: Option<Arc<str>>,
-    pub(crate) ends: BTreeMap<UpstreamRun, End>,
-    /// When some daemon last sent it to see whether its bar holds.
-    pub(crate) tried_at: Option<Time>,
-    /// Since when it is barred, as far as known here.
-    pub(crate) barred_since: Option<Time>,
-    /// Others proved it; what is known here need not.
-    pub(crate) is_told: bool,
+    pub(crate) crashes: BTreeMap<UpstreamRun, Crash>,
+    /// When a daemon last sent it as a trial.
+    pub(crate) trial_at: Option<Time>,
+    /// When this daemon found it quarantined.
+    pub(crate) quarantined_since: Option<Time>,
+    /// Whether its quarantine was taken from the store, and holds without proof by local evidence.
+    pub(crate) is_restored: bool,
 }
 
 impl Suspect {
-    /// Adds an end; whether it is news. Where two tell of one end the run that had begun counts,
-    /// and of these the shorter.
-    pub(crate) fn add(&mut self, upstream: UpstreamRun, end: End) -> bool {
-        if let Some(held) = self.ends.get_mut(&upstream) {
-            let is_better = (!end.had_begun, end.ran) < (!held.had_begun, held.ran);
+    /// Adds a crash. Returns whether that changed anything. Of two reports on one crash, the one in
+    /// which the run had started counts, and of two such the shorter run.
+    pub(crate) fn add(&mut self, upstream: UpstreamRun, crash: Crash) -> bool {
+        if let Some(known) = self.crashes.get_mut(&upstream) {
+            let is_better = (!crash.had_begun, crash.ran) < (!known.had_begun, known.ran);
             if is_better {
-                held.had_begun = end.had_begun;
-                held.ran = end.ran;
+                known.had_begun = crash.had_begun;
+                known.ran = crash.ran;
             }
             return is_better;
         }
-        if self.ends.len() >= MAX_ENDS {
+        if self.crashes.len() >= MAX_CRASHES_PER_CONTENT {
             self.drop_oldest();
         }
-        self.ends.insert(upstream, end);
+        self.crashes.insert(upstream, crash);
         true
     }
 
     fn drop_oldest(&mut self) {
-        let oldest = self.ends.iter().min_by_key(|(_, end)| end.at);
+        let oldest = self.crashes.iter().min_by_key(|(_, crash)| crash.at);
         if let Some(upstream) = oldest.map(|(upstream, _)| upstream.clone()) {
-            self.ends.remove(&upstream);
+            self.crashes.remove(&upstream);
         }
     }
 
-    /// The ends that count. Of a content that was seen to run somewhere, those under which it had
-    /// begun: elsewhere it only waited beside what ended them. One that ends upstreams before the
-    /// first sign of an answer never was seen to run.
-    pub(crate) fn counted(&self) -> impl Iterator<Item = (&UpstreamRun, &End)> {
-        let has_begun = self.ends.values().any(|end| end.had_begun);
-        let ends = self.ends.iter();
-        ends.filter(move |(_, end)| end.had_begun || !has_begun)
+    /// The crashes that count as evidence. If any upstream showed that it started to run the
+    /// content, only crashes at such upstreams count: elsewhere it waited next to the culprit. A
+    /// content that crashes upstreams before the first sign of an answer never shows a start, so
+    /// all its crashes count.
+    pub(crate) fn counted(&self) -> impl Iterator<Item = (&UpstreamRun, &Crash)> {
+        let has_started = self.crashes.values().any(|crash| crash.had_begun);
+        let crashes = self.crashes.iter();
+        crashes.filter(move |(_, crash)| crash.had_begun || !has_started)
     }
 
-    /// How many ends count.
+    /// Number of crashes that count.
     pub(crate) fn count(&self) -> usize {
         self.counted().count()
     }
 
-    /// When the last upstream ended under it.
-    pub(crate) fn last_at(&self) -> Time {
-        let ends = self.counted().map(|(_, end)| end.at);
-        ends.max().unwrap_or_default()
+    /// Time of the last crash that counts.
+    pub(crate) fn last_crash_at(&self) -> Time {
+        let crashes = self.counted().map(|(_, crash)| crash.at);
+        crashes.max().unwrap_or_default()
     }
 
-    /// When its bar lapses.
-    pub(crate) fn lapses_at(&self, policy: &PoisonPolicy) -> Time {
-        self.last_at() + policy.bar_for(self.count())
+    /// When its quarantine expires.
+    pub(crate) fn expires_at(&self, policy: &PoisonPolicy) -> Time {
+        self.last_crash_at() + policy.quarantine_duration(self.count())
     }
 
-    /// Its bar, if it is barred.
-    pub(crate) fn bar(&self, content: Content, policy: &PoisonPolicy) -> Option<Barred> {
-        let ends = self.counted();
-        let ends = ends.map(|(upstream, end)| (upstream.clone(), end.ran));
+    /// Its quarantine as shown to operators, if it is quarantined.
+    pub(crate) fn quarantine(&self, content: Content, policy: &PoisonPolicy) -> Option<Barred> {
+        let crashes = self.counted();
+        let crashes = crashes.map(|(upstream, crash)| (upstream.clone(), crash.ran));
         Some(Barred {
             content,
             customer: self.customer.clone(),
-            since: self.barred_since?,
-            until: self.lapses_at(policy),
-            ends: ends.collect(),
+            since: self.quarantined_since?,
+            until: self.expires_at(policy),
+            ends: crashes.collect(),
         })
     }
 
-    /// How likely its ends are by chance, if nothing else explains all of them.
+    /// Probability of its crashes by chance; nothing if other contents explain all of them.
     ///
-    /// One that another content explains says less, but not nothing: what only ran beside the
-    /// culprit is anywhere in its run then, and seldom has just begun.
-    pub(crate) fn chance(&self, explained: &BTreeSet<UpstreamRun>, ends: &Ends) -> Option<f64> {
-        let (others, own): (Vec<_>, Vec<_>) = self
+    /// A crash that another content explains still counts a little: a harmless request next to the
+    /// culprit is at any point of its run then, and has seldom just started.
+    pub(crate) fn chance(
+        &self,
+        explained: &BTreeSet<UpstreamRun>,
+        upstream_crashes: &UpstreamCrashes,
+    ) -> Option<f64> {
+        let (explained_crashes, unexplained): (Vec<_>, Vec<_>) = self
             .counted()
             .partition(|(upstream, _)| explained.contains(*upstream));
-        let first = own.iter().map(|(_, end)| end.at).min()?;
-        let last = own.iter().map(|(_, end)| end.at).max()?;
-        let ran = own.iter().map(|(_, end)| end.ran_s()).sum::<f64>();
-        let beside = others
+        let first = unexplained.iter().map(|(_, crash)| crash.at).min()?;
+        let last = unexplained.iter().map(|(_, crash)| crash.at).max()?;
+        let ran = unexplained
             .iter()
-            .map(|(_, end)| (end.ran_s() / BESIDE_S).min(1.0));
-        let mut but = explained.clone();
-        let usual = ends.rate(USUAL_OVER, first, last, &but) + ends.least_rate(USUAL_OVER);
-        but.extend(own.iter().map(|(upstream, _)| (*upstream).clone()));
-        let beside_it = ends.rate(BURST_BEFORE, first, last, &but) + ends.least_rate(BURST_BEFORE);
-        let expected = usual.max(beside_it) * ran;
-        Some(chance(own.len(), expected) * beside.product::<f64>())
+            .map(|(_, crash)| crash.ran_seconds())
+            .sum::<f64>();
+        let bystander_chance = explained_crashes
+            .iter()
+            .map(|(_, crash)| (crash.ran_seconds() / BYSTANDER_RAN_S).min(1.0));
+        let mut excluded = explained.clone();
+        let usual_rate = upstream_crashes.rate(USUAL_WINDOW, first, last, &excluded)
+            + upstream_crashes.min_rate(USUAL_WINDOW);
+        excluded.extend(unexplained.iter().map(|(upstream, _)| (*upstream).clone()));
+        let burst_rate = upstream_crashes.rate(BURST_WINDOW, first, last, &excluded)
+            + upstream_crashes.min_rate(BURST_WINDOW);
+        let expected = usual_rate.max(burst_rate) * ran;
+        Some(poisson_tail(unexplained.len(), expected) * bystander_chance.product::<f64>())
     }
 }
 
-/// At most how likely so many ends or more are where `expected` are: Poisson's tail.
-fn chance(ends: usize, expected: f64) -> f64 {
-    (1..=ends).map(|n| expected / n as f64).product()
+/// Upper bound on the probability of at least this many crashes where `expected` are expected: the
+/// tail of a Poisson distribution.
+fn poisson_tail(crashes: usize, expected: f64) -> f64 {
+    (1..=crashes).map(|n| expected / n as f64).product()
 }
--- a/components/poison/src/suspects/outbox.rs
+++ b/components/poison/src/suspects/outbox.rs
@@ -1,7 +1,7 @@
-//! What waits to be told to other daemons.
+//! Updates that wait to be sent to other daemons.
 //!
-//! A word is told once: what comes back from others, with an age that says less with each hop, is no
-//! news again.
+//! An update is sent once. It comes back from other daemons with an age that has shrunk a little
+//! at each hop, and must not be taken for a new one.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -9,122 +9,136 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::content::Content;
-use crate::updates::{Fate, Word, Words};
+use crate::updates::{ContentEvent, ContentUpdate, Words};
 
-/// Words that wait to be told.
-const MAX_NEWS: usize = 256;
-/// Words told at a time: some 60 bytes each, in one message.
-const MAX_TOLD: usize = 64;
-/// Longer than a word is under way between two daemons.
-const TOLD_ONCE_FOR: Span = Span::from_secs(10);
-/// A content is answered again and again, and each answer may clear ends that came since.
-const CLEARED_ONCE_FOR: Span = Span::from_secs(1);
-/// Words remembered as told, some 40 bytes each: [`MAX_TOLD`] of them twenty times a second. No more are
-/// told while there is no room.
-const MAX_REMEMBERED: usize = 16_384;
+/// Updates that wait at most.
+const MAX_WAITING: usize = 256;
+/// Updates sent in one message, of some 60 bytes each.
+const MAX_PER_MESSAGE: usize = 64;
+/// A crash or trial is not sent again for this long, which exceeds the time that a message takes
+/// between two daemons.
+const CRASH_SENT_KEPT: Span = Span::from_secs(10);
+/// The same for answers and lifted quarantines, which recur: a content is answered again and again,
+/// and each answer may clear crashes that came since.
+const CLEARING_SENT_KEPT: Span = Span::from_secs(1);
+/// Sent updates remembered at most, some 40 bytes each: [`MAX_PER_MESSAGE`] of them twenty times a
+/// second. Nothing more is sent while there is no room.
+const MAX_SENT: usize = 16_384;
 
-/// A word that waits, with its moment.
+/// An update that waits, with the time of its event.
 #[derive(Debug, Clone)]
-struct Item {
+struct Waiting {
     content: Content,
-    fate: Fate,
+    event: ContentEvent,
     at: Time,
 }
 
-impl Item {
-    fn word(self, now: Time) -> Word {
-        Word {
+impl Waiting {
+    fn into_update(self, now: Time) -> ContentUpdate {
+        ContentUpdate {
             content: self.content,
-            fate: self.fate,
+            event: self.event,
             age_ms: u32::try_from(now.since(self.at).as_millis()).unwrap_or(u32::MAX),
         }
     }
 }
 
-/// Words that were told of late.
+/// Updates that were sent recently.
 #[derive(Debug, Default)]
-struct Remembered {
-    until: HashMap<u64, Time>,
-    /// The first to be forgotten first, by kind of word.
-    ends: VecDeque<(u64, Time)>,
-    others: VecDeque<(u64, Time)>,
+struct Sent {
+    expires_at: HashMap<u64, Time>,
+    /// Expiry of crashes and trials, and of the other events, the earliest first.
+    crashes: VecDeque<(u64, Time)>,
+    clearings: VecDeque<(u64, Time)>,
 }
 
-impl Remembered {
-    fn holds(&mut self, now: Time, content: Content, fate: &Fate) -> bool {
-        self.forget(now);
-        self.until.contains_key(&key_of(content, fate))
+impl Sent {
+    fn contains(&mut self, now: Time, content: Content, event: &ContentEvent) -> bool {
+        self.expire(now);
+        self.expires_at.contains_key(&key_of(content, event))
     }
 
-    /// Notes a word that is to be told; false if it was, or where there is no room.
-    fn note(&mut self, now: Time, content: Content, fate: &Fate) -> bool {
-        let key = key_of(content, fate);
-        if self.until.contains_key(&key) || self.until.len() >= MAX_REMEMBERED {
+    /// Records an update that is to be sent. Returns false if it was sent before or there is no
+    /// room.
+    fn record(&mut self, now: Time, content: Content, event: &ContentEvent) -> bool {
+        let key = key_of(content, event);
+        if self.expires_at.contains_key(&key) || self.expires_at.len() >= MAX_SENT {
             return false;
         }
-        let (order, until) = match fate {
-            Fate::Ended { .. } | Fate::Tried => (&mut self.ends, now + TOLD_ONCE_FOR),
-            Fate::Whole | Fate::Lifted => (&mut self.others, now + CLEARED_ONCE_FOR),
+        let (order, expires_at) = match event {
+            ContentEvent::Crashed { .. } | ContentEvent::Trial => {
+                (&mut self.crashes, now + CRASH_SENT_KEPT)
+            }
+            ContentEvent::Answered | ContentEvent::Lifted => {
+                (&mut self.clearings, now + CLEARING_SENT_KEPT)
+            }
         };
-        order.push_back((key, until));
-        self.until.insert(key, until);
+        order.push_back((key, expires_at));
+        self.expires_at.insert(key, expires_at);
         true
     }
 
-    fn forget(&mut self, now: Time) {
-        for order in [&mut self.ends, &mut self.others] {
-            while let Some((key, _)) = order.pop_front_if(|(_, until)| now.has_reached(*until)) {
-                self.until.remove(&key);
+    fn expire(&mut self, now: Time) {
+        for order in [&mut self.crashes, &mut self.clearings] {
+            while let Some((key, _)) =
+                order.pop_front_if(|(_, expires_at)| now.has_reached(*expires_at))
+            {
+                self.expires_at.remove(&key);
             }
         }
     }
 }
 
-/// Names what a word says, whoever tells it.
-fn key_of(content: Content, fate: &Fate) -> u64 {
+/// Key of an event, the same whichever daemon reports it.
+fn key_of(content: Content, event: &ContentEvent) -> u64 {
     let mut hash = Xxh3::new();
     hash.update(content.to_string().as_bytes());
-    match fate {
-        Fate::Ended { upstream, .. } => {
+    match event {
+        ContentEvent::Crashed { upstream, .. } => {
             hash.update(upstream.id.as_str().as_bytes());
             let started_at = upstream.started_at.map_or(0, |at| at.0);
             hash.update(&started_at.to_le_bytes());
         }
-        Fate::Whole => hash.update(&[1]),
-        Fate::Tried => hash.update(&[2]),
-        Fate::Lifted => hash.update(&[3]),
+        ContentEvent::Answered => hash.update(&[1]),
+        ContentEvent::Trial => hash.update(&[2]),
+        ContentEvent::Lifted => hash.update(&[3]),
     }
     hash.digest()
 }
 
-/// Words that wait to be told.
+/// Updates that wait to be sent, and those that were sent recently.
 #[derive(Debug, Default)]
-pub(crate) struct News {
-    waiting: Vec<Item>,
-    told: Remembered,
+pub(crate) struct Outbox {
+    waiting: Vec<Waiting>,
+    sent: Sent,
 }
 
-impl News {
-    pub(crate) fn push(&mut self, now: Time, content: Content, fate: Fate, at: Time) {
-        if !self.told.holds(now, content, &fate) {
-            self.waiting.push(Item { content, fate, at });
+impl Outbox {
+    pub(crate) fn push(&mut self, now: Time, content: Content, event: ContentEvent, at: Time) {
+        if !self.sent.contains(now, content, &event) {
+            self.waiting.push(Waiting { content, event, at });
         }
     }
 
-    /// Takes the words to be told now; `ends` says how many upstreams ended under a content.
+    /// Takes the updates to send now; `crash_count` gives the number of crashes of a content.
     ///
-    /// What proves most goes first, and what finds no room is dropped: a flood of suspects must
-    /// not keep the word on a proved one waiting.
-    pub(crate) fn take(&mut self, now: Time, ends: impl Fn(&Content) -> usize) -> Words {
-        let weight = |item: &Item| {
-            let is_verdict = !matches!(item.fate, Fate::Ended { .. });
-            (is_verdict, ends(&item.content))
+    /// Trials and clearings go first, then the contents with the most crashes, and what finds no
+    /// room is dropped: a flood of suspects must not delay the report on a proven one.
+    pub(crate) fn take(&mut self, now: Time, crash_count: impl Fn(&Content) -> usize) -> Words {
+        let priority = |update: &Waiting| {
+            let is_decisive = !matches!(update.event, ContentEvent::Crashed { .. });
+            (is_decisive, crash_count(&update.content))
         };
-        let mut items = std::mem::take(&mut self.waiting);
-        items.sort_by_key(|item| std::cmp::Reverse(weight(item)));
-        items.truncate(MAX_NEWS);
-        self.waiting = items.split_off(items.len().min(MAX_TOLD));
-        items.retain(|item| self.told.note(now, item.content, &item.fate));
-        Words(items.into_iter().map(|item| item.word(now)).collect())
+        let mut updates = std::mem::take(&mut self.waiting);
+        updates.sort_by_key(|update| std::cmp::Reverse(priority(update)));
+        updates.truncate(MAX_WAITING);
+        self.waiting = updates.split_off(updates.len().min(MAX_PER_MESSAGE));
+        updates.retain(|update| self.sent.record(now, update.content, &update.event));
+        Words(
+            updates
+                .into_iter()
+                .map(|update| update.into_update(now))
+                .collect(),
+        )
     }
 }
--- a/components/poison/src/updates.rs
+++ b/components/poison/src/updates.rs
@@ -1,8 +1,8 @@
-//! What daemons tell each other of contents and of upstreams that ended.
+//! Gossip between daemons about contents and upstream crashes.
 //!
-//! Words are added up by content and upstream, so that order, repeats and loss do not matter:
-//! the same end told by two daemons, or twice, is one end. Ages travel, not moments; a word is
-//! handed on with the age that it has by then.
+//! Receivers merge updates by content and upstream, so order, repeats and loss do not matter: a
+//! crash reported by two daemons, or twice, counts once. Updates carry ages, not times; each is
+//! forwarded with the age that it has by then.
 
 use std::sync::Arc;
 
@@ -12,76 +12,76 @@
 
 use crate::content::Content;
 
-/// Words taken of one message at most.
-const MAX_WORDS: usize = 256;
+/// Updates read from one message at most.
+const MAX_UPDATES: usize = 256;
 
-/// One run of an upstream's program: an id may be used again, with another start.
+/// One run of an upstream's program. An id may be reused by a later run with another start time.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct UpstreamRun {
-    /// Of the program.
+    /// Id of the upstream.
     pub id: UpstreamId,
-    /// Of this run, by its own clock, where it tells.
+    /// Start of this run by the upstream's own clock, if it reports one.
     pub started_at: Option<WallTime>,
 }
 
-/// What became of a content.
+/// What happened to a content.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Fate {
-    /// An upstream ended under it.
-    Ended {
-        /// Which.
+pub enum ContentEvent {
+    /// An upstream crashed while it was in flight there.
+    Crashed {
+        /// The upstream that crashed.
         upstream: UpstreamRun,
-        /// Whose request it was.
+        /// The customer that sent the request.
         customer: Option<Arc<str>>,
-        /// Whether there was a sign that it ran there.
+        /// Whether the upstream had shown that it started to run the request.
         had_begun: bool,
-        /// How long it had run there.
+        /// How long the request had run there, in ms.
         ran_ms: u32,
     },
-    /// It was answered whole.
-    Whole,
-    /// It is sent once more to see whether its bar still holds.
-    Tried,
-    /// An operator lifted its bar.
+    /// It was answered completely.
+    Answered,
+    /// It is sent once as the half-open trial after its quarantine expired.
+    Trial,
+    /// An operator lifted its quarantine.
     Lifted,
 }
 
-/// A word on one content.
+/// An event of one content, with its age.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
-    /// Which.
+pub struct ContentUpdate {
+    /// The content that it is about.
     pub content: Content,
-    /// What became of it.
-    pub fate: Fate,
-    /// How long ago.
+    /// What happened to it.
+    pub event: ContentEvent,
+    /// How long ago it happened, in ms.
     pub age_ms: u32,
 }
 
-/// Words that travel together.
+/// Updates sent in one message.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Words(pub Vec<Word>);
+pub struct Words(pub Vec<ContentUpdate>);
 
-/// Bytes that are no words.
+/// A message of updates that does not decode.
 #[derive(Debug, thiserror::Error)]
-#[error("a peer's words on contents cannot be read: {0}")]
-pub struct WordsError(#[from] postcard::Error);
+#[error("a peer's updates on request contents cannot be read: {0}")]
+pub struct UpdatesError(#[from] postcard::Error);
 
 impl Words {
-    /// As bytes.
+    /// Encodes the updates for a message to other daemons.
     ///
     /// # Errors
-    /// Never for words of this form.
-    pub fn encode(&self) -> Result<Bytes, WordsError> {
+    /// Returns the encoder's error, which does not occur for values of this type.
+    pub fn encode(&self) -> Result<Bytes, UpdatesError> {
         Ok(postcard::to_allocvec(self)?.into())
     }
 
-    /// From bytes.
+    /// Decodes updates that another daemon sent.
     ///
     /// # Errors
-    /// When they are not of the expected form.
-    pub fn decode(bytes: &[u8]) -> Result<Self, WordsError> {
-        let mut words = postcard::from_bytes::<Self>(bytes)?;
-        words.0.truncate(MAX_WORDS);
-        Ok(words)
+    /// Returns an error when the bytes are not of the expected form.
+    pub fn decode(bytes: &[u8]) -> Result<Self, UpdatesError> {
+        let mut updates = postcard::from_bytes::<Self>(bytes)?;
+        updates.0.truncate(MAX_UPDATES);
+        Ok(updates)
     }
 }
--- a/components/poison/tests/content.rs
+++ b/components/poison/tests/content.rs
@@ -1,4 +1,4 @@
-//! What a content is, and what is no part of it.
+//! Which parts of a request its content id depends on.
 
 use poison::Content;
 
@@ -7,35 +7,35 @@
 }
 
 #[test]
-fn the_same_request_has_the_same_name() {
+fn same_request_has_same_id() {
     let first = of("alice", "host", "POST", "/a/b", "hello");
     assert_eq!(first, of("alice", "HOST", "POST", "/a/b", "hello"));
     assert_eq!(first.to_string().parse(), Ok(first));
 }
 
 #[test]
-fn one_customers_content_is_not_anothers() {
-    // A customer that knows another's requests sends them itself and lets upstreams end under
-    // them. The other customer's requests must not be refused for it.
-    let mut names = vec![
+fn same_request_of_another_customer_has_another_id() {
+    // A customer that knows another's requests could send them itself and crash upstreams with
+    // them. The other customer's requests must not be quarantined for it.
+    let mut ids = vec![
         of("alice", "host", "POST", "/a/b", "hello"),
         of("bob", "host", "POST", "/a/b", "hello"),
         of("", "host", "POST", "/a/b", "hello"),
         of("alice", "host", "PUT", "/a/b", "hello"),
         of("alice", "host", "POST", "/a/b?c", "hello"),
         of("alice", "host", "POST", "/a/b", "hello "),
-        // Bytes moved from one part to the next.
+        // The same bytes, split differently between the parts.
         of("alicehost", "", "POST", "/a/b", "hello"),
         of("alice", "host", "POST", "/a/bhello", ""),
     ];
-    let all = names.len();
-    names.sort();
-    names.dedup();
-    assert_eq!(names.len(), all);
+    let all = ids.len();
+    ids.sort();
+    ids.dedup();
+    assert_eq!(ids.len(), all);
 }
 
 #[test]
-fn a_text_that_names_none_is_refused() {
+fn invalid_id_is_rejected() {
     for text in [
         "",
         "12",
--- a/components/poison/tests/fleet.rs
+++ b/components/poison/tests/fleet.rs
@@ -1,37 +1,40 @@
-//! Both errors of a bar, played: sends of a request after it is proved, and others refused.
+//! Simulates the two errors of a quarantine: a culprit that is still sent after it was detected,
+//! and harmless requests that are refused.
 //!
-//! `BUCKTHORNCROSS_PLAY_SEEDS=60 cargo test --release -p poison --test fleet -- --nocapture` plays
-//! more seeds by hand and prints the figures.
+//! `BUCKTHORNCROSS_PLAY_SEEDS=60 cargo test --release -p poison --test fleet -- --nocapture` runs
+//! more seeds and prints the figures.
 
 #[path = "support/simulation.rs"]
 mod simulation;
 
-use simulation::{Day, Fleet, Result};
+use simulation::{Fleet, Outcome, Scenario};
 use types::prelude::*;
 
-/// Repeats of a request that may reach an upstream later than three seconds after the third end
-/// under it.
+/// Attempts of a culprit that may reach an upstream later than three seconds after its third
+/// crash.
 const LATE_SENDS: usize = 3;
-/// Of so many requests that lost an upstream one may be refused for it.
-const HIT_FOR_ONE_REFUSED: usize = 100;
+/// At most one of this many harmless requests that lost an upstream may be refused.
+const HIT_PER_REFUSED: usize = 100;
 
-/// Seeds to play: those of CI, or as many as asked for by hand.
+/// Number of seeds to run: `usual`, unless the environment asks for another number.
 fn seeds(usual: u64) -> u64 {
-    let asked = std::env::var("BUCKTHORNCROSS_PLAY_SEEDS").ok();
-    asked.and_then(|text| text.parse().ok()).unwrap_or(usual)
+    let requested = std::env::var("BUCKTHORNCROSS_PLAY_SEEDS").ok();
+    requested
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(usual)
 }
 
-/// Plays a day with several seeds and checks what users are promised; the worst of each figure,
-/// but counts of requests add up.
-fn play(name: &str, day: &Day, usual: u64) -> Result {
-    let mut all = Result::default();
+/// Runs a scenario with several seeds and checks the bounds. Returns the worst of each figure, but
+/// sums of the request counts.
+fn run(name: &str, scenario: &Scenario, usual: u64) -> Outcome {
+    let mut all = Outcome::default();
     for seed in 1..=seeds(usual) {
-        let one = Fleet::play(&Day {
+        let one = Fleet::run(&Scenario {
             seed,
-            ..day.clone()
+            ..scenario.clone()
         });
         assert!(one.late_sends <= LATE_SENDS, "{name}, seed {seed}: {one:?}");
-        all.ends = all.ends.max(one.ends);
+        all.crashes = all.crashes.max(one.crashes);
         all.late_sends = all.late_sends.max(one.late_sends);
         all.requests += one.requests;
         all.hit += one.hit;
@@ -39,114 +42,116 @@
     }
     println!("{name}: {all:?}");
     assert!(
-        all.refused * HIT_FOR_ONE_REFUSED <= all.hit,
-        "too many were refused that only ran beside: {all:?}"
+        all.refused * HIT_PER_REFUSED <= all.hit,
+        "too many harmless requests were refused: {all:?}"
     );
     all
 }
 
 #[test]
-fn a_request_that_ends_upstreams_at_any_daemon_is_barred() {
-    let all = play("one", &Day::default(), 8);
-    assert!(all.ends > 0, "nothing was played: {all:?}");
+fn culprit_is_quarantined_whichever_daemon_it_reaches() {
+    let all = run("one", &Scenario::default(), 8);
+    assert!(all.crashes > 0, "no upstream crashed: {all:?}");
 }
 
 #[test]
-fn a_fleet_of_many_daemons_bars_it_as_soon() {
-    // Each daemon meets it for the first time; word crosses the fleet in some rounds.
-    let day = Day {
+fn culprit_is_quarantined_as_soon_in_a_large_fleet() {
+    // Each daemon sees the request for the first time; updates cross the fleet in some rounds.
+    let scenario = Scenario {
         daemons: 88,
         upstreams: 90,
         seconds: 30,
         requests_per_s: 200.0,
-        ..Day::default()
+        ..Scenario::default()
     };
-    play("one, 88 daemons", &day, 2);
+    run("one, 88 daemons", &scenario, 2);
 }
 
 #[test]
-fn words_that_are_lost_do_not_matter() {
-    let day = Day {
-        lost: 0.3,
-        ..Day::default()
+fn culprit_is_quarantined_though_updates_are_lost() {
+    let scenario = Scenario {
+        update_loss: 0.3,
+        ..Scenario::default()
     };
-    play("one, words lost", &day, 8);
+    run("one, updates lost", &scenario, 8);
 }
 
 #[test]
-fn several_such_requests_at_once_are_told_from_each_other() {
-    // Three of them hit one pool. They wait beside each other, are retried at the same moments,
-    // and each is there at ends that are another one's.
-    let day = Day {
-        poisons: 3,
-        ..Day::default()
+fn several_culprits_at_once_are_distinguished() {
+    // Three culprits hit one pool. They wait next to each other, are retried at the same moments,
+    // and each is in flight at crashes that another one causes.
+    let scenario = Scenario {
+        culprits: 3,
+        ..Scenario::default()
     };
-    play("three at once", &day, 8);
+    run("three at once", &scenario, 8);
 }
 
 #[test]
-fn a_small_pool_without_signs_is_kept() {
-    // Four plain upstreams: no sign tells when one begins to run a request.
-    let day = Day {
+fn culprit_is_quarantined_in_a_small_pool_without_start_signs() {
+    // Four upstreams that never show when they start to run a request.
+    let scenario = Scenario {
         upstreams: 4,
-        has_signs: false,
-        ..Day::default()
+        shows_start: false,
+        ..Scenario::default()
     };
-    play("one, four upstreams without signs", &day, 8);
+    run("one, four upstreams without signs", &scenario, 8);
 }
 
 #[test]
-fn it_is_found_on_a_day_full_of_crashes() {
-    let day = Day {
-        ends_per_s: 0.05,
-        racks: Some((Span::from_secs(7), 0.3)),
-        ..Day::default()
+fn culprit_is_quarantined_among_many_other_crashes() {
+    let scenario = Scenario {
+        crashes_per_s: 0.05,
+        rack_losses: Some((Span::from_secs(7), 0.3)),
+        ..Scenario::default()
     };
-    play("one, crashes beside it", &day, 8);
+    run("one, crashes beside it", &scenario, 8);
 }
 
 #[test]
-fn a_day_full_of_crashes_refuses_hardly_anybody() {
-    // Upstreams end by themselves, a third of them at one moment every seven seconds. A tenth of
-    // all requests lose one, some lose three, and none of them ended any.
-    let day = Day {
-        poisons: 0,
-        ends_per_s: 0.05,
-        racks: Some((Span::from_secs(7), 0.3)),
-        ..Day::default()
+fn few_harmless_requests_are_refused_among_many_crashes() {
+    // Upstreams crash by themselves, a third of them at one moment every seven seconds. A tenth of
+    // all requests lose one, some lose three, and none of them caused a crash.
+    let scenario = Scenario {
+        culprits: 0,
+        crashes_per_s: 0.05,
+        rack_losses: Some((Span::from_secs(7), 0.3)),
+        ..Scenario::default()
     };
-    let all = play("none, crashes", &day, 8);
-    assert!(all.hit > 1_000, "hardly any was hit: {all:?}");
+    let all = run("none, crashes", &scenario, 8);
+    assert!(all.hit > 1_000, "too few were hit: {all:?}");
 }
 
 #[test]
-fn a_customer_with_one_after_the_other_ends_fewer_with_each() {
-    // Six such requests, a new one every five seconds: alike, but for whose they are.
-    let day = Day {
-        poisons: 6,
-        poison_gap: Span::from_secs(5),
-        ..Day::default()
+fn repeat_culprits_of_one_customer_crash_fewer_upstreams() {
+    // Six culprits, a new one every five seconds, all of one customer or each of another one.
+    let scenario = Scenario {
+        culprits: 6,
+        culprit_gap: Span::from_secs(5),
+        ..Scenario::default()
     };
-    let ends = |of_one| {
-        let day = Day {
+    let crashes = |of_one| {
+        let scenario = Scenario {
             of_one,
-            ..day.clone()
+            ..scenario.clone()
         };
-        let plays = (1..=seeds(6)).map(|seed| {
-            Fleet::play(&Day {
+        let results = (1..=seeds(6)).map(|seed| {
+            Fleet::run(&Scenario {
                 seed,
-                ..day.clone()
+                ..scenario.clone()
             })
         });
-        let plays = plays.collect::<Vec<_>>();
-        let sum = |f: fn(&Result) -> usize| plays.iter().map(f).sum::<usize>();
-        let (ends, hit, refused) = (sum(|r| r.ends), sum(|r| r.hit), sum(|r| r.refused));
-        println!("six in turn, one customer {of_one}: {ends} ends, {hit} hit, {refused} refused");
-        ends
+        let results = results.collect::<Vec<_>>();
+        let sum = |f: fn(&Outcome) -> usize| results.iter().map(f).sum::<usize>();
+        let (crashes, hit, refused) = (sum(|r| r.crashes), sum(|r| r.hit), sum(|r| r.refused));
+        println!(
+            "six in turn, one customer {of_one}: {crashes} crashes, {hit} hit, {refused} refused"
+        );
+        crashes
     };
-    let (of_one, of_six) = (ends(true), ends(false));
+    let (of_one, of_six) = (crashes(true), crashes(false));
     assert!(
         of_one * 10 <= of_six * 9,
-        "{of_one} ends, {of_six} of six customers"
+        "{of_one} crashes with one customer, {of_six} with six"
     );
 }
--- a/components/poison/tests/runs.rs
+++ b/components/poison/tests/runs.rs
@@ -1,4 +1,4 @@
-//! What had begun at an upstream when it ended.
+//! Attribution of a crash to the attempts that were in flight at the upstream.
 
 use poison::{Content, RunEnd, Runs, Under};
 use types::prelude::*;
@@ -13,7 +13,7 @@
     Time::ZERO + Span::from_millis(ms)
 }
 
-fn under(name: &str, ran_ms: u64) -> Under {
+fn crashed_under(name: &str, ran_ms: u64) -> Under {
     Under {
         content: content(name),
         customer: None,
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn what_broke_before_the_end_was_known_was_under_it() {
+fn attempts_that_broke_at_the_crash_are_attributed() {
     let mut runs = Runs::default();
     let first = runs.sent(at(0), UPSTREAM, content("first"), None);
     let second = runs.sent(at(10), UPSTREAM, content("second"), None);
@@ -32,34 +32,34 @@
     assert!(runs.has_broken(UPSTREAM));
     assert_eq!(
         runs.ended(at(183), UPSTREAM, at(150)),
-        Some(vec![under("first", 80)])
+        Some(vec![crashed_under("first", 80)])
     );
-    // Its connection shows it a moment later. It never began to be answered.
+    // The second attempt's connection breaks a moment later. No part of its answer had come.
     let late = runs.over(at(185), UPSTREAM, second, RunEnd::Broken);
     let second = Under {
         had_begun: false,
-        ..under("second", 175)
+        ..crashed_under("second", 175)
     };
     assert_eq!(late, Some(second));
     assert_eq!(runs.ended(at(190), UPSTREAM, at(150)), None);
 }
 
 #[test]
-fn a_draft_that_was_dropped_just_before_was_under_the_end() {
-    // A draft is dropped as unsure 20 ms after it began. The engine stops it, and ends under it
-    // 60 ms later, when no connection of this daemon's is left there to show it.
+fn draft_dropped_just_before_the_crash_is_attributed() {
+    // A draft is dropped as a low-confidence answer 20 ms after it started. The engine is still
+    // running it and crashes 60 ms later, when this daemon has no connection left there to see it.
     let mut runs = Runs::default();
     let run = runs.sent(at(0), UPSTREAM, content("draft"), None);
     runs.began(at(10), UPSTREAM, run);
     runs.over(at(30), UPSTREAM, run, RunEnd::GivenUp);
     assert_eq!(
         runs.ended(at(90), UPSTREAM, at(10)),
-        Some(vec![under("draft", 80)])
+        Some(vec![crashed_under("draft", 80)])
     );
 }
 
 #[test]
-fn a_draft_that_was_dropped_is_told_when_another_run_shows_the_end() {
+fn dropped_draft_is_attributed_when_another_attempt_shows_the_crash() {
     let mut runs = Runs::default();
     let draft = runs.sent(at(0), UPSTREAM, content("draft"), None);
     runs.began(at(10), UPSTREAM, draft);
@@ -67,15 +67,18 @@
     runs.began(at(10), UPSTREAM, other);
     runs.over(at(30), UPSTREAM, draft, RunEnd::GivenUp);
     runs.over(at(90), UPSTREAM, other, RunEnd::Broken);
-    // Known by the list only, three seconds later.
+    // The crash is known only from the list, three seconds later.
     let ended = runs.ended(at(3_000), UPSTREAM, at(85));
-    assert_eq!(ended, Some(vec![under("draft", 80), under("other", 80)]));
+    assert_eq!(
+        ended,
+        Some(vec![crashed_under("draft", 80), crashed_under("other", 80)])
+    );
 }
 
 #[test]
-fn an_upstream_that_is_heard_of_later_did_not_end_with_a_run() {
-    // A connection is reset, or a caller leaves, and the upstream goes on for a second with other
-    // requests before it ends.
+fn attempts_that_the_upstream_survived_are_not_attributed() {
+    // A connection is reset, or a caller leaves, and the upstream works on other requests for a
+    // second before it crashes.
     let mut runs = Runs::default();
     let reset = runs.sent(at(0), UPSTREAM, content("reset"), None);
     let left = runs.sent(at(0), UPSTREAM, content("left"), None);
@@ -85,7 +88,7 @@
 }
 
 #[test]
-fn what_was_answered_or_given_up_long_before_was_not() {
+fn answered_and_long_given_up_attempts_are_not_attributed() {
     let mut runs = Runs::default();
     let answered = runs.sent(at(0), UPSTREAM, content("answered"), None);
     runs.over(at(50), UPSTREAM, answered, RunEnd::Whole);
@@ -98,7 +101,7 @@
 }
 
 #[test]
-fn what_is_over_for_long_is_forgotten() {
+fn old_attempts_are_dropped() {
     let mut runs = Runs::default();
     let run = runs.sent(at(0), UPSTREAM, content("broken"), None);
     runs.over(at(10), UPSTREAM, run, RunEnd::Broken);
@@ -109,9 +112,9 @@
 }
 
 #[test]
-fn an_upstream_that_answers_again_has_started_again() {
-    // Upstreams of the catalogue keep their name over a restart. A connection that breaks at the
-    // next start is no sign of an end.
+fn upstream_that_answers_after_a_crash_was_restarted() {
+    // Upstreams of the catalogue keep their name across a restart. A connection that breaks after
+    // the restart must not be attributed to the crash before it.
     let mut runs = Runs::default();
     let first = runs.sent(at(0), UPSTREAM, content("first"), None);
     runs.over(at(50), UPSTREAM, first, RunEnd::Broken);
@@ -124,13 +127,13 @@
 }
 
 #[test]
-fn one_upstreams_runs_are_bounded() {
+fn attempts_per_upstream_are_bounded() {
     let mut runs = Runs::default();
     let all = (0..1_000).map(|n| runs.sent(at(n), UPSTREAM, content("many"), None));
     let all = all.collect::<Vec<_>>();
     for run in all {
         runs.over(at(2_000), UPSTREAM, run, RunEnd::Broken);
     }
-    let under = runs.ended(at(2_000), UPSTREAM, at(0)).expect("news");
-    assert!(under.len() <= 256);
+    let crashed_under = runs.ended(at(2_000), UPSTREAM, at(0)).expect("a new crash");
+    assert!(crashed_under.len() <= 256);
 }
--- a/components/poison/tests/support/simulation.rs
+++ b/components/poison/tests/support/simulation.rs
@@ -1,9 +1,9 @@
-//! A fleet of daemons before upstreams that end, in fast time.
+//! Simulation of a fleet of daemons in front of upstreams that crash, in simulated time.
 //!
-//! Each daemon has the product's tables and knows what it sees and what it is told. Requests are
-//! sent to an upstream, wait there, begin, and are answered some seconds later; an upstream
-//! that ends breaks all of them, and they go to others while runs are left. The poison ends its
-//! upstream a moment after it begins.
+//! Each daemon has the product's tables and knows only what it sees and what it is sent. Requests
+//! are sent to an upstream, wait there, start, and are answered some seconds later. An upstream
+//! that crashes breaks all of them, and they go to others while attempts are left. A culprit
+//! crashes its upstream a moment after it starts.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -14,36 +14,37 @@
 use rand_chacha::ChaCha8Rng;
 use types::prelude::*;
 
-/// What is played.
+/// What is simulated.
 #[derive(Debug, Clone)]
-pub struct Day {
+pub struct Scenario {
     pub seed: u64,
     pub daemons: usize,
     pub upstreams: usize,
     pub seconds: u64,
-    /// Ordinary requests a second, over all daemons.
+    /// Ordinary requests per second, over all daemons.
     pub requests_per_s: f64,
-    /// Ends of each upstream a second, by themselves.
-    pub ends_per_s: f64,
-    /// Every so often a part of all upstreams ends at one moment.
-    pub racks: Option<(Span, f64)>,
-    /// Requests under which upstreams end, and how often each is sent.
-    pub poisons: usize,
-    pub poison_per_s: f64,
-    /// Each begins so long after the one before.
-    pub poison_gap: Span,
-    /// Whether all of them are one customer's.
+    /// Crashes per upstream and second that no request causes.
+    pub crashes_per_s: f64,
+    /// Interval at which a share of all upstreams crashes at one moment, and that share.
+    pub rack_losses: Option<(Span, f64)>,
+    /// Number of culprits, the requests that crash upstreams.
+    pub culprits: usize,
+    /// How often each culprit is sent, per second.
+    pub culprit_per_s: f64,
+    /// Time from one culprit's first sending to the next one's.
+    pub culprit_gap: Span,
+    /// Whether all culprits are of one customer.
     pub of_one: bool,
-    /// Longest wait at an upstream, in ms.
+    /// Upper bound of the wait at an upstream, in ms.
     pub wait_ms: u64,
-    /// Whether an answer's first sign comes when an upstream begins to run a request.
-    pub has_signs: bool,
-    /// Part of the words between daemons that is lost.
-    pub lost: f64,
+    /// Whether an upstream shows when it starts to run a request.
+    pub shows_start: bool,
+    /// Share of the messages between daemons that is lost.
+    pub update_loss: f64,
 }
 
-impl Default for Day {
-    /// Six daemons before twelve engines, a request of each kind that ends them.
+impl Default for Scenario {
+    /// Six daemons in front of twelve upstreams, and one culprit.
     fn default() -> Self {
         Self {
             seed: 1,
@@ -51,162 +52,163 @@
             upstreams: 12,
             seconds: 60,
             requests_per_s: 60.0,
-            ends_per_s: 0.0,
-            racks: None,
-            poisons: 1,
-            poison_per_s: 3.0,
-            poison_gap: Span::ZERO,
+            crashes_per_s: 0.0,
+            rack_losses: None,
+            culprits: 1,
+            culprit_per_s: 3.0,
+            culprit_gap: Span::ZERO,
             of_one: false,
             wait_ms: 400,
-            has_signs: true,
-            lost: 0.0,
+            shows_start: true,
+            update_loss: 0.0,
         }
     }
 }
 
-/// What came of it.
+/// Outcome of a simulation.
 #[derive(Debug, Clone, Default)]
-pub struct Result {
-    /// Upstreams that ended under a poison.
-    pub ends: usize,
-    /// Sends of a poison later than three seconds after the third end under it: the most of any.
+pub struct Outcome {
+    /// Upstreams that a culprit crashed.
+    pub crashes: usize,
+    /// Attempts of a culprit later than three seconds after its third crash; the most of any
+    /// culprit.
     pub late_sends: usize,
     /// Ordinary requests.
     pub requests: usize,
-    /// Of these, those whose upstream ended at least once.
+    /// Of these, those whose upstream crashed at least once.
     pub hit: usize,
-    /// Of these, those that some daemon refused as barred.
+    /// Of these, those that a daemon refused as quarantined.
     pub refused: usize,
 }
 
-const RUNS: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 const CUSTOMERS: usize = 10;
-const COMES_BACK_AFTER: Span = Span::from_millis(3_500);
-const WINDOW: Span = Span::from_secs(3);
-const TELL: Span = Span::from_millis(100);
-const HOP: Span = Span::from_millis(5);
+const RESTART_AFTER: Span = Span::from_millis(3_500);
+const DETECTION_WINDOW: Span = Span::from_secs(3);
+const GOSSIP_INTERVAL: Span = Span::from_millis(100);
+const MESSAGE_DELAY: Span = Span::from_millis(5);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrives(usize),
     Sent(usize),
-    Begins(usize, u32),
+    Starts(usize, u32),
     Answered(usize, u32),
-    /// An upstream ends by itself.
-    Ends(usize),
-    /// A start of it ends under a poison.
-    EndsUnder(Start, usize),
-    Back(usize),
-    Tells(usize),
-    Heard(usize, usize),
-    Rack,
+    /// An upstream crashes without a culprit.
+    Crashes(usize),
+    /// A culprit crashes the run of an upstream that it was sent to.
+    CrashesUnder(UpstreamStart, usize),
+    Restarts(usize),
+    SendsUpdates(usize),
+    ReceivesUpdates(usize, usize),
+    RackLoss,
 }
 
 #[derive(Debug, Clone)]
 struct Request {
     content: Content,
     customer: Option<Arc<str>>,
-    poison: Option<usize>,
+    culprit: Option<usize>,
     daemon: usize,
     runs: u32,
-    at: Option<(Start, poison::Run)>,
-    is_again: bool,
+    at: Option<(UpstreamStart, poison::Run)>,
+    is_retry: bool,
 }
 
-/// An upstream and which of its starts.
-type Start = (usize, u64);
+/// An upstream and the number of its program's run.
+type UpstreamStart = (usize, u64);
 
 struct Daemon {
     suspects: Suspects,
-    runs: Runs<Start>,
+    runs: Runs<UpstreamStart>,
 }
 
 pub struct Fleet {
-    day: Day,
+    scenario: Scenario,
     rng: ChaCha8Rng,
     now: Time,
     queue: BinaryHeap<Reverse<(Time, u64, Event)>>,
-    order: u64,
+    sequence: u64,
     daemons: Vec<Daemon>,
-    /// Starts of each upstream, and whether it is up.
+    /// Number of each upstream's current run, and whether it is up.
     upstreams: Vec<(u64, bool)>,
     requests: Vec<Request>,
-    words: Vec<Words>,
-    poison_ends: BTreeMap<usize, Vec<Time>>,
-    poison_sends: BTreeMap<usize, Vec<Time>>,
+    messages: Vec<Words>,
+    culprit_crashes: BTreeMap<usize, Vec<Time>>,
+    culprit_sends: BTreeMap<usize, Vec<Time>>,
     refused: BTreeSet<Content>,
     hit: BTreeSet<Content>,
     count: usize,
 }
 
 impl Fleet {
-    pub fn play(day: &Day) -> Result {
-        let mut fleet = Self::new(day.clone());
-        let until = Time::ZERO + Span::from_secs(day.seconds);
+    pub fn run(scenario: &Scenario) -> Outcome {
+        let mut fleet = Self::new(scenario.clone());
+        let until = Time::ZERO + Span::from_secs(scenario.seconds);
         while let Some(Reverse((at, _, event))) = fleet.queue.pop() {
             if at > until {
                 break;
             }
             fleet.now = at;
-            fleet.take(event);
+            fleet.handle(event);
         }
-        fleet.result()
+        fleet.outcome()
     }
 
-    fn new(day: Day) -> Self {
-        let daemons = (0..day.daemons).map(|n| {
+    fn new(scenario: Scenario) -> Self {
+        let daemons = (0..scenario.daemons).map(|n| {
             let mut suspects = Suspects::new(PoisonPolicy::default(), &format!("d{n}"));
-            suspects.set_fleet(day.daemons, day.upstreams);
+            suspects.set_fleet(scenario.daemons, scenario.upstreams);
             Daemon {
                 suspects,
                 runs: Runs::default(),
             }
         });
         let mut fleet = Self {
-            rng: ChaCha8Rng::seed_from_u64(day.seed),
+            rng: ChaCha8Rng::seed_from_u64(scenario.seed),
             now: Time::ZERO,
             queue: BinaryHeap::new(),
-            order: 0,
+            sequence: 0,
             daemons: daemons.collect(),
-            upstreams: vec![(0, true); day.upstreams],
+            upstreams: vec![(0, true); scenario.upstreams],
             requests: Vec::new(),
-            words: Vec::new(),
-            poison_ends: BTreeMap::new(),
-            poison_sends: BTreeMap::new(),
+            messages: Vec::new(),
+            culprit_crashes: BTreeMap::new(),
+            culprit_sends: BTreeMap::new(),
             refused: BTreeSet::new(),
             hit: BTreeSet::new(),
             count: 0,
-            day,
+            scenario,
         };
-        fleet.plan();
+        fleet.schedule_inputs();
         fleet
     }
 
-    /// Everything that comes from outside.
-    fn plan(&mut self) {
-        let all = Span::from_secs(self.day.seconds);
-        for at in self.times(self.day.requests_per_s, Span::ZERO, all) {
+    /// Schedules all requests, crashes without a culprit and the daemons' first sendings.
+    fn schedule_inputs(&mut self) {
+        let all = Span::from_secs(self.scenario.seconds);
+        for at in self.times(self.scenario.requests_per_s, Span::ZERO, all) {
             let content = self.content(None);
             self.arrive(at, content, None, false);
         }
-        for poison in 0..self.day.poisons {
-            let from = Span::from_secs(10) + self.day.poison_gap.times(poison as u64);
+        for culprit in 0..self.scenario.culprits {
+            let from = Span::from_secs(10) + self.scenario.culprit_gap.times(culprit as u64);
             let to = from + Span::from_secs(20);
-            for at in self.times(self.day.poison_per_s, from, to) {
-                let content = self.content(Some(poison));
-                self.arrive(at, content, Some(poison), false);
+            for at in self.times(self.scenario.culprit_per_s, from, to) {
+                let content = self.content(Some(culprit));
+                self.arrive(at, content, Some(culprit), false);
             }
         }
-        let ends = self.day.ends_per_s * self.day.upstreams as f64;
-        for at in self.times(ends, Span::ZERO, all) {
-            let upstream = self.rng.random_range(0..self.day.upstreams);
-            self.at(at, Event::Ends(upstream));
+        let crashes_per_s = self.scenario.crashes_per_s * self.scenario.upstreams as f64;
+        for at in self.times(crashes_per_s, Span::ZERO, all) {
+            let upstream = self.rng.random_range(0..self.scenario.upstreams);
+            self.schedule(at, Event::Crashes(upstream));
         }
-        if let Some((every, _)) = self.day.racks {
+        if let Some((every, _)) = self.scenario.rack_losses {
             let times = all.as_micros() / every.as_micros();
-            (1..times).for_each(|n| self.at(Time::ZERO + every.times(n), Event::Rack));
+            (1..times).for_each(|n| self.schedule(Time::ZERO + every.times(n), Event::RackLoss));
         }
-        (0..self.day.daemons).for_each(|n| self.at(Time::ZERO, Event::Tells(n)));
+        (0..self.scenario.daemons).for_each(|n| self.schedule(Time::ZERO, Event::SendsUpdates(n)));
     }
 
     fn times(&mut self, per_s: f64, from: Span, to: Span) -> Vec<Time> {
@@ -224,74 +226,77 @@
         }
     }
 
-    fn content(&mut self, poison: Option<usize>) -> Content {
-        let name = poison.map_or_else(|| format!("{}", self.rng.next_u64()), |n| format!("p{n}"));
-        Content::of("alice", "host", "POST", "/a", name.as_bytes())
+    fn content(&mut self, culprit: Option<usize>) -> Content {
+        let text = culprit.map_or_else(|| format!("{}", self.rng.next_u64()), |n| format!("p{n}"));
+        Content::of("alice", "host", "POST", "/a", text.as_bytes())
     }
 
-    fn arrive(&mut self, at: Time, content: Content, poison: Option<usize>, is_again: bool) {
-        let daemon = self.rng.random_range(0..self.day.daemons);
-        let customer = match poison {
-            Some(_) if self.day.of_one => 0,
-            Some(poison) => poison,
+    fn arrive(&mut self, at: Time, content: Content, culprit: Option<usize>, is_retry: bool) {
+        let daemon = self.rng.random_range(0..self.scenario.daemons);
+        let customer = match culprit {
+            Some(_) if self.scenario.of_one => 0,
+            Some(culprit) => culprit,
             None => self.rng.random_range(0..CUSTOMERS),
         };
         self.requests.push(Request {
             content,
             customer: Some(Arc::from(format!("c{customer}"))),
-            poison,
+            culprit,
             daemon,
             runs: 0,
             at: None,
-            is_again,
+            is_retry,
         });
-        self.at(at, Event::Arrives(self.requests.len() - 1));
+        self.schedule(at, Event::Arrives(self.requests.len() - 1));
     }
 
-    fn at(&mut self, at: Time, event: Event) {
-        self.order += 1;
-        self.queue.push(Reverse((at, self.order, event)));
+    fn schedule(&mut self, at: Time, event: Event) {
+        self.sequence += 1;
+        self.queue.push(Reverse((at, self.sequence, event)));
     }
 
-    fn after(&mut self, span: Span, event: Event) {
-        self.at(self.now + span, event);
+    fn schedule_after(&mut self, span: Span, event: Event) {
+        self.schedule(self.now + span, event);
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Arrives(n) => {
-                self.count += usize::from(self.requests[n].poison.is_none());
+                self.count += usize::from(self.requests[n].culprit.is_none());
                 self.send(n);
             }
             Event::Sent(n) => self.send(n),
-            Event::Begins(n, run) => self.begins(n, run),
-            Event::Answered(n, run) => self.answered(n, run),
-            Event::Ends(upstream) => self.ends(upstream),
-            Event::EndsUnder((upstream, start), poison) => {
+            Event::Starts(n, run) => self.start(n, run),
+            Event::Answered(n, run) => self.answer(n, run),
+            Event::Crashes(upstream) => self.crash_upstream(upstream),
+            Event::CrashesUnder((upstream, start), culprit) => {
                 if self.upstreams[upstream] == (start, true) {
-                    self.poison_ends.entry(poison).or_default().push(self.now);
-                    self.ends(upstream);
+                    self.culprit_crashes
+                        .entry(culprit)
+                        .or_default()
+                        .push(self.now);
+                    self.crash_upstream(upstream);
                 }
             }
-            Event::Back(upstream) => {
+            Event::Restarts(upstream) => {
                 self.upstreams[upstream].0 += 1;
                 self.upstreams[upstream].1 = true;
             }
-            Event::Tells(daemon) => {
-                self.tell(daemon);
-                self.after(TELL, Event::Tells(daemon));
+            Event::SendsUpdates(daemon) => {
+                self.send_updates(daemon);
+                self.schedule_after(GOSSIP_INTERVAL, Event::SendsUpdates(daemon));
             }
-            Event::Heard(daemon, words) => {
-                let words = self.words[words].clone();
-                self.daemons[daemon].suspects.take(self.now, words);
-                self.tell(daemon);
+            Event::ReceivesUpdates(daemon, message) => {
+                let updates = self.messages[message].clone();
+                self.daemons[daemon].suspects.take(self.now, updates);
+                self.send_updates(daemon);
             }
-            Event::Rack => {
-                let share = self.day.racks.map_or(0.0, |(_, share)| share);
-                let lost = (self.day.upstreams as f64 * share) as usize;
+            Event::RackLoss => {
+                let share = self.scenario.rack_losses.map_or(0.0, |(_, share)| share);
+                let lost = (self.scenario.upstreams as f64 * share) as usize;
                 for _ in 0..lost {
-                    let upstream = self.rng.random_range(0..self.day.upstreams);
-                    self.ends(upstream);
+                    let upstream = self.rng.random_range(0..self.scenario.upstreams);
+                    self.crash_upstream(upstream);
                 }
             }
         }
@@ -301,7 +306,7 @@
         let Request {
             content,
             daemon,
-            poison,
+            culprit,
             ..
         } = self.requests[n];
         let suspects = &mut self.daemons[daemon].suspects;
@@ -309,7 +314,7 @@
             Admission::Open => {}
             Admission::Trial => suspects.tried(self.now, content),
             Admission::Barred { .. } => {
-                if poison.is_none() {
+                if culprit.is_none() {
                     self.refused.insert(content);
                 }
                 return;
@@ -317,12 +322,15 @@
         }
         let up = (0..self.upstreams.len()).filter(|u| self.upstreams[*u].1);
         let up = up.collect::<Vec<_>>();
-        if up.is_empty() || self.requests[n].runs >= RUNS {
-            return self.comes_again(n);
+        if up.is_empty() || self.requests[n].runs >= MAX_ATTEMPTS {
+            return self.retry_by_caller(n);
         }
         let upstream = up[self.rng.random_range(0..up.len())];
-        if let Some(poison) = poison {
-            self.poison_sends.entry(poison).or_default().push(self.now);
+        if let Some(culprit) = culprit {
+            self.culprit_sends
+                .entry(culprit)
+                .or_default()
+                .push(self.now);
         }
         let upstream = (upstream, self.upstreams[upstream].0);
         let customer = self.requests[n].customer.clone();
@@ -333,46 +341,47 @@
         request.runs += 1;
         request.at = Some((upstream, run));
         let runs = request.runs;
-        let wait = Span::from_millis(self.rng.random_range(5..self.day.wait_ms));
-        self.after(wait, Event::Begins(n, runs));
+        let wait = Span::from_millis(self.rng.random_range(5..self.scenario.wait_ms));
+        self.schedule_after(wait, Event::Starts(n, runs));
     }
 
-    /// Callers of what failed come again once; those of the poison do so by themselves.
-    fn comes_again(&mut self, n: usize) {
+    /// Callers of an ordinary request that failed retry once; a culprit's callers keep sending
+    /// anyway.
+    fn retry_by_caller(&mut self, n: usize) {
         let request = self.requests[n].clone();
-        if request.poison.is_none() && !request.is_again {
+        if request.culprit.is_none() && !request.is_retry {
             let at = self.now + Span::from_millis(300);
             self.arrive(at, request.content, None, true);
         }
     }
 
-    fn is_at(&self, n: usize, run: u32) -> Option<(Start, poison::Run)> {
+    fn current_attempt(&self, n: usize, run: u32) -> Option<(UpstreamStart, poison::Run)> {
         let request = &self.requests[n];
         request.at.filter(|_| request.runs == run)
     }
 
-    fn begins(&mut self, n: usize, run: u32) {
-        let Some((upstream, held)) = self.is_at(n, run) else {
+    fn start(&mut self, n: usize, run: u32) {
+        let Some((upstream, attempt)) = self.current_attempt(n, run) else {
             return;
         };
         let daemon = self.requests[n].daemon;
-        if self.day.has_signs {
-            self.daemons[daemon].runs.began(self.now, upstream, held);
+        if self.scenario.shows_start {
+            self.daemons[daemon].runs.began(self.now, upstream, attempt);
         }
-        match self.requests[n].poison {
-            Some(poison) => {
-                let takes = Span::from_millis(self.rng.random_range(45..120));
-                self.after(takes, Event::EndsUnder(upstream, poison));
+        match self.requests[n].culprit {
+            Some(culprit) => {
+                let duration = Span::from_millis(self.rng.random_range(45..120));
+                self.schedule_after(duration, Event::CrashesUnder(upstream, culprit));
             }
             None => {
-                let takes = Span::from_millis(self.rng.random_range(100..4_000));
-                self.after(takes, Event::Answered(n, run));
+                let duration = Span::from_millis(self.rng.random_range(100..4_000));
+                self.schedule_after(duration, Event::Answered(n, run));
             }
         }
     }
 
-    fn answered(&mut self, n: usize, run: u32) {
-        let Some((upstream, held)) = self.is_at(n, run) else {
+    fn answer(&mut self, n: usize, run: u32) {
+        let Some((upstream, attempt)) = self.current_attempt(n, run) else {
             return;
         };
         self.requests[n].at = None;
@@ -380,30 +389,30 @@
             daemon, content, ..
         } = self.requests[n];
         let daemon = &mut self.daemons[daemon];
-        daemon.runs.over(self.now, upstream, held, RunEnd::Whole);
+        daemon.runs.over(self.now, upstream, attempt, RunEnd::Whole);
         daemon.suspects.whole(self.now, content);
     }
 
-    fn ends(&mut self, upstream: usize) {
+    fn crash_upstream(&mut self, upstream: usize) {
         if !std::mem::replace(&mut self.upstreams[upstream].1, false) {
             return;
         }
         let now = self.now;
         let upstream = (upstream, self.upstreams[upstream].0);
-        let run = name(upstream);
-        let there = self.requests.iter().enumerate();
-        let there = there.filter(|(_, r)| r.at.is_some_and(|(at, _)| at == upstream));
-        let there = there.map(|(n, _)| n).collect::<Vec<_>>();
+        let run = upstream_run(upstream);
+        let in_flight = self.requests.iter().enumerate();
+        let in_flight = in_flight.filter(|(_, r)| r.at.is_some_and(|(at, _)| at == upstream));
+        let in_flight = in_flight.map(|(n, _)| n).collect::<Vec<_>>();
         let mut daemons = BTreeSet::new();
-        for n in &there {
+        for n in &in_flight {
             let request = &mut self.requests[*n];
-            let Some((_, held)) = request.at.take() else {
+            let Some((_, attempt)) = request.at.take() else {
                 continue;
             };
             let daemon = &mut self.daemons[request.daemon];
-            daemon.runs.over(now, upstream, held, RunEnd::Broken);
+            daemon.runs.over(now, upstream, attempt, RunEnd::Broken);
             daemons.insert(request.daemon);
-            if request.poison.is_none() {
+            if request.culprit.is_none() {
                 self.hit.insert(request.content);
             }
         }
@@ -412,43 +421,43 @@
             let under = daemon.runs.ended(now, upstream, Time::ZERO);
             daemon.suspects.ended(now, &run, &under.unwrap_or_default());
         }
-        there
+        in_flight
             .into_iter()
-            .for_each(|n| self.after(Span::from_millis(2), Event::Sent(n)));
-        self.after(COMES_BACK_AFTER, Event::Back(upstream.0));
+            .for_each(|n| self.schedule_after(Span::from_millis(2), Event::Sent(n)));
+        self.schedule_after(RESTART_AFTER, Event::Restarts(upstream.0));
     }
 
-    fn tell(&mut self, daemon: usize) {
-        let words = self.daemons[daemon].suspects.news(self.now);
-        if words.0.is_empty() {
+    fn send_updates(&mut self, daemon: usize) {
+        let updates = self.daemons[daemon].suspects.news(self.now);
+        if updates.0.is_empty() {
             return;
         }
-        self.words.push(words);
-        let words = self.words.len() - 1;
-        let others = (0..self.day.daemons).filter(|other| *other != daemon);
+        self.messages.push(updates);
+        let message = self.messages.len() - 1;
+        let others = (0..self.scenario.daemons).filter(|other| *other != daemon);
         let others = others.collect::<Vec<_>>();
-        // All of a small fleet; of a large one six, who tell on.
-        let told = match others.len() {
+        // In a small fleet all others; in a large one six, who forward it.
+        let receivers = match others.len() {
             0..16 => others,
             n => (0..6)
                 .map(|_| others[self.rng.random_range(0..n)])
                 .collect(),
         };
-        for other in told {
-            if !self.rng.random_bool(self.day.lost) {
-                self.after(HOP, Event::Heard(other, words));
+        for other in receivers {
+            if !self.rng.random_bool(self.scenario.update_loss) {
+                self.schedule_after(MESSAGE_DELAY, Event::ReceivesUpdates(other, message));
             }
         }
     }
 
-    fn result(&self) -> Result {
-        let late = self.poison_ends.iter().map(|(poison, ends)| {
-            let Some(third) = ends.get(2) else { return 0 };
-            let sends = self.poison_sends.get(poison).into_iter().flatten();
-            sends.filter(|at| **at > *third + WINDOW).count()
+    fn outcome(&self) -> Outcome {
+        let late = self.culprit_crashes.iter().map(|(culprit, times)| {
+            let Some(third) = times.get(2) else { return 0 };
+            let sends = self.culprit_sends.get(culprit).into_iter().flatten();
+            sends.filter(|at| **at > *third + DETECTION_WINDOW).count()
         });
-        Result {
-            ends: self.poison_ends.values().map(Vec::len).sum(),
+        Outcome {
+            crashes: self.culprit_crashes.values().map(Vec::len).sum(),
             late_sends: late.max().unwrap_or(0),
             requests: self.count,
             hit: self.hit.len(),
@@ -457,7 +466,7 @@
     }
 }
 
-fn name((upstream, start): Start) -> UpstreamRun {
+fn upstream_run((upstream, start): UpstreamStart) -> UpstreamRun {
     UpstreamRun {
         id: UpstreamId::new(&format!("u{upstream}-{start}")).expect("a name"),
         started_at: None,
--- a/components/poison/tests/suspects.rs
+++ b/components/poison/tests/suspects.rs
@@ -1,9 +1,10 @@
-//! What is held against contents, and what is barred.
+//! Attribution of crashes to contents, and their quarantine.
 
 use std::sync::Arc;
 
 use poison::{
-    Admission, Change, Content, Fate, PoisonPolicy, Suspects, Under, UpstreamRun, Word, Words,
+    Admission, Change, Content, ContentEvent, ContentUpdate, PoisonPolicy, Suspects, Under,
+    UpstreamRun, Words,
 };
 use types::prelude::*;
 
@@ -28,7 +29,7 @@
     suspects
 }
 
-fn under(name: &str, ran_ms: u64) -> Under {
+fn crashed_under(name: &str, ran_ms: u64) -> Under {
     Under {
         content: content(name),
         customer: None,
@@ -37,178 +38,181 @@
     }
 }
 
-fn is_barred(suspects: &Suspects, now: Time, name: &str) -> bool {
+fn is_quarantined(suspects: &Suspects, now: Time, name: &str) -> bool {
     let admission = suspects.admission(now, content(name));
     matches!(admission, Admission::Barred { .. })
 }
 
-/// Three upstreams end under a content within a second.
-fn prove(suspects: &mut Suspects, name: &str) {
+/// Crashes three upstreams under a content within a second, which quarantines it.
+fn quarantine(suspects: &mut Suspects, name: &str) {
     for n in 0..3 {
         let now = at(u64::from(n) * 300);
-        suspects.ended(now, &upstream(n), &[under(name, 90)]);
+        suspects.ended(now, &upstream(n), &[crashed_under(name, 90)]);
     }
 }
 
 #[test]
-fn the_third_upstream_that_ends_under_a_content_bars_it() {
+fn third_crash_quarantines_a_content() {
     let mut suspects = suspects("d1");
     for n in 0..3 {
-        assert!(!is_barred(&suspects, at(0), "poison"), "after {n} ends");
-        suspects.ended(at(0), &upstream(n), &[under("poison", 90)]);
+        assert!(
+            !is_quarantined(&suspects, at(0), "poison"),
+            "after {n} crashes"
+        );
+        suspects.ended(at(0), &upstream(n), &[crashed_under("poison", 90)]);
     }
-    assert!(is_barred(&suspects, at(0), "poison"));
-    assert!(!is_barred(&suspects, at(0), "other"));
+    assert!(is_quarantined(&suspects, at(0), "poison"));
+    assert!(!is_quarantined(&suspects, at(0), "other"));
     let changes = suspects.changes();
     assert!(matches!(&changes[..], [Change::Barred(barred)] if barred.ends.len() == 3));
 }
 
 #[test]
-fn one_end_each_at_three_daemons_is_three() {
+fn one_crash_each_at_three_daemons_counts_as_three() {
     let mut daemons = [suspects("d1"), suspects("d2"), suspects("d3")];
-    let mut words = Vec::new();
+    let mut updates = Vec::new();
     for (n, daemon) in (0..).zip(&mut daemons) {
-        daemon.ended(at(0), &upstream(n), &[under("poison", 90)]);
-        words.push(daemon.news(at(10)));
+        daemon.ended(at(0), &upstream(n), &[crashed_under("poison", 90)]);
+        updates.push(daemon.news(at(10)));
     }
     for daemon in &mut daemons {
-        // In another order, and each twice.
-        for words in words.iter().rev().chain(&words) {
-            daemon.take(at(20), words.clone());
+        // In reverse order, and each update twice.
+        for updates in updates.iter().rev().chain(&updates) {
+            daemon.take(at(20), updates.clone());
         }
-        assert!(is_barred(daemon, at(30), "poison"));
+        assert!(is_quarantined(daemon, at(30), "poison"));
     }
 }
 
 #[test]
-fn one_end_that_two_daemons_tell_of_is_one() {
-    // An engine ends under a request that both had sent there.
+fn one_crash_reported_by_two_daemons_counts_once() {
+    // An engine crashes under a request that both daemons had sent there.
     let mut daemons = [suspects("d1"), suspects("d2")];
     for n in 0..2 {
         for daemon in &mut daemons {
-            daemon.ended(at(0), &upstream(n), &[under("poison", 90)]);
+            daemon.ended(at(0), &upstream(n), &[crashed_under("poison", 90)]);
         }
     }
     let [first, second] = &mut daemons;
     first.take(at(20), second.news(at(10)));
-    assert!(!is_barred(first, at(30), "poison"));
+    assert!(!is_quarantined(first, at(30), "poison"));
 }
 
 #[test]
-fn a_daemon_that_comes_later_is_told_by_one_that_was_told() {
+fn updates_are_forwarded_once_by_each_daemon() {
     let mut first = suspects("d1");
-    prove(&mut first, "poison");
+    quarantine(&mut first, "poison");
     let mut second = suspects("d2");
     second.take(at(700), first.news(at(700)));
     let mut third = suspects("d3");
     third.take(at(800), second.news(at(800)));
-    assert!(is_barred(&third, at(800), "poison"));
-    // Everybody has heard it; nothing goes round for ever.
+    assert!(is_quarantined(&third, at(800), "poison"));
+    // Every daemon knows it now, so no update is forwarded again.
     assert!(third.take(at(900), second.news(at(900))).is_empty());
     first.take(at(900), third.news(at(900)));
     assert!(first.news(at(900)).0.is_empty());
 }
 
 #[test]
-fn a_long_run_that_is_hit_three_times_is_not_barred() {
-    // Engines end by themselves, a dozen in a minute, and a long answer is cut by three of them.
+fn long_run_hit_by_three_crashes_is_not_quarantined() {
+    // A dozen engines crash in a minute by themselves, and three of them cut off one long answer.
     let mut suspects = suspects("d1");
     for n in 0..9 {
         suspects.ended(at(n * 6_000), &upstream(100 + n as u32), &[]);
     }
     for n in 0..3 {
         let now = at(54_000 + n * 3_000);
-        suspects.ended(now, &upstream(n as u32), &[under("long", 2_500)]);
+        suspects.ended(now, &upstream(n as u32), &[crashed_under("long", 2_500)]);
     }
-    assert!(!is_barred(&suspects, at(61_000), "long"));
+    assert!(!is_quarantined(&suspects, at(61_000), "long"));
 }
 
 #[test]
-fn what_ran_beside_the_culprit_is_cleared() {
-    // A request is retried beside the culprit's own retry and ends with it three times. Once a
-    // fourth engine ends under the culprit alone, that explains the three.
+fn request_next_to_the_culprit_is_cleared() {
+    // A request is retried next to the culprit's own retry and hit with it three times. Crashes
+    // under the culprit alone then show that the culprit explains all of them.
     let mut suspects = suspects("d1");
     for n in 0..3 {
-        let both = [under("poison", 90), under("beside", 60)];
+        let both = [crashed_under("poison", 90), crashed_under("beside", 60)];
         suspects.ended(at(u64::from(n) * 300), &upstream(n), &both);
     }
-    suspects.ended(at(900), &upstream(3), &[under("poison", 90)]);
-    suspects.ended(at(1_200), &upstream(4), &[under("poison", 90)]);
-    assert!(is_barred(&suspects, at(1_300), "poison"));
-    assert!(!is_barred(&suspects, at(1_300), "beside"));
+    suspects.ended(at(900), &upstream(3), &[crashed_under("poison", 90)]);
+    suspects.ended(at(1_200), &upstream(4), &[crashed_under("poison", 90)]);
+    assert!(is_quarantined(&suspects, at(1_300), "poison"));
+    assert!(!is_quarantined(&suspects, at(1_300), "beside"));
 }
 
 #[test]
-fn what_waits_at_an_engine_that_ends_did_not_end_it() {
-    // A content was seen to run; elsewhere it only waited while others ended their engines.
+fn waiting_request_is_not_blamed_for_a_crash() {
+    // A content was seen to run once; elsewhere it only waited while others crashed the engine.
     let mut suspects = suspects("d1");
-    suspects.ended(at(0), &upstream(0), &[under("waits", 90)]);
+    suspects.ended(at(0), &upstream(0), &[crashed_under("waits", 90)]);
     for n in 1..4 {
         let waiting = Under {
             had_begun: false,
-            ..under("waits", 200)
+            ..crashed_under("waits", 200)
         };
         suspects.ended(at(u64::from(n) * 100), &upstream(n), &[waiting]);
     }
-    assert!(!is_barred(&suspects, at(500), "waits"));
+    assert!(!is_quarantined(&suspects, at(500), "waits"));
 }
 
 #[test]
-fn what_many_callers_send_alike_is_not_barred_when_a_rack_is_lost() {
-    // The same price list is asked for ten times a second. Three upstreams end at one moment and
-    // each was about to answer it.
+fn popular_request_is_not_quarantined_when_a_rack_is_lost() {
+    // Many callers send the same request, ten times a second. Three upstreams of a rack are lost at
+    // one moment, and each was about to answer it.
     let mut suspects = suspects("d1");
     suspects.whole(at(0), content("popular"));
     for n in 0..3 {
-        suspects.ended(at(100), &upstream(n), &[under("popular", 30)]);
+        suspects.ended(at(100), &upstream(n), &[crashed_under("popular", 30)]);
     }
-    assert!(!is_barred(&suspects, at(200), "popular"));
-    // Another daemon, which never saw it answered, is told.
+    assert!(!is_quarantined(&suspects, at(200), "popular"));
+    // Another daemon, which never saw it answered, receives the update.
     let mut other = self::suspects("d2");
     for n in 0..3 {
-        other.ended(at(100), &upstream(n), &[under("popular", 30)]);
+        other.ended(at(100), &upstream(n), &[crashed_under("popular", 30)]);
     }
     suspects.take(at(200), other.news(at(200)));
     other.take(at(250), suspects.news(at(250)));
-    assert!(!is_barred(&other, at(300), "popular"));
+    assert!(!is_quarantined(&other, at(300), "popular"));
 }
 
 #[test]
-fn a_bar_lapses_and_one_daemon_at_a_time_tries() {
-    // The first tries when its turn comes, and tells. The others hold.
+fn one_daemon_at_a_time_sends_the_trial_after_expiry() {
+    // The first daemon whose delay is over sends the trial and reports it. The others wait for it.
     let mut daemons = ["d1", "d2", "d3"].map(suspects);
-    daemons.iter_mut().for_each(|d| prove(d, "poison"));
-    assert!(is_barred(&daemons[0], at(29_000), "poison"));
-    let mut tries = 0;
+    daemons.iter_mut().for_each(|d| quarantine(d, "poison"));
+    assert!(is_quarantined(&daemons[0], at(29_000), "poison"));
+    let mut trials = 0;
     for ms in (30_000..36_000).step_by(50) {
         for n in 0..3 {
             if daemons[n].admission(at(ms), content("poison")) == Admission::Trial {
-                tries += 1;
+                trials += 1;
                 daemons[n].tried(at(ms), content("poison"));
-                let words = daemons[n].news(at(ms));
+                let updates = daemons[n].news(at(ms));
                 daemons
                     .iter_mut()
-                    .for_each(|d| drop(d.take(at(ms), words.clone())));
+                    .for_each(|d| drop(d.take(at(ms), updates.clone())));
             }
         }
     }
-    assert_eq!(tries, 1);
+    assert_eq!(trials, 1);
 }
 
 #[test]
-fn a_trial_under_which_an_upstream_ends_bars_it_for_twice_as_long() {
+fn crash_in_a_trial_doubles_the_quarantine() {
     let mut suspects = suspects("d1");
-    prove(&mut suspects, "poison");
+    quarantine(&mut suspects, "poison");
     suspects.tried(at(40_000), content("poison"));
-    suspects.ended(at(40_100), &upstream(9), &[under("poison", 90)]);
-    assert!(is_barred(&suspects, at(99_000), "poison"));
-    assert!(!is_barred(&suspects, at(104_000), "poison"));
+    suspects.ended(at(40_100), &upstream(9), &[crashed_under("poison", 90)]);
+    assert!(is_quarantined(&suspects, at(99_000), "poison"));
+    assert!(!is_quarantined(&suspects, at(104_000), "poison"));
 }
 
 #[test]
-fn a_trial_that_is_answered_clears_it_everywhere() {
+fn answered_trial_clears_the_content_everywhere() {
     let mut daemons = [suspects("d1"), suspects("d2")];
-    daemons.iter_mut().for_each(|d| prove(d, "poison"));
+    daemons.iter_mut().for_each(|d| quarantine(d, "poison"));
     let [first, second] = &mut daemons;
     first.news(at(1_000));
     first.whole(at(40_000), content("poison"));
@@ -227,22 +231,22 @@
 }
 
 #[test]
-fn an_operator_lifts_a_bar_everywhere() {
+fn operator_lifts_a_quarantine_everywhere() {
     let mut daemons = [suspects("d1"), suspects("d2")];
-    daemons.iter_mut().for_each(|d| prove(d, "poison"));
+    daemons.iter_mut().for_each(|d| quarantine(d, "poison"));
     let [first, second] = &mut daemons;
     first.news(at(1_000));
     assert!(first.lift(at(2_000), content("poison")));
     assert!(!first.lift(at(2_000), content("other")));
     second.take(at(2_100), first.news(at(2_100)));
-    assert!(!is_barred(second, at(2_200), "poison"));
+    assert!(!is_quarantined(second, at(2_200), "poison"));
 }
 
 #[test]
-fn words_of_before_a_lift_do_not_bar_again() {
-    // Word of the ends goes round by two ways, and the longer one takes longer than the lift.
+fn late_updates_from_before_a_lift_do_not_quarantine_again() {
+    // Updates on the crashes take two paths, and on the longer one they arrive after the lift.
     let mut first = suspects("d1");
-    prove(&mut first, "poison");
+    quarantine(&mut first, "poison");
     let late = first.news(at(900));
     first.lift(at(1_000), content("poison"));
     let lift = first.news(at(1_000));
@@ -251,49 +255,49 @@
     second.take(at(1_020), late.clone());
     first.take(at(1_020), late);
     for daemon in [&first, &second] {
-        assert!(!is_barred(daemon, at(1_100), "poison"));
+        assert!(!is_quarantined(daemon, at(1_100), "poison"));
     }
-    // What ends upstreams after it is held against it anew.
+    // Crashes after the lift count again.
     for n in 10..13 {
-        second.ended(at(5_000), &upstream(n), &[under("poison", 90)]);
+        second.ended(at(5_000), &upstream(n), &[crashed_under("poison", 90)]);
     }
-    assert!(is_barred(&second, at(5_000), "poison"));
+    assert!(is_quarantined(&second, at(5_000), "poison"));
 }
 
 #[test]
-fn a_bar_that_others_proved_holds_at_a_daemon_that_starts() {
-    // It starts where a rack was just lost and finds a bar in the store. With what it knows, chance
-    // explains the ends; it must not take the bar for over, nor tell others of ends that it
-    // never saw.
+fn quarantine_from_the_store_holds_at_a_starting_daemon() {
+    // The daemon starts where a rack was just lost and finds a quarantine in the store. By its own
+    // evidence chance explains the crashes. It must not end the quarantine, nor report crashes that
+    // it never saw.
     let mut suspects = suspects("d1");
     for n in 20..26 {
         suspects.ended(at(0), &upstream(n), &[]);
     }
     let ends = (0..3).map(|n| (upstream(n), Span::from_millis(900)));
     suspects.restore(at(0), content("poison"), None, ends);
-    assert!(is_barred(&suspects, at(100), "poison"));
+    assert!(is_quarantined(&suspects, at(100), "poison"));
     assert!(suspects.news(at(100)).0.is_empty());
     suspects.whole(at(200), content("poison"));
-    assert!(!is_barred(&suspects, at(300), "poison"));
+    assert!(!is_quarantined(&suspects, at(300), "poison"));
 }
 
 #[test]
-fn a_rack_that_is_lost_pushes_no_proved_one_out() {
-    // Thousands of requests lose their upstream at one moment.
+fn lost_rack_does_not_evict_a_quarantined_content() {
+    // Thousands of requests lose their upstream at one moment and become suspects.
     let mut suspects = suspects("d1");
-    prove(&mut suspects, "poison");
+    quarantine(&mut suspects, "poison");
     suspects.news(at(1_000));
-    let lost = (0..10_000).map(|n| under(&n.to_string(), 50));
+    let lost = (0..10_000).map(|n| crashed_under(&n.to_string(), 50));
     suspects.ended(at(1_100), &upstream(50), &lost.collect::<Vec<_>>());
     assert!(suspects.len() <= 1_024);
-    assert!(is_barred(&suspects, at(1_200), "poison"));
-    // One that is proved meanwhile is told before the flood.
+    assert!(is_quarantined(&suspects, at(1_200), "poison"));
+    // A content that is proven meanwhile is reported before the flood.
     for n in 60..63 {
-        suspects.ended(at(1_200), &upstream(n), &[under("next", 50)]);
+        suspects.ended(at(1_200), &upstream(n), &[crashed_under("next", 50)]);
     }
-    let words = suspects.news(at(1_200));
-    assert!(words.0.len() <= 64);
-    let next = words
+    let updates = suspects.news(at(1_200));
+    assert!(updates.0.len() <= 64);
+    let next = updates
         .0
         .iter()
         .filter(|word| word.content == content("next"));
@@ -301,10 +305,10 @@
 }
 
 #[test]
-fn words_of_any_form_are_checked() {
-    let words = Words(vec![Word {
+fn truncated_updates_are_rejected() {
+    let updates = Words(vec![ContentUpdate {
         content: content("poison"),
-        fate: Fate::Ended {
+        event: ContentEvent::Crashed {
             upstream: upstream(1),
             customer: Some(Arc::from("alice")),
             had_begun: true,
@@ -312,20 +316,20 @@
         },
         age_ms: 7,
     }]);
-    let bytes = words.encode().expect("words");
-    assert_eq!(Words::decode(&bytes).expect("words"), words);
+    let bytes = updates.encode().expect("updates");
+    assert_eq!(Words::decode(&bytes).expect("updates"), updates);
     for end in 0..bytes.len() {
         assert!(Words::decode(&bytes[..end]).is_err());
     }
 }
 
 #[test]
-fn nothing_is_barred_where_operators_switched_it_off() {
+fn nothing_is_quarantined_when_the_policy_disables_it() {
     let policy = PoisonPolicy {
         bars: false,
         ..PoisonPolicy::default()
     };
     let mut suspects = Suspects::new(policy, "d1");
-    prove(&mut suspects, "poison");
-    assert!(!is_barred(&suspects, at(1_000), "poison"));
+    quarantine(&mut suspects, "poison");
+    assert!(!is_quarantined(&suspects, at(1_000), "poison"));
 }
