--- a/components/rollout/tests/driver.rs
+++ b/components/rollout/tests/driver.rs
@@ -1,14 +1,14 @@
 //! A driver over engines and a store that are a few lines each.
 
-#[path = "support/world.rs"]
-mod world;
+#[path = "support/simulation.rs"]
+mod simulation;
 
 use catalogue::entry::{RolloutState, VersionState};
 use rollout::edit::set_state;
 use rollout::waiting::Waiting;
 use rollout::{Effect, OrderKind};
+use simulation::{World, name};
 use types::prelude::*;
-use world::{World, name};
 
 fn unloads(effects: &[Effect]) -> Vec<&UpstreamId> {
     let orders = effects.iter().filter_map(|effect| match effect {
