--- a/components/rollout/src/capacity.rs
+++ b/components/rollout/src/capacity.rs
@@ -1,4 +1,4 @@
-//! How much a version can run and how much it must.
+//! The capacity that versions have and the capacity that they need, in slots.
 
 use catalogue::entry::VersionState;
 use types::prelude::*;
@@ -7,36 +7,41 @@
 use crate::goal::{Goal, Phase};
 use crate::observed::{Engine, Observed};
 
-/// Engines that a version which still serves sessions keeps at least.
-const LEAST_ENGINES: usize = 2;
+/// Number of engines that a version which still serves sessions keeps at least.
+const MIN_ENGINES: usize = 2;
 
-/// Slots of engines that have a version ready, counted only where the report is recent.
+/// Slots of the engines that have a version ready, by recent reports only.
 ///
-/// An engine that has not reported lately may have died; it is no reason to remove another.
-pub(crate) fn ready(seen: &Observed<'_>, version: &VersionName, now: Time, cfg: &Config) -> f64 {
-    let usable = seen.engines.iter().filter(|e| !e.leaving);
+/// An engine without a recent report may have crashed, and must not justify a removal elsewhere.
+pub(crate) fn ready_slots(
+    observed: &Observed<'_>,
+    version: &VersionName,
+    now: Time,
+    cfg: &Config,
+) -> f64 {
+    let usable = observed.engines.iter().filter(|e| !e.leaving);
     let usable = usable.filter(|e| e.is_fresh(now, cfg.recent));
-    slots(usable.filter(|e| e.has_ready(version)))
+    sum_slots(usable.filter(|e| e.has_ready(version)))
 }
 
-/// Slots of engines that have a version ready or loading.
-pub(crate) fn expected(seen: &Observed<'_>, version: &VersionName) -> f64 {
-    let usable = seen.engines.iter().filter(|e| !e.leaving);
-    slots(usable.filter(|e| e.has(version)))
+/// Slots of the engines that have a version ready or are loading it.
+pub(crate) fn expected_slots(observed: &Observed<'_>, version: &VersionName) -> f64 {
+    let usable = observed.engines.iter().filter(|e| !e.leaving);
+    sum_slots(usable.filter(|e| e.has(version)))
 }
 
-/// Slots of all engines that take work.
-pub(crate) fn all(seen: &Observed<'_>) -> f64 {
-    slots(seen.engines.iter().filter(|e| !e.leaving))
+/// Slots of all engines that take new work.
+pub(crate) fn total_slots(observed: &Observed<'_>) -> f64 {
+    sum_slots(observed.engines.iter().filter(|e| !e.leaving))
 }
 
-fn slots<'a>(engines: impl Iterator<Item = &'a Engine>) -> f64 {
+fn sum_slots<'a>(engines: impl Iterator<Item = &'a Engine>) -> f64 {
     engines.map(|e| f64::from(e.slots)).sum()
 }
 
-/// Slots that the largest engines can lose at once to late orders of paused drivers.
-pub(crate) fn margin(seen: &Observed<'_>, cfg: &Config) -> f64 {
-    let mut sizes: Vec<u32> = seen.engines.iter().map(|e| e.slots).collect();
+/// Slots that late orders of paused drivers can take away at once, from the largest engines.
+pub(crate) fn margin_slots(observed: &Observed<'_>, cfg: &Config) -> f64 {
+    let mut sizes: Vec<u32> = observed.engines.iter().map(|e| e.slots).collect();
     sizes.sort_unstable_by(|a, b| b.cmp(a));
     sizes
         .iter()
@@ -45,67 +50,68 @@
         .sum()
 }
 
-/// What the two versions of a roll-out must be able to run.
+/// Slots that the two versions of a roll-out need.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Needs {
-    /// The version that stays, before any capacity of the other goes.
+    /// For the version that stays, before any capacity of the other is removed.
     pub(crate) keep: f64,
-    /// The version that stays, to be loaded.
-    pub(crate) keep_wanted: f64,
-    /// The version that goes. Infinite: nothing of it may go.
+    /// For the version that stays: loads are ordered up to this.
+    pub(crate) keep_target: f64,
+    /// For the version that goes; infinite if none of its capacity may be removed.
     pub(crate) drop: f64,
 }
 
 impl Needs {
-    pub(crate) fn of(goal: &Goal, seen: &Observed<'_>, now: Time, cfg: &Config) -> Self {
-        let total = seen.demand.total();
-        let (_, on_drop) = goal.demand(seen.model, &seen.demand);
-        let all = all(seen);
-        let margin = margin(seen, cfg);
-        let sized = |demand: f64| demand * cfg.headroom + margin;
+    pub(crate) fn of(goal: &Goal, observed: &Observed<'_>, now: Time, cfg: &Config) -> Self {
+        let total = observed.demand.total();
+        let (_, on_drop) = goal.demand(observed.model, &observed.demand);
+        let all = total_slots(observed);
+        let margin = margin_slots(observed, cfg);
+        let with_reserve = |demand: f64| demand * cfg.headroom + margin;
         match goal.phase {
             Phase::Bring { share, next } => {
-                let keep = sized(total * next.get()).min(all);
-                let rest = sized(on_drop.max(total * (1.0 - share.get())));
-                let whole = next == Share::ALL;
-                let as_before = if whole {
-                    ready(seen, &goal.drop, now, cfg)
+                let keep = with_reserve(total * next.get()).min(all);
+                let rest = with_reserve(on_drop.max(total * (1.0 - share.get())));
+                let takes_all = next == Share::ALL;
+                let slots_of_dropped = if takes_all {
+                    ready_slots(observed, &goal.drop, now, cfg)
                 } else {
                     0.0
                 };
                 Self {
                     keep,
-                    keep_wanted: keep.max(as_before).max(least(seen)).min(all),
+                    keep_target: keep.max(slots_of_dropped).max(min_slots(observed)).min(all),
                     drop: rest.min(all),
                 }
             }
             Phase::Remove { drop_state } => Self {
-                keep: sized(total).min(all),
-                keep_wanted: all,
-                drop: removed_to(drop_state, on_drop, sized(on_drop).max(least(seen))),
+                keep: with_reserve(total).min(all),
+                keep_target: all,
+                drop: slots_kept(
+                    drop_state,
+                    on_drop,
+                    with_reserve(on_drop).max(min_slots(observed)),
+                ),
             },
         }
     }
 }
 
-/// What a version that goes keeps.
-fn removed_to(state: VersionState, demand: f64, draining: f64) -> f64 {
+/// Slots that a version that goes keeps once the other has all new sessions.
+fn slots_kept(state: VersionState, demand: f64, draining: f64) -> f64 {
     match state {
-        // Offered again by an operator: it is not for the driver to take it away.
+        // An operator has offered it again, so the driver must not remove it.
         VersionState::Offered => f64::INFINITY,
         VersionState::Draining => draining,
-        // What runs on it ends first.
+        // Requests that still run on it end first.
         VersionState::Withdrawn if demand > 0.0 => f64::INFINITY,
         VersionState::Withdrawn => 0.0,
     }
 }
 
-fn least(seen: &Observed<'_>) -> f64 {
-    let mut sizes: Vec<u32> = seen.engines.iter().map(|e| e.slots).collect();
+/// Slots of the [`MIN_ENGINES`] smallest engines.
+fn min_slots(observed: &Observed<'_>) -> f64 {
+    let mut sizes: Vec<u32> = observed.engines.iter().map(|e| e.slots).collect();
     sizes.sort_unstable();
-    sizes
-        .iter()
-        .take(LEAST_ENGINES)
-        .map(|s| f64::from(*s))
-        .sum()
+    sizes.iter().take(MIN_ENGINES).map(|s| f64::from(*s)).sum()
 }
--- a/components/rollout/src/driver.rs
+++ b/components/rollout/src/driver.rs
@@ -1,4 +1,5 @@
-//! The driver of one model's roll-out.
+//! Drives one model's roll-out: each tick compares the observed state with the goal and returns the
+//! orders, edits and reads that move towards it.
 
 mod gates;
 mod orders;
@@ -14,25 +15,25 @@
 use crate::observed::{Engine, Observed};
 use crate::waiting::Waiting;
 
-/// How a driver goes about it.
+/// Settings of a driver.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
-    /// Capacity is this many times the demand.
+    /// Capacity to provide, as a multiple of the demand.
     pub headroom: f64,
-    /// Engines that may lose capacity to late orders without the demand being short.
+    /// Engines that may lose capacity to late orders while the demand still fits.
     pub margin_engines: usize,
-    /// Loads under way at once.
+    /// Loads in flight at once.
     pub loads_at_once: usize,
-    /// An order to load follows a report no older than this.
+    /// Maximum age of the report that an order to load is based on.
     pub just_read: Span,
-    /// Reports no older than this count as capacity.
+    /// Maximum age of a report for its engine to count as capacity.
     pub recent: Span,
-    /// An order without visible effect is repeated after.
+    /// Time after which an order without visible effect is repeated.
     pub repeat_after: Span,
-    /// Engines are looked at again after, once a roll-out has ended: one may have come
-    /// back from a restart with what it had before.
+    /// Maximum age of the reports once a roll-out has ended. Engines are read again then, since one
+    /// may have come back from a restart with the versions it had before.
     pub look_again: Span,
-    /// Whether a new holder first shows its fencing number to every engine.
+    /// Whether a new holder first sends its fencing token to every engine.
     pub claim_first: bool,
 }
 
@@ -51,103 +52,104 @@
     }
 }
 
-/// When a step was first seen by this holder, and how many ratings there were.
+/// When this holder first saw the present step, and how many ratings there were.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Seen {
+struct StepStart {
     step: usize,
     fencing: u64,
     stay_until: Time,
     ratings: u64,
 }
 
+/// Permission of the weight store to load a version.
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Slot {
-    /// Ask when needed, from this moment on.
+enum Permit {
+    /// No permit; one may be requested from this time on.
     Free(Time),
-    /// Asked for a version; given up at this moment.
-    Asked(VersionName, Time),
-    /// Leave to load a version once, until this moment.
+    /// Requested for a version; given up at this time.
+    Requested(VersionName, Time),
+    /// Allows one load of a version until this time.
     Granted(VersionName, Time),
 }
 
-/// An order sent to an engine.
+/// An order that was sent and whose effect was not read yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Sent {
+struct PendingOrder {
     kind: OrderKind,
     version: VersionName,
     repeat_at: Time,
 }
 
-/// Engines whose reports are read in a tick, besides the one that an order needs.
-const READS_A_TICK: usize = 16;
+/// Engines read or sent the fencing token per tick at most, besides the one that an order needs.
+const MAX_ENGINES_PER_TICK: usize = 16;
 
 /// Drives one model's roll-out while it holds the lease.
 #[derive(Debug)]
 pub struct Driver {
     cfg: Config,
     lease: Lease,
-    seen: Option<Seen>,
-    slot: Slot,
-    sent: BTreeMap<UpstreamId, Sent>,
-    /// The engine next to lose capacity, and when it was to be read anew.
-    reread: Option<(UpstreamId, Time)>,
-    claimed: Claimed,
-    edit_again_at: Option<(Revision, Time)>,
+    step_start: Option<StepStart>,
+    permit: Permit,
+    pending: BTreeMap<UpstreamId, PendingOrder>,
+    /// The engine next to lose capacity, and when a new report of it was requested.
+    confirming_read: Option<(UpstreamId, Time)>,
+    announced: Announced,
+    edit_retry_at: Option<(Revision, Time)>,
     waiting: Option<Waiting>,
 }
 
-/// Engines that were shown a fencing number.
+/// Engines that were sent a fencing token.
 #[derive(Debug, Default)]
-struct Claimed {
+struct Announced {
     fencing: u64,
     engines: BTreeSet<UpstreamId>,
 }
 
-/// One tick of a driver that holds the lease.
-struct Scene<'a> {
+/// Input of one tick of a driver that holds the lease.
+struct TickContext<'a> {
     now: Time,
     hold: Hold,
-    seen: &'a Observed<'a>,
+    observed: &'a Observed<'a>,
     goal: &'a Goal,
     needs: Needs,
 }
 
 impl Driver {
-    /// A driver that holds nothing. `key` is the lease's in the store.
+    /// Creates a driver that does not hold the lease. `key` is the lease's key in the store.
     #[must_use]
     pub fn new(key: String, daemon: DaemonId, cfg: Config) -> Self {
         Self {
             cfg,
             lease: Lease::new(key, daemon),
-            seen: None,
-            slot: Slot::Free(Time::ZERO),
-            sent: BTreeMap::new(),
-            reread: None,
-            claimed: Claimed::default(),
-            edit_again_at: None,
+            step_start: None,
+            permit: Permit::Free(Time::ZERO),
+            pending: BTreeMap::new(),
+            confirming_read: None,
+            announced: Announced::default(),
+            edit_retry_at: None,
             waiting: None,
         }
     }
 
-    /// The lease, while held.
+    /// The lease, while this driver holds it.
     #[must_use]
     pub fn held(&self, now: Time) -> Option<Hold> {
         self.lease.held(now)
     }
 
-    /// The daemon last seen to drive.
+    /// The daemon last seen to hold the lease.
     #[must_use]
     pub fn holder(&self) -> Option<&DaemonId> {
         self.lease.holder()
     }
 
-    /// What it waits for.
+    /// What the roll-out waits for, as of the last tick.
     #[must_use]
     pub fn waiting(&self) -> Option<&Waiting> {
         self.waiting.as_ref()
     }
 
-    /// Takes the outcome of a call of the store.
+    /// Handles the outcome of a store call. Returns the call that follows, if any.
     pub fn on_store(
         &mut self,
         now: Time,
@@ -159,116 +161,117 @@
         next.map(Effect::Store)
     }
 
-    /// Gives the lease up, so that another need not wait for its end.
+    /// Gives up the lease, so that another daemon need not wait for its expiry.
     pub fn leave(&mut self, now: Time) -> Option<Effect> {
         self.lease.tick(now, false, None).map(Effect::Store)
     }
 
-    /// Compares what is with what shall be.
-    pub fn tick(&mut self, now: Time, seen: &Observed<'_>) -> Vec<Effect> {
+    /// Compares the observed state with the goal and returns what to do.
+    pub fn tick(&mut self, now: Time, observed: &Observed<'_>) -> Vec<Effect> {
         self.waiting = None;
-        let goal = Goal::of(seen.model);
-        let wanted = goal
+        let goal = Goal::of(observed.model);
+        let is_wanted = goal
             .as_ref()
-            .is_some_and(|goal| !self.is_reached(now, goal, seen));
-        let call = self.lease.tick(now, wanted, seen.rank);
+            .is_some_and(|goal| !self.is_complete(now, goal, observed));
+        let call = self.lease.tick(now, is_wanted, observed.rank);
         let mut effects: Vec<Effect> = call.map(Effect::Store).into_iter().collect();
         let (Some(goal), Some(hold)) = (goal, self.lease.held(now)) else {
-            self.seen = None;
-            self.sent.clear();
-            self.reread = None;
-            self.waiting = wanted.then_some(Waiting::Lease);
+            self.step_start = None;
+            self.pending.clear();
+            self.confirming_read = None;
+            self.waiting = is_wanted.then_some(Waiting::Lease);
             return effects;
         };
-        self.forget_done(now, seen);
-        let needs = Needs::of(&goal, seen, now, &self.cfg);
-        let scene = Scene {
+        self.drop_settled(now, observed);
+        let needs = Needs::of(&goal, observed, now, &self.cfg);
+        let cx = TickContext {
             now,
             hold,
-            seen,
+            observed,
             goal: &goal,
             needs,
         };
-        self.claim(&scene, &mut effects);
-        self.move_on(&scene, &mut effects);
-        self.load(&scene, &mut effects);
-        self.unload(&scene, &mut effects);
-        self.read_stale(&scene, &mut effects);
+        self.announce_fencing(&cx, &mut effects);
+        self.advance(&cx, &mut effects);
+        self.load(&cx, &mut effects);
+        self.unload(&cx, &mut effects);
+        self.read_stale(&cx, &mut effects);
         effects
     }
 
-    /// Whether nothing is left to do: the version that stays is everywhere, the other
-    /// nowhere, by reports that are not too old.
-    fn is_reached(&self, now: Time, goal: &Goal, seen: &Observed<'_>) -> bool {
-        let mut serving = seen.engines.iter().filter(|e| !e.leaving);
+    /// Whether nothing is left to do: by reports that are recent enough, every engine has the
+    /// version that stays and none the other.
+    fn is_complete(&self, now: Time, goal: &Goal, observed: &Observed<'_>) -> bool {
+        let mut serving = observed.engines.iter().filter(|e| !e.leaving);
         let removing = matches!(goal.phase, Phase::Remove { .. });
         let settled = |e: &Engine| e.has_ready(&goal.keep) && !e.has(&goal.drop);
         removing && serving.all(|e| settled(e) && e.is_fresh(now, self.cfg.look_again))
     }
 
-    /// Forgets orders whose effect was read, and those to be repeated.
-    fn forget_done(&mut self, now: Time, seen: &Observed<'_>) {
-        self.sent.retain(|id, sent| {
-            let engine = find(seen, id);
-            let done = engine.is_none_or(|engine| match sent.kind {
-                OrderKind::Load => engine.has(&sent.version),
-                OrderKind::Unload => !engine.has(&sent.version),
+    /// Drops pending orders whose effect was read, and those that are due to be repeated.
+    fn drop_settled(&mut self, now: Time, observed: &Observed<'_>) {
+        self.pending.retain(|id, order| {
+            let engine = find_engine(observed, id);
+            let done = engine.is_none_or(|engine| match order.kind {
+                OrderKind::Load => engine.has(&order.version),
+                OrderKind::Unload => !engine.has(&order.version),
             });
-            !done && !now.has_reached(sent.repeat_at)
+            !done && !now.has_reached(order.repeat_at)
         });
     }
 
-    /// Shows this holder's fencing number to engines that refuse older ones, by an order
-    /// that changes nothing: to load what is loaded.
-    fn claim(&mut self, scene: &Scene<'_>, effects: &mut Vec<Effect>) {
+    /// Sends this holder's fencing token to engines, which then reject older ones, with an order
+    /// that changes nothing: to load a version that is already loaded.
+    fn announce_fencing(&mut self, cx: &TickContext<'_>, effects: &mut Vec<Effect>) {
         if !self.cfg.claim_first {
             return;
         }
-        if self.claimed.fencing != scene.hold.fencing {
-            self.claimed = Claimed {
-                fencing: scene.hold.fencing,
-                ..Claimed::default()
+        if self.announced.fencing != cx.hold.fencing {
+            self.announced = Announced {
+                fencing: cx.hold.fencing,
+                ..Announced::default()
             };
         }
-        let engines = scene.seen.engines.iter();
-        let fresh = engines.filter(|e| e.is_fresh(scene.now, self.cfg.just_read));
-        let unclaimed = fresh.filter(|e| !self.claimed.engines.contains(&e.id));
-        let ready = unclaimed.filter_map(|e| Some((e.id.clone(), e.ready.first()?.clone())));
-        let claims: Vec<_> = ready.take(READS_A_TICK).collect();
-        for (id, version) in claims {
-            let order = Order::new(&scene.hold, &id, OrderKind::Load, &version);
+        let engines = cx.observed.engines.iter();
+        let fresh = engines.filter(|e| e.is_fresh(cx.now, self.cfg.just_read));
+        let unannounced = fresh.filter(|e| !self.announced.engines.contains(&e.id));
+        let ready = unannounced.filter_map(|e| Some((e.id.clone(), e.ready.first()?.clone())));
+        let announcements: Vec<_> = ready.take(MAX_ENGINES_PER_TICK).collect();
+        for (id, version) in announcements {
+            let order = Order::new(&cx.hold, &id, OrderKind::Load, &version);
             effects.push(Effect::Order(order));
-            self.claimed.engines.insert(id);
+            self.announced.engines.insert(id);
         }
     }
 
-    /// Sends an order, and remembers it until its effect is read.
+    /// Creates an order and keeps it as pending until its effect is read.
     fn send(
         &mut self,
-        scene: &Scene<'_>,
+        cx: &TickContext<'_>,
         id: &UpstreamId,
         kind: OrderKind,
         version: &VersionName,
     ) -> Effect {
-        let sent = Sent {
+        let order = PendingOrder {
             kind,
             version: version.clone(),
-            repeat_at: scene.now + self.cfg.repeat_after,
+            repeat_at: cx.now + self.cfg.repeat_after,
         };
-        self.sent.insert(id.clone(), sent);
-        Effect::Order(Order::new(&scene.hold, id, kind, version))
+        self.pending.insert(id.clone(), order);
+        Effect::Order(Order::new(&cx.hold, id, kind, version))
     }
 
-    /// Reads the engines whose reports are oldest, and those with an order under way.
-    fn read_stale(&self, scene: &Scene<'_>, effects: &mut Vec<Effect>) {
+    /// Reads the engines with the oldest reports, and those with a pending order.
+    fn read_stale(&self, cx: &TickContext<'_>, effects: &mut Vec<Effect>) {
         let half = Span::from_micros(self.cfg.recent.as_micros() / 2);
-        let unclaimed = |e: &Engine| self.cfg.claim_first && !self.claimed.engines.contains(&e.id);
+        let unannounced =
+            |e: &Engine| self.cfg.claim_first && !self.announced.engines.contains(&e.id);
         let stale = |e: &&Engine| {
-            !e.is_fresh(scene.now, half) || self.sent.contains_key(&e.id) || unclaimed(e)
+            !e.is_fresh(cx.now, half) || self.pending.contains_key(&e.id) || unannounced(e)
         };
-        let mut due: Vec<&Engine> = scene.seen.engines.iter().filter(stale).collect();
+        let mut due: Vec<&Engine> = cx.observed.engines.iter().filter(stale).collect();
         due.sort_by_key(|e| e.read_at);
-        for engine in due.into_iter().take(READS_A_TICK) {
+        for engine in due.into_iter().take(MAX_ENGINES_PER_TICK) {
             let read = Effect::Read(engine.id.clone());
             if !effects.contains(&read) {
                 effects.push(read);
@@ -277,7 +280,7 @@
     }
 }
 
-fn find<'a>(seen: &'a Observed<'_>, id: &UpstreamId) -> Option<&'a Engine> {
-    let found = seen.engines.binary_search_by(|e| e.id.cmp(id));
-    found.ok().map(|index| &seen.engines[index])
+fn find_engine<'a>(observed: &'a Observed<'_>, id: &UpstreamId) -> Option<&'a Engine> {
+    let found = observed.engines.binary_search_by(|e| e.id.cmp(id));
+    found.ok().map(|index| &observed.engines[index])
 }
--- a/components/rollout/src/driver/orders.rs
+++ b/components/rollout/src/driver/orders.rs
@@ -1,157 +1,165 @@
-//! Which orders engines get: loads as the weight store lets them, removals one at a time.
+//! Chooses the orders to engines: loads as the weight store permits them, removals one at a time.
 
 use types::prelude::*;
 
 use crate::capacity;
-use crate::driver::{Driver, Scene, Slot, find};
+use crate::driver::{Driver, Permit, TickContext, find_engine};
 use crate::effect::{Effect, OrderKind};
 use crate::goal::Phase;
-use crate::loads::next_load;
+use crate::loads::next_engine_to_load;
 use crate::observed::Engine;
 use crate::waiting::Waiting;
 
-/// Leave to load is used within.
-const SLOT_KEPT: Span = Span::from_secs(60);
-/// The weight store is asked again no sooner, whatever it says.
-const ASK_AGAIN: Span = Span::from_secs(1);
+/// A permit is used within this time, and a request for one is given up after it.
+const PERMIT_KEPT: Span = Span::from_secs(60);
+/// Minimum delay before the weight store is asked again, whatever it answers.
+const MIN_PERMIT_RETRY: Span = Span::from_secs(1);
 
 impl Driver {
-    /// Takes the weight store's answer: leave to load, or when to ask again.
+    /// Handles the weight store's answer: a permit to load, or how long to wait before asking
+    /// again.
     pub fn on_slot(&mut self, now: Time, answer: Result<(), Span>) {
-        let Slot::Asked(version, _) = &self.slot else {
+        let Permit::Requested(version, _) = &self.permit else {
             return;
         };
-        self.slot = match answer {
-            Ok(()) => Slot::Granted(version.clone(), now + SLOT_KEPT),
-            Err(retry_after) => Slot::Free(now + retry_after.max(ASK_AGAIN)),
+        self.permit = match answer {
+            Ok(()) => Permit::Granted(version.clone(), now + PERMIT_KEPT),
+            Err(retry_after) => Permit::Free(now + retry_after.max(MIN_PERMIT_RETRY)),
         };
     }
 
-    /// Loads what is short, one engine at a time as the weight store lets it.
-    pub(super) fn load(&mut self, scene: &Scene<'_>, effects: &mut Vec<Effect>) {
-        let Some(version) = self.short_version(scene) else {
+    /// Orders a load of the version that lacks capacity, one engine at a time as the weight store
+    /// permits it.
+    pub(super) fn load(&mut self, cx: &TickContext<'_>, effects: &mut Vec<Effect>) {
+        let Some(version) = self.version_short_of_slots(cx) else {
             return;
         };
-        if self.loads_under_way(scene) >= self.cfg.loads_at_once {
+        if self.loads_in_flight(cx) >= self.cfg.loads_at_once {
             return;
         }
-        let may_load = |e: &Engine| !self.sent.contains_key(&e.id);
-        let Some(engine) = next_load(scene.seen, &version, may_load) else {
+        let may_load = |e: &Engine| !self.pending.contains_key(&e.id);
+        let Some(engine) = next_engine_to_load(cx.observed, &version, may_load) else {
             self.waiting.get_or_insert(Waiting::Room(version));
             return;
         };
-        if !self.has_slot(scene.now, &version, effects) {
+        if !self.has_permit(cx.now, &version, effects) {
             return;
         }
-        if !engine.is_fresh(scene.now, self.cfg.just_read) {
+        if !engine.is_fresh(cx.now, self.cfg.just_read) {
             effects.push(Effect::Read(engine.id.clone()));
             return;
         }
-        self.slot = Slot::Free(scene.now);
-        effects.push(self.send(scene, &engine.id, OrderKind::Load, &version));
+        self.permit = Permit::Free(cx.now);
+        effects.push(self.send(cx, &engine.id, OrderKind::Load, &version));
     }
 
-    /// The version that has less than it must, the one that serves now first.
-    fn short_version(&self, scene: &Scene<'_>) -> Option<VersionName> {
-        let (goal, needs) = (scene.goal, scene.needs);
+    /// The version with less capacity than it needs; the one that serves now comes first.
+    fn version_short_of_slots(&self, cx: &TickContext<'_>) -> Option<VersionName> {
+        let (goal, needs) = (cx.goal, cx.needs);
         let serving = matches!(goal.phase, Phase::Bring { .. });
-        if serving && self.on_the_way(scene, &goal.drop) < needs.drop {
+        if serving && self.slots_expected(cx, &goal.drop) < needs.drop {
             return Some(goal.drop.clone());
         }
-        (self.on_the_way(scene, &goal.keep) < needs.keep_wanted).then(|| goal.keep.clone())
+        (self.slots_expected(cx, &goal.keep) < needs.keep_target).then(|| goal.keep.clone())
     }
 
-    /// Slots of engines that have a version, are loading it or were ordered to.
-    fn on_the_way(&self, scene: &Scene<'_>, version: &VersionName) -> f64 {
-        let sent = self.sent.iter();
-        let sent = sent.filter(|(_, s)| s.kind == OrderKind::Load && s.version == *version);
-        let engines = sent.filter_map(|(id, _)| find(scene.seen, id));
-        let coming: f64 = engines.map(|e| f64::from(e.slots)).sum();
-        capacity::expected(scene.seen, version) + coming
+    /// Slots of the engines that have a version, are loading it or have a pending order to.
+    fn slots_expected(&self, cx: &TickContext<'_>, version: &VersionName) -> f64 {
+        let pending = self.pending.iter();
+        let pending = pending.filter(|(_, s)| s.kind == OrderKind::Load && s.version == *version);
+        let engines = pending.filter_map(|(id, _)| find_engine(cx.observed, id));
+        let ordered: f64 = engines.map(|e| f64::from(e.slots)).sum();
+        capacity::expected_slots(cx.observed, version) + ordered
     }
 
-    fn loads_under_way(&self, scene: &Scene<'_>) -> usize {
-        let goal = scene.goal;
+    fn loads_in_flight(&self, cx: &TickContext<'_>) -> usize {
+        let goal = cx.goal;
         let loads = |e: &&Engine| e.loading.contains(&goal.keep) || e.loading.contains(&goal.drop);
-        let loading = scene.seen.engines.iter().filter(loads).count();
-        let sent = self.sent.values().filter(|s| s.kind == OrderKind::Load);
-        loading + sent.count()
+        let loading = cx.observed.engines.iter().filter(loads).count();
+        let pending = self.pending.values().filter(|s| s.kind == OrderKind::Load);
+        loading + pending.count()
     }
 
-    /// Whether the weight store has given leave to load a version; asks when it has not.
-    fn has_slot(&mut self, now: Time, version: &VersionName, effects: &mut Vec<Effect>) -> bool {
-        match &self.slot {
-            Slot::Granted(granted, until) if granted == version && now < *until => return true,
-            Slot::Free(again_at) if !now.has_reached(*again_at) => {
-                let left = now.until(*again_at);
+    /// Whether the weight store permits a load of a version now; requests a permit if there is
+    /// none.
+    fn has_permit(&mut self, now: Time, version: &VersionName, effects: &mut Vec<Effect>) -> bool {
+        match &self.permit {
+            Permit::Granted(granted, until) if granted == version && now < *until => return true,
+            Permit::Free(retry_at) if !now.has_reached(*retry_at) => {
+                let left = now.until(*retry_at);
                 self.waiting.get_or_insert(Waiting::WeightStore(left));
                 return false;
             }
-            Slot::Asked(_, until) if now < *until => return false,
+            Permit::Requested(_, until) if now < *until => return false,
             _ => {}
         }
-        self.slot = Slot::Asked(version.clone(), now + SLOT_KEPT);
+        self.permit = Permit::Requested(version.clone(), now + PERMIT_KEPT);
         effects.push(Effect::FetchSlot(version.clone()));
         false
     }
 
-    /// Removes capacity of the version that goes, one engine at a time.
-    pub(super) fn unload(&mut self, scene: &Scene<'_>, effects: &mut Vec<Effect>) {
-        // At most one removal is under way: a driver that is paused here and wakes when
-        // another has taken over has no more than one late removal in its hands.
-        if self.sent.values().any(|s| s.kind == OrderKind::Unload) {
+    /// Orders the removal of the version that goes, from one engine at a time.
+    pub(super) fn unload(&mut self, cx: &TickContext<'_>, effects: &mut Vec<Effect>) {
+        // At most one removal is in flight: a driver that is paused here and wakes after another
+        // has taken over sends no more than one late removal.
+        if self.pending.values().any(|s| s.kind == OrderKind::Unload) {
             return;
         }
-        let Some(engine) = self.removable(scene) else {
+        let Some(engine) = self.removable(cx) else {
             return;
         };
-        if let Err(waiting) = self.may_lose(scene, engine) {
+        if let Err(waiting) = self.check_removal(cx, engine) {
             self.waiting.get_or_insert(waiting);
             return;
         }
-        // The order follows a report that was asked for on its account: what was true when
-        // an older one was read may have changed since.
-        let asked = self.reread.as_ref().filter(|(id, _)| *id == engine.id);
-        let asked_at = asked.map(|(_, at)| *at);
-        if asked_at.is_some_and(|at| engine.read_at >= Some(at)) {
-            self.reread = None;
-            effects.push(self.send(scene, &engine.id, OrderKind::Unload, &scene.goal.drop));
+        // The order follows a report that was requested for it, since the engine may have changed
+        // after an older report was read.
+        let requested = self
+            .confirming_read
+            .as_ref()
+            .filter(|(id, _)| *id == engine.id);
+        let requested_at = requested.map(|(_, at)| *at);
+        if requested_at.is_some_and(|at| engine.read_at >= Some(at)) {
+            self.confirming_read = None;
+            effects.push(self.send(cx, &engine.id, OrderKind::Unload, &cx.goal.drop));
         } else {
-            self.reread = Some((engine.id.clone(), asked_at.unwrap_or(scene.now)));
+            self.confirming_read = Some((engine.id.clone(), requested_at.unwrap_or(cx.now)));
             effects.push(Effect::Read(engine.id.clone()));
         }
     }
 
-    /// The first engine that should give up the version that goes. The order is that of the
-    /// ids for every driver, so two that act at once pick the same engine.
-    fn removable<'a>(&self, scene: &Scene<'a>) -> Option<&'a Engine> {
-        let goal = scene.goal;
+    /// The first engine that should give up the version that goes. Every driver goes through them
+    /// in the order of their ids, so two that act at once pick the same engine.
+    fn removable<'a>(&self, cx: &TickContext<'a>) -> Option<&'a Engine> {
+        let goal = cx.goal;
         let removing = matches!(goal.phase, Phase::Remove { .. });
-        // An engine that lost the version that stays, in a restart that other reports do not
-        // show yet, is not left with nothing: it loads first. One without room for both
-        // gives up the old one, where it can be spared.
-        let should = |e: &&Engine| match e.has_ready(&goal.keep) {
+        // An engine that lacks the version that stays, for instance after a restart that other
+        // reports do not show yet, loads it before it gives up the other, so that it is never left
+        // with neither. One without room for
+        // both gives up the old one first, where that can be spared.
+        let should_unload = |e: &&Engine| match e.has_ready(&goal.keep) {
             true => removing,
             false => e.is_full || e.leaving,
         };
-        let engines = scene.seen.engines.iter().filter(|e| e.has(&goal.drop));
-        // One that does not answer must not hold up the others.
-        let engines = engines.filter(|e| e.is_fresh(scene.now, self.cfg.recent));
-        let mut engines = engines.filter(should);
-        engines.find(|e| !self.sent.contains_key(&e.id))
+        let engines = cx.observed.engines.iter().filter(|e| e.has(&goal.drop));
+        // An engine without a recent report must not hold up the others.
+        let engines = engines.filter(|e| e.is_fresh(cx.now, self.cfg.recent));
+        let mut engines = engines.filter(should_unload);
+        engines.find(|e| !self.pending.contains_key(&e.id))
     }
 
-    /// Whether the demand still fits when an engine gives up the version that goes.
-    fn may_lose(&self, scene: &Scene<'_>, engine: &Engine) -> Result<(), Waiting> {
-        let (goal, needs) = (scene.goal, scene.needs);
-        if scene.keeps_suspended() {
+    /// Checks that the demand still fits when an engine gives up the version that goes; otherwise
+    /// returns what the removal waits for.
+    fn check_removal(&self, cx: &TickContext<'_>, engine: &Engine) -> Result<(), Waiting> {
+        let (goal, needs) = (cx.goal, cx.needs);
+        if cx.is_kept_suspended() {
             return Err(Waiting::Operator);
         }
-        let keep = capacity::ready(scene.seen, &goal.keep, scene.now, &self.cfg);
+        let keep = capacity::ready_slots(cx.observed, &goal.keep, cx.now, &self.cfg);
         if matches!(goal.phase, Phase::Remove { .. }) && keep < needs.keep {
             return Err(Waiting::short_of(&goal.keep, keep, needs.keep));
         }
-        let drop = capacity::ready(scene.seen, &goal.drop, scene.now, &self.cfg);
+        let drop = capacity::ready_slots(cx.observed, &goal.drop, cx.now, &self.cfg);
         let serves = engine.has_ready(&goal.drop) && !engine.leaving;
         let loses = if serves { f64::from(engine.slots) } else { 0.0 };
         if drop - loses < needs.drop {
@@ -161,12 +169,12 @@
     }
 }
 
-impl Scene<'_> {
-    /// Whether the version that stays is suspended: then the other is the way out.
-    fn keeps_suspended(&self) -> bool {
-        let evidence = self.seen.evidence;
+impl TickContext<'_> {
+    /// Whether the version that stays is suspended. The other one is needed for going back then.
+    fn is_kept_suspended(&self) -> bool {
+        let evidence = self.observed.evidence;
         let keeps_new = self
-            .seen
+            .observed
             .model
             .rollout
             .as_ref()
--- a/components/rollout/src/effect.rs
+++ b/components/rollout/src/effect.rs
@@ -1,56 +1,56 @@
-//! What a driver wants done.
+//! The effects that a driver asks its caller to carry out.
 
 use catalogue::entry::Model;
 use types::prelude::*;
 
 use crate::lease::{Hold, StoreCall};
 
-/// What a driver wants done.
+/// Something that a driver asks its caller to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// Call the store; give the outcome back with its number.
+    /// Call the store and return the outcome with the call's number.
     Store(StoreCall),
     /// Read an engine's load report.
     Read(UpstreamId),
     /// Send an order, unless its deadline has passed.
     Order(Order),
-    /// Ask the weight store for leave to load; give the answer back.
+    /// Ask the weight store for a permit to load a version and return the answer.
     FetchSlot(VersionName),
     /// Write the model's entry, if it still has this revision.
     Edit {
-        /// What it shall say.
+        /// The entry to write.
         model: Box<Model>,
-        /// The revision that was seen.
+        /// The revision that the edit is based on.
         if_match: Revision,
     },
 }
 
-/// An order to an engine: what shall be, safe to repeat.
+/// An order to an engine. It states the wanted result, so it is safe to repeat.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
-    /// To whom.
+    /// The engine to send it to.
     pub engine: UpstreamId,
-    /// What.
+    /// What the engine is to do.
     pub kind: OrderKind,
-    /// Of which version.
+    /// The version to load or unload.
     pub version: VersionName,
-    /// Larger than that of any earlier driver.
+    /// Fencing token, larger than that of any earlier driver.
     pub fencing: u64,
-    /// Not to be sent from then on: the lease may have gone to another.
+    /// Time from which it must not be sent, since another daemon may hold the lease.
     pub not_after: Time,
 }
 
-/// What an engine shall do with a version.
+/// What an engine is to do with a version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderKind {
-    /// Be able to run it.
+    /// Load it, to be able to run it.
     Load,
-    /// Give up its memory.
+    /// Unload it and free its memory.
     Unload,
 }
 
 impl Order {
-    /// An order of the holder of a lease.
+    /// Creates an order of the lease's holder.
     pub(crate) fn new(
         hold: &Hold,
         engine: &UpstreamId,
--- a/components/rollout/src/goal.rs
+++ b/components/rollout/src/goal.rs
@@ -1,18 +1,18 @@
-//! What a model's entry asks for.
+//! The goal of a roll-out, derived from its model's entry.
 
 use catalogue::entry::{Model, Rollout, RolloutState, VersionState};
 use types::prelude::*;
 
 use crate::observed::Demand;
 
-/// What a roll-out asks for: one version to have, another to give up.
+/// The goal of a roll-out: one version to provide, another to give up.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Goal {
     /// The version that stays in the end.
     pub keep: VersionName,
     /// The version that goes in the end.
     pub drop: VersionName,
-    /// How far it has come.
+    /// How far the roll-out has come.
     pub phase: Phase,
 }
 
@@ -23,18 +23,18 @@
     Bring {
         /// Its share of new sessions.
         share: Share,
-        /// The share to have capacity for: that of the next step while it moves.
+        /// Share to have capacity for: that of the next step while the roll-out runs.
         next: Share,
     },
-    /// The version that stays has everything; the other's capacity goes.
+    /// The version that stays gets all new sessions; the other's capacity is removed.
     Remove {
-        /// Whether the other still serves its sessions.
+        /// State of the other version, which may still serve its sessions.
         drop_state: VersionState,
     },
 }
 
 impl Goal {
-    /// What a model's entry asks for, if it has a roll-out.
+    /// Derives the goal from a model's entry, if it has a roll-out.
     #[must_use]
     pub fn of(model: &Model) -> Option<Self> {
         let rollout = model.rollout.as_ref()?;
@@ -43,8 +43,8 @@
             _ => (&rollout.to, &rollout.from),
         };
         let phase = match rollout.state {
-            RolloutState::Running => bring(rollout, rollout.step + 1),
-            RolloutState::Paused => bring(rollout, rollout.step),
+            RolloutState::Running => bring_phase(rollout, rollout.step + 1),
+            RolloutState::Paused => bring_phase(rollout, rollout.step),
             RolloutState::Aborted | RolloutState::Done => Phase::Remove {
                 drop_state: model.versions.get(drop)?.state,
             },
@@ -56,7 +56,7 @@
         })
     }
 
-    /// Demand on the version that stays and on the one that goes.
+    /// Returns the demand on the version that stays and on the one that goes.
     #[must_use]
     pub fn demand(&self, model: &Model, demand: &Demand) -> (f64, f64) {
         let aborted = model
@@ -71,7 +71,7 @@
     }
 }
 
-fn bring(rollout: &Rollout, next: usize) -> Phase {
+fn bring_phase(rollout: &Rollout, next: usize) -> Phase {
     let last = rollout.steps.last().copied().unwrap_or(Share::ALL);
     Phase::Bring {
         share: rollout.share(),
--- a/components/rollout/src/lease.rs
+++ b/components/rollout/src/lease.rs
@@ -1,8 +1,9 @@
 //! The lease that lets one daemon drive a roll-out.
 //!
-//! A key of the store, bound to a store's lease and created only when absent. The revision
-//! of its creation is the fencing number: larger for every holder. The holder counts its
-//! lease from before it asked, so it stops no later than the store lets another in.
+//! It is a key of the store that is bound to a store lease and created only when absent. The
+//! revision of its creation is the fencing token, which grows with every holder. The holder counts
+//! its lease from before the request for it, so it stops no later than the store lets another
+//! daemon in.
 
 use keyvalue::{
     Answer, CallError, Compare, KeyValue, LeaseId, Op, OpReply, Outcome, Put, Range, Reply,
@@ -10,46 +11,46 @@
 };
 use types::prelude::*;
 
-/// A lease lapses this long after its last renewal.
+/// Time after its last renewal at which a lease expires.
 pub const TTL: Span = Span::from_secs(15);
-const RENEW_EVERY: Span = Span::from_secs(5);
-const RENEW_AGAIN: Span = Span::from_secs(2);
-/// The holder stops this long before its lease lapses: its clock may run a little slow.
-const GUARD: Span = Span::from_secs(1);
-/// A call whose outcome never comes is given up after.
-const CALL_LOST: Span = Span::from_secs(60);
+const RENEW_INTERVAL: Span = Span::from_secs(5);
+const RENEW_RETRY_AFTER: Span = Span::from_secs(2);
+/// The holder stops this long before its lease expires, since its clock may run a little slow.
+const DEADLINE_MARGIN: Span = Span::from_secs(1);
+/// Time after which a call without an outcome is given up.
+const CALL_TIMEOUT: Span = Span::from_secs(60);
 
 /// A lease that is held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Hold {
-    /// The store's lease.
+    /// Id of the store's lease.
     pub lease: LeaseId,
-    /// Larger than that of any earlier holder.
+    /// Fencing token, larger than that of any earlier holder.
     pub fencing: u64,
-    /// Nothing may be done from then on.
+    /// Time from which the holder must not act.
     pub deadline: Time,
     renew_at: Time,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// Not held; the key is looked at next at this moment.
+    /// Not held; the key is read again at this time.
     Free(Time),
-    /// Reads who holds it.
-    Looking,
-    /// Asks for a lease; it counts from this moment.
+    /// Reading who holds it.
+    Reading,
+    /// Asking the store for a lease, which counts from this time.
     Granting(Time),
-    /// Creates the key; the lease would end then.
+    /// Creating the key; the deadline if that succeeds.
     Creating(LeaseId, Time),
-    /// The reply to the creation was lost; reads whether it took effect.
+    /// The reply to the creation was lost; reading whether it took effect.
     Confirming(LeaseId, Time),
     /// Held.
     Held(Hold),
-    /// Held, renewed since this moment.
+    /// Held, with a renewal in flight since this time.
     Renewing(Hold, Time),
 }
 
-/// One daemon's part in the contest for a roll-out.
+/// One daemon's side of the lease of a roll-out: acquires, renews and releases it.
 #[derive(Debug)]
 pub struct Lease {
     key: String,
@@ -63,14 +64,14 @@
 /// A call of the store, with the number that its outcome must come back with.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StoreCall {
-    /// Its number.
+    /// Number of the call, counted per daemon and roll-out.
     pub number: u64,
-    /// What is asked.
+    /// The request to the store.
     pub request: Request,
 }
 
 impl Lease {
-    /// Not held.
+    /// Creates a lease that is not held.
     #[must_use]
     pub fn new(key: String, daemon: DaemonId) -> Self {
         Self {
@@ -85,8 +86,8 @@
 
     /// The lease, while it is certain that no other daemon holds it.
     ///
-    /// Guards against acting after a pause: the deadline lies before the moment at which
-    /// the store can let a successor in, so a driver that wakes too late finds it passed.
+    /// Guards against acting after a pause: the deadline is before the time at which the store can
+    /// let a successor in, so a driver that wakes too late finds that it has passed.
     #[must_use]
     pub fn held(&self, now: Time) -> Option<Hold> {
         match self.state {
@@ -101,17 +102,17 @@
         self.holder.as_ref()
     }
 
-    /// What to ask of the store now.
+    /// Returns the store call to make now, if any.
     pub fn tick(&mut self, now: Time, wanted: bool, rank: Option<u32>) -> Option<StoreCall> {
-        self.drop_lapsed(now);
+        self.drop_expired(now);
         match self.state {
-            State::Free(look_at) if wanted && rank.is_some() && now.has_reached(look_at) => {
-                self.state = State::Looking;
+            State::Free(read_at) if wanted && rank.is_some() && now.has_reached(read_at) => {
+                self.state = State::Reading;
                 let range = Range::key(self.key.clone());
                 Some(self.call(now, Request::Range(range)))
             }
             State::Held(hold) if !wanted => {
-                self.free(now + TTL);
+                self.set_free(now + TTL);
                 Some(self.call(now, Request::LeaseRevoke(hold.lease)))
             }
             State::Held(hold) if now.has_reached(hold.renew_at) => {
@@ -122,31 +123,31 @@
         }
     }
 
-    fn drop_lapsed(&mut self, now: Time) {
-        let lapsed = match self.state {
+    fn drop_expired(&mut self, now: Time) {
+        let has_expired = match self.state {
             State::Held(hold) | State::Renewing(hold, _) => now.has_reached(hold.deadline),
             State::Free(_) => false,
             _ => now.has_reached(self.give_up_at),
         };
-        if lapsed {
-            self.free(now);
+        if has_expired {
+            self.set_free(now);
         }
     }
 
-    fn free(&mut self, look_at: Time) {
-        self.state = State::Free(look_at);
+    fn set_free(&mut self, read_at: Time) {
+        self.state = State::Free(read_at);
         self.holder = None;
     }
 
     fn call(&mut self, now: Time, request: Request) -> StoreCall {
         self.calls += 1;
-        self.give_up_at = now + CALL_LOST;
+        self.give_up_at = now + CALL_TIMEOUT;
         let number = self.calls;
         StoreCall { number, request }
     }
 
-    /// Takes a call's outcome; gives the call that follows. Outcomes of calls given up
-    /// meanwhile are ignored.
+    /// Handles a call's outcome and returns the call that follows, if any. Outcomes of calls that
+    /// were given up are ignored.
     pub fn on_outcome(
         &mut self,
         now: Time,
@@ -159,10 +160,10 @@
         }
         let wait = TTL.times(1 + u64::from(rank.unwrap_or(0)));
         match (self.state, outcome) {
-            (State::Looking, Ok(answer)) => self.looked(now, &answer, wait),
-            (State::Granting(since), Ok(answer)) => self.granted(now, since, &answer, wait),
+            (State::Reading, Ok(answer)) => self.on_key_read(now, &answer, wait),
+            (State::Granting(since), Ok(answer)) => self.on_granted(now, since, &answer, wait),
             (State::Creating(lease, end), Ok(answer)) => {
-                self.created(now, (lease, end), &answer, wait);
+                self.on_created(now, (lease, end), &answer, wait);
                 None
             }
             (State::Creating(lease, end), Err(CallError::Unknown(_))) => {
@@ -171,47 +172,47 @@
                 Some(self.call(now, Request::Range(range)))
             }
             (State::Confirming(lease, end), Ok(answer)) => {
-                self.confirmed(now, (lease, end), &answer, wait);
+                self.on_confirmed(now, (lease, end), &answer, wait);
                 None
             }
             (State::Renewing(hold, since), outcome) => {
-                self.renewed(now, hold, since, &outcome);
+                self.on_renewed(now, hold, since, &outcome);
                 None
             }
             (State::Held(_) | State::Free(_), _) => None,
             (_, Err(_)) => {
-                self.free(now + wait);
+                self.set_free(now + wait);
                 None
             }
         }
     }
 
-    fn looked(&mut self, now: Time, answer: &Answer, wait: Span) -> Option<StoreCall> {
+    fn on_key_read(&mut self, now: Time, answer: &Answer, wait: Span) -> Option<StoreCall> {
         match &answer.reply {
             Reply::Range(found) if found.is_empty() => {
                 self.state = State::Granting(now);
                 Some(self.call(now, Request::LeaseGrant { ttl: TTL }))
             }
             Reply::Range(found) => {
-                self.lost_to(found.first(), now + wait);
+                self.held_by_other(found.first(), now + wait);
                 None
             }
             _ => {
-                self.free(now + wait);
+                self.set_free(now + wait);
                 None
             }
         }
     }
 
-    fn lost_to(&mut self, found: Option<&KeyValue>, look_at: Time) {
-        self.free(look_at);
+    fn held_by_other(&mut self, found: Option<&KeyValue>, read_at: Time) {
+        self.set_free(read_at);
         self.holder = found.and_then(|kv| {
             let text = std::str::from_utf8(&kv.value).ok()?;
             text.split_once(' ')?.1.parse().ok()
         });
     }
 
-    fn granted(
+    fn on_granted(
         &mut self,
         now: Time,
         since: Time,
@@ -219,10 +220,10 @@
         wait: Span,
     ) -> Option<StoreCall> {
         let Reply::LeaseGranted(lease) = answer.reply else {
-            self.free(now + wait);
+            self.set_free(now + wait);
             return None;
         };
-        self.state = State::Creating(lease, since + TTL - GUARD);
+        self.state = State::Creating(lease, since + TTL - DEADLINE_MARGIN);
         let put = Put {
             key: self.key.clone(),
             value: self.value(lease).into(),
@@ -236,77 +237,89 @@
         Some(self.call(now, Request::Txn(txn)))
     }
 
-    /// The key's value: the lease makes it this contest's own, the daemon is for people.
+    /// The key's value: the lease id identifies this attempt, the daemon's name is for operators.
     fn value(&self, lease: LeaseId) -> String {
         format!("{} {}", lease.0, self.daemon)
     }
 
-    fn created(&mut self, now: Time, (lease, end): (LeaseId, Time), answer: &Answer, wait: Span) {
+    fn on_created(
+        &mut self,
+        now: Time,
+        (lease, end): (LeaseId, Time),
+        answer: &Answer,
+        wait: Span,
+    ) {
         match &answer.reply {
             Reply::Txn(reply) if reply.succeeded => {
-                self.hold(lease, fencing(answer.revision.0), end, now);
+                self.set_held(lease, fencing_token(answer.revision.0), end, now);
             }
             Reply::Txn(reply) => {
                 let found = reply.replies.iter().find_map(|reply| match reply {
                     OpReply::Range(found) => found.first(),
                     _ => None,
                 });
-                self.lost_to(found, now + wait);
+                self.held_by_other(found, now + wait);
             }
-            _ => self.free(now + wait),
+            _ => self.set_free(now + wait),
         }
     }
 
-    fn confirmed(&mut self, now: Time, (lease, end): (LeaseId, Time), answer: &Answer, wait: Span) {
+    fn on_confirmed(
+        &mut self,
+        now: Time,
+        (lease, end): (LeaseId, Time),
+        answer: &Answer,
+        wait: Span,
+    ) {
         let found = match &answer.reply {
             Reply::Range(found) => found.first(),
             _ => None,
         };
-        let mine = self.value(lease);
+        let own_value = self.value(lease);
         match found {
-            Some(kv) if kv.value == mine.as_bytes() => {
-                self.hold(lease, fencing(kv.mod_revision.0), end, now);
+            Some(kv) if kv.value == own_value.as_bytes() => {
+                self.set_held(lease, fencing_token(kv.mod_revision.0), end, now);
             }
-            found => self.lost_to(found, now + wait),
+            found => self.held_by_other(found, now + wait),
         }
     }
 
-    fn hold(&mut self, lease: LeaseId, fencing: u64, deadline: Time, now: Time) {
+    fn set_held(&mut self, lease: LeaseId, fencing: u64, deadline: Time, now: Time) {
         self.state = State::Held(Hold {
             lease,
             fencing,
             deadline,
-            renew_at: now + RENEW_EVERY,
+            renew_at: now + RENEW_INTERVAL,
         });
         self.holder = Some(self.daemon.clone());
     }
 
-    fn renewed(&mut self, now: Time, hold: Hold, since: Time, outcome: &Outcome) {
-        let kept = match outcome {
+    fn on_renewed(&mut self, now: Time, hold: Hold, since: Time, outcome: &Outcome) {
+        let still_held = match outcome {
             Ok(Answer {
                 reply: Reply::LeaseKept(left),
                 ..
             }) => Some(left.is_some()),
             _ => None,
         };
-        match kept {
+        match still_held {
             Some(true) => {
                 self.state = State::Held(Hold {
-                    deadline: since + TTL - GUARD,
-                    renew_at: since + RENEW_EVERY,
+                    deadline: since + TTL - DEADLINE_MARGIN,
+                    renew_at: since + RENEW_INTERVAL,
                     ..hold
                 });
             }
-            Some(false) => self.free(now),
-            // Not renewed, but the lease runs on until its deadline.
+            Some(false) => self.set_free(now),
+            // The renewal failed, but the lease holds until its deadline.
             None => {
-                let renew_at = now + RENEW_AGAIN;
+                let renew_at = now + RENEW_RETRY_AFTER;
                 self.state = State::Held(Hold { renew_at, ..hold });
             }
         }
     }
 }
 
-fn fencing(revision: i64) -> u64 {
+fn fencing_token(revision: i64) -> u64 {
     u64::try_from(revision).unwrap_or(0)
 }
--- a/components/rollout/src/lib.rs
+++ b/components/rollout/src/lib.rs
@@ -1,16 +1,16 @@
-//! Roll-outs: what operators may do to them, and the daemon that drives them.
+//! Canary roll-outs: what operators may do to them, and the daemon that drives them.
 //!
-//! A roll-out's steps live in its model's entry of the catalogue; [`edit`] holds what may be
-//! done to them. One daemon at a time drives a model's roll-out: it holds a [`lease`] in the
-//! store, compares what is with what the entry asks for, and gives [`effect::Effect`]s: orders to
-//! engines, edits, calls of the store. It remembers nothing that it could not read again, so
-//! a successor goes on from what is.
+//! A roll-out's steps are part of its model's entry in the catalogue; [`edit`] holds the actions on
+//! them. One daemon at a time drives a model's roll-out. It holds a [`lease`] in the store,
+//! compares the observed state with what the entry asks for, and returns [`effect::Effect`]s:
+//! orders to engines, edits of the entry, calls of the store. It keeps no state that it could not
+//! read again, so a successor continues from what it observes.
 //!
-//! A driver may be paused beyond its lease and act when it wakes, and some engines do not
-//! refuse its old fencing number. Three rules make that harmless. Orders say what shall be,
-//! not what to change, and each follows a report read just before. At most one order that
-//! removes capacity is under way. And capacity is removed only where the demand would still
-//! fit if one more engine lost it.
+//! A driver may be paused beyond its lease and act when it wakes, and some engines do not reject
+//! its old fencing token. Three rules keep that harmless. Orders state the wanted result rather
+//! than a change, and each follows a report that was read just before. At most one order that
+//! removes capacity is in flight. And capacity is removed only where the demand would still fit if
+//! one more engine lost it.
 
 pub mod driver;
 pub mod edit;
--- a/components/rollout/src/observed.rs
+++ b/components/rollout/src/observed.rs
@@ -1,33 +1,33 @@
-//! What a driver sees.
+//! The observed state that a driver decides on.
 
 use catalogue::entry::Model;
 use types::prelude::*;
 
-/// What is, as far as the driving daemon knows.
+/// The state as far as the driving daemon knows it.
 #[derive(Debug, Clone)]
 pub struct Observed<'a> {
     /// The model as the catalogue has it.
     pub model: &'a Model,
     /// The revision of the model's entry.
     pub revision: Revision,
-    /// The engines of the model's service, by id.
+    /// The engines of the model's service, sorted by id.
     pub engines: &'a [Engine],
-    /// What is known of the answers.
+    /// What is known about the quality of the answers.
     pub evidence: Evidence,
-    /// What runs and waits, over the whole fleet.
+    /// Requests that run and wait, over the whole fleet.
     pub demand: Demand,
-    /// This daemon's turn among those that may drive; nothing when it should not try.
+    /// This daemon's place in the standby order for the lease; nothing when it should not try.
     pub rank: Option<u32>,
 }
 
-/// An engine by its last load report.
+/// An engine according to its last load report.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Engine {
-    /// Its id.
+    /// The engine's upstream id.
     pub id: UpstreamId,
-    /// Where it stands.
+    /// The engine's failure domain.
     pub failure_domain: FailureDomain,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs at once.
     pub slots: u32,
     /// When its last report was read, if any was.
     pub read_at: Option<Time>,
@@ -61,10 +61,10 @@
     }
 }
 
-/// What is known of the answers of a roll-out's versions, over the whole fleet.
+/// What is known about the answers of a roll-out's versions, over the whole fleet.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Evidence {
-    /// Ratings of the new version so far; only ever rises.
+    /// Ratings of the new version so far; never decreases.
     pub ratings: u64,
     /// Whether the new version is suspended.
     pub new_suspended: bool,
@@ -75,14 +75,14 @@
 /// Requests that run and wait, in slots, over the whole fleet.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Demand {
-    /// On the version that goes.
+    /// Demand on the version that goes.
     pub from: f64,
-    /// On the version that comes.
+    /// Demand on the version that comes.
     pub to: f64,
 }
 
 impl Demand {
-    /// On both.
+    /// Demand on both versions.
     #[must_use]
     pub fn total(&self) -> f64 {
         self.from + self.to
--- a/components/rollout/src/waiting.rs
+++ b/components/rollout/src/waiting.rs
@@ -4,38 +4,38 @@
 
 use types::prelude::*;
 
-/// What a roll-out waits for, for people.
+/// What a roll-out waits for. Its text is shown to operators.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Waiting {
-    /// The lease.
+    /// The lease, which another daemon may hold.
     Lease,
-    /// A step's shortest stay.
+    /// The rest of a step's minimum duration.
     Stay(Span),
     /// Ratings of the new version.
     Ratings {
-        /// So far at this step.
+        /// Ratings so far at this step.
         have: u64,
-        /// For the gate.
+        /// Ratings that the gate requires.
         need: u64,
     },
     /// Engines with the version ready.
     Capacity {
-        /// The version.
+        /// The version that lacks capacity.
         version: VersionName,
         /// Slots ready.
         ready: u64,
         /// Slots needed.
         needed: u64,
     },
-    /// Engines have no room and none can be spared.
+    /// Room for a version: engines are full and none can be spared.
     Room(VersionName),
-    /// The weight store.
+    /// The time at which the weight store may be asked for a permit again.
     WeightStore(Span),
-    /// An operator.
+    /// An operator, who resumes or aborts it.
     Operator,
     /// Sessions of the version that goes, or an operator who withdraws it.
     Sessions(VersionName),
-    /// An edit that was sent.
+    /// Its own edit of the catalogue, which was sent.
     Edit,
 }
 
@@ -43,7 +43,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Lease => f.write_str("the driver's lease in the store"),
-            Self::Stay(left) => write!(f, "{} more at this step", in_seconds(*left)),
+            Self::Stay(left) => write!(f, "{} more at this step", ceil_seconds(*left)),
             Self::Ratings { have, need } => write!(f, "ratings at this step, {have} of {need}"),
             Self::Capacity {
                 version,
@@ -58,7 +58,7 @@
                     "room for {version}: engines are full and none can be spared"
                 )
             }
-            Self::WeightStore(left) => write!(f, "the weight store for {}", in_seconds(*left)),
+            Self::WeightStore(left) => write!(f, "the weight store for {}", ceil_seconds(*left)),
             Self::Operator => f.write_str("an operator to resume or abort"),
             Self::Sessions(version) => {
                 write!(f, "sessions of {version} to end, or `withdraw` of it")
@@ -68,13 +68,13 @@
     }
 }
 
-/// Rounded up to whole seconds.
-fn in_seconds(span: Span) -> Span {
+/// Rounds up to whole seconds.
+fn ceil_seconds(span: Span) -> Span {
     Span::from_secs(span.as_millis().div_ceil(1000))
 }
 
 impl Waiting {
-    /// For a version that has too few slots ready.
+    /// Builds the reason for a version that has too few slots ready.
     pub(crate) fn short_of(version: &VersionName, ready: f64, needed: f64) -> Self {
         Self::Capacity {
             version: version.clone(),
--- a/components/rollout/tests/driver.rs
+++ b/components/rollout/tests/driver.rs
@@ -1,4 +1,4 @@
-//! A driver over engines and a store that are a few lines each.
+//! A driver with simulated engines, store and weight store.
 
 #[path = "support/simulation.rs"]
 mod simulation;
@@ -7,7 +7,7 @@
 use rollout::edit::set_state;
 use rollout::waiting::Waiting;
 use rollout::{Effect, OrderKind};
-use simulation::{World, name};
+use simulation::{Simulation, version_name};
 use types::prelude::*;
 
 fn unloads(effects: &[Effect]) -> Vec<&UpstreamId> {
@@ -19,324 +19,327 @@
     unloads.map(|order| &order.engine).collect()
 }
 
-fn acts(effects: &[Effect]) -> bool {
-    let acts = |e: &Effect| matches!(e, Effect::Order(_) | Effect::Edit { .. });
-    effects.iter().any(acts)
+fn has_changes(effects: &[Effect]) -> bool {
+    let is_change = |e: &Effect| matches!(e, Effect::Order(_) | Effect::Edit { .. });
+    effects.iter().any(is_change)
 }
 
 #[test]
-fn can_bring_a_version_in_step_by_step() {
-    let mut world = World::new(4, 20.0);
-    world.run_until(|w| w.state() == RolloutState::Done);
-    assert_eq!(world.steps_seen, [0, 1, 2]);
-    assert_eq!(world.ready("2"), 64.0);
-    // The old version still has the demand of its sessions.
-    world.run(300);
-    assert!(world.ready("1") >= 32.0);
-    world.on = [0.0, 20.0];
-    world.withdraw("1");
-    world.run_until(|w| w.ready("1") == 0.0);
-    assert!(world.drivers[0].held(world.now).is_some());
-    world.run(10);
-    assert_eq!(world.drivers[0].held(world.now), None);
+fn can_roll_out_a_version_step_by_step() {
+    let mut sim = Simulation::new(4, 20.0);
+    sim.run_until(|w| w.state() == RolloutState::Done);
+    assert_eq!(sim.observed_steps, [0, 1, 2]);
+    assert_eq!(sim.ready("2"), 64.0);
+    // The old version still serves the demand of its sessions.
+    sim.run(300);
+    assert!(sim.ready("1") >= 32.0);
+    sim.demand = [0.0, 20.0];
+    sim.withdraw("1");
+    sim.run_until(|w| w.ready("1") == 0.0);
+    assert!(sim.drivers[0].held(sim.now).is_some());
+    sim.run(10);
+    assert_eq!(sim.drivers[0].held(sim.now), None);
 }
 
-/// A driver is paused for a minute in the middle of a roll-out and wakes. Its lease has
-/// lapsed and another daemon drives. If it went on from what it remembers, it would move
-/// the roll-out and remove capacity beside its successor.
+/// A driver that was paused for a minute in the middle of a roll-out finds its lease expired. If it
+/// continued from what it remembers, it would advance the roll-out and remove capacity next to its
+/// successor.
 #[test]
-fn errors_keep_a_driver_from_acting_once_its_lease_has_lapsed() {
-    let mut world = World::new(4, 20.0);
-    world.run_until(|w| w.steps_seen.len() == 2);
-    world.now = world.now + Span::from_secs(60);
-    let effects = world.tick_only(0);
-    assert!(!acts(&effects), "{effects:?}");
-    assert_eq!(world.drivers[0].waiting(), Some(&Waiting::Lease));
+fn driver_does_not_act_after_its_lease_expired() {
+    let mut sim = Simulation::new(4, 20.0);
+    sim.run_until(|w| w.observed_steps.len() == 2);
+    sim.now = sim.now + Span::from_secs(60);
+    let effects = sim.tick_only(0);
+    assert!(!has_changes(&effects), "{effects:?}");
+    assert_eq!(sim.drivers[0].waiting(), Some(&Waiting::Lease));
 }
 
-/// A roll-out that is done, with the old version's capacity all there, and engines that have
-/// come back from a restart with the old version only; the driver has seen that.
-fn restarted(engines: usize, demand: f64, restarted: usize) -> World {
-    let mut world = World::new(engines, demand);
-    world.run_until(|w| w.state() == RolloutState::Done);
-    world.on = [f64::from(u32::MAX), 0.0];
-    world.loads_blocked = true;
-    let last = world.engines.iter_mut().rev().take(restarted);
-    last.for_each(|engine| engine.ready = vec![name("1")]);
-    world.run(100);
-    world.on = [0.0, demand];
-    world
+/// A finished roll-out that still has all capacity of the old version, in which some engines came
+/// back from a restart with the old version only. The driver has read their reports.
+fn done_with_restarts(engines: usize, demand: f64, restarted: usize) -> Simulation {
+    let mut sim = Simulation::new(engines, demand);
+    sim.run_until(|w| w.state() == RolloutState::Done);
+    sim.demand = [f64::from(u32::MAX), 0.0];
+    sim.is_loading_blocked = true;
+    let last = sim.engines.iter_mut().rev().take(restarted);
+    last.for_each(|engine| engine.ready = vec![version_name("1")]);
+    sim.run(100);
+    sim.demand = [0.0, demand];
+    sim
 }
 
-/// Two versions' capacity gone: the engines of the new version restart without it while
-/// the old one is being removed. Going on with the removal would leave the demand with
-/// nothing to run on.
+/// Engines restart without the new version while the old one is being removed. If the removal
+/// continued, neither version would have the capacity for the demand.
 #[test]
-fn errors_keep_the_old_version_while_the_new_one_is_short() {
-    let mut world = restarted(4, 20.0, 3);
-    world.withdraw("1");
-    world.run(300);
-    assert_eq!(world.ready("1"), 64.0);
-    world.loads_blocked = false;
-    world.run_until(|w| w.ready("1") == 0.0);
-    assert_eq!(world.ready("2"), 64.0);
+fn keeps_the_old_version_while_the_new_one_lacks_capacity() {
+    let mut sim = done_with_restarts(4, 20.0, 3);
+    sim.withdraw("1");
+    sim.run(300);
+    assert_eq!(sim.ready("1"), 64.0);
+    sim.is_loading_blocked = false;
+    sim.run_until(|w| w.ready("1") == 0.0);
+    assert_eq!(sim.ready("2"), 64.0);
 }
 
-/// A driver is paused with an order in hand that removes version 2, from the time of a
-/// roll-out back to 1. Its successor brings 2 in again and removes 1 as soon as 2 just
-/// fits the demand. The first one wakes, its engine ignores old numbers, and nothing fits
-/// any more. So there is room for one more engine before anything goes.
+/// A driver is paused with an unsent order that removes version 2, since the roll-out was going
+/// back to 1. Its successor introduces 2 again and removes 1 as soon as 2 just fits the demand.
+/// Then the first driver wakes, and its engine accepts the old fencing token: the demand does not
+/// fit any more. So a removal leaves capacity for one more lost engine.
 #[test]
-fn errors_keep_room_for_one_late_order() {
+fn keeps_capacity_for_one_late_removal() {
     // Two engines with 2 ready, 32 slots, fit the demand and its headroom, and no more.
-    let mut world = restarted(3, 24.0, 1);
-    world.withdraw("1");
-    world.run(300);
-    assert_eq!(world.ready("1"), 48.0);
+    let mut sim = done_with_restarts(3, 24.0, 1);
+    sim.withdraw("1");
+    sim.run(300);
+    assert_eq!(sim.ready("1"), 48.0);
 }
 
-/// All engines but one restart and lose the new version just after their reports were
-/// read, in the middle of the removal of the old one. Each is read again before its turn;
-/// one that has lost the new version keeps the old one, or it would be left with nothing.
+/// During the removal of the old version all engines but one restart and lose the new one just
+/// after their reports were read. Each is read again before its removal, and one that has lost the
+/// new version keeps the old one; otherwise it would be left with neither.
 #[test]
-fn errors_keep_engines_from_being_left_empty() {
+fn never_removes_the_only_version_of_an_engine() {
     for ticks in 0..30 {
-        let mut world = restarted(4, 20.0, 0);
-        // No removal yet: what is lost between a report and the order is lost unseen.
-        world.on = [f64::from(u32::MAX), 0.0];
-        world.run(ticks);
-        world.on = [0.0, 20.0];
-        world.withdraw("1");
-        let last = world.engines.iter_mut().skip(1);
-        last.for_each(|engine| engine.ready = vec![name("1")]);
-        world.run(300);
-        let empty = world.engines.iter().any(|engine| engine.ready.is_empty());
+        let mut sim = done_with_restarts(4, 20.0, 0);
+        // No removal yet, since a loss between a report and the order would not be seen.
+        sim.demand = [f64::from(u32::MAX), 0.0];
+        sim.run(ticks);
+        sim.demand = [0.0, 20.0];
+        sim.withdraw("1");
+        let last = sim.engines.iter_mut().skip(1);
+        last.for_each(|engine| engine.ready = vec![version_name("1")]);
+        sim.run(300);
+        let empty = sim.engines.iter().any(|engine| engine.ready.is_empty());
         assert!(!empty, "restarted after {ticks} ticks");
     }
 }
 
-/// The old version is draining and its sessions still need three engines. Taking one away
-/// would queue them while the new version idles.
+/// The old version is draining and its sessions still need three engines. Removing one of these
+/// would make the sessions queue while the new version is idle.
 #[test]
-fn errors_keep_what_the_sessions_of_a_draining_version_need() {
-    let mut world = World::new(4, 40.0);
-    world.run_until(|w| w.state() == RolloutState::Done);
-    world.on = [30.0, 10.0];
-    world.run(300);
-    // 30 slots with a quarter more and one engine to lose need 53.5: all four engines.
-    assert_eq!(world.ready("1"), 64.0);
-    world.on = [15.0, 25.0];
-    world.run(300);
-    assert_eq!(world.ready("1"), 48.0);
+fn keeps_the_capacity_that_draining_sessions_need() {
+    let mut sim = Simulation::new(4, 40.0);
+    sim.run_until(|w| w.state() == RolloutState::Done);
+    sim.demand = [30.0, 10.0];
+    sim.run(300);
+    // 30 slots with a quarter of headroom and one engine to lose need 53.5: all four engines.
+    assert_eq!(sim.ready("1"), 64.0);
+    sim.demand = [15.0, 25.0];
+    sim.run(300);
+    assert_eq!(sim.ready("1"), 48.0);
 }
 
-/// A paused driver wakes with an order to remove in its hands, on engines that ignore its
-/// old number. Were several removals under way at once, all of them would land late, on
-/// whatever its successor now relies on. One at most is, whatever engines report.
+/// A paused driver wakes with unsent removals, and the engines accept its old fencing token. With
+/// several removals in flight, all of them would take effect late, on capacity that its successor
+/// relies on. At most one is in flight, whatever the engines report.
 #[test]
-fn errors_keep_removals_one_at_a_time() {
-    let mut world = World::new(8, 20.0);
-    world.run_until(|w| w.state() == RolloutState::Done);
-    world.on = [0.0, 20.0];
-    world.withdraw("1");
-    world
-        .engines
+fn sends_one_removal_at_a_time() {
+    let mut sim = Simulation::new(8, 20.0);
+    sim.run_until(|w| w.state() == RolloutState::Done);
+    sim.demand = [0.0, 20.0];
+    sim.withdraw("1");
+    sim.engines
         .iter_mut()
-        .for_each(|engine| engine.deaf = true);
-    let mut under_way = Vec::new();
+        .for_each(|engine| engine.ignores_orders = true);
+    let mut in_flight = Vec::new();
     for _ in 0..20 {
-        let effects = world.step();
-        under_way.extend(unloads(&effects).into_iter().cloned());
+        let effects = sim.step();
+        in_flight.extend(unloads(&effects).into_iter().cloned());
     }
-    assert_eq!(under_way.len(), 1, "{under_way:?}");
+    assert_eq!(in_flight.len(), 1, "{in_flight:?}");
 }
 
-/// The driver last read an engine a while ago; since then an operator of the platform has
-/// moved the version elsewhere. An order from the old picture removes the wrong thing. So
-/// the engine is read first and the order follows the fresh report.
+/// The driver's last report of an engine is some seconds old, and an operator of the platform may
+/// have moved the version elsewhere since. A removal based on it could remove the wrong capacity,
+/// so the engine is read again first.
 #[test]
-fn errors_keep_orders_from_following_old_reports() {
-    let mut world = World::new(4, 20.0);
-    world.run_until(|w| w.state() == RolloutState::Done);
-    world.on = [0.0, 20.0];
-    world.withdraw("1");
-    world.now = world.now + Span::from_secs(3);
-    let effects = world.tick_only(0);
+fn reads_an_engine_again_before_a_removal() {
+    let mut sim = Simulation::new(4, 20.0);
+    sim.run_until(|w| w.state() == RolloutState::Done);
+    sim.demand = [0.0, 20.0];
+    sim.withdraw("1");
+    sim.now = sim.now + Span::from_secs(3);
+    let effects = sim.tick_only(0);
     assert!(unloads(&effects).is_empty());
     let first = UpstreamId::new("e0").unwrap();
     assert!(effects.contains(&Effect::Read(first)));
 }
 
-/// The new version is suspended for its answers in the middle of its roll-out. Going on
-/// would expose more sessions to it; the roll-out goes back. With both versions suspended
-/// there is nowhere to go, and an operator decides.
+/// The new version is suspended for its answers in the middle of its roll-out. Continuing would
+/// expose more sessions to it, so the roll-out is aborted. With both versions suspended neither is
+/// safe, so it pauses for an operator.
 #[test]
-fn can_go_back_when_the_new_version_is_suspended() {
-    let mut world = World::new(4, 20.0);
-    world.run_until(|w| w.steps_seen.len() == 2);
-    world.evidence.new_suspended = true;
-    world.run_until(|w| w.state() == RolloutState::Aborted);
-    let states = &world.model.versions;
-    assert_eq!(states[&name("2")].state, VersionState::Draining);
+fn aborts_when_the_new_version_is_suspended() {
+    let mut sim = Simulation::new(4, 20.0);
+    sim.run_until(|w| w.observed_steps.len() == 2);
+    sim.evidence.new_suspended = true;
+    sim.run_until(|w| w.state() == RolloutState::Aborted);
+    let states = &sim.model.versions;
+    assert_eq!(states[&version_name("2")].state, VersionState::Draining);
 
-    let mut world = World::new(4, 20.0);
-    world.run_until(|w| w.steps_seen.len() == 2);
-    world.evidence.new_suspended = true;
-    world.evidence.old_suspended = true;
-    world.run_until(|w| w.state() == RolloutState::Paused);
+    let mut sim = Simulation::new(4, 20.0);
+    sim.run_until(|w| w.observed_steps.len() == 2);
+    sim.evidence.new_suspended = true;
+    sim.evidence.old_suspended = true;
+    sim.run_until(|w| w.state() == RolloutState::Paused);
 }
 
-/// The new version turns bad after the roll-out is done and the old one drains. Removing
-/// the old one's capacity now would take the only way out.
+/// The new version is suspended after the roll-out is done and the old one drains. Removing the old
+/// version's capacity now would make it impossible to go back.
 #[test]
-fn errors_keep_the_old_version_when_the_new_one_is_suspended_late() {
-    let mut world = World::new(4, 20.0);
-    world.run_until(|w| w.state() == RolloutState::Done);
-    world.on = [0.0, 20.0];
-    world.evidence.new_suspended = true;
-    world.run(300);
-    assert_eq!(world.ready("1"), 64.0);
+fn keeps_the_old_version_when_the_new_one_is_suspended_later() {
+    let mut sim = Simulation::new(4, 20.0);
+    sim.run_until(|w| w.state() == RolloutState::Done);
+    sim.demand = [0.0, 20.0];
+    sim.evidence.new_suspended = true;
+    sim.run(300);
+    assert_eq!(sim.ready("1"), 64.0);
 }
 
-/// An operator withdraws the new version while the driver, which has not seen that yet,
-/// moves to the next step. A blind write would make the version offered again. The write
-/// is bound to the revision that the driver saw.
+/// An operator withdraws the new version while the driver, which has not seen that yet, goes to the
+/// next step. An unconditional write would make the version offered again, so the write is bound to
+/// the revision that the driver saw.
 #[test]
-fn can_lose_an_edit_to_an_operator() {
-    let mut world = World::new(4, 20.0);
-    world.run_until(|w| w.steps_seen.len() == 2);
-    let before = (world.model.clone(), world.revision);
+fn edit_does_not_overwrite_an_operators_edit() {
+    let mut sim = Simulation::new(4, 20.0);
+    sim.run_until(|w| w.observed_steps.len() == 2);
+    let before = (sim.model.clone(), sim.revision);
     let edit = loop {
-        let effects = world.tick_only(0);
+        let effects = sim.tick_only(0);
         let edits = effects.iter().find(|e| matches!(e, Effect::Edit { .. }));
         if let Some(edit) = edits.cloned() {
             break edit;
         }
-        world.carry_out(0, effects);
-        world.pass();
+        sim.apply(0, effects);
+        sim.advance_time();
     };
-    world.model = set_state(&before.0, &name("2"), VersionState::Withdrawn).unwrap();
-    world.revision = before.1.next();
-    world.carry_out(0, vec![edit]);
+    sim.model = set_state(&before.0, &version_name("2"), VersionState::Withdrawn).unwrap();
+    sim.revision = before.1.next();
+    sim.apply(0, vec![edit]);
     assert_eq!(
-        world.model.versions[&name("2")].state,
+        sim.model.versions[&version_name("2")].state,
         VersionState::Withdrawn
     );
-    world.on = [20.0, 0.0];
-    world.run_until(|w| w.ready("2") == 0.0);
+    sim.demand = [20.0, 0.0];
+    sim.run_until(|w| w.ready("2") == 0.0);
 }
 
-/// The weight store lets one load begin every ten seconds. A driver that asked again at
-/// once, or loaded without leave, would slow every other model's loads.
+/// The weight store permits one load every ten seconds. A driver that asked again at once, or
+/// loaded without a permit, would slow every other model's loads.
 #[test]
-fn can_wait_for_the_weight_store() {
-    let mut world = World::new(4, 20.0);
-    world.slot_every = Span::from_secs(10);
-    world.run(250);
-    // In fifty seconds: once when a load begins, once when the next one must wait.
-    assert!(world.slots_asked <= 10, "asked {} times", world.slots_asked);
-    world.run_until(|w| w.state() == RolloutState::Done);
-    assert_eq!(world.loads, 4);
+fn waits_for_permits_of_the_weight_store() {
+    let mut sim = Simulation::new(4, 20.0);
+    sim.permit_interval = Span::from_secs(10);
+    sim.run(250);
+    // In fifty seconds: one request for each load that starts, one for each that must wait.
+    assert!(
+        sim.permits_requested <= 10,
+        "asked {} times",
+        sim.permits_requested
+    );
+    sim.run_until(|w| w.state() == RolloutState::Done);
+    assert_eq!(sim.loads, 4);
 }
 
-/// The reply to the lease's creation is lost, after it took effect. A driver that took
-/// this for a failure would wait out its own lease, and every roll-out stands still.
+/// The reply to the lease's creation is lost after it took effect. A driver that took this for a
+/// failure would wait for its own lease to expire, and every roll-out would stop meanwhile.
 #[test]
-fn can_hold_a_lease_whose_reply_was_lost() {
-    let mut world = World::new(2, 10.0);
-    world.run(2);
-    world.store.lose_next = true;
-    world.run(3);
-    let hold = world.drivers[0].held(world.now).expect("the lease is held");
-    let (key, _) = world.store.key.as_ref().unwrap();
+fn holds_a_lease_whose_creation_reply_was_lost() {
+    let mut sim = Simulation::new(2, 10.0);
+    sim.run(2);
+    sim.store.loses_next_reply = true;
+    sim.run(3);
+    let hold = sim.drivers[0].held(sim.now).expect("the lease is held");
+    let (key, _) = sim.store.key.as_ref().unwrap();
     assert_eq!(hold.fencing, u64::try_from(key.mod_revision.0).unwrap());
 }
 
-/// Two daemons find the key absent. The second creates it, the first one's attempt fails,
-/// and the reply that says so is lost. Reading the key, the first one must not take the
-/// other's lease for its own.
+/// Two daemons find the key absent and the second one creates it. The first one's attempt fails,
+/// and the reply that says so is lost. When it reads the key, it must not take the other's lease
+/// for its own.
 #[test]
-fn errors_keep_a_lease_from_being_taken_for_one_s_own() {
-    let mut world = World::new(2, 10.0);
+fn does_not_take_another_daemons_lease_for_its_own() {
+    let mut sim = Simulation::new(2, 10.0);
     let create = loop {
-        let effects = world.tick_only(0);
+        let effects = sim.tick_only(0);
         let is_create = |e: &Effect| matches!(e, Effect::Store(call) if matches!(call.request, keyvalue::Request::Txn(_)));
         if effects.iter().any(is_create) {
             break effects;
         }
-        world.carry_out(0, effects);
-        world.pass();
+        sim.apply(0, effects);
+        sim.advance_time();
     };
-    while world.drivers[1].held(world.now).is_none() {
-        let effects = world.tick_only(1);
-        world.carry_out(1, effects);
+    while sim.drivers[1].held(sim.now).is_none() {
+        let effects = sim.tick_only(1);
+        sim.apply(1, effects);
     }
-    world.store.lose_next = true;
-    world.carry_out(0, create);
-    world.run(5);
-    assert_eq!(world.drivers[0].held(world.now), None);
-    assert_eq!(world.drivers[0].holder().unwrap().as_str(), "d1");
+    sim.store.loses_next_reply = true;
+    sim.apply(0, create);
+    sim.run(5);
+    assert_eq!(sim.drivers[0].held(sim.now), None);
+    assert_eq!(sim.drivers[0].holder().unwrap().as_str(), "d1");
 }
 
-/// A roll-out has ended and nobody drives it. An engine restarts with the old, withdrawn
-/// version, as it was set up, and lacks the new one. Some minutes later it is put right.
+/// After a roll-out has ended and its lease was given up, an engine restarts with the old,
+/// withdrawn version, as it was configured, and lacks the new one. Some minutes later it is
+/// corrected.
 #[test]
-fn can_put_right_an_engine_that_came_back_with_the_old_version() {
-    let mut world = World::new(3, 10.0);
-    world.run_until(|w| w.state() == RolloutState::Done);
-    world.on = [0.0, 10.0];
-    world.withdraw("1");
-    world.run_until(|w| w.ready("1") == 0.0);
-    world.run(20);
-    assert_eq!(world.drivers[0].held(world.now), None);
-    world.engines[1].ready = vec![name("1")];
-    world.run_until(|w| w.ready("1") == 0.0 && w.ready("2") == 48.0);
+fn corrects_an_engine_that_restarted_with_the_old_version() {
+    let mut sim = Simulation::new(3, 10.0);
+    sim.run_until(|w| w.state() == RolloutState::Done);
+    sim.demand = [0.0, 10.0];
+    sim.withdraw("1");
+    sim.run_until(|w| w.ready("1") == 0.0);
+    sim.run(20);
+    assert_eq!(sim.drivers[0].held(sim.now), None);
+    sim.engines[1].ready = vec![version_name("1")];
+    sim.run_until(|w| w.ready("1") == 0.0 && w.ready("2") == 48.0);
 }
 
-/// The store goes down for a minute. The lease cannot be renewed, and another may hold it
-/// as soon as the store is back; until then this daemon stops before its lease ends.
+/// During an outage of the store the lease cannot be renewed, and another daemon may hold it as
+/// soon as the store is back. So the driver stops before its lease expires, and continues with a
+/// new one.
 #[test]
-fn can_stop_and_go_on_around_an_outage_of_the_store() {
-    let mut world = World::new(4, 20.0);
-    world.run_until(|w| w.steps_seen.len() == 2);
-    let first = world.drivers[0].held(world.now).unwrap();
-    world.store.down = true;
-    world.run(100);
-    assert_eq!(world.drivers[0].held(world.now), None);
-    world.store.down = false;
-    world.run_until(|w| w.state() == RolloutState::Done);
-    let second = world.drivers[0].held(world.now).unwrap();
+fn stops_during_a_store_outage_and_continues_after_it() {
+    let mut sim = Simulation::new(4, 20.0);
+    sim.run_until(|w| w.observed_steps.len() == 2);
+    let first = sim.drivers[0].held(sim.now).unwrap();
+    sim.store.is_down = true;
+    sim.run(100);
+    assert_eq!(sim.drivers[0].held(sim.now), None);
+    sim.store.is_down = false;
+    sim.run_until(|w| w.state() == RolloutState::Done);
+    let second = sim.drivers[0].held(sim.now).unwrap();
     assert!(second.fencing > first.fencing);
 }
 
-/// Two daemons want to drive. The second one looks at the key and waits; it takes over
-/// with a larger number once the first is gone, and never while it holds the lease.
+/// Two daemons compete for the lease. The second one reads the key and waits. It takes over with a
+/// larger fencing token once the first one is gone, and never while the first one holds the lease.
 #[test]
-fn can_hand_over_between_two_daemons() {
-    let mut world = World::new(4, 20.0);
-    let both = |world: &mut World| {
+fn lease_passes_to_a_standby_daemon() {
+    let mut sim = Simulation::new(4, 20.0);
+    let both = |sim: &mut Simulation| {
         for index in 0..2 {
-            let effects = world.tick_only(index);
-            world.carry_out(index, effects);
+            let effects = sim.tick_only(index);
+            sim.apply(index, effects);
         }
-        world.pass();
-        world
-            .drivers
+        sim.advance_time();
+        sim.drivers
             .iter()
-            .filter(|d| d.held(world.now).is_some())
+            .filter(|d| d.held(sim.now).is_some())
             .count()
     };
     for _ in 0..200 {
-        assert!(both(&mut world) <= 1);
+        assert!(both(&mut sim) <= 1);
     }
-    let first = world.drivers[0].held(world.now).unwrap();
-    assert_eq!(world.drivers[1].holder().unwrap().as_str(), "d0");
+    let first = sim.drivers[0].held(sim.now).unwrap();
+    assert_eq!(sim.drivers[1].holder().unwrap().as_str(), "d0");
     for _ in 0..300 {
-        let effects = world.tick_only(1);
-        world.carry_out(1, effects);
-        world.pass();
+        let effects = sim.tick_only(1);
+        sim.apply(1, effects);
+        sim.advance_time();
     }
-    let second = world.drivers[1].held(world.now).unwrap();
+    let second = sim.drivers[1].held(sim.now).unwrap();
     assert!(second.fencing > first.fencing);
-    assert_eq!(world.drivers[0].held(world.now), None);
+    assert_eq!(sim.drivers[0].held(sim.now), None);
 }
--- a/components/rollout/tests/edit.rs
+++ b/components/rollout/tests/edit.rs
@@ -1,4 +1,4 @@
-//! What operators may do to a model's entry.
+//! Edits of a model's entry by operators and the driver.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use rollout::edit::{Action, EditError, Start, act, finish, set_state};
 use types::prelude::*;
 
-fn name(text: &str) -> VersionName {
+fn version_name(text: &str) -> VersionName {
     text.parse().unwrap()
 }
 
@@ -24,7 +24,7 @@
     Model {
         service: "services/engines".parse().unwrap(),
         versions: versions
-            .map(|(v, state)| (name(v), version(*state)))
+            .map(|(v, state)| (version_name(v), version(*state)))
             .collect(),
         rollout: None,
     }
@@ -32,7 +32,7 @@
 
 fn start(to: &str) -> Action {
     Action::Start(Start {
-        to: name(to),
+        to: version_name(to),
         from: None,
         steps: None,
         gate: None,
@@ -40,11 +40,14 @@
 }
 
 #[test]
-fn can_go_through_a_roll_out() {
+fn can_complete_a_roll_out() {
     let first = model(&[("1", VersionState::Offered), ("2", VersionState::Withdrawn)]);
     let mut now = act(&first, &start("2")).unwrap();
-    assert_eq!(now.versions[&name("2")].state, VersionState::Offered);
-    assert_eq!(now.rollout.as_ref().unwrap().from, name("1"));
+    assert_eq!(
+        now.versions[&version_name("2")].state,
+        VersionState::Offered
+    );
+    assert_eq!(now.rollout.as_ref().unwrap().from, version_name("1"));
     now = act(&now, &Action::Pause).unwrap();
     now = act(&now, &Action::Advance).unwrap();
     now = act(&now, &Action::Resume).unwrap();
@@ -54,40 +57,49 @@
     }
     assert_eq!(act(&now, &Action::Advance), Err(EditError::LastStep));
     let done = finish(&now).unwrap();
-    assert_eq!(done.versions[&name("1")].state, VersionState::Draining);
+    assert_eq!(
+        done.versions[&version_name("1")].state,
+        VersionState::Draining
+    );
     assert_eq!(done.rollout.unwrap().share(), Share::ALL);
 }
 
 #[test]
-fn can_abort_and_leave_the_new_version_to_its_sessions() {
+fn can_abort_and_drain_the_new_version() {
     let first = model(&[("1", VersionState::Offered), ("2", VersionState::Withdrawn)]);
     let now = act(&first, &start("2")).unwrap();
     let aborted = act(&now, &Action::Abort).unwrap();
-    assert_eq!(aborted.versions[&name("2")].state, VersionState::Draining);
+    assert_eq!(
+        aborted.versions[&version_name("2")].state,
+        VersionState::Draining
+    );
     assert_eq!(aborted.rollout.as_ref().unwrap().share(), Share::NONE);
     assert!(act(&aborted, &start("2")).is_ok());
 }
 
-/// A version turns bad in the middle of its roll-out and an operator withdraws it; the
-/// roll-out then ends by the driver's hand. Were its end to set a withdrawn version
-/// draining, its sessions would get bad answers again.
+/// An operator withdraws a bad version in the middle of its roll-out, and then the driver ends the
+/// roll-out. If that set the withdrawn version to draining, its sessions would get bad answers
+/// again.
 #[test]
-fn can_withdraw_in_a_roll_out_and_stay_withdrawn() {
+fn withdrawn_version_stays_withdrawn_when_the_roll_out_ends() {
     let first = model(&[("1", VersionState::Offered), ("2", VersionState::Withdrawn)]);
     let now = act(&first, &start("2")).unwrap();
-    let withdrawn = set_state(&now, &name("2"), VersionState::Withdrawn).unwrap();
+    let withdrawn = set_state(&now, &version_name("2"), VersionState::Withdrawn).unwrap();
     assert_eq!(
         withdrawn.rollout.as_ref().unwrap().state,
         RolloutState::Aborted
     );
 
-    let old_gone = set_state(&now, &name("1"), VersionState::Withdrawn).unwrap();
+    let old_gone = set_state(&now, &version_name("1"), VersionState::Withdrawn).unwrap();
     let done = finish(&old_gone).unwrap();
-    assert_eq!(done.versions[&name("1")].state, VersionState::Withdrawn);
+    assert_eq!(
+        done.versions[&version_name("1")].state,
+        VersionState::Withdrawn
+    );
 }
 
 #[test]
-fn errors_on_actions_that_make_no_sense() {
+fn rejects_invalid_actions() {
     let two = model(&[("1", VersionState::Offered), ("2", VersionState::Offered)]);
     let three = model(&[
         ("1", VersionState::Offered),
@@ -97,7 +109,7 @@
     let running = act(&two, &start("2")).unwrap();
     assert_eq!(
         act(&running, &start("1")),
-        Err(EditError::UnderWay(name("2")))
+        Err(EditError::InProgress(version_name("2")))
     );
     assert_eq!(act(&two, &start("9")), Err(EditError::AmbiguousFrom(2)));
     assert_eq!(act(&three, &start("3")), Err(EditError::AmbiguousFrom(2)));
@@ -109,7 +121,7 @@
     );
     let with = |from: Option<&str>, steps: &[f64]| {
         let steps = steps.iter().map(|s| Share::clamped(*s)).collect();
-        let (to, from) = (name("2"), from.map(name));
+        let (to, from) = (version_name("2"), from.map(version_name));
         act(
             &two,
             &Action::Start(Start {
@@ -122,11 +134,11 @@
     };
     assert_eq!(
         with(Some("2"), &[1.0]),
-        Err(EditError::SameVersion(name("2")))
+        Err(EditError::SameVersion(version_name("2")))
     );
     assert_eq!(
         with(Some("9"), &[1.0]),
-        Err(EditError::UnknownVersion(name("9")))
+        Err(EditError::UnknownVersion(version_name("9")))
     );
     for steps in [
         &[][..],
--- a/components/rollout/tests/support/simulation.rs
+++ b/components/rollout/tests/support/simulation.rs
@@ -1,4 +1,4 @@
-//! Engines, a store and a weight store for the driver's tests.
+//! Simulated engines, store and weight store for the driver's tests.
 
 use std::collections::BTreeMap;
 
@@ -17,38 +17,38 @@
 const LOAD_TIME: Span = Span::from_secs(4);
 const SLOTS: u32 = 16;
 
-pub fn name(text: &str) -> VersionName {
+pub fn version_name(text: &str) -> VersionName {
     text.parse().unwrap()
 }
 
-/// An engine as it is, not as it was reported.
+/// The actual state of an engine, which its last report may not show.
 #[derive(Debug, Clone)]
-pub struct Real {
+pub struct SimEngine {
     pub id: UpstreamId,
     pub ready: Vec<VersionName>,
     pub loading: BTreeMap<VersionName, Time>,
-    /// Takes orders and does nothing.
-    pub deaf: bool,
+    /// Accepts orders without any effect.
+    pub ignores_orders: bool,
 }
 
-/// One key with a lease.
+/// A store with a single key that is bound to a lease.
 #[derive(Debug, Default)]
 pub struct Store {
     pub key: Option<(KeyValue, Time)>,
     revision: i64,
-    pub down: bool,
-    /// The next reply is lost, after its call took effect.
-    pub lose_next: bool,
+    pub is_down: bool,
+    /// Whether the next reply is lost after its call took effect.
+    pub loses_next_reply: bool,
 }
 
 impl Store {
     pub fn call(&mut self, now: Time, request: &Request) -> Outcome {
-        if self.down {
+        if self.is_down {
             return Err(CallError::NotSent("down".to_owned()));
         }
         self.key.take_if(|(_, end)| now.has_reached(*end));
         let reply = self.reply(now, request);
-        if std::mem::take(&mut self.lose_next) {
+        if std::mem::take(&mut self.loses_next_reply) {
             return Err(CallError::Unknown("lost".to_owned()));
         }
         let revision = ModRevision(self.revision);
@@ -86,7 +86,7 @@
                     return Reply::Txn(TxnReply { succeeded, replies });
                 }
                 let Some(Op::Put(put)) = txn.success.first() else {
-                    panic!("the lease's key is put");
+                    panic!("the transaction puts the lease's key");
                 };
                 self.revision += 1;
                 let kv = KeyValue {
@@ -103,10 +103,10 @@
     }
 }
 
-/// A roll-out from version 1 to version 2 and those who may drive it.
-pub struct World {
+/// A roll-out from version 1 to version 2 and the daemons that may drive it.
+pub struct Simulation {
     pub now: Time,
-    pub engines: Vec<Real>,
+    pub engines: Vec<SimEngine>,
     pub drivers: Vec<Driver>,
     reports: Vec<Vec<Engine>>,
     outcomes: Vec<Vec<(u64, Outcome)>>,
@@ -114,25 +114,25 @@
     pub model: Model,
     pub revision: Revision,
     pub evidence: Evidence,
-    /// Slots taken by versions 1 and 2.
-    pub on: [f64; 2],
-    pub slot_every: Span,
-    next_slot: Time,
-    pub slots_asked: u32,
+    /// Demand on versions 1 and 2, in slots.
+    pub demand: [f64; 2],
+    pub permit_interval: Span,
+    next_permit_at: Time,
+    pub permits_requested: u32,
     pub loads: u32,
-    pub loads_blocked: bool,
-    pub steps_seen: Vec<usize>,
+    pub is_loading_blocked: bool,
+    pub observed_steps: Vec<usize>,
 }
 
-impl World {
+impl Simulation {
     pub fn new(engines: usize, demand: f64) -> Self {
-        let engine = |index| Real {
+        let engine = |index| SimEngine {
             id: UpstreamId::new(&format!("e{index}")).unwrap(),
-            ready: vec![name("1")],
+            ready: vec![version_name("1")],
             loading: BTreeMap::new(),
-            deaf: false,
+            ignores_orders: false,
         };
-        let engines: Vec<Real> = (0..engines).map(engine).collect();
+        let engines: Vec<SimEngine> = (0..engines).map(engine).collect();
         let daemon = |index| DaemonId::new(&format!("d{index}")).unwrap();
         let driver = |index| Driver::new("key".to_owned(), daemon(index), Config::default());
         let reports: Vec<Engine> = engines.iter().map(|e| report(e, None)).collect();
@@ -143,16 +143,16 @@
             reports: vec![reports; 2],
             outcomes: vec![Vec::new(); 2],
             store: Store::default(),
-            model: first_model(),
+            model: initial_model(),
             revision: Revision(1),
             evidence: Evidence::default(),
-            on: [demand, 0.0],
-            slot_every: Span::ZERO,
-            next_slot: Time::ZERO,
-            slots_asked: 0,
+            demand: [demand, 0.0],
+            permit_interval: Span::ZERO,
+            next_permit_at: Time::ZERO,
+            permits_requested: 0,
             loads: 0,
-            loads_blocked: false,
-            steps_seen: Vec::new(),
+            is_loading_blocked: false,
+            observed_steps: Vec::new(),
         }
     }
 
@@ -160,21 +160,22 @@
         self.model.rollout.as_ref().unwrap().state
     }
 
-    /// Slots that can run a version.
+    /// Slots of the engines that have a version ready.
     pub fn ready(&self, version: &str) -> f64 {
-        let able = self
+        let engines = self
             .engines
             .iter()
-            .filter(|e| e.ready.contains(&name(version)));
-        able.count() as f64 * f64::from(SLOTS)
+            .filter(|e| e.ready.contains(&version_name(version)));
+        engines.count() as f64 * f64::from(SLOTS)
     }
 
     pub fn withdraw(&mut self, version: &str) {
-        self.model = set_state(&self.model, &name(version), VersionState::Withdrawn).unwrap();
+        self.model =
+            set_state(&self.model, &version_name(version), VersionState::Withdrawn).unwrap();
         self.revision = self.revision.next();
     }
 
-    /// A tick of one driver, its effects not carried out.
+    /// Runs a tick of one driver and returns its effects without applying them.
     pub fn tick_only(&mut self, index: usize) -> Vec<Effect> {
         let (now, rank) = (self.now, Some(index as u32));
         let mut effects = Vec::new();
@@ -182,34 +183,34 @@
             effects.extend(self.drivers[index].on_store(now, number, outcome, rank));
         }
         let rollout = self.model.rollout.as_ref().unwrap();
-        let at = |version: &VersionName| self.on[usize::from(version.as_str() == "2")];
-        let seen = Observed {
+        let demand_of = |version: &VersionName| self.demand[usize::from(version.as_str() == "2")];
+        let observed = Observed {
             model: &self.model,
             revision: self.revision,
             engines: &self.reports[index],
             evidence: self.evidence,
             demand: Demand {
-                from: at(&rollout.from),
-                to: at(&rollout.to),
+                from: demand_of(&rollout.from),
+                to: demand_of(&rollout.to),
             },
             rank,
         };
-        effects.extend(self.drivers[index].tick(now, &seen));
+        effects.extend(self.drivers[index].tick(now, &observed));
         effects
     }
 
-    pub fn carry_out(&mut self, index: usize, effects: Vec<Effect>) {
+    pub fn apply(&mut self, index: usize, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Store(call) => {
                     let outcome = self.store.call(self.now, &call.request);
                     self.outcomes[index].push((call.number, outcome));
                 }
-                Effect::Read(id) => self.read(index, &id),
-                Effect::Order(order) => self.order(&order),
-                Effect::FetchSlot(_) => self.slot(index),
+                Effect::Read(id) => self.read_report(index, &id),
+                Effect::Order(order) => self.apply_order(&order),
+                Effect::FetchSlot(_) => self.request_permit(index),
                 Effect::Edit { model, if_match }
-                    if if_match == self.revision && !self.store.down =>
+                    if if_match == self.revision && !self.store.is_down =>
                 {
                     self.model = *model;
                     self.revision = self.revision.next();
@@ -219,26 +220,26 @@
         }
     }
 
-    fn read(&mut self, index: usize, id: &UpstreamId) {
+    fn read_report(&mut self, index: usize, id: &UpstreamId) {
         let at = self.engines.iter().position(|e| e.id == *id).unwrap();
         self.reports[index][at] = report(&self.engines[at], Some(self.now));
     }
 
-    fn slot(&mut self, index: usize) {
-        self.slots_asked += 1;
-        let blocked = self.loads_blocked || !self.now.has_reached(self.next_slot);
+    fn request_permit(&mut self, index: usize) {
+        self.permits_requested += 1;
+        let blocked = self.is_loading_blocked || !self.now.has_reached(self.next_permit_at);
         let answer = if blocked {
-            Err(self.now.until(self.next_slot))
+            Err(self.now.until(self.next_permit_at))
         } else {
             Ok(())
         };
         if answer.is_ok() {
-            self.next_slot = self.now + self.slot_every;
+            self.next_permit_at = self.now + self.permit_interval;
         }
         self.drivers[index].on_slot(self.now, answer);
     }
 
-    pub fn order(&mut self, order: &Order) {
+    pub fn apply_order(&mut self, order: &Order) {
         let ready = self.now + LOAD_TIME;
         let engine = self
             .engines
@@ -247,7 +248,7 @@
             .unwrap();
         let has = engine.ready.contains(&order.version);
         match order.kind {
-            _ if engine.deaf => {}
+            _ if engine.ignores_orders => {}
             OrderKind::Load if has => {}
             OrderKind::Load => {
                 engine.loading.entry(order.version.clone()).or_insert(ready);
@@ -260,8 +261,8 @@
         }
     }
 
-    /// Time passes; loads end and ratings come in.
-    pub fn pass(&mut self) {
+    /// Advances the time by one tick: loads finish and a rating comes in.
+    pub fn advance_time(&mut self) {
         self.now = self.now + TICK;
         let now = self.now;
         for engine in &mut self.engines {
@@ -270,16 +271,16 @@
         }
         self.evidence.ratings += 1;
         let step = self.model.rollout.as_ref().unwrap().step;
-        if self.steps_seen.last() != Some(&step) {
-            self.steps_seen.push(step);
+        if self.observed_steps.last() != Some(&step) {
+            self.observed_steps.push(step);
         }
     }
 
-    /// A tick of the first driver, carried out.
+    /// Runs a tick of the first driver, applies its effects and advances the time.
     pub fn step(&mut self) -> Vec<Effect> {
         let effects = self.tick_only(0);
-        self.carry_out(0, effects.clone());
-        self.pass();
+        self.apply(0, effects.clone());
+        self.advance_time();
         effects
     }
 
@@ -287,23 +288,23 @@
         (0..ticks).for_each(|_| drop(self.step()));
     }
 
-    /// Runs until something holds, within twenty minutes.
-    pub fn run_until(&mut self, holds: impl Fn(&Self) -> bool) {
+    /// Runs until a condition holds; panics after twenty minutes of simulated time.
+    pub fn run_until(&mut self, condition: impl Fn(&Self) -> bool) {
         for _ in 0..6000 {
-            if holds(self) {
+            if condition(self) {
                 return;
             }
             self.step();
         }
         panic!(
-            "never: {:?} waits for {:?}",
+            "condition not reached: {:?} waits for {:?}",
             self.state(),
             self.drivers[0].waiting()
         );
     }
 }
 
-fn report(engine: &Real, read_at: Option<Time>) -> Engine {
+fn report(engine: &SimEngine, read_at: Option<Time>) -> Engine {
     let known = read_at.is_some();
     Engine {
         id: engine.id.clone(),
@@ -321,7 +322,7 @@
     }
 }
 
-fn first_model() -> Model {
+fn initial_model() -> Model {
     let price = Price {
         input: Cost(1),
         output: Cost(1),
@@ -337,10 +338,14 @@
     };
     Model {
         service: EntryName::new("services/engines").unwrap(),
-        versions: [(name("1"), version.clone()), (name("2"), version)].into(),
+        versions: [
+            (version_name("1"), version.clone()),
+            (version_name("2"), version),
+        ]
+        .into(),
         rollout: Some(Rollout {
-            from: name("1"),
-            to: name("2"),
+            from: version_name("1"),
+            to: version_name("2"),
             steps: [0.0, 0.5, 1.0].map(Share::clamped).to_vec(),
             step: 0,
             state: RolloutState::Running,
