--- a/components/poison/src/suspects/crashes.rs
+++ b/components/poison/src/suspects/crashes.rs
@@ -13,8 +13,9 @@
 const CRASHES_KEPT: Span = Span::from_secs(3_600);
 /// Crashes added to those seen, so that the rate is never taken for 0.
 const UNSEEN_CRASHES: f64 = 0.5;
-/// The least rate is computed for at least this many upstreams, since fewer say too little of how
-/// rare crashes are: with one, the rate assumed without any crash would excuse three in a second.
+/// The least rate is computed for at least this many upstreams, since fewer say too little about
+/// how rare crashes are: with one, the rate assumed without any crash would excuse three in a
+/// second.
 const MIN_UPSTREAMS: usize = 8;
 
 /// Recent crashes of upstreams, whatever ran there.
--- a/components/poison/src/suspects/evidence.rs
+++ b/components/poison/src/suspects/evidence.rs
@@ -127,7 +127,7 @@
         })
     }
 
-    /// Probability of its crashes by chance; nothing if other contents explain all of them.
+    /// Probability of its crashes by chance, or nothing if other contents explain all of them.
     ///
     /// A crash that another content explains still counts a little: a harmless request next to the
     /// culprit is at any point of its run then, and has seldom just started.
--- a/components/poison/src/suspects/outbox.rs
+++ b/components/poison/src/suspects/outbox.rs
@@ -47,7 +47,8 @@
 #[derive(Debug, Default)]
 struct Sent {
     expires_at: HashMap<u64, Time>,
-    /// Expiry of crashes and trials, and of the other events, the earliest first.
+    /// Keys and expiry of crashes and trials, and below of answers and lifted quarantines, the
+    /// earliest first.
     crashes: VecDeque<(u64, Time)>,
     clearings: VecDeque<(u64, Time)>,
 }
--- a/components/rollout/src/driver.rs
+++ b/components/rollout/src/driver.rs
@@ -199,8 +199,8 @@
         effects
     }
 
-    /// Whether nothing is left to do: by reports that are recent enough, every engine has the
-    /// version that stays and none the other.
+    /// Whether nothing is left to do: by reports that are recent enough, every engine that takes
+    /// new work has the version that stays ready and does not have the other.
     fn is_complete(&self, now: Time, goal: &Goal, observed: &Observed<'_>) -> bool {
         let mut serving = observed.engines.iter().filter(|e| !e.leaving);
         let removing = matches!(goal.phase, Phase::Remove { .. });
