--- /dev/null
+++ b/components/poison/src/suspects/attribution.rs
@@ -0,0 +1,129 @@
+//! Decides which contents crashes are attributed to, and so which are quarantined.
+
+use std::collections::{BTreeSet, HashMap};
+use std::sync::Arc;
+
+use types::prelude::*;
+
+use super::evidence::Suspect;
+use super::{Change, Suspects};
+use crate::content::Content;
+use crate::updates::UpstreamRun;
+
+/// Largest chance at which a content is quarantined when several others of its customer are: one in
+/// a thousand of that customer's harmless requests that are in flight at a crash is refused for a
+/// while.
+const MAX_CHANCE_OF_REPEATED: f64 = 1e-3;
+
+impl Suspects {
+    /// Quarantines the contents that explain crashes best, and clears those whose crashes others
+    /// explain.
+    ///
+    /// Guards against quarantining a harmless request for the culprit's crashes: what runs next to
+    /// the culprit and is retried with it is hit by the same crashes once, twice and now and then
+    /// three times.
+    pub(super) fn reevaluate(&mut self, now: Time) {
+        if !self.policy.bars {
+            return;
+        }
+        let mut culprits = Culprits::default();
+        let restored = self
+            .suspects
+            .iter()
+            .filter(|(_, suspect)| suspect.is_restored);
+        restored.for_each(|(content, suspect)| culprits.add(*content, suspect));
+        while let Some(content) = self.least_likely(&culprits) {
+            culprits.add(content, &self.suspects[&content]);
+        }
+        for (content, suspect) in &mut self.suspects {
+            match (
+                suspect.quarantined_since,
+                culprits.contents.contains(content),
+            ) {
+                (None, true) => {
+                    suspect.quarantined_since = Some(now);
+                    let quarantine = suspect.quarantine(*content, &self.policy);
+                    self.changes.extend(quarantine.map(Change::Barred));
+                }
+                (Some(_), false) => {
+                    suspect.quarantined_since = None;
+                    self.changes.push(Change::Cleared(*content));
+                }
+                _ => {}
+            }
+        }
+        self.suspects
+            .retain(|_, suspect| !suspect.crashes.is_empty());
+    }
+
+    /// Of the contents whose crashes chance does not explain, the one with the least likely
+    /// crashes.
+    fn least_likely(&self, culprits: &Culprits) -> Option<Content> {
+        let others = self.suspects.iter();
+        let others = others.filter(|(content, _)| !culprits.contents.contains(*content));
+        let candidates = others.filter_map(|(content, suspect)| {
+            let threshold = self.threshold(culprits.count_of_customer(suspect));
+            if suspect.count() < threshold.crashes {
+                return None;
+            }
+            let chance = suspect.chance(&culprits.explained, &self.crashes)?;
+            (chance <= threshold.chance).then_some((chance / threshold.chance, *content))
+        });
+        let least_likely = candidates.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+        least_likely.map(|(_, content)| content)
+    }
+
+    /// The evidence that it takes to quarantine a content when this many others of its customer are
+    /// quarantined.
+    ///
+    /// Guards against a customer that sends one such request after another, each of which would
+    /// crash as many upstreams as the first. One other is no reason yet: the customer's ordinary
+    /// requests are hit next to it like everybody's.
+    fn threshold(&self, others: usize) -> Threshold {
+        let min_crashes = self.policy.least_ends as usize;
+        match others {
+            0 | 1 => Threshold {
+                crashes: min_crashes,
+                chance: self.policy.chance,
+            },
+            others => Threshold {
+                crashes: min_crashes.saturating_sub(others - 1).max(1),
+                chance: self.policy.chance.max(MAX_CHANCE_OF_REPEATED),
+            },
+        }
+    }
+}
+
+/// The evidence that it takes to quarantine a content.
+struct Threshold {
+    crashes: usize,
+    chance: f64,
+}
+
+/// Contents that crashes are attributed to so far.
+#[derive(Default)]
+struct Culprits {
+    contents: BTreeSet<Content>,
+    /// Crashes that these contents explain.
+    explained: BTreeSet<UpstreamRun>,
+    by_customer: HashMap<Arc<str>, usize>,
+}
+
+impl Culprits {
+    fn add(&mut self, content: Content, suspect: &Suspect) {
+        let crashes = suspect.counted();
+        self.explained
+            .extend(crashes.map(|(upstream, _)| upstream.clone()));
+        self.contents.insert(content);
+        if let Some(customer) = &suspect.customer {
+            *self.by_customer.entry(customer.clone()).or_default() += 1;
+        }
+    }
+
+    /// Number of culprits of the same customer.
+    fn count_of_customer(&self, suspect: &Suspect) -> usize {
+        let customer = suspect.customer.as_ref();
+        let culprits = customer.and_then(|customer| self.by_customer.get(customer));
+        culprits.copied().unwrap_or(0)
+    }
+}
--- /dev/null
+++ b/components/poison/tests/support/simulation.rs
@@ -0,0 +1,474 @@
+//! Simulation of a fleet of daemons in front of upstreams that crash, in simulated time.
+//!
+//! Each daemon has the product's tables and knows only what it sees and what it is sent. Requests
+//! are sent to an upstream, wait there, start, and are answered some seconds later. An upstream
+//! that crashes breaks all of them, and they go to others while attempts are left. A culprit
+//! crashes its upstream a moment after it starts.
+
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
+use std::sync::Arc;
+
+use poison::{Admission, Content, PoisonPolicy, RunEnd, Runs, Suspects, UpstreamRun, Words};
+use rand::{Rng, RngExt, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use types::prelude::*;
+
+/// What is simulated.
+#[derive(Debug, Clone)]
+pub struct Scenario {
+    pub seed: u64,
+    pub daemons: usize,
+    pub upstreams: usize,
+    pub seconds: u64,
+    /// Ordinary requests per second, over all daemons.
+    pub requests_per_s: f64,
+    /// Crashes per upstream and second that no request causes.
+    pub crashes_per_s: f64,
+    /// Interval at which a share of all upstreams crashes at one moment, and that share.
+    pub rack_losses: Option<(Span, f64)>,
+    /// Number of culprits, the requests that crash upstreams.
+    pub culprits: usize,
+    /// How often each culprit is sent, per second.
+    pub culprit_per_s: f64,
+    /// Time from one culprit's first sending to the next one's.
+    pub culprit_gap: Span,
+    /// Whether all culprits are of one customer.
+    pub of_one: bool,
+    /// Upper bound of the wait at an upstream, in ms.
+    pub wait_ms: u64,
+    /// Whether an upstream shows when it starts to run a request.
+    pub shows_start: bool,
+    /// Share of the messages between daemons that is lost.
+    pub update_loss: f64,
+}
+
+impl Default for Scenario {
+    /// Six daemons in front of twelve upstreams, and one culprit.
+    fn default() -> Self {
+        Self {
+            seed: 1,
+            daemons: 6,
+            upstreams: 12,
+            seconds: 60,
+            requests_per_s: 60.0,
+            crashes_per_s: 0.0,
+            rack_losses: None,
+            culprits: 1,
+            culprit_per_s: 3.0,
+            culprit_gap: Span::ZERO,
+            of_one: false,
+            wait_ms: 400,
+            shows_start: true,
+            update_loss: 0.0,
+        }
+    }
+}
+
+/// Outcome of a simulation.
+#[derive(Debug, Clone, Default)]
+pub struct Outcome {
+    /// Upstreams that a culprit crashed.
+    pub crashes: usize,
+    /// Attempts of a culprit later than three seconds after its third crash; the most of any
+    /// culprit.
+    pub late_sends: usize,
+    /// Ordinary requests.
+    pub requests: usize,
+    /// Of these, those whose upstream crashed at least once.
+    pub hit: usize,
+    /// Of these, those that a daemon refused as quarantined.
+    pub refused: usize,
+}
+
+const MAX_ATTEMPTS: u32 = 3;
+const CUSTOMERS: usize = 10;
+const RESTART_AFTER: Span = Span::from_millis(3_500);
+const DETECTION_WINDOW: Span = Span::from_secs(3);
+const GOSSIP_INTERVAL: Span = Span::from_millis(100);
+const MESSAGE_DELAY: Span = Span::from_millis(5);
+
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum Event {
+    Arrives(usize),
+    Sent(usize),
+    Starts(usize, u32),
+    Answered(usize, u32),
+    /// An upstream crashes without a culprit.
+    Crashes(usize),
+    /// A culprit crashes the run of an upstream that it was sent to.
+    CrashesUnder(UpstreamStart, usize),
+    Restarts(usize),
+    SendsUpdates(usize),
+    ReceivesUpdates(usize, usize),
+    RackLoss,
+}
+
+#[derive(Debug, Clone)]
+struct Request {
+    content: Content,
+    customer: Option<Arc<str>>,
+    culprit: Option<usize>,
+    daemon: usize,
+    runs: u32,
+    at: Option<(UpstreamStart, poison::Run)>,
+    is_retry: bool,
+}
+
+/// An upstream and the number of its program's run.
+type UpstreamStart = (usize, u64);
+
+struct Daemon {
+    suspects: Suspects,
+    runs: Runs<UpstreamStart>,
+}
+
+pub struct Fleet {
+    scenario: Scenario,
+    rng: ChaCha8Rng,
+    now: Time,
+    queue: BinaryHeap<Reverse<(Time, u64, Event)>>,
+    sequence: u64,
+    daemons: Vec<Daemon>,
+    /// Number of each upstream's current run, and whether it is up.
+    upstreams: Vec<(u64, bool)>,
+    requests: Vec<Request>,
+    messages: Vec<Words>,
+    culprit_crashes: BTreeMap<usize, Vec<Time>>,
+    culprit_sends: BTreeMap<usize, Vec<Time>>,
+    refused: BTreeSet<Content>,
+    hit: BTreeSet<Content>,
+    count: usize,
+}
+
+impl Fleet {
+    pub fn run(scenario: &Scenario) -> Outcome {
+        let mut fleet = Self::new(scenario.clone());
+        let until = Time::ZERO + Span::from_secs(scenario.seconds);
+        while let Some(Reverse((at, _, event))) = fleet.queue.pop() {
+            if at > until {
+                break;
+            }
+            fleet.now = at;
+            fleet.handle(event);
+        }
+        fleet.outcome()
+    }
+
+    fn new(scenario: Scenario) -> Self {
+        let daemons = (0..scenario.daemons).map(|n| {
+            let mut suspects = Suspects::new(PoisonPolicy::default(), &format!("d{n}"));
+            suspects.set_fleet(scenario.daemons, scenario.upstreams);
+            Daemon {
+                suspects,
+                runs: Runs::default(),
+            }
+        });
+        let mut fleet = Self {
+            rng: ChaCha8Rng::seed_from_u64(scenario.seed),
+            now: Time::ZERO,
+            queue: BinaryHeap::new(),
+            sequence: 0,
+            daemons: daemons.collect(),
+            upstreams: vec![(0, true); scenario.upstreams],
+            requests: Vec::new(),
+            messages: Vec::new(),
+            culprit_crashes: BTreeMap::new(),
+            culprit_sends: BTreeMap::new(),
+            refused: BTreeSet::new(),
+            hit: BTreeSet::new(),
+            count: 0,
+            scenario,
+        };
+        fleet.schedule_inputs();
+        fleet
+    }
+
+    /// Schedules all requests, crashes without a culprit and the daemons' first sendings.
+    fn schedule_inputs(&mut self) {
+        let all = Span::from_secs(self.scenario.seconds);
+        for at in self.times(self.scenario.requests_per_s, Span::ZERO, all) {
+            let content = self.content(None);
+            self.arrive(at, content, None, false);
+        }
+        for culprit in 0..self.scenario.culprits {
+            let from = Span::from_secs(10) + self.scenario.culprit_gap.times(culprit as u64);
+            let to = from + Span::from_secs(20);
+            for at in self.times(self.scenario.culprit_per_s, from, to) {
+                let content = self.content(Some(culprit));
+                self.arrive(at, content, Some(culprit), false);
+            }
+        }
+        let crashes_per_s = self.scenario.crashes_per_s * self.scenario.upstreams as f64;
+        for at in self.times(crashes_per_s, Span::ZERO, all) {
+            let upstream = self.rng.random_range(0..self.scenario.upstreams);
+            self.schedule(at, Event::Crashes(upstream));
+        }
+        if let Some((every, _)) = self.scenario.rack_losses {
+            let times = all.as_micros() / every.as_micros();
+            (1..times).for_each(|n| self.schedule(Time::ZERO + every.times(n), Event::RackLoss));
+        }
+        (0..self.scenario.daemons).for_each(|n| self.schedule(Time::ZERO, Event::SendsUpdates(n)));
+    }
+
+    fn times(&mut self, per_s: f64, from: Span, to: Span) -> Vec<Time> {
+        let mut at = from.as_secs_f64();
+        let mut times = Vec::new();
+        if per_s <= 0.0 {
+            return times;
+        }
+        loop {
+            at += -self.rng.random::<f64>().max(1e-12).ln() / per_s;
+            if at > to.as_secs_f64() {
+                return times;
+            }
+            times.push(Time::ZERO + Span::from_secs_f64(at));
+        }
+    }
+
+    fn content(&mut self, culprit: Option<usize>) -> Content {
+        let text = culprit.map_or_else(|| format!("{}", self.rng.next_u64()), |n| format!("p{n}"));
+        Content::of("alice", "host", "POST", "/a", text.as_bytes())
+    }
+
+    fn arrive(&mut self, at: Time, content: Content, culprit: Option<usize>, is_retry: bool) {
+        let daemon = self.rng.random_range(0..self.scenario.daemons);
+        let customer = match culprit {
+            Some(_) if self.scenario.of_one => 0,
+            Some(culprit) => culprit,
+            None => self.rng.random_range(0..CUSTOMERS),
+        };
+        self.requests.push(Request {
+            content,
+            customer: Some(Arc::from(format!("c{customer}"))),
+            culprit,
+            daemon,
+            runs: 0,
+            at: None,
+            is_retry,
+        });
+        self.schedule(at, Event::Arrives(self.requests.len() - 1));
+    }
+
+    fn schedule(&mut self, at: Time, event: Event) {
+        self.sequence += 1;
+        self.queue.push(Reverse((at, self.sequence, event)));
+    }
+
+    fn schedule_after(&mut self, span: Span, event: Event) {
+        self.schedule(self.now + span, event);
+    }
+
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::Arrives(n) => {
+                self.count += usize::from(self.requests[n].culprit.is_none());
+                self.send(n);
+            }
+            Event::Sent(n) => self.send(n),
+            Event::Starts(n, run) => self.start(n, run),
+            Event::Answered(n, run) => self.answer(n, run),
+            Event::Crashes(upstream) => self.crash_upstream(upstream),
+            Event::CrashesUnder((upstream, start), culprit) => {
+                if self.upstreams[upstream] == (start, true) {
+                    self.culprit_crashes
+                        .entry(culprit)
+                        .or_default()
+                        .push(self.now);
+                    self.crash_upstream(upstream);
+                }
+            }
+            Event::Restarts(upstream) => {
+                self.upstreams[upstream].0 += 1;
+                self.upstreams[upstream].1 = true;
+            }
+            Event::SendsUpdates(daemon) => {
+                self.send_updates(daemon);
+                self.schedule_after(GOSSIP_INTERVAL, Event::SendsUpdates(daemon));
+            }
+            Event::ReceivesUpdates(daemon, message) => {
+                let updates = self.messages[message].clone();
+                self.daemons[daemon].suspects.take(self.now, updates);
+                self.send_updates(daemon);
+            }
+            Event::RackLoss => {
+                let share = self.scenario.rack_losses.map_or(0.0, |(_, share)| share);
+                let lost = (self.scenario.upstreams as f64 * share) as usize;
+                for _ in 0..lost {
+                    let upstream = self.rng.random_range(0..self.scenario.upstreams);
+                    self.crash_upstream(upstream);
+                }
+            }
+        }
+    }
+
+    fn send(&mut self, n: usize) {
+        let Request {
+            content,
+            daemon,
+            culprit,
+            ..
+        } = self.requests[n];
+        let suspects = &mut self.daemons[daemon].suspects;
+        match suspects.admission(self.now, content) {
+            Admission::Open => {}
+            Admission::Trial => suspects.tried(self.now, content),
+            Admission::Barred { .. } => {
+                if culprit.is_none() {
+                    self.refused.insert(content);
+                }
+                return;
+            }
+        }
+        let up = (0..self.upstreams.len()).filter(|u| self.upstreams[*u].1);
+        let up = up.collect::<Vec<_>>();
+        if up.is_empty() || self.requests[n].runs >= MAX_ATTEMPTS {
+            return self.retry_by_caller(n);
+        }
+        let upstream = up[self.rng.random_range(0..up.len())];
+        if let Some(culprit) = culprit {
+            self.culprit_sends
+                .entry(culprit)
+                .or_default()
+                .push(self.now);
+        }
+        let upstream = (upstream, self.upstreams[upstream].0);
+        let customer = self.requests[n].customer.clone();
+        let run = self.daemons[daemon]
+            .runs
+            .sent(self.now, upstream, content, customer);
+        let request = &mut self.requests[n];
+        request.runs += 1;
+        request.at = Some((upstream, run));
+        let runs = request.runs;
+        let wait = Span::from_millis(self.rng.random_range(5..self.scenario.wait_ms));
+        self.schedule_after(wait, Event::Starts(n, runs));
+    }
+
+    /// Callers of an ordinary request that failed retry once; a culprit's callers keep sending
+    /// anyway.
+    fn retry_by_caller(&mut self, n: usize) {
+        let request = self.requests[n].clone();
+        if request.culprit.is_none() && !request.is_retry {
+            let at = self.now + Span::from_millis(300);
+            self.arrive(at, request.content, None, true);
+        }
+    }
+
+    fn current_attempt(&self, n: usize, run: u32) -> Option<(UpstreamStart, poison::Run)> {
+        let request = &self.requests[n];
+        request.at.filter(|_| request.runs == run)
+    }
+
+    fn start(&mut self, n: usize, run: u32) {
+        let Some((upstream, attempt)) = self.current_attempt(n, run) else {
+            return;
+        };
+        let daemon = self.requests[n].daemon;
+        if self.scenario.shows_start {
+            self.daemons[daemon].runs.began(self.now, upstream, attempt);
+        }
+        match self.requests[n].culprit {
+            Some(culprit) => {
+                let duration = Span::from_millis(self.rng.random_range(45..120));
+                self.schedule_after(duration, Event::CrashesUnder(upstream, culprit));
+            }
+            None => {
+                let duration = Span::from_millis(self.rng.random_range(100..4_000));
+                self.schedule_after(duration, Event::Answered(n, run));
+            }
+        }
+    }
+
+    fn answer(&mut self, n: usize, run: u32) {
+        let Some((upstream, attempt)) = self.current_attempt(n, run) else {
+            return;
+        };
+        self.requests[n].at = None;
+        let Request {
+            daemon, content, ..
+        } = self.requests[n];
+        let daemon = &mut self.daemons[daemon];
+        daemon.runs.over(self.now, upstream, attempt, RunEnd::Whole);
+        daemon.suspects.whole(self.now, content);
+    }
+
+    fn crash_upstream(&mut self, upstream: usize) {
+        if !std::mem::replace(&mut self.upstreams[upstream].1, false) {
+            return;
+        }
+        let now = self.now;
+        let upstream = (upstream, self.upstreams[upstream].0);
+        let run = upstream_run(upstream);
+        let in_flight = self.requests.iter().enumerate();
+        let in_flight = in_flight.filter(|(_, r)| r.at.is_some_and(|(at, _)| at == upstream));
+        let in_flight = in_flight.map(|(n, _)| n).collect::<Vec<_>>();
+        let mut daemons = BTreeSet::new();
+        for n in &in_flight {
+            let request = &mut self.requests[*n];
+            let Some((_, attempt)) = request.at.take() else {
+                continue;
+            };
+            let daemon = &mut self.daemons[request.daemon];
+            daemon.runs.over(now, upstream, attempt, RunEnd::Broken);
+            daemons.insert(request.daemon);
+            if request.culprit.is_none() {
+                self.hit.insert(request.content);
+            }
+        }
+        for daemon in daemons {
+            let daemon = &mut self.daemons[daemon];
+            let under = daemon.runs.ended(now, upstream, Time::ZERO);
+            daemon.suspects.ended(now, &run, &under.unwrap_or_default());
+        }
+        in_flight
+            .into_iter()
+            .for_each(|n| self.schedule_after(Span::from_millis(2), Event::Sent(n)));
+        self.schedule_after(RESTART_AFTER, Event::Restarts(upstream.0));
+    }
+
+    fn send_updates(&mut self, daemon: usize) {
+        let updates = self.daemons[daemon].suspects.news(self.now);
+        if updates.0.is_empty() {
+            return;
+        }
+        self.messages.push(updates);
+        let message = self.messages.len() - 1;
+        let others = (0..self.scenario.daemons).filter(|other| *other != daemon);
+        let others = others.collect::<Vec<_>>();
+        // In a small fleet all others; in a large one six, who forward it.
+        let receivers = match others.len() {
+            0..16 => others,
+            n => (0..6)
+                .map(|_| others[self.rng.random_range(0..n)])
+                .collect(),
+        };
+        for other in receivers {
+            if !self.rng.random_bool(self.scenario.update_loss) {
+                self.schedule_after(MESSAGE_DELAY, Event::ReceivesUpdates(other, message));
+            }
+        }
+    }
+
+    fn outcome(&self) -> Outcome {
+        let late = self.culprit_crashes.iter().map(|(culprit, times)| {
+            let Some(third) = times.get(2) else { return 0 };
+            let sends = self.culprit_sends.get(culprit).into_iter().flatten();
+            sends.filter(|at| **at > *third + DETECTION_WINDOW).count()
+        });
+        Outcome {
+            crashes: self.culprit_crashes.values().map(Vec::len).sum(),
+            late_sends: late.max().unwrap_or(0),
+            requests: self.count,
+            hit: self.hit.len(),
+            refused: self.refused.len(),
+        }
+    }
+}
+
+fn upstream_run((upstream, start): UpstreamStart) -> UpstreamRun {
+    UpstreamRun {
+        id: UpstreamId::new(&format!("u{upstream}-{start}")).expect("a name"),
+        started_at: None,
+    }
+}
