--- a/components/fleet/src/clocks.rs
+++ b/components/fleet/src/clocks.rs
@@ -7,7 +7,7 @@
 
 use types::prelude::*;
 
-use crate::standing::Vouched;
+use crate::heartbeat::Vouched;
 
 /// A clock may be slower than others by one part of so many, so that one which stood still with its
 /// host for some seconds is trusted again after a minute.
--- a/components/fleet/src/control.rs
+++ b/components/fleet/src/control.rs
@@ -10,25 +10,25 @@
 use traffic::{Command, Others, Plan};
 use types::prelude::*;
 
-use crate::asking::Asking;
-use crate::backlog::Backlog;
-use crate::bars::Bars;
 use crate::codec::Codec;
-use crate::copying::Handing;
 use crate::entry::DaemonEntry;
 use crate::event::{Event, Purpose};
 use crate::freshness::Claim;
+use crate::peer_sync::Asking;
 use crate::peering::{Asked, Peering};
 use crate::planner::Planner;
 use crate::presence::Presence;
+use crate::quarantine::Bars;
+use crate::queue_delay::Backlog;
 use crate::rollouts::Rollouts;
 use crate::settings::Settings;
-use crate::turns::{MET_AFTER, Turns};
-use crate::watching::{Mode, Watching};
+use crate::snapshot::Handing;
+use crate::succession::{MET_AFTER, Turns};
+use crate::watcher::{Mode, Watching};
 
-mod barring;
-mod judging;
-mod proving;
+mod freshness;
+mod quarantine;
+mod rollouts;
 
 /// Everything due is looked at this often.
 const TICK: Duration = Duration::from_millis(100);
--- a/components/fleet/src/control/proving.rs
+++ b/components/fleet/src/control/freshness.rs
@@ -10,8 +10,8 @@
 use super::Control;
 use crate::codec::Codec;
 use crate::peering::OwnCopy;
-use crate::turns::Around;
-use crate::watching::Mode;
+use crate::succession::Around;
+use crate::watcher::Mode;
 
 /// An own watch that was heard of within this works: it is answered every second, and a
 /// slow store adds some hundred ms.
--- a/components/fleet/src/control/barring.rs
+++ b/components/fleet/src/control/quarantine.rs
@@ -5,8 +5,8 @@
 use types::prelude::*;
 
 use super::Control;
-use crate::bars::BarEntry;
 use crate::codec::Codec;
+use crate::quarantine::BarEntry;
 
 /// Words on contents go out at most this often; after a pause at once.
 const SHARE_EVERY: Span = Span::from_millis(50);
--- a/components/fleet/src/lib.rs
+++ b/components/fleet/src/lib.rs
@@ -7,39 +7,39 @@
 //!
 //! Names of keys and forms of values belong to a [`Codec`].
 
-mod asking;
-mod audience;
-mod backlog;
-mod bars;
 mod clocks;
 mod codec;
 mod control;
-mod copying;
 mod entry;
 mod error;
 mod event;
 mod freshness;
+mod gossip;
+mod heartbeat;
 mod listing;
+mod peer_sync;
 mod peering;
 mod planner;
 mod presence;
+mod quarantine;
+mod queue_delay;
 mod rollouts;
 mod settings;
-mod standing;
+mod snapshot;
 mod start;
-mod turns;
-mod watching;
+mod succession;
+mod watcher;
 
-pub use audience::{Audience, Peer, Word, is_small};
-pub use bars::{BarEnd, BarEntry, BarEntryError};
 pub use codec::{Codec, DecodeError, StateRecord};
-pub use copying::{Handing, Taken, Taking};
 pub use entry::{DaemonEntry, DaemonEntryError};
 pub use error::FleetError;
 pub use freshness::{Claim, Claims, DatedClaim, Freshness};
+pub use gossip::{Audience, Peer, Word, is_small};
+pub use heartbeat::{SentAt, Standing, StandingError, Standings, Vouched};
 pub use peering::shares_rate_limits;
+pub use quarantine::{BarEnd, BarEntry, BarEntryError};
 pub use settings::Settings;
-pub use standing::{SentAt, Standing, StandingError, Standings, Vouched};
+pub use snapshot::{Handing, Taken, Taking};
 pub use start::{Running, start};
-pub use turns::{Around, Turns};
-pub use watching::Mode;
+pub use succession::{Around, Turns};
+pub use watcher::Mode;
--- a/components/fleet/src/asking.rs
+++ b/components/fleet/src/peer_sync.rs
@@ -7,7 +7,7 @@
 use rand::RngExt;
 use types::prelude::*;
 
-use crate::copying::{Taken, Taking};
+use crate::snapshot::{Taken, Taking};
 
 /// Longest wait for a peer's answer about the store's keys, a new connection to it included: a
 /// page takes a host's link of 10 Mbit/s a fortieth of a second, and a busy host some more; then
--- a/components/fleet/src/peering.rs
+++ b/components/fleet/src/peering.rs
@@ -13,9 +13,9 @@
 use rand::seq::{IndexedRandom, IteratorRandom};
 use types::prelude::*;
 
-use crate::audience::{self, Audience, Peer, Word};
 use crate::freshness::Claims;
-use crate::standing::{Standing, Standings, watch_rank};
+use crate::gossip::{self, Audience, Peer, Word};
+use crate::heartbeat::{Standing, Standings, watch_rank};
 
 mod heartbeat;
 
@@ -289,7 +289,7 @@
     }
 
     pub(crate) fn is_small(&self) -> bool {
-        audience::is_small(self.members.fleet_size())
+        gossip::is_small(self.members.fleet_size())
     }
 
     /// Word counts for so long.
--- a/components/fleet/src/peering/heartbeat.rs
+++ b/components/fleet/src/peering/heartbeat.rs
@@ -7,9 +7,9 @@
 use types::prelude::*;
 
 use super::{OwnCopy, Peering, TICKS_AFAR};
-use crate::audience::Word;
 use crate::freshness::Claim;
-use crate::standing::{SentAt, Standing, Vouched};
+use crate::gossip::Word;
+use crate::heartbeat::{SentAt, Standing, Vouched};
 
 impl Peering {
     pub(super) fn take_claims(&mut self, now: Time, from: &DaemonId, standing: &Standing) {
--- a/components/fleet/src/start.rs
+++ b/components/fleet/src/start.rs
@@ -13,21 +13,21 @@
 use types::prelude::*;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::asking::Asking;
-use crate::backlog::Backlog;
-use crate::bars::Bars;
 use crate::codec::Codec;
 use crate::control::Control;
-use crate::copying::Handing;
 use crate::error::FleetError;
 use crate::event::{Event, Purpose};
+use crate::peer_sync::Asking;
 use crate::peering::{FRESH_IN_LARGE, Peering};
 use crate::planner::Planner;
 use crate::presence::Presence;
+use crate::quarantine::Bars;
+use crate::queue_delay::Backlog;
 use crate::rollouts::Rollouts;
 use crate::settings::Settings;
-use crate::turns::Turns;
-use crate::watching::{Mode, Progress, Watcher, Watching};
+use crate::snapshot::Handing;
+use crate::succession::Turns;
+use crate::watcher::{Mode, Progress, Watcher, Watching};
 
 /// Beside the seeds, one daemon of so many reads a large store first: enough to hand copies
 /// on to a large fleet in a few rounds.
--- a/components/fleet/src/turns.rs
+++ b/components/fleet/src/succession.rs
@@ -7,8 +7,8 @@
 
 use types::prelude::*;
 
-use crate::audience;
-use crate::watching::Mode;
+use crate::gossip;
+use crate::watcher::Mode;
 
 /// Daemons that watch the store. Two, so that the loss of one leaves no gap.
 const WATCHERS: usize = 2;
@@ -105,7 +105,7 @@
     /// large fleet it does not know its place.
     fn only_listens(&self, now: Time, around: Around) -> bool {
         let is_new = now.since(Time::ZERO) < MET_AFTER;
-        let has_met_some = around.hears_others && !audience::is_small(around.fleet);
+        let has_met_some = around.hears_others && !gossip::is_small(around.fleet);
         now < self.listens_until || is_new && has_met_some
     }
 }
--- a/components/fleet/src/watching.rs
+++ b/components/fleet/src/watcher.rs
@@ -10,9 +10,9 @@
 use store::{Store, Watch, WatchBatch, WatchEnd};
 use types::prelude::*;
 
-use crate::audience;
 use crate::entry::DaemonEntry;
 use crate::event::Event;
+use crate::gossip;
 use crate::listing::{change, listing, revision};
 
 /// Pause after a failure; doubled up to [`MOST_PAUSE`], and spread over as long again, so
@@ -237,7 +237,7 @@
         let values = entries.items.iter().filter_map(|item| item.value.as_ref());
         let entries = values.filter_map(|value| DaemonEntry::decode(value).ok());
         let is_large = |entry: &DaemonEntry| {
-            !audience::is_small(entry.fleet) && entry.keys >= SMALL_STORE as usize
+            !gossip::is_small(entry.fleet) && entry.keys >= SMALL_STORE as usize
         };
         let large = entries.filter(is_large).map(|entry| entry.fleet);
         Ok(large.max())
--- a/components/fleet/tests/it/main.rs
+++ b/components/fleet/tests/it/main.rs
@@ -1,13 +1,13 @@
 //! Control threads of a few daemons around a store in memory.
 
-mod audience;
-mod bars;
 mod claims;
-mod copying;
-mod fleet;
+mod control;
 mod freshness;
+mod gossip;
 mod harness;
-mod limits;
+mod heartbeats;
 mod memory;
-mod standings;
-mod turns;
+mod quarantine;
+mod rate_limits;
+mod snapshots;
+mod succession;
