--- a/components/fleet/src/clocks.rs
+++ b/components/fleet/src/clocks.rs
@@ -7,17 +7,17 @@
 
 use types::prelude::*;
 
-use crate::heartbeat::Vouched;
+use crate::heartbeat::StoreReport;
 
 /// A clock may be slower than others by one part of so many, so that one which stood still with its
 /// host for some seconds is trusted again after a minute.
 const CLOCK_LEEWAY: u64 = 10;
 /// A clock is remembered for so long: what is held up behind a cut comes within it.
-const CLOCK_KEPT: Span = Span::from_secs(60);
+const CLOCK_TTL: Span = Span::from_secs(60);
 
 /// By whose clock it was said when.
 #[derive(Debug, Clone, Copy)]
-struct Clocked {
+struct ClockSample {
     run: Incarnation,
     clock_ms: u64,
     at: Time,
@@ -25,15 +25,15 @@
 
 /// Clocks of those who say something of the store.
 #[derive(Debug, Default)]
-pub(crate) struct Clocks(HashMap<DaemonId, Clocked>);
+pub(crate) struct ReporterClocks(HashMap<DaemonId, ClockSample>);
 
-impl Clocks {
+impl ReporterClocks {
     /// When a word was said; nothing for one that is not newer than what its daemon said before.
     ///
     /// Guards against word that is held up on its way and passed on as new: a watcher that is gone
     /// would be believed for as long as its word goes round. By the speaker's own clock it was said
     /// so long after an earlier word, which came when it came.
-    pub(crate) fn said_at(&mut self, now: Time, word: &Vouched) -> Option<Time> {
+    pub(crate) fn reported_at(&mut self, now: Time, word: &StoreReport) -> Option<Time> {
         let by_age = now - Span::from_millis(u64::from(word.age_ms));
         let before = self.0.get(&word.daemon);
         let at = match before {
@@ -48,7 +48,7 @@
             }
             _ => by_age,
         };
-        let clocked = Clocked {
+        let clocked = ClockSample {
             run: word.run,
             clock_ms: word.clock_ms,
             at,
@@ -59,6 +59,6 @@
 
     pub(crate) fn expire(&mut self, now: Time) {
         self.0
-            .retain(|_, clocked| now.since(clocked.at) < CLOCK_KEPT);
+            .retain(|_, clocked| now.since(clocked.at) < CLOCK_TTL);
     }
 }
--- a/components/fleet/src/control.rs
+++ b/components/fleet/src/control.rs
@@ -14,17 +14,17 @@
 use crate::entry::DaemonEntry;
 use crate::event::{Event, Purpose};
 use crate::freshness::Claim;
-use crate::peer_sync::Asking;
-use crate::peering::{Asked, Peering};
+use crate::peer_sync::PeerSync;
+use crate::peering::{Followup, Peering};
 use crate::planner::Planner;
 use crate::presence::Presence;
-use crate::quarantine::Bars;
-use crate::queue_delay::Backlog;
+use crate::quarantine::QuarantineSync;
+use crate::queue_delay::QueueDelay;
 use crate::rollouts::Rollouts;
 use crate::settings::Settings;
-use crate::snapshot::Handing;
-use crate::succession::{MET_AFTER, Turns};
-use crate::watcher::{Mode, Watching};
+use crate::snapshot::SnapshotServer;
+use crate::succession::{MEMBERSHIP_SETTLED_AFTER, Succession};
+use crate::watcher::{Mode, WatchControl};
 
 mod freshness;
 mod quarantine;
@@ -34,12 +34,12 @@
 const TICK: Duration = Duration::from_millis(100);
 /// Daemons with an entry in the store: enough that one lives after most of a fleet is
 /// killed at once.
-const ENTRIES: usize = 6;
+const REGISTERED_DAEMONS: usize = 6;
 /// A daemon that has met nobody by the settings' seeds so long after its start enters the
 /// store to be found.
 const ALONE_AFTER: Span = Span::from_millis(1_500);
 /// A question without an answer is worth a line after so long.
-const LONG_QUESTION: Span = Span::from_millis(1_000);
+const SLOW_REQUEST: Span = Span::from_millis(1_000);
 /// Changes of upstreams are logged one by one up to so many at a time: all of them at each
 /// daemon's start are thousands of lines.
 const MAX_LOGGED: usize = 32;
@@ -53,28 +53,28 @@
     pub(crate) planner: Planner,
     pub(crate) rollouts: Rollouts,
     pub(crate) presence: Presence,
-    pub(crate) bars: Bars,
+    pub(crate) quarantine_sync: QuarantineSync,
     pub(crate) peering: Peering,
-    pub(crate) asking: Asking,
-    pub(crate) handing: Handing,
-    pub(crate) watching: Watching,
+    pub(crate) peer_sync: PeerSync,
+    pub(crate) snapshots: SnapshotServer,
+    pub(crate) watch_control: WatchControl,
     pub(crate) traffic: traffic::Handle,
     pub(crate) calls: flume::Sender<(Purpose, Request)>,
     /// When the own watch was last heard of, and whether it works.
-    pub(crate) watched_at: Option<Time>,
+    pub(crate) watch_answered_at: Option<Time>,
     /// When it was last known that the store had nothing newer than the mirror.
-    pub(crate) proven_at: Option<Time>,
+    pub(crate) validated_at: Option<Time>,
     pub(crate) store_works: bool,
-    pub(crate) turns: Turns,
+    pub(crate) succession: Succession,
     pub(crate) ticks: u32,
     pub(crate) must_plan: bool,
     pub(crate) was_ready: bool,
     pub(crate) daemons: usize,
     /// The daemons that share upstreams' rate limits.
     pub(crate) fleet: Arc<dispatch::Fleet>,
-    pub(crate) backlog: Backlog,
+    pub(crate) queue_delay: QueueDelay,
     /// When words on contents may be told next.
-    pub(crate) share_words_at: Time,
+    pub(crate) next_suspect_gossip_at: Time,
 }
 
 /// Who brought what is new.
@@ -103,8 +103,8 @@
         loop {
             match self.wait(events, self.wake_at(next_tick)) {
                 Waited::Event(Event::Stop) | Waited::Ended => break,
-                Waited::Event(event) => self.take(event),
-                Waited::Answer(answer) => self.take_answer(self.clock.now(), answer),
+                Waited::Event(event) => self.handle_event(event),
+                Waited::Answer(answer) => self.handle_peer_answer(self.clock.now(), answer),
                 Waited::Tick => {}
             }
             let now = Instant::now();
@@ -121,23 +121,23 @@
     /// The next tick, or sooner when a peer is to be asked before.
     fn wake_at(&self, next_tick: Instant) -> Instant {
         let now = self.clock.now();
-        let ask_at = self.asking.ask_at();
+        let ask_at = self.peer_sync.next_request_at();
         let ask_in = ask_at.map(|at| now.until(at).to_duration());
         ask_in.map_or(next_tick, |left| next_tick.min(Instant::now() + left))
     }
 
     fn catch_up(&mut self, now: Time) {
         let works = self.watch_works(now);
-        if self.asking.is_idle() {
+        if self.peer_sync.is_idle() {
             let held = self.mirror.at();
-            let whom = self.peering.whom_to_ask(held);
-            self.asking.catch_up(now, held, whom, works);
+            let whom = self.peering.choose_catch_up_peer(held);
+            self.peer_sync.catch_up(now, held, whom, works);
         }
     }
 
     /// Waits for an event, a peer's answer or the next tick.
     fn wait(&mut self, events: &flume::Receiver<Event>, next_tick: Instant) -> Waited {
-        let waited = match self.asking.asked() {
+        let waited = match self.peer_sync.reply_rx() {
             Some(answer) => flume::Selector::new()
                 .recv(events, |event| event.map_or(Waited::Ended, Waited::Event))
                 .recv(answer, |answer| {
@@ -152,12 +152,12 @@
             },
         };
         if matches!(waited, Waited::Answer(_)) {
-            self.asking.answered();
+            self.peer_sync.request_done();
         }
         waited
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = self.clock.now();
         match event {
             Event::Listed(listing) => {
@@ -167,7 +167,7 @@
                     "store: listed"
                 );
                 let changes = self.mirror.take_listing(listing);
-                self.changed(now, &changes, Source::Store);
+                self.apply_changes(now, &changes, Source::Store);
             }
             Event::Changed {
                 after,
@@ -176,40 +176,46 @@
                 current_at,
             } => {
                 let answer = Answer::Changes { after, at, changes };
-                self.take_mirror(now, answer, Source::Store);
+                self.apply_answer(now, answer, Source::Store);
                 self.peering.note_claim(Claim {
                     held: at,
                     at: current_at,
                 });
-                self.prove();
+                self.update_validated_at();
             }
-            Event::StoreHealth(health) => self.take_health(now, health),
-            Event::Called(purpose, outcome) => self.take_called(now, &purpose, &outcome),
+            Event::StoreHealth(health) => self.handle_store_health(now, health),
+            Event::Called(purpose, outcome) => self.handle_call_result(now, &purpose, &outcome),
             Event::Peer {
                 inbound,
                 arrived_at,
             } => {
-                self.backlog.note(now, arrived_at);
-                self.take_inbound(now, inbound);
+                self.queue_delay.note(now, arrived_at);
+                self.handle_inbound(now, inbound);
             }
             Event::Stop => {}
         }
     }
 
-    fn take_inbound(&mut self, now: Time, inbound: Inbound) {
+    fn handle_inbound(&mut self, now: Time, inbound: Inbound) {
         match self.peering.receive(now, inbound) {
-            Asked::Nothing => {}
-            Asked::Take(answer) => self.take_mirror(now, answer, Source::Peer),
-            Asked::AddUp(words) => self.add_up(now, words),
-            Asked::Mirror(from, question, reply) => {
-                self.hand_out(now, &from, &question, reply);
+            Followup::Nothing => {}
+            Followup::ApplyAnswer(answer) => self.apply_answer(now, answer, Source::Peer),
+            Followup::MergeWords(words) => self.merge_words(now, words),
+            Followup::ServeMirror(from, question, reply) => {
+                self.serve_mirror(now, &from, &question, reply);
             }
         }
     }
 
     /// Answers a peer's question from the mirror; dropping the reply sends it elsewhere.
-    fn hand_out(&mut self, now: Time, from: &DaemonId, question: &Question, reply: peers::Reply) {
-        match self.handing.answer(now, from, question, &self.mirror) {
+    fn serve_mirror(
+        &mut self,
+        now: Time,
+        from: &DaemonId,
+        question: &Question,
+        reply: peers::Reply,
+    ) {
+        match self.snapshots.answer(now, from, question, &self.mirror) {
             Ok(Some(body)) => {
                 let part = Part::Mirror;
                 reply.send(Payload::Part { part, body });
@@ -219,14 +225,14 @@
         }
     }
 
-    fn take_health(&mut self, now: Time, health: Result<(), String>) {
+    fn handle_store_health(&mut self, now: Time, health: Result<(), String>) {
         match health {
             Ok(()) => {
-                self.watched_at = Some(now);
+                self.watch_answered_at = Some(now);
                 self.store_answered(now);
             }
             Err(why) => {
-                self.peering.note_store_failure(now, self.own_copy());
+                self.peering.note_store_failure(now, self.mirror_state());
                 self.store_failed(&why);
             }
         }
@@ -248,7 +254,7 @@
         self.planner.lapsed.store_failed();
     }
 
-    fn take_called(&mut self, now: Time, purpose: &Purpose, outcome: &Outcome) {
+    fn handle_call_result(&mut self, now: Time, purpose: &Purpose, outcome: &Outcome) {
         if let Err(e @ CallError::Unknown(_)) = outcome {
             tracing::info!("store: {purpose:?} may have taken effect: {e}");
         }
@@ -260,19 +266,19 @@
         }
     }
 
-    fn take_answer(&mut self, now: Time, answer: Result<Payload, AskError>) {
+    fn handle_peer_answer(&mut self, now: Time, answer: Result<Payload, AskError>) {
         let body = match answer {
             Ok(Payload::Part { body, .. }) => body,
             Ok(Payload::Membership(_)) => return,
             Err(e) => {
-                self.log_unanswered(now, &e);
-                self.asking.was_refused(now);
+                self.log_failed_request(now, &e);
+                self.peer_sync.retry_later(now);
                 return;
             }
         };
         match Answer::decode(&body) {
             Ok(answer) => {
-                self.take_mirror(now, answer, Source::Peer);
+                self.apply_answer(now, answer, Source::Peer);
                 tracing::debug!(at = self.mirror.at().0, "peers: caught up");
             }
             Err(e) => tracing::warn!("peers: {e}"),
@@ -280,12 +286,12 @@
     }
 
     /// A question that was out for long kept this daemon from asking anybody else.
-    fn log_unanswered(&self, now: Time, why: &AskError) {
-        let Some((peer, since)) = self.asking.last() else {
+    fn log_failed_request(&self, now: Time, why: &AskError) {
+        let Some((peer, since)) = self.peer_sync.last_request() else {
             return;
         };
         let waited = now.since(since);
-        if waited > LONG_QUESTION {
+        if waited > SLOW_REQUEST {
             let (at, waited_ms) = (self.mirror.at().0, waited.as_millis());
             tracing::warn!(%peer, waited_ms, at, "peers: a question was out for long: {why}");
         } else {
@@ -294,7 +300,7 @@
     }
 
     /// Takes what is new in the store, from the own watch or from a peer.
-    fn take_mirror(&mut self, now: Time, answer: Answer, source: Source) {
+    fn apply_answer(&mut self, now: Time, answer: Answer, source: Source) {
         let before = self.mirror.at();
         let changes = match answer {
             Answer::Changes { after, at, changes } => {
@@ -311,7 +317,7 @@
                 at,
                 items,
                 has_more,
-            } => match self.asking.take_page(now, before, at, items, has_more) {
+            } => match self.peer_sync.apply_page(now, before, at, items, has_more) {
                 Some(listing) => {
                     tracing::info!(at = at.0, keys = listing.items.len(), "peers: copied");
                     self.mirror.take_listing(listing)
@@ -319,37 +325,37 @@
                 None => return,
             },
             Answer::Nothing => {
-                self.asking.was_refused(now);
+                self.peer_sync.retry_later(now);
                 return;
             }
         };
-        self.pass_on(now, before);
-        self.changed(now, &changes, source);
+        self.forward_changes(now, before);
+        self.apply_changes(now, &changes, source);
     }
 
     /// Hands on what is new, once: who takes a change tells some others in turn, so that it
     /// is everywhere after a few hops; who was left out asks at its next tick.
-    fn pass_on(&mut self, now: Time, before: Revision) {
-        let from_watch = self.watching.mode() == Mode::Watch;
+    fn forward_changes(&mut self, now: Time, before: Revision) {
+        let from_watch = self.watch_control.mode() == Mode::Watch;
         let is_told = from_watch || !self.peering.is_small();
         if before == Revision::default() || !is_told {
             return;
         }
         if let Some(answer) = Answer::news(&self.mirror, before) {
-            self.peering.show_changes(now, &answer);
+            self.peering.send_changes(now, &answer);
         }
     }
 
     /// Makes what changed in the mirror known to all that read it.
-    fn changed(&mut self, now: Time, changes: &[Change], source: Source) {
-        self.watching.progress.set(self.mirror.at());
+    fn apply_changes(&mut self, now: Time, changes: &[Change], source: Source) {
+        self.watch_control.progress.set(self.mirror.at());
         if changes.is_empty() {
             return;
         }
         let are_few = changes.len() <= MAX_LOGGED;
         let version = self.planner.version();
         for change in changes {
-            self.must_plan |= self.planner.take(now, &self.codec, change, are_few);
+            self.must_plan |= self.planner.apply(now, &self.codec, change, are_few);
         }
         self.log_version(now, version, source);
         if !are_few {
@@ -360,7 +366,7 @@
                 "upstreams: many changed"
             );
         }
-        self.take_bars(now, changes);
+        self.apply_quarantine_changes(now, changes);
         self.rollouts.refresh(now, &self.codec, &self.mirror);
         let prefix = self.codec.daemon_prefix().to_owned();
         if changes.iter().any(|change| change.key.starts_with(&prefix)) {
@@ -375,7 +381,7 @@
         let version = self.planner.version();
         if let Some(version) = version.filter(|_| version != before) {
             let (at, version) = (self.mirror.at().0, version.0);
-            let proven_ms = self.proven_at.map(|at| now.since(at).as_millis());
+            let proven_ms = self.validated_at.map(|at| now.since(at).as_millis());
             tracing::info!(version, at, ?source, proven_ms, "config: in force");
         }
     }
@@ -393,18 +399,18 @@
 
     fn tick(&mut self) {
         let now = self.clock.now();
-        self.backlog.log(now);
+        self.queue_delay.log(now);
         self.peering.tick(now);
-        self.prove();
-        self.decide_watch(now);
+        self.update_validated_at();
+        self.decide_watch_mode(now);
         let (fleet, keys) = (self.peering.daemons(), self.mirror.len());
         if self.needs_entry(now)
             && let Some((purpose, req)) = self.presence.tick(now, fleet, keys)
         {
             self.call(purpose, req);
         }
-        self.share_standing(now);
-        self.share_words(now);
+        self.share_status(now);
+        self.gossip_suspects(now);
         self.must_plan |= self.planner.lapsed.expire(now);
         self.ticks = self.ticks.wrapping_add(1);
         self.step_rollouts(now, true);
@@ -412,7 +418,7 @@
         for (purpose, req) in self.rollouts.writes(now, rank, &self.codec, &self.mirror) {
             self.call(purpose, req);
         }
-        self.keep_bars(now, rank);
+        self.sync_quarantines(now, rank);
         let daemons = self.peering.daemons();
         self.must_plan |= daemons != self.daemons;
         self.daemons = daemons;
@@ -425,17 +431,17 @@
 
     /// Tells the others how this daemon stands, and the event loop what is out there: the plan first,
     /// which the proof is about.
-    fn share_standing(&mut self, now: Time) {
+    fn share_status(&mut self, now: Time) {
         self.plan();
         let watches = self.watch_works(now);
         let loads = self.traffic.seen.loads();
         let rate_limits = self.traffic.seen.rate_limits();
-        let copy = self.own_copy();
+        let copy = self.mirror_state();
         self.peering
-            .show_standing(now, copy, watches, loads, rate_limits);
+            .send_heartbeat(now, copy, watches, loads, rate_limits);
         let others = Others {
             rate_limits: self.peering.take_rate_limits(),
-            loads: self.peering.others_loads(now),
+            loads: self.peering.peer_loads(now),
             proof: self.proof(),
         };
         // The event loop may have ended before this thread when the process leaves.
@@ -449,7 +455,9 @@
         let running = now.since(Time::ZERO);
         match self.peering.daemons() {
             1 => running > ALONE_AFTER,
-            _ => running > MET_AFTER && self.peering.watch_rank() < ENTRIES,
+            _ => {
+                running > MEMBERSHIP_SETTLED_AFTER && self.peering.watch_rank() < REGISTERED_DAEMONS
+            }
         }
     }
 
--- a/components/fleet/src/control/freshness.rs
+++ b/components/fleet/src/control/freshness.rs
@@ -9,8 +9,8 @@
 
 use super::Control;
 use crate::codec::Codec;
-use crate::peering::OwnCopy;
-use crate::succession::Around;
+use crate::peering::MirrorState;
+use crate::succession::SuccessionInput;
 use crate::watcher::Mode;
 
 /// An own watch that was heard of within this works: it is answered every second, and a
@@ -18,24 +18,24 @@
 const WATCH_FRESH: Span = Span::from_millis(1_500);
 /// A daemon looks at the store itself once its copy was not proven current for this part of the time
 /// in which a change is to be in force: that leaves it a quarter for the look.
-const LOOK_AFTER: f64 = 0.6;
+const STALE_AFTER: f64 = 0.6;
 /// Daemons do so one after the other within this further part: where the store answers nobody the
 /// first ones tell the rest.
-const LOOK_SPREAD: f64 = 0.15;
+const STALE_STAGGER: f64 = 0.15;
 
 impl<C: Codec> Control<C> {
     /// Whether the own watch was lately answered.
     pub(super) fn watch_works(&self, now: Time) -> bool {
         let watched = self
-            .watched_at
+            .watch_answered_at
             .is_some_and(|at| now.since(at) < WATCH_FRESH);
-        self.store_works && watched && self.watching.mode() == Mode::Watch
+        self.store_works && watched && self.watch_control.mode() == Mode::Watch
     }
 
-    pub(super) fn own_copy(&self) -> OwnCopy {
-        OwnCopy {
+    pub(super) fn mirror_state(&self) -> MirrorState {
+        MirrorState {
             held: self.mirror.at(),
-            proven_at: self.proven_at,
+            validated_at: self.validated_at,
         }
     }
 
@@ -46,45 +46,48 @@
             .planner
             .version()
             .filter(|_| self.planner.is_readable());
-        let (version, at) = version.zip(self.proven_at)?;
+        let (version, at) = version.zip(self.validated_at)?;
         Some(Proof { version, at })
     }
 
     /// Takes what is known of how current the own copy is.
-    pub(super) fn prove(&mut self) {
-        let proof = self.peering.proof(self.mirror.at());
-        self.proven_at = self.proven_at.max(proof);
+    pub(super) fn update_validated_at(&mut self) {
+        let proof = self.peering.validated_at(self.mirror.at());
+        self.validated_at = self.validated_at.max(proof);
     }
 
     /// Whether the own copy was last proven current so long ago that this daemon is to look at the
     /// store itself; not where the store answers nobody.
-    fn is_old(&self, now: Time) -> bool {
-        let proven_at = self.proven_at.unwrap_or_default();
-        let age = now.since(proven_at).as_secs_f64();
+    fn is_stale(&self, now: Time) -> bool {
+        let validated_at = self.validated_at.unwrap_or_default();
+        let age = now.since(validated_at).as_secs_f64();
         let within = self.settings.in_force_within.as_secs_f64();
         let place = self.peering.watch_rank() as f64 / self.daemons.max(1) as f64;
-        let is_away = self.peering.standings().is_store_away(self.daemons);
-        !is_away && age > within * (LOOK_AFTER + LOOK_SPREAD * place)
+        let is_unreachable = self
+            .peering
+            .peer_states()
+            .is_store_unreachable(self.daemons);
+        !is_unreachable && age > within * (STALE_AFTER + STALE_STAGGER * place)
     }
 
     /// Decides whether this daemon is to watch the store.
-    pub(super) fn decide_watch(&mut self, now: Time) {
-        let around = Around {
-            before: self.peering.watchers_before(now),
+    pub(super) fn decide_watch_mode(&mut self, now: Time) {
+        let input = SuccessionInput {
+            before: self.peering.watchers_ahead(now),
             rank: self.peering.watch_rank(),
             fleet: self.peering.daemons(),
-            hears_others: self.peering.hears_others(),
-            watches: self.watch_works(now),
-            fresh: self.peering.fresh(),
-            is_old: self.is_old(now),
+            hears_peers: self.peering.hears_peers(),
+            own_watch_works: self.watch_works(now),
+            report_ttl: self.peering.report_ttl(),
+            is_stale: self.is_stale(now),
         };
-        let mode = self.turns.decide(now, around);
-        if self.watching.set(mode) {
-            let Around { before, rank, .. } = around;
+        let mode = self.succession.decide(now, input);
+        if self.watch_control.set(mode) {
+            let SuccessionInput { before, rank, .. } = input;
             tracing::info!(?mode, rank, before, "store: watching changed");
         }
         if mode == Mode::Rest {
-            self.believe_others(now);
+            self.adopt_peer_view(now);
         }
     }
 
@@ -92,11 +95,11 @@
     ///
     /// Guards against an outage in which leases of living upstreams run out: a daemon that had
     /// not noticed it would drop all of them when it hears that their entries went.
-    fn believe_others(&mut self, now: Time) {
-        let others = self.peering.standings();
+    fn adopt_peer_view(&mut self, now: Time) {
+        let others = self.peering.peer_states();
         match self.store_works {
             false if others.has_watcher() => self.store_answered(now),
-            true if others.is_store_away(self.daemons) => {
+            true if others.is_store_unreachable(self.daemons) => {
                 self.store_failed("no daemon is answered");
             }
             _ => {}
--- a/components/fleet/src/control/rollouts.rs
+++ b/components/fleet/src/control/rollouts.rs
@@ -5,16 +5,16 @@
 
 use super::Control;
 use crate::codec::Codec;
-use crate::rollouts::Known;
+use crate::rollouts::FleetFindings;
 
 /// What was seen of roll-outs is reported every so many ticks at least.
 const REPORT_TICKS: u32 = 2;
 /// Daemons of a fleet for each tick between two reports: the two judges take some 500 reports a
 /// second from a fleet of any size, where 295 daemons at every second tick sent them 1,475 each.
-const DAEMONS_A_TICK: usize = 50;
+const DAEMONS_PER_TICK: usize = 50;
 /// So long after an order all report at every second tick: sessions that are at work must be
 /// known everywhere before the new version gets its first requests.
-const SESSIONS_TOLD_WITHIN: Span = Span::from_secs(3);
+const FAST_REPORT_PERIOD: Span = Span::from_secs(3);
 /// Evidence tells a roll-out's age in these steps, so that a quiet daemon has nothing to say.
 const ELAPSED_STEP_MS: u64 = 500;
 
@@ -37,22 +37,22 @@
             let elapsed = elapsed - elapsed % ELAPSED_STEP_MS;
             own.elapsed_ms = u32::try_from(elapsed).unwrap_or(u32::MAX);
             let word = self.peering.gather(&own);
-            let known = Known {
+            let findings = FleetFindings {
                 fleet: &word.fleet,
-                can_serve: self.can_serve(&service, &order.to),
-                is_condemned: word.is_bad,
+                serving_capacity: self.serving_capacity(&service, &order.to),
+                is_marked_bad: word.is_bad,
                 staying: self.peering.staying(order.revision),
             };
-            let stepped = self.rollouts.step(now, &service, known);
+            let stepped = self.rollouts.step(now, &service, findings);
             self.must_plan |= stepped.has_changed;
             if stepped.is_newly_bad {
-                self.peering.condemn(stepped.order);
+                self.peering.mark_bad(stepped.order);
             }
             // Once it is decided nothing more is learnt from it.
             if !stepped.is_running {
                 continue;
             }
-            if is_tick && self.reports_now(known_for) {
+            if is_tick && self.is_report_due(known_for) {
                 let staying = self.traffic.seen.staying(order.revision);
                 self.peering.report(now, &own, &staying);
             }
@@ -60,9 +60,9 @@
     }
 
     /// Whether this tick is one of this daemon's to report on an order known for so long.
-    fn reports_now(&self, known_for: Span) -> bool {
-        let by_fleet = u32::try_from(self.daemons / DAEMONS_A_TICK).unwrap_or(u32::MAX);
-        let every = match known_for < SESSIONS_TOLD_WITHIN {
+    fn is_report_due(&self, known_for: Span) -> bool {
+        let by_fleet = u32::try_from(self.daemons / DAEMONS_PER_TICK).unwrap_or(u32::MAX);
+        let every = match known_for < FAST_REPORT_PERIOD {
             true => REPORT_TICKS,
             false => REPORT_TICKS.max(by_fleet),
         };
@@ -71,7 +71,7 @@
 
     /// Part of a service's traffic that the upstreams of a version can take: all of it once
     /// they are at least as many as the others.
-    fn can_serve(&self, service: &str, version: &str) -> f64 {
+    fn serving_capacity(&self, service: &str, version: &str) -> f64 {
         let upstreams = self.planner.upstreams();
         let ready = upstreams.iter().filter(|upstream| {
             *upstream.service == *service && upstream.state == routes::UpstreamState::Ready
--- a/components/fleet/src/freshness.rs
+++ b/components/fleet/src/freshness.rs
@@ -33,7 +33,7 @@
 
 /// A claim as it travels.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DatedClaim {
+pub struct WireClaim {
     /// See [`Claim::held`].
     pub held: Revision,
     /// In ms on the receiver's clock.
@@ -46,7 +46,7 @@
     /// The receiver's run, to whose clock the claims belong.
     pub run: Incarnation,
     /// The newest ones.
-    pub claims: Vec<DatedClaim>,
+    pub claims: Vec<WireClaim>,
 }
 
 /// The claims that a daemon knows of, its own ones included.
@@ -67,7 +67,7 @@
     }
 
     /// Takes a peer's claims; how many cannot be of this run's clock.
-    pub fn take(&mut self, now: Time, run: Incarnation, told: &Freshness) -> usize {
+    pub fn merge(&mut self, now: Time, run: Incarnation, told: &Freshness) -> usize {
         if told.run != run {
             return told.claims.len();
         }
@@ -87,7 +87,7 @@
 
     /// When a copy of a revision was last known to be current.
     #[must_use]
-    pub fn proof(&self, held: Revision) -> Option<Time> {
+    pub fn validated_at(&self, held: Revision) -> Option<Time> {
         let claims = self.0.iter().filter(|claim| claim.held <= held);
         claims.map(|claim| claim.at).max()
     }
@@ -99,7 +99,7 @@
         let readings = readings.filter_map(|claim| Some((claim.held, clock.reading_at(claim.at)?)));
         let readings = readings.collect::<Vec<_>>();
         let (_, first) = readings.first()?;
-        let claims = readings.iter().map(|(held, reading)| DatedClaim {
+        let claims = readings.iter().map(|(held, reading)| WireClaim {
             held: *held,
             clock_ms: reading.clock_ms,
         });
--- a/components/fleet/src/gossip.rs
+++ b/components/fleet/src/gossip.rs
@@ -17,20 +17,20 @@
 /// Daemons of the own failure domain in the view: what is out at upstreams matters there most, and
 /// bytes between failure domains are paid for. So many speak to each daemon too, and their
 /// loads stand for those of the others.
-const VIEW_NEAR: usize = 24;
+const LOCAL_VIEW: usize = 24;
 /// Daemons elsewhere in the view.
-const VIEW_FAR: usize = 6;
+const REMOTE_VIEW: usize = 6;
 /// Of the view near, told each time how this daemon stands. Each message wakes four threads, two
 /// at either end, and that is most of what a daemon of a large fleet costs at rest.
-const TOLD_NEAR: usize = 3;
+const LOCAL_FANOUT: usize = 3;
 /// Of the view near, told of a change: it is told once by each, so that more must hear of it.
-const TOLD_CHANGES: usize = 5;
+const LOCAL_CHANGE_FANOUT: usize = 5;
 /// Of the view elsewhere: word from one reaches 88 others in some four rounds, and costs each
 /// daemon the same in a fleet of any size.
-const TOLD_FAR: usize = 1;
+const REMOTE_FANOUT: usize = 1;
 /// One daemon of each view makes room for another this often, so that no part of the fleet
 /// stays apart from the rest, and a connection is opened seldom.
-const REPLACE: Span = Span::from_secs(4);
+const VIEW_REFRESH: Span = Span::from_secs(4);
 
 /// Another daemon of the fleet that is present.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -43,11 +43,11 @@
 
 /// What is told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Word {
+pub enum GossipKind {
     /// How this daemon stands, to those near; soon told again.
-    Near,
+    LocalHeartbeat,
     /// The same, also to other failure domains.
-    Everywhere,
+    Heartbeat,
     /// A change, told once.
     Change,
 }
@@ -60,47 +60,47 @@
 
 /// The view, the one longest in it first.
 #[derive(Debug, Default)]
-pub struct Audience {
+pub struct GossipView {
     near: VecDeque<SocketAddr>,
     far: VecDeque<SocketAddr>,
     replace_at: Time,
 }
 
-impl Audience {
+impl GossipView {
     /// Who is told now.
-    pub fn told(
+    pub fn recipients(
         &mut self,
         now: Time,
         peers: &[Peer],
-        word: Word,
+        kind: GossipKind,
         rng: &mut impl Rng,
     ) -> Vec<SocketAddr> {
-        let also_far = word != Word::Near;
+        let also_far = kind != GossipKind::LocalHeartbeat;
         let far_due = |peer: &&Peer| also_far || peer.is_near;
         if is_small(peers.len() + 1) {
             return peers.iter().filter(far_due).map(|p| p.address).collect();
         }
         if now.has_reached(self.replace_at) {
-            self.replace_at = now + REPLACE;
+            self.replace_at = now + VIEW_REFRESH;
             self.near.pop_front();
             self.far.pop_front();
         }
-        keep_full(&mut self.near, peers, true, VIEW_NEAR, rng);
-        keep_full(&mut self.far, peers, false, VIEW_FAR, rng);
-        let count = match word {
-            Word::Change => TOLD_CHANGES,
-            Word::Near | Word::Everywhere => TOLD_NEAR,
+        refill(&mut self.near, peers, true, LOCAL_VIEW, rng);
+        refill(&mut self.far, peers, false, REMOTE_VIEW, rng);
+        let count = match kind {
+            GossipKind::Change => LOCAL_CHANGE_FANOUT,
+            GossipKind::LocalHeartbeat | GossipKind::Heartbeat => LOCAL_FANOUT,
         };
-        let mut told = sample(&mut self.near, count, rng);
+        let mut recipients = sample(&mut self.near, count, rng);
         if also_far {
-            told.extend(sample(&mut self.far, TOLD_FAR, rng));
+            recipients.extend(sample(&mut self.far, REMOTE_FANOUT, rng));
         }
-        told
+        recipients
     }
 }
 
 /// Drops who is gone from a view, and fills it.
-fn keep_full(
+fn refill(
     view: &mut VecDeque<SocketAddr>,
     peers: &[Peer],
     is_near: bool,
--- a/components/fleet/src/heartbeat.rs
+++ b/components/fleet/src/heartbeat.rs
@@ -19,7 +19,7 @@
 use types::prelude::*;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::clocks::Clocks;
+use crate::clocks::ReporterClocks;
 use crate::freshness::Freshness;
 
 /// Upstreams named in one message at most; the busiest daemons have some hundred out.
@@ -28,14 +28,14 @@
 const MAX_RATE_LIMITS: usize = 64;
 /// Daemons of one kind named in one message at most: two watchers are enough, the rest is for
 /// overlaps.
-const MAX_VOUCHED: usize = 4;
+const MAX_REPORTS: usize = 4;
 /// So many daemons must find the store silent before others take it for away: fewer may be cut
 /// off from it, and those after them in the order of watchers are answered a moment later.
-const AWAY_FOR: usize = 3;
+const UNREACHABLE_REPORTS: usize = 3;
 
 /// A daemon that said something of the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Vouched {
+pub struct StoreReport {
     /// Which.
     pub daemon: DaemonId,
     /// How long ago it said so, as far as relays know: the way between them is not in it.
@@ -47,7 +47,7 @@
     /// The store's revision that it held then, for the release before.
     pub held: Revision,
     /// How long before that copy was known to be current, for the release before.
-    pub proven_ms: Option<u16>,
+    pub validated_ms: Option<u16>,
 }
 
 /// When a message was sent, by its sender's clock, for the release before.
@@ -61,13 +61,13 @@
 
 /// How a daemon stands.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Standing {
+pub struct Heartbeat {
     /// The store's revision that it holds.
     pub held: Revision,
     /// Who watches the store, as far as it knows.
-    pub watchers: Vec<Vouched>,
+    pub watchers: Vec<StoreReport>,
     /// Whom the store does not answer, as far as it knows.
-    pub unanswered: Vec<Vouched>,
+    pub store_unreachable: Vec<StoreReport>,
     /// The fleet's figures of roll-outs, as far as it knows.
     pub rollouts: Vec<RolloutWord>,
     /// What it has out.
@@ -94,14 +94,14 @@
 /// Bytes that are no standing.
 #[derive(Debug, thiserror::Error)]
 #[error("a peer's standing cannot be read: {0}")]
-pub struct StandingError(#[from] postcard::Error);
+pub struct HeartbeatError(#[from] postcard::Error);
 
-impl Standing {
+impl Heartbeat {
     /// As bytes, for any receiver.
     ///
     /// # Errors
     /// Never for a message of this form.
-    pub fn encode(&self) -> Result<Bytes, StandingError> {
+    pub fn encode(&self) -> Result<Bytes, HeartbeatError> {
         let mut bytes = postcard::to_allocvec(self)?;
         let extension = Extension {
             rate_limits: self.rate_limits.clone(),
@@ -115,7 +115,7 @@
     ///
     /// # Errors
     /// Never for a message of this form.
-    pub fn encode_for(encoded: &Bytes, freshness: &Freshness) -> Result<Bytes, StandingError> {
+    pub fn encode_for(encoded: &Bytes, freshness: &Freshness) -> Result<Bytes, HeartbeatError> {
         let mut bytes = encoded.to_vec();
         bytes.extend(postcard::to_allocvec(freshness)?);
         Ok(bytes.into())
@@ -125,56 +125,61 @@
     ///
     /// # Errors
     /// When its first form cannot be read.
-    pub fn decode(bytes: &[u8]) -> Result<Self, StandingError> {
-        let (mut standing, rest) = postcard::take_from_bytes::<Self>(bytes)?;
-        standing.loads.truncate(MAX_LOADS);
+    pub fn decode(bytes: &[u8]) -> Result<Self, HeartbeatError> {
+        let (mut heartbeat, rest) = postcard::take_from_bytes::<Self>(bytes)?;
+        heartbeat.loads.truncate(MAX_LOADS);
         // What follows and cannot be read must not cost the message.
         let extension = postcard::take_from_bytes::<Extension>(rest);
         let (extension, rest) = extension.unwrap_or_default();
-        standing.freshness = postcard::from_bytes(rest).ok();
-        standing.sent_at = extension.sent_at;
-        standing.rate_limits = extension.rate_limits;
-        standing.rate_limits.truncate(MAX_RATE_LIMITS);
-        Ok(standing)
+        heartbeat.freshness = postcard::from_bytes(rest).ok();
+        heartbeat.sent_at = extension.sent_at;
+        heartbeat.rate_limits = extension.rate_limits;
+        heartbeat.rate_limits.truncate(MAX_RATE_LIMITS);
+        Ok(heartbeat)
     }
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Heard {
+struct PeerRevision {
     until: Time,
     held: Revision,
 }
 
 /// What a daemon said last.
 #[derive(Debug, Clone)]
-struct Said {
+struct DatedReport {
     at: Time,
-    word: Vouched,
+    word: StoreReport,
 }
 
 /// How the others stand, as far as they spoke lately.
 #[derive(Debug, Default)]
-pub struct Standings {
-    heard: HashMap<DaemonId, Heard>,
+pub struct PeerStates {
+    revisions: HashMap<DaemonId, PeerRevision>,
     /// What each watcher last said whose watch works.
-    watchers: HashMap<DaemonId, Said>,
+    watchers: HashMap<DaemonId, DatedReport>,
     /// What each daemon last said that the store does not answer.
-    unanswered: HashMap<DaemonId, Said>,
-    clocks: Clocks,
+    store_unreachable: HashMap<DaemonId, DatedReport>,
+    clocks: ReporterClocks,
 }
 
-impl Standings {
+impl PeerStates {
     /// Takes a message, whose word on revisions counts for `fresh`.
-    pub fn take(&mut self, now: Time, daemon: &DaemonId, standing: &Standing, fresh: Span) {
-        let heard = Heard {
-            until: now + fresh,
-            held: standing.held,
+    pub fn take(&mut self, now: Time, daemon: &DaemonId, heartbeat: &Heartbeat, ttl: Span) {
+        let revisions = PeerRevision {
+            until: now + ttl,
+            held: heartbeat.held,
         };
-        self.heard.insert(daemon.clone(), heard);
+        self.revisions.insert(daemon.clone(), revisions);
         let clocks = &mut self.clocks;
-        take_word(now, clocks, &mut self.watchers, &standing.watchers);
-        take_word(now, clocks, &mut self.unanswered, &standing.unanswered);
-        self.settle();
+        merge_reports(now, clocks, &mut self.watchers, &heartbeat.watchers);
+        merge_reports(
+            now,
+            clocks,
+            &mut self.store_unreachable,
+            &heartbeat.store_unreachable,
+        );
+        self.keep_latest();
     }
 
     /// Keeps the later word of each daemon.
@@ -182,25 +187,29 @@
     /// Guards against watchers whose connections to the store go silent while those to their peers
     /// do not: until their last success is too old nobody would watch, for 2.2 s where a change
     /// is to be in force within 2.
-    fn settle(&mut self) {
-        let unanswered = &self.unanswered;
-        self.watchers
-            .retain(|daemon, said| unanswered.get(daemon).is_none_or(|no| no.at < said.at));
+    fn keep_latest(&mut self) {
+        let store_unreachable = &self.store_unreachable;
+        self.watchers.retain(|daemon, said| {
+            store_unreachable
+                .get(daemon)
+                .is_none_or(|no| no.at < said.at)
+        });
         let watchers = &self.watchers;
-        self.unanswered
+        self.store_unreachable
             .retain(|daemon, _| !watchers.contains_key(daemon));
     }
 
     /// Notes that the store does not answer this daemon.
-    pub(crate) fn note_unanswered(&mut self, now: Time, word: Vouched) {
+    pub(crate) fn note_store_unreachable(&mut self, now: Time, word: StoreReport) {
         let daemon = word.daemon.clone();
-        self.unanswered.insert(daemon, Said { at: now, word });
-        self.settle();
+        self.store_unreachable
+            .insert(daemon, DatedReport { at: now, word });
+        self.keep_latest();
     }
 
     /// Whom the store does not answer, the latest word first.
-    pub(crate) fn unanswered(&self, now: Time) -> Vec<Vouched> {
-        latest(now, &self.unanswered, MAX_VOUCHED)
+    pub(crate) fn store_unreachable(&self, now: Time) -> Vec<StoreReport> {
+        latest_reports(now, &self.store_unreachable, MAX_REPORTS)
     }
 
     /// Whether anybody's watch works.
@@ -212,24 +221,24 @@
     /// Whether the store is taken for away in a fleet of so many: it answers none of some, and
     /// nobody says that it does.
     #[must_use]
-    pub fn is_store_away(&self, fleet: usize) -> bool {
+    pub fn is_store_unreachable(&self, fleet: usize) -> bool {
         let others = fleet.saturating_sub(1);
-        let needed = AWAY_FOR.min(others).max(1);
-        self.unanswered.len() >= needed && !self.has_watcher()
+        let needed = UNREACHABLE_REPORTS.min(others).max(1);
+        self.store_unreachable.len() >= needed && !self.has_watcher()
     }
 
     /// Drops what is too old.
-    pub fn expire(&mut self, now: Time, fresh: Span) {
-        self.heard.retain(|_, heard| now < heard.until);
-        for said in [&mut self.watchers, &mut self.unanswered] {
-            said.retain(|_, said| now.since(said.at) < fresh);
+    pub fn expire(&mut self, now: Time, ttl: Span) {
+        self.revisions.retain(|_, revisions| now < revisions.until);
+        for said in [&mut self.watchers, &mut self.store_unreachable] {
+            said.retain(|_, said| now.since(said.at) < ttl);
         }
         self.clocks.expire(now);
     }
 
     /// Who watches with success, the latest word first.
-    pub(crate) fn vouched(&self, now: Time) -> Vec<Vouched> {
-        latest(now, &self.watchers, MAX_VOUCHED - 1)
+    pub(crate) fn watcher_reports(&self, now: Time) -> Vec<StoreReport> {
+        latest_reports(now, &self.watchers, MAX_REPORTS - 1)
     }
 
     /// The first daemons in the order of watchers whose watch works.
@@ -241,13 +250,13 @@
     }
 
     /// Daemons before `me` in the order of watchers whose watch works.
-    pub(crate) fn watchers_before(&self, me: &DaemonId) -> usize {
+    pub(crate) fn watchers_ahead(&self, me: &DaemonId) -> usize {
         watch_rank(me, self.watchers.keys().filter(|daemon| *daemon != me))
     }
 
     /// Daemons whose word counts.
     pub(crate) fn len(&self) -> usize {
-        self.heard.len()
+        self.revisions.len()
     }
 
     /// Daemons that can be asked for what is behind a revision: those that are furthest ahead, or
@@ -257,35 +266,48 @@
     /// change: each change of the store made these others for a moment, and nobody took
     /// copies from the hundred that had one.
     pub fn ahead_of(&self, held: Revision) -> impl Iterator<Item = &DaemonId> {
-        let furthest = self.heard.values().map(|heard| heard.held).max();
+        let furthest = self
+            .revisions
+            .values()
+            .map(|revisions| revisions.held)
+            .max();
         let least = match held == Revision::default() {
             true => Revision(1),
             false => furthest.unwrap_or_default().max(Revision(held.0 + 1)),
         };
-        let ahead = self.heard.iter();
-        let ahead = ahead.filter(move |(_, heard)| heard.held >= least);
+        let ahead = self.revisions.iter();
+        let ahead = ahead.filter(move |(_, revisions)| revisions.held >= least);
         ahead.map(|(daemon, _)| daemon)
     }
 }
 
 /// Takes what a message says of others, with its age.
-fn take_word(now: Time, clocks: &mut Clocks, said: &mut HashMap<DaemonId, Said>, word: &[Vouched]) {
-    for word in word.iter().take(MAX_VOUCHED) {
-        if let Some(at) = clocks.said_at(now, word) {
+fn merge_reports(
+    now: Time,
+    clocks: &mut ReporterClocks,
+    said: &mut HashMap<DaemonId, DatedReport>,
+    word: &[StoreReport],
+) {
+    for word in word.iter().take(MAX_REPORTS) {
+        if let Some(at) = clocks.reported_at(now, word) {
             let word = word.clone();
-            said.insert(word.daemon.clone(), Said { at, word });
+            said.insert(word.daemon.clone(), DatedReport { at, word });
         }
     }
 }
 
 /// The latest of what was said, as it travels.
-fn latest(now: Time, said: &HashMap<DaemonId, Said>, count: usize) -> Vec<Vouched> {
-    let known = said.values().map(|said| Vouched {
+fn latest_reports(
+    now: Time,
+    said: &HashMap<DaemonId, DatedReport>,
+    count: usize,
+) -> Vec<StoreReport> {
+    let known = said.values().map(|said| StoreReport {
         age_ms: u16::try_from(now.since(said.at).as_millis()).unwrap_or(u16::MAX),
         ..said.word.clone()
     });
     let mut known = known.collect::<Vec<_>>();
-    known.sort_by_key(|vouched| vouched.age_ms);
+    known.sort_by_key(|report| report.age_ms);
     known.truncate(count);
     known
 }
--- a/components/fleet/src/peering.rs
+++ b/components/fleet/src/peering.rs
@@ -14,25 +14,25 @@
 use types::prelude::*;
 
 use crate::freshness::Claims;
-use crate::gossip::{self, Audience, Peer, Word};
-use crate::heartbeat::{Standing, Standings, watch_rank};
+use crate::gossip::{self, GossipKind, GossipView, Peer};
+use crate::heartbeat::{Heartbeat, PeerStates, watch_rank};
 
 mod heartbeat;
 
 /// In a small fleet word is fresh for this long: three messages are missing then.
-const FRESH_IN_SMALL: Span = Span::from_millis(700);
+const REPORT_TTL_SMALL_FLEET: Span = Span::from_millis(700);
 /// In a large one, where it takes some rounds to arrive.
-pub(crate) const FRESH_IN_LARGE: Span = Span::from_millis(1_400);
+pub(crate) const REPORT_TTL_LARGE_FLEET: Span = Span::from_millis(1_400);
 /// Word goes to a large fleet, and to other failure domains, every so many of the control
 /// thread's ticks.
-const TICKS_AFAR: u32 = 2;
+const FULL_HEARTBEAT_TICKS: u32 = 2;
 /// Daemons that add up the fleet's figures of roll-outs: the first watchers.
-const JUDGES: usize = 2;
+const ROLLOUT_COLLECTORS: usize = 2;
 /// Part of the questions that go to any failure domain.
-const ASK_FAR: f64 = 0.2;
+const REMOTE_PEER_PROBABILITY: f64 = 0.2;
 /// A daemon that is down keeps its part of upstreams' rate limits for as long as a region may be
 /// cut off: from there it may still send.
-const CUT_LASTS: Span = Span::from_secs(600);
+const MAX_PARTITION: Span = Span::from_secs(600);
 /// Advertised rate limits queued for the next tick; peers repeat what does not fit.
 const MAX_RATE_LIMITS: usize = 1_024;
 /// Daemons that came are logged one by one up to so many at a time.
@@ -44,37 +44,37 @@
     handle: Handle,
     /// Daemons that came since they were last logged.
     arrived: Vec<DaemonId>,
-    audience: Audience,
+    gossip_view: GossipView,
     loads: PeerLoads,
-    standings: Standings,
+    peer_states: PeerStates,
     claims: Claims,
     gathering: Gathering,
     /// Rate limits that peers advertised since they were last taken.
     rate_limits: Vec<Advertisement>,
     ticks: u32,
     /// Something is to be told before the next turn.
-    must_tell: bool,
+    must_send_heartbeat: bool,
 }
 
 /// How current this daemon's copy of the store's keys is.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct OwnCopy {
+pub(crate) struct MirrorState {
     /// Up to which revision nothing is missing.
     pub(crate) held: Revision,
     /// When it was last known that the store had nothing newer.
-    pub(crate) proven_at: Option<Time>,
+    pub(crate) validated_at: Option<Time>,
 }
 
 /// What a message asks of the control thread.
-pub(crate) enum Asked {
+pub(crate) enum Followup {
     /// Nothing.
     Nothing,
     /// What is new in the mirror.
-    Mirror(DaemonId, Question, peers::Reply),
+    ServeMirror(DaemonId, Question, peers::Reply),
     /// To take what is new in a peer's mirror.
-    Take(Answer),
+    ApplyAnswer(Answer),
     /// To add up what became of contents.
-    AddUp(Words),
+    MergeWords(Words),
 }
 
 /// Whether a daemon has a part of upstreams' rate limits: it is present, or went without a word so
@@ -82,7 +82,7 @@
 #[must_use]
 pub fn shares_rate_limits(now: Time, member: &Member) -> bool {
     match member.record.state {
-        State::Down => now.since(member.since) < CUT_LASTS,
+        State::Down => now.since(member.since) < MAX_PARTITION,
         state => state.is_present(),
     }
 }
@@ -93,14 +93,14 @@
             members,
             handle,
             arrived: Vec::new(),
-            audience: Audience::default(),
+            gossip_view: GossipView::default(),
             loads: PeerLoads::default(),
-            standings: Standings::default(),
+            peer_states: PeerStates::default(),
             claims: Claims::default(),
             gathering: Gathering::default(),
             rate_limits: Vec::new(),
             ticks: 0,
-            must_tell: false,
+            must_send_heartbeat: false,
         }
     }
 
@@ -134,7 +134,7 @@
 
     pub(crate) fn tick(&mut self, now: Time) {
         let outcome = self.members.tick(now, &mut rand::rng());
-        self.carry(outcome);
+        self.apply_outcome(outcome);
         self.log_arrived();
     }
 
@@ -153,44 +153,44 @@
     }
 
     /// Takes a message and says what it asks for.
-    pub(crate) fn receive(&mut self, now: Time, inbound: Inbound) -> Asked {
+    pub(crate) fn receive(&mut self, now: Time, inbound: Inbound) -> Followup {
         match inbound {
             Inbound::Message { from, payload } => match payload {
                 Payload::Membership(message) => {
                     let rng = &mut rand::rng();
                     let outcome = self.members.receive(now, &from, message, rng);
-                    self.carry(outcome);
-                    Asked::Nothing
+                    self.apply_outcome(outcome);
+                    Followup::Nothing
                 }
-                Payload::Part { part, body } => self.take_part(now, from.id, part, &body),
+                Payload::Part { part, body } => self.handle_part(now, from.id, part, &body),
             },
             Inbound::Ask {
                 from,
                 payload: Payload::Part { body, .. },
                 reply,
             } => match Question::decode(&body) {
-                Ok(question) => Asked::Mirror(from.id, question, reply),
+                Ok(question) => Followup::ServeMirror(from.id, question, reply),
                 Err(e) => {
                     tracing::warn!("peers: {e}");
-                    Asked::Nothing
+                    Followup::Nothing
                 }
             },
-            Inbound::Ask { .. } => Asked::Nothing,
+            Inbound::Ask { .. } => Followup::Nothing,
         }
     }
 
-    fn take_part(&mut self, now: Time, from: DaemonId, part: Part, body: &Bytes) -> Asked {
+    fn handle_part(&mut self, now: Time, from: DaemonId, part: Part, body: &Bytes) -> Followup {
         match part {
-            Part::Standing => match Standing::decode(body) {
-                Ok(standing) => {
-                    let fresh = self.fresh();
-                    self.standings.take(now, &from, &standing, fresh);
-                    self.take_claims(now, &from, &standing);
-                    for word in &standing.rollouts {
-                        self.gathering.take_word(word);
+            Part::Standing => match Heartbeat::decode(body) {
+                Ok(heartbeat) => {
+                    let report_ttl = self.report_ttl();
+                    self.peer_states.take(now, &from, &heartbeat, report_ttl);
+                    self.merge_claims(now, &from, &heartbeat);
+                    for kind in &heartbeat.rollouts {
+                        self.gathering.take_word(kind);
                     }
-                    self.note_rate_limits(standing.rate_limits);
-                    self.loads.take(now, from, standing.loads);
+                    self.note_rate_limits(heartbeat.rate_limits);
+                    self.loads.take(now, from, heartbeat.loads);
                 }
                 Err(e) => tracing::warn!(peer = %from, "peers: {e}"),
             },
@@ -199,16 +199,16 @@
                 Err(e) => tracing::warn!(peer = %from, "peers: {e}"),
             },
             Part::Mirror => match Answer::decode(body) {
-                Ok(answer) => return Asked::Take(answer),
+                Ok(answer) => return Followup::ApplyAnswer(answer),
                 Err(e) => tracing::warn!(peer = %from, "peers: {e}"),
             },
             Part::Poison => match Words::decode(body) {
-                Ok(words) => return Asked::AddUp(words),
+                Ok(words) => return Followup::MergeWords(words),
                 Err(e) => tracing::warn!(peer = %from, "peers: {e}"),
             },
             other => tracing::warn!(peer = %from, "peers: nothing here takes {other:?}"),
         }
-        Asked::Nothing
+        Followup::Nothing
     }
 
     fn note_rate_limits(&mut self, told: Vec<Advertisement>) {
@@ -229,7 +229,7 @@
         Fleet::new(&self.members.me().id, others)
     }
 
-    fn carry(&mut self, outcome: Outcome) {
+    fn apply_outcome(&mut self, outcome: Outcome) {
         for envelope in outcome.send {
             self.handle
                 .send(envelope.to, Payload::Membership(envelope.message));
@@ -253,29 +253,29 @@
     }
 
     /// Hands what is new in the store to a few others.
-    pub(crate) fn show_changes(&mut self, now: Time, answer: &Answer) {
+    pub(crate) fn send_changes(&mut self, now: Time, answer: &Answer) {
         match answer.encode() {
-            Ok(body) => self.tell(now, Part::Mirror, &body, Word::Change),
+            Ok(body) => self.send_gossip(now, Part::Mirror, &body, GossipKind::Change),
             Err(e) => tracing::warn!("peers: {e}"),
         }
     }
 
     /// Tells a few others what became of contents.
-    pub(crate) fn show_words(&mut self, now: Time, words: &Words) {
+    pub(crate) fn send_suspects(&mut self, now: Time, words: &Words) {
         match words.encode() {
-            Ok(body) => self.tell(now, Part::Poison, &body, Word::Change),
+            Ok(body) => self.send_gossip(now, Part::Poison, &body, GossipKind::Change),
             Err(e) => tracing::error!("peers: {e}"),
         }
     }
 
-    fn tell(&mut self, now: Time, part: Part, body: &Bytes, word: Word) {
-        for address in self.told(now, word) {
+    fn send_gossip(&mut self, now: Time, part: Part, body: &Bytes, kind: GossipKind) {
+        for address in self.recipients(now, kind) {
             let body = body.clone();
             self.handle.send(address, Payload::Part { part, body });
         }
     }
 
-    fn told(&mut self, now: Time, word: Word) -> Vec<SocketAddr> {
+    fn recipients(&mut self, now: Time, kind: GossipKind) -> Vec<SocketAddr> {
         let here = &self.members.me().failure_domain;
         let members = self.members.members().map(|member| &member.record);
         let present = members.filter(|record| record.state.is_present());
@@ -285,7 +285,7 @@
         });
         let peers = peers.collect::<Vec<_>>();
         let rng = &mut rand::rng();
-        self.audience.told(now, &peers, word, rng)
+        self.gossip_view.recipients(now, &peers, kind, rng)
     }
 
     pub(crate) fn is_small(&self) -> bool {
@@ -293,10 +293,10 @@
     }
 
     /// Word counts for so long.
-    pub(crate) fn fresh(&self) -> Span {
+    pub(crate) fn report_ttl(&self) -> Span {
         match self.is_small() {
-            true => FRESH_IN_SMALL,
-            false => FRESH_IN_LARGE,
+            true => REPORT_TTL_SMALL_FLEET,
+            false => REPORT_TTL_LARGE_FLEET,
         }
     }
 
@@ -308,36 +308,36 @@
     }
 
     /// Daemons before this one in the order of watchers whose watch works, by fresh word.
-    pub(crate) fn watchers_before(&mut self, now: Time) -> usize {
-        let fresh = self.fresh();
-        self.standings.expire(now, fresh);
-        self.standings.watchers_before(&self.members.me().id)
+    pub(crate) fn watchers_ahead(&mut self, now: Time) -> usize {
+        let report_ttl = self.report_ttl();
+        self.peer_states.expire(now, report_ttl);
+        self.peer_states.watchers_ahead(&self.members.me().id)
     }
 
     /// Whether any other daemon spoke lately.
-    pub(crate) fn hears_others(&self) -> bool {
-        self.standings.len() > 0
+    pub(crate) fn hears_peers(&self) -> bool {
+        self.peer_states.len() > 0
     }
 
     /// What the others say of the store.
-    pub(crate) fn standings(&self) -> &Standings {
-        &self.standings
+    pub(crate) fn peer_states(&self) -> &PeerStates {
+        &self.peer_states
     }
 
     /// Notes that the store does not answer this daemon, for the others.
-    pub(crate) fn note_store_failure(&mut self, now: Time, copy: OwnCopy) {
-        let word = self.own_word(now, copy);
-        self.standings.note_unanswered(now, word);
-        self.must_tell = true;
+    pub(crate) fn note_store_failure(&mut self, now: Time, copy: MirrorState) {
+        let kind = self.own_report(now, copy);
+        self.peer_states.note_store_unreachable(now, kind);
+        self.must_send_heartbeat = true;
     }
 
     /// What all others have out, by upstream.
     ///
     /// In a large fleet only some spoke lately; they stand for the others.
-    pub(crate) fn others_loads(&mut self, now: Time) -> HashMap<u32, (f64, u32)> {
+    pub(crate) fn peer_loads(&mut self, now: Time) -> HashMap<u32, (f64, u32)> {
         let mut loads = self.loads.sums(now);
         let others = self.members.fleet_size().saturating_sub(1);
-        let share = others as f64 / self.standings.len().max(1) as f64;
+        let share = others as f64 / self.peer_states.len().max(1) as f64;
         if share > 1.0 {
             for (backlog_ms, in_flight) in loads.values_mut() {
                 *backlog_ms *= share;
@@ -354,9 +354,9 @@
     }
 
     /// Tells everybody that an order's version is bad, at once.
-    pub(crate) fn condemn(&mut self, order: u64) {
+    pub(crate) fn mark_bad(&mut self, order: u64) {
         self.gathering.condemn(order);
-        self.must_tell = true;
+        self.must_send_heartbeat = true;
     }
 
     /// Sessions that stay on their version in a roll-out, by all daemons.
@@ -376,14 +376,15 @@
             own: *own,
             staying: staying.iter().copied().collect(),
         };
-        let judges = self.standings.first_watchers(JUDGES);
-        let judges = judges.iter().filter(|judge| **judge != me);
-        let addresses = judges.filter_map(|judge| Some(self.members.member(judge)?.record.address));
+        let collectors = self.peer_states.first_watchers(ROLLOUT_COLLECTORS);
+        let collectors = collectors.iter().filter(|collector| **collector != me);
+        let addresses =
+            collectors.filter_map(|collector| Some(self.members.member(collector)?.record.address));
         let addresses = addresses.collect::<Vec<_>>();
         self.send_message(&report, &addresses);
         if let Some(news) = self.gathering.staying_news(order) {
-            let told = self.told(now, Word::Change);
-            self.send_message(&news, &told);
+            let recipients = self.recipients(now, GossipKind::Change);
+            self.send_message(&news, &recipients);
         }
     }
 
@@ -407,23 +408,25 @@
     /// One of the own failure domain mostly: a whole copy is as long as all upstreams together,
     /// and bytes between failure domains are paid for. Now and then another one, for the case
     /// that nobody near has it.
-    pub(crate) fn whom_to_ask(&self, held: Revision) -> Option<SocketAddr> {
-        let ahead = self.standings.ahead_of(held);
+    pub(crate) fn choose_catch_up_peer(&self, held: Revision) -> Option<SocketAddr> {
+        let ahead = self.peer_states.ahead_of(held);
         let ahead = ahead.filter_map(|daemon| Some(&self.members.member(daemon)?.record));
         let ahead = ahead.collect::<Vec<_>>();
         if !ahead.is_empty() || held > Revision::default() {
-            return self.one_of(&ahead);
+            return self.choose_peer(&ahead);
         }
         let others = self.members.members().map(|member| &member.record);
         let others = others.filter(|record| record.state.is_present());
-        self.one_of(&others.collect::<Vec<_>>())
+        self.choose_peer(&others.collect::<Vec<_>>())
     }
 
-    fn one_of(&self, candidates: &[&MemberRecord]) -> Option<SocketAddr> {
+    fn choose_peer(&self, candidates: &[&MemberRecord]) -> Option<SocketAddr> {
         let rng = &mut rand::rng();
         let here = &self.members.me().failure_domain;
         let near = candidates.iter().filter(|r| r.failure_domain == *here);
-        let near = near.choose(rng).filter(|_| !rng.random_bool(ASK_FAR));
+        let near = near
+            .choose(rng)
+            .filter(|_| !rng.random_bool(REMOTE_PEER_PROBABILITY));
         let chosen = near.or_else(|| candidates.choose(rng));
         chosen.map(|record| record.address)
     }
@@ -431,6 +434,6 @@
     /// Says goodbye.
     pub(crate) fn leave(&mut self, now: Time) {
         let outcome = self.members.leave(now, &mut rand::rng());
-        self.carry(outcome);
+        self.apply_outcome(outcome);
     }
 }
--- a/components/fleet/src/peering/heartbeat.rs
+++ b/components/fleet/src/peering/heartbeat.rs
@@ -6,17 +6,17 @@
 use peers::{Part, Payload};
 use types::prelude::*;
 
-use super::{OwnCopy, Peering, TICKS_AFAR};
+use super::{FULL_HEARTBEAT_TICKS, MirrorState, Peering};
 use crate::freshness::Claim;
-use crate::gossip::Word;
-use crate::heartbeat::{SentAt, Standing, Vouched};
+use crate::gossip::GossipKind;
+use crate::heartbeat::{Heartbeat, SentAt, StoreReport};
 
 impl Peering {
-    pub(super) fn take_claims(&mut self, now: Time, from: &DaemonId, standing: &Standing) {
-        let Some(told) = &standing.freshness else {
+    pub(super) fn merge_claims(&mut self, now: Time, from: &DaemonId, heartbeat: &Heartbeat) {
+        let Some(told) = &heartbeat.freshness else {
             return;
         };
-        let dropped = self.claims.take(now, self.handle.run(), told);
+        let dropped = self.claims.merge(now, self.handle.run(), told);
         if dropped > 0 {
             tracing::debug!(peer = %from, dropped, "peers: claims of another clock");
         }
@@ -28,57 +28,58 @@
     }
 
     /// When a copy of a revision was last known to be current.
-    pub(crate) fn proof(&self, held: Revision) -> Option<Time> {
-        self.claims.proof(held)
+    pub(crate) fn validated_at(&self, held: Revision) -> Option<Time> {
+        self.claims.validated_at(held)
     }
 
     /// Tells how this daemon stands to a few others; `watches` says whether it watches the
     /// store with success.
-    pub(crate) fn show_standing(
+    pub(crate) fn send_heartbeat(
         &mut self,
         now: Time,
-        copy: OwnCopy,
-        watches: bool,
+        copy: MirrorState,
+        own_watch_works: bool,
         loads: Vec<SharedLoad>,
         rate_limits: Vec<Advertisement>,
     ) {
         self.ticks = self.ticks.wrapping_add(1);
-        let is_turn = self.ticks.is_multiple_of(TICKS_AFAR) || std::mem::take(&mut self.must_tell);
-        let word = match is_turn {
-            true => Word::Everywhere,
-            false if self.is_small() => Word::Near,
+        let is_turn = self.ticks.is_multiple_of(FULL_HEARTBEAT_TICKS)
+            || std::mem::take(&mut self.must_send_heartbeat);
+        let kind = match is_turn {
+            true => GossipKind::Heartbeat,
+            false if self.is_small() => GossipKind::LocalHeartbeat,
             false => return,
         };
         let me = &self.members.me().id;
-        let mut watchers = self.standings.vouched(now);
-        watchers.retain(|vouched| vouched.daemon != *me);
-        if watches {
-            watchers.push(self.own_word(now, copy));
+        let mut watchers = self.peer_states.watcher_reports(now);
+        watchers.retain(|report| report.daemon != *me);
+        if own_watch_works {
+            watchers.push(self.own_report(now, copy));
         }
-        let standing = Standing {
+        let heartbeat = Heartbeat {
             held: copy.held,
             watchers,
-            unanswered: self.standings.unanswered(now),
+            store_unreachable: self.peer_states.store_unreachable(now),
             rollouts: self.gathering.words(),
             loads,
             rate_limits,
             sent_at: Some(self.sent_at(now)),
             freshness: None,
         };
-        match standing.encode() {
-            Ok(body) => self.tell_standing(now, &body, word),
+        match heartbeat.encode() {
+            Ok(body) => self.send_heartbeat_to_targets(now, &body, kind),
             Err(e) => tracing::error!("peers: {e}"),
         }
     }
 
     /// Tells a few others how this daemon stands, and how current its copy is by the clock of each.
-    fn tell_standing(&mut self, now: Time, standing: &Bytes, word: Word) {
-        for address in self.told(now, word) {
+    fn send_heartbeat_to_targets(&mut self, now: Time, heartbeat: &Bytes, kind: GossipKind) {
+        for address in self.recipients(now, kind) {
             let clock = self.handle.clock_of(address);
             let freshness = clock.and_then(|clock| self.claims.for_peer(&clock));
             let body = match freshness {
-                Some(freshness) => Standing::encode_for(standing, &freshness),
-                None => Ok(standing.clone()),
+                Some(freshness) => Heartbeat::encode_for(heartbeat, &freshness),
+                None => Ok(heartbeat.clone()),
             };
             match body {
                 Ok(body) => {
@@ -98,16 +99,16 @@
     }
 
     /// What this daemon says of itself and the store.
-    pub(super) fn own_word(&self, now: Time, copy: OwnCopy) -> Vouched {
-        let proven_ms = copy.proven_at.map(|at| now.since(at).as_millis());
+    pub(super) fn own_report(&self, now: Time, copy: MirrorState) -> StoreReport {
+        let validated_ms = copy.validated_at.map(|at| now.since(at).as_millis());
         let SentAt { run, clock_ms } = self.sent_at(now);
-        Vouched {
+        StoreReport {
             daemon: self.members.me().id.clone(),
             age_ms: 0,
             run,
             clock_ms,
             held: copy.held,
-            proven_ms: proven_ms.and_then(|ms| u16::try_from(ms).ok()),
+            validated_ms: validated_ms.and_then(|ms| u16::try_from(ms).ok()),
         }
     }
 }
--- a/components/fleet/src/planner.rs
+++ b/components/fleet/src/planner.rs
@@ -63,7 +63,7 @@
     }
 
     /// Takes a change; whether it matters to the plan. `is_logged` gives it a line.
-    pub(crate) fn take(
+    pub(crate) fn apply(
         &mut self,
         now: Time,
         codec: &impl Codec,
@@ -71,16 +71,16 @@
         is_logged: bool,
     ) -> bool {
         if change.key == codec.table_key() {
-            return self.take_table(codec, change.value.as_ref());
+            return self.apply_table(codec, change.value.as_ref());
         }
         match change.key.strip_prefix(codec.upstream_prefix()) {
-            Some(id) => self.take_upstream(now, codec, id, change.value.as_ref(), is_logged),
+            Some(id) => self.apply_upstream(now, codec, id, change.value.as_ref(), is_logged),
             None => false,
         }
     }
 
     /// Takes a configuration if it is newer: an old one must not come back, whoever tells it.
-    fn take_table(&mut self, codec: &impl Codec, value: Option<&Bytes>) -> bool {
+    fn apply_table(&mut self, codec: &impl Codec, value: Option<&Bytes>) -> bool {
         self.is_readable = false;
         let Some(value) = value else {
             tracing::warn!("config: the store's entry is gone; the last one stays in force");
@@ -101,7 +101,7 @@
         true
     }
 
-    fn take_upstream(
+    fn apply_upstream(
         &mut self,
         now: Time,
         codec: &impl Codec,
--- a/components/fleet/src/quarantine.rs
+++ b/components/fleet/src/quarantine.rs
@@ -23,24 +23,24 @@
 /// Next try after a call.
 const RETRY: Span = Span::from_secs(1);
 /// Bars that are kept in the store at most, some 300 bytes each.
-const MAX_KEPT: usize = 256;
+const MAX_STORED: usize = 256;
 
 /// A bar as it stands in the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct BarEntry {
+pub struct QuarantineEntry {
     /// Whose requests they are.
     pub customer: Option<Arc<str>>,
     /// Since when, by the clock of who wrote it, in Unix milliseconds.
     pub since: WallTime,
     /// The upstreams that ended, and how long the content had run there.
-    pub ends: Vec<BarEnd>,
+    pub ends: Vec<QuarantineCrash>,
 }
 
 /// An upstream that ended under a content.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct BarEnd {
+pub struct QuarantineCrash {
     /// Which.
     pub upstream: UpstreamRun,
     /// How long the content had run there.
@@ -50,11 +50,11 @@
 /// Bytes that are no bar.
 #[derive(Debug, thiserror::Error)]
 #[error("a bar in the store cannot be read: {0}")]
-pub struct BarEntryError(#[from] serde_json::Error);
+pub struct QuarantineEntryError(#[from] serde_json::Error);
 
-impl BarEntry {
+impl QuarantineEntry {
     fn of(bar: &Barred, since: WallTime) -> Self {
-        let ends = bar.ends.iter().map(|(upstream, ran)| BarEnd {
+        let ends = bar.ends.iter().map(|(upstream, ran)| QuarantineCrash {
             upstream: upstream.clone(),
             ran_ms: ran.as_millis(),
         });
@@ -69,11 +69,11 @@
     ///
     /// # Errors
     /// When it is no bar: another writer may have put it there.
-    pub fn decode(value: &[u8]) -> Result<Self, BarEntryError> {
+    pub fn decode(value: &[u8]) -> Result<Self, QuarantineEntryError> {
         Ok(serde_json::from_slice(value)?)
     }
 
-    fn encode(&self) -> Result<Bytes, BarEntryError> {
+    fn encode(&self) -> Result<Bytes, QuarantineEntryError> {
         Ok(serde_json::to_vec(self)?.into())
     }
 }
@@ -87,14 +87,14 @@
 
 /// Bars that differ between here and the store.
 #[derive(Debug, Default)]
-pub(crate) struct Bars {
+pub(crate) struct QuarantineSync {
     /// Since when each differs.
-    differs: BTreeMap<Content, (Wanted, Time)>,
+    mismatches: BTreeMap<Content, (Wanted, Time)>,
     /// Contents whose calls were made, and when they may be made again.
-    called: BTreeMap<Content, Time>,
+    retry_at: BTreeMap<Content, Time>,
 }
 
-impl Bars {
+impl QuarantineSync {
     /// Calls of the store that are due; `rank` is this daemon's place by name and `prefix` begins
     /// the keys.
     pub(crate) fn calls(
@@ -107,23 +107,23 @@
         mirror: &Mirror,
     ) -> Vec<(Purpose, Request)> {
         self.compare(now, prefix, barred, mirror);
-        self.called.retain(|_, again_at| now < *again_at);
-        let due = self.differs.iter().filter(|(content, (_, since))| {
+        self.retry_at.retain(|_, again_at| now < *again_at);
+        let due = self.mismatches.iter().filter(|(content, (_, since))| {
             let is_turn = now.has_reached(*since + TURN.times(rank));
-            is_turn && !self.called.contains_key(*content)
+            is_turn && !self.retry_at.contains_key(*content)
         });
         let due = due.map(|(content, (wanted, _))| (*content, *wanted));
         let due = due.collect::<Vec<_>>();
         let mut calls = Vec::new();
         for (content, wanted) in due {
-            self.called.insert(content, now + RETRY);
+            self.retry_at.insert(content, now + RETRY);
             let key = format!("{prefix}{content}");
             let bar = barred.iter().find(|bar| bar.content == content);
             let op = match (wanted, bar) {
                 (Wanted::Written, Some(bar)) => {
                     let age = now.since(bar.since).as_millis();
                     let since = WallTime(wall.0.saturating_sub(age));
-                    put(&key, &BarEntry::of(bar, since))
+                    put(&key, &QuarantineEntry::of(bar, since))
                 }
                 _ => Some(Op::Delete(key.clone())),
             };
@@ -141,21 +141,21 @@
             .map(|(key, ..)| &key[prefix.len()..]);
         let there = keys.filter_map(|name| name.parse::<Content>().ok());
         let there = there.collect::<BTreeSet<_>>();
-        let room = MAX_KEPT.saturating_sub(there.len());
+        let room = MAX_STORED.saturating_sub(there.len());
         let written = here.difference(&there).take(room);
         let written = written.map(|content| (*content, Wanted::Written));
         let deleted = there.difference(&here);
         let deleted = deleted.map(|content| (*content, Wanted::Deleted));
         let wanted = written.chain(deleted).collect::<BTreeMap<_, _>>();
-        let differs = &mut self.differs;
-        differs.retain(|content, (held, _)| wanted.get(content) == Some(held));
+        let mismatches = &mut self.mismatches;
+        mismatches.retain(|content, (held, _)| wanted.get(content) == Some(held));
         for (content, wanted) in wanted {
-            differs.entry(content).or_insert((wanted, now));
+            mismatches.entry(content).or_insert((wanted, now));
         }
     }
 }
 
-fn put(key: &str, entry: &BarEntry) -> Option<Op> {
+fn put(key: &str, entry: &QuarantineEntry) -> Option<Op> {
     match entry.encode() {
         Ok(value) => Some(Op::Put(Put {
             key: key.to_owned(),
--- a/components/fleet/src/rollouts.rs
+++ b/components/fleet/src/rollouts.rs
@@ -37,12 +37,12 @@
 }
 
 /// What the fleet knows of one roll-out.
-pub(crate) struct Known<'a> {
+pub(crate) struct FleetFindings<'a> {
     /// The fleet's figures.
     pub(crate) fleet: &'a Evidence,
     /// Part of the service's traffic that the new version's upstreams can take.
-    pub(crate) can_serve: f64,
-    pub(crate) is_condemned: bool,
+    pub(crate) serving_capacity: f64,
+    pub(crate) is_marked_bad: bool,
     /// Sessions that some daemon saw at work on another version.
     pub(crate) staying: BTreeSet<u32>,
 }
@@ -129,18 +129,23 @@
     }
 
     /// Steps one roll-out; true when its gate changed. Says so when it is newly bad.
-    pub(crate) fn step(&mut self, now: Time, service: &str, known: Known<'_>) -> Stepped {
+    pub(crate) fn step(
+        &mut self,
+        now: Time,
+        service: &str,
+        known: FleetFindings<'_>,
+    ) -> StepOutcome {
         let Some(rollout) = self.by_service.get_mut(service) else {
-            return Stepped::default();
+            return StepOutcome::default();
         };
         let order = rollout.trial.order().revision;
         let fleet = known.fleet;
         rollout.trial.known_for(now, fleet.elapsed());
         rollout.trial.keep(known.staying);
-        if known.is_condemned {
+        if known.is_marked_bad {
             rollout.trial.condemn(Verdict::Failing);
         }
-        let step = rollout.trial.step(now, fleet, known.can_serve);
+        let step = rollout.trial.step(now, fleet, known.serving_capacity);
         let state = match step.verdict {
             Verdict::Open => None,
             Verdict::Good => Some(RolloutState::Completed),
@@ -173,7 +178,7 @@
             );
         }
         rollout.gate = Some(step.gate);
-        Stepped {
+        StepOutcome {
             has_changed,
             is_newly_bad,
             is_running: rollout.trial.state() == RolloutState::Running,
@@ -237,7 +242,7 @@
 
 /// What a step did.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Stepped {
+pub(crate) struct StepOutcome {
     pub(crate) has_changed: bool,
     pub(crate) is_newly_bad: bool,
     pub(crate) is_running: bool,
--- a/components/fleet/src/snapshot.rs
+++ b/components/fleet/src/snapshot.rs
@@ -17,12 +17,12 @@
 /// them each takes longer on the same link, and the first one to be whole can hand on in turn.
 const MAX_COPIES: usize = 4;
 /// Who asked for no further page in this time has given up.
-const GIVEN_UP_AFTER: Span = Span::from_millis(400);
+const DOWNLOAD_IDLE: Span = Span::from_millis(400);
 
 /// Pages are handed out for so long after they were made, though the store goes on: a taker asks
 /// for what is newer anyway, and packing a configuration of 1,400 routes anew for each change
 /// takes a host with an eighth of a core a tenth of a second.
-const PAGES_KEPT: Span = Span::from_secs(1);
+const PAGE_TTL: Span = Span::from_secs(1);
 
 /// A page as bytes, and whether it is the last one.
 #[derive(Debug, Clone)]
@@ -33,9 +33,9 @@
 
 /// Hands out copies.
 #[derive(Debug, Default)]
-pub struct Handing {
+pub struct SnapshotServer {
     /// Who copies from here, and when it last asked.
-    copying: HashMap<DaemonId, Time>,
+    downloads: HashMap<DaemonId, Time>,
     /// Pages as bytes, by the key that they begin behind: many ask for the same ones, and
     /// compressing them anew for each took longer than sending them.
     pages: HashMap<Option<String>, Page>,
@@ -45,7 +45,7 @@
     pages_since: Time,
 }
 
-impl Handing {
+impl SnapshotServer {
     /// The answer to a peer's question; nothing if it is to ask elsewhere or later.
     ///
     /// # Errors
@@ -61,22 +61,22 @@
         if !is_copy || mirror.at() <= question.held {
             return Answer::to(question, mirror).encode().map(Some);
         }
-        if !self.may_copy(now, from) {
+        if !self.admit(now, from) {
             return Ok(None);
         }
         let page = self.page(now, question, mirror)?;
         if page.is_last {
-            self.copying.remove(from);
+            self.downloads.remove(from);
         }
         Ok(Some(page.body))
     }
 
-    fn may_copy(&mut self, now: Time, from: &DaemonId) -> bool {
-        self.copying
-            .retain(|_, asked_at| now.since(*asked_at) < GIVEN_UP_AFTER);
-        let may = self.copying.contains_key(from) || self.copying.len() < MAX_COPIES;
+    fn admit(&mut self, now: Time, from: &DaemonId) -> bool {
+        self.downloads
+            .retain(|_, asked_at| now.since(*asked_at) < DOWNLOAD_IDLE);
+        let may = self.downloads.contains_key(from) || self.downloads.len() < MAX_COPIES;
         if may {
-            self.copying.insert(from.clone(), now);
+            self.downloads.insert(from.clone(), now);
         }
         may
     }
@@ -87,7 +87,7 @@
         question: &Question,
         mirror: &Mirror,
     ) -> Result<Page, MessageError> {
-        if self.pages.is_empty() || now.since(self.pages_since) >= PAGES_KEPT {
+        if self.pages.is_empty() || now.since(self.pages_since) >= PAGE_TTL {
             self.pages.clear();
             self.pages_at = mirror.at();
             self.pages_since = now;
@@ -110,7 +110,7 @@
 
 /// A copy that is being taken.
 #[derive(Debug)]
-pub struct Taking {
+pub struct SnapshotDownload {
     /// From whom.
     pub from: SocketAddr,
     listing: Option<Listing>,
@@ -118,14 +118,14 @@
 
 /// What a page makes of a copy.
 #[derive(Debug)]
-pub enum Taken {
+pub enum DownloadStep {
     /// The next page is to be asked for, behind this key.
     More(String),
     /// All of it is there.
-    Whole(Listing),
+    Complete(Listing),
 }
 
-impl Taking {
+impl SnapshotDownload {
     /// From a daemon at an address; nothing is there yet.
     #[must_use]
     pub fn new(from: SocketAddr) -> Self {
@@ -136,7 +136,7 @@
     }
 
     /// Takes a page. The copy is as of its first one: what changed since is asked for anew.
-    pub fn take(&mut self, at: Revision, items: Vec<Change>, has_more: bool) -> Taken {
+    pub fn take(&mut self, at: Revision, items: Vec<Change>, has_more: bool) -> DownloadStep {
         let listing = self.listing.get_or_insert(Listing {
             at,
             items: Vec::new(),
@@ -144,8 +144,8 @@
         let last = items.last().map(|item| item.key.clone());
         listing.items.extend(items);
         match last.filter(|_| has_more) {
-            Some(last) => Taken::More(last),
-            None => Taken::Whole(std::mem::replace(
+            Some(last) => DownloadStep::More(last),
+            None => DownloadStep::Complete(std::mem::replace(
                 listing,
                 Listing {
                     at,
--- a/components/fleet/src/start.rs
+++ b/components/fleet/src/start.rs
@@ -17,21 +17,21 @@
 use crate::control::Control;
 use crate::error::FleetError;
 use crate::event::{Event, Purpose};
-use crate::peer_sync::Asking;
-use crate::peering::{FRESH_IN_LARGE, Peering};
+use crate::peer_sync::PeerSync;
+use crate::peering::{Peering, REPORT_TTL_LARGE_FLEET};
 use crate::planner::Planner;
 use crate::presence::Presence;
-use crate::quarantine::Bars;
-use crate::queue_delay::Backlog;
+use crate::quarantine::QuarantineSync;
+use crate::queue_delay::QueueDelay;
 use crate::rollouts::Rollouts;
 use crate::settings::Settings;
-use crate::snapshot::Handing;
-use crate::succession::Turns;
-use crate::watcher::{Mode, Progress, Watcher, Watching};
+use crate::snapshot::SnapshotServer;
+use crate::succession::Succession;
+use crate::watcher::{Mode, Progress, WatchControl, Watcher};
 
 /// Beside the seeds, one daemon of so many reads a large store first: enough to hand copies
 /// on to a large fleet in a few rounds.
-const FIRST_READERS: u64 = 16;
+const DIRECT_READER_RATIO: u64 = 16;
 /// Events waiting for the control thread.
 const MAX_EVENTS: usize = 4_096;
 /// Name under which the fleet's shared key is known.
@@ -61,7 +61,7 @@
     let progress = Arc::new(Progress::default());
     let (modes, modes_rx) = flume::unbounded();
     let is_seed = is_seed(&settings, peering.address());
-    let turns = Turns::new(is_seed, FRESH_IN_LARGE);
+    let succession = Succession::new(is_seed, REPORT_TTL_LARGE_FLEET);
     let mode = match is_seed {
         true => Mode::Watch,
         false => Mode::Rest,
@@ -86,16 +86,16 @@
         planner: Planner::new(settings.relisted_within),
         rollouts: Rollouts::new(settings.trial),
         presence: Presence::new(key, peering.address(), settings.shortest_lease),
-        bars: Bars::default(),
-        asking: Asking::new(peering.handle()),
-        handing: Handing::default(),
+        quarantine_sync: QuarantineSync::default(),
+        peer_sync: PeerSync::new(peering.handle()),
+        snapshots: SnapshotServer::default(),
         peering,
-        watching: Watching::new(modes, progress, mode),
+        watch_control: WatchControl::new(modes, progress, mode),
         traffic,
         calls,
-        watched_at: None,
-        proven_at: None,
-        turns,
+        watch_answered_at: None,
+        validated_at: None,
+        succession,
         store_works: true,
         // Daemons that start together do not all report at one moment.
         ticks: xxh3_64(settings.me.as_str().as_bytes()) as u32,
@@ -103,8 +103,8 @@
         was_ready: false,
         daemons: 1,
         fleet: Arc::default(),
-        backlog: Backlog::default(),
-        share_words_at: Time::ZERO,
+        queue_delay: QueueDelay::default(),
+        next_suspect_gossip_at: Time::ZERO,
         settings,
         codec,
         clock,
@@ -143,7 +143,7 @@
 /// Whether this daemon reads a large store at its start without waiting for a peer's copy.
 fn reads_first(settings: &Settings) -> bool {
     let hash = xxh3_64(settings.me.as_str().as_bytes());
-    hash.is_multiple_of(FIRST_READERS)
+    hash.is_multiple_of(DIRECT_READER_RATIO)
 }
 
 fn spawn(
--- a/components/fleet/src/watcher.rs
+++ b/components/fleet/src/watcher.rs
@@ -17,37 +17,37 @@
 
 /// Pause after a failure; doubled up to [`MOST_PAUSE`], and spread over as long again, so
 /// that a fleet does not return to the store at one moment.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
 /// Longest pause: a daemon hears of a store that is back within about this.
-const MOST_PAUSE: Duration = Duration::from_millis(300);
+const MAX_BACKOFF: Duration = Duration::from_millis(300);
 
 /// A first copy is waited for this long at first, doubled up to [`MOST_PATIENCE`].
 ///
 /// Guards against a store that is silent while a fleet starts: the first reading of every
 /// daemon hung until the client's timeout of 1.5 s, though the store was back 0.3 s after
 /// the start, and all callers were refused meanwhile. A sound store answers in 4 ms.
-const FIRST_PATIENCE: Span = Span::from_millis(250);
+const MIN_READ_TIMEOUT: Span = Span::from_millis(250);
 /// A slow store answers after a hundred times its 4 ms.
-const MOST_PATIENCE: Span = Span::from_millis(1_000);
+const MAX_READ_TIMEOUT: Span = Span::from_millis(1_000);
 /// Patience is spread by this part both ways, so that daemons that started together do not
 /// ask in step and one of them asks soon after the store's return.
-const PATIENCE_SPREAD: f64 = 0.25;
+const READ_TIMEOUT_JITTER: f64 = 0.25;
 
 /// A store of fewer keys is read by every daemon that starts: 88 of them before 180 upstreams
 /// take 6 MB of its link together. Also what the store gives on one page.
 const SMALL_STORE: u32 = 400;
 /// A peer's copy of a larger store is waited for this long: reading 2,800 upstreams takes the
 /// first readers a second on a host's link of 10 Mbit/s, and some rounds follow.
-const COPIED_WITHIN: Duration = Duration::from_secs(3);
+const PEER_COPY_TIMEOUT: Duration = Duration::from_secs(3);
 /// Entries of daemons that are looked at for the size of the fleet: a few are kept.
-const ENTRIES_READ: u32 = 16;
+const ENTRY_SAMPLE: u32 = 16;
 /// In a large fleet a copy comes within some tenths of a second.
-const COPY_FIRST: Duration = Duration::from_millis(300);
+const LARGE_FLEET_COPY_TIMEOUT: Duration = Duration::from_millis(300);
 /// Those that are left without one read the store one after the other by this: a store of 1 MB
 /// takes so long on a link of 1 Gbit/s.
-const READ_TURN: Duration = Duration::from_millis(8);
+const READ_STAGGER: Duration = Duration::from_millis(8);
 /// It is looked for this often.
-const COPY_LOOK: Duration = Duration::from_millis(20);
+const COPY_POLL: Duration = Duration::from_millis(20);
 
 /// What the watching thread is told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -79,13 +79,13 @@
 
 /// Tells the watching thread whether to watch; it ends when this goes.
 #[derive(Debug)]
-pub(crate) struct Watching {
+pub(crate) struct WatchControl {
     modes: flume::Sender<Mode>,
     pub(crate) progress: Arc<Progress>,
     mode: Mode,
 }
 
-impl Watching {
+impl WatchControl {
     pub(crate) fn new(modes: flume::Sender<Mode>, progress: Arc<Progress>, mode: Mode) -> Self {
         Self {
             modes,
@@ -113,7 +113,7 @@
     }
 }
 
-impl Drop for Watching {
+impl Drop for WatchControl {
     fn drop(&mut self) {
         self.progress.stop.store(true, Ordering::Relaxed);
     }
@@ -138,14 +138,14 @@
     /// whenever history is missing.
     pub(crate) fn run(self) {
         let mut must_list = false;
-        let mut pause = FIRST_PAUSE;
-        let mut patience = FIRST_PATIENCE;
+        let mut backoff = MIN_BACKOFF;
+        let mut timeout = MIN_READ_TIMEOUT;
         let mut mode = self.mode;
         loop {
             // Peers may have brought a copy since.
             let is_empty = self.progress.get() == Revision::default();
             // Without a first copy the store is asked in either mode.
-            let told = match mode == Mode::Rest && !is_empty {
+            let next = match mode == Mode::Rest && !is_empty {
                 true => self.modes.recv().map(Some),
                 false => match self.modes.try_recv() {
                     Ok(mode) => Ok(Some(mode)),
@@ -153,7 +153,7 @@
                     Err(flume::TryRecvError::Disconnected) => return,
                 },
             };
-            match told {
+            match next {
                 Ok(Some(new)) => {
                     mode = new;
                     continue;
@@ -162,29 +162,29 @@
                 Err(_) => return,
             }
             let done = if must_list {
-                self.read("", 0, patience, false)
-                    .and_then(|listing| self.take(listing))
+                self.read("", 0, timeout, false)
+                    .and_then(|listing| self.publish(listing))
             } else if is_empty {
-                self.list(patience)
+                self.initial_read(timeout)
             } else {
                 self.follow()
             };
             match done {
                 Ok(()) => {
                     must_list = false;
-                    pause = FIRST_PAUSE;
+                    backoff = MIN_BACKOFF;
                 }
                 Err(Failure::Compacted) => must_list = true,
                 Err(Failure::Broken(why)) => {
                     if self.events.send(Event::StoreHealth(Err(why))).is_err() {
                         return;
                     }
-                    std::thread::sleep(pause + pause.mul_f64(rand::rng().random::<f64>()));
-                    patience = patience.times(2).min(MOST_PATIENCE);
+                    std::thread::sleep(backoff + backoff.mul_f64(rand::rng().random::<f64>()));
+                    timeout = timeout.times(2).min(MAX_READ_TIMEOUT);
                     // Who reads first is asked by callers and by its peers, and is one of few.
                     let is_awaited = is_empty && self.reads_first;
                     if !is_awaited {
-                        pause = (pause * 2).min(MOST_PAUSE);
+                        backoff = (backoff * 2).min(MAX_BACKOFF);
                     }
                 }
             }
@@ -201,39 +201,39 @@
     /// for a peer's copy if there is more. Where the entries of daemons tell of a large fleet and a
     /// large store it does not read that page either, and those that are left without a copy read
     /// one after the other: 295 daemons before 640 upstreams waited 3 s and then read all at once.
-    fn list(&self, patience: Span) -> Result<(), Failure> {
+    fn initial_read(&self, timeout: Span) -> Result<(), Failure> {
         if self.reads_first {
-            let listing = self.read("", 0, patience, false)?;
-            return self.take(listing);
+            let listing = self.read("", 0, timeout, false)?;
+            return self.publish(listing);
         }
-        if let Some(fleet) = self.copies_first(patience)? {
+        if let Some(fleet) = self.large_fleet_size(timeout)? {
             let _ = self.events.send(Event::StoreHealth(Ok(())));
             let turns = rand::rng().random_range(0..fleet) as u32;
-            if self.is_copied_within(COPY_FIRST + READ_TURN * turns) {
+            if self.wait_for_peer_copy(LARGE_FLEET_COPY_TIMEOUT + READ_STAGGER * turns) {
                 return Ok(());
             }
-            let listing = self.read("", 0, patience, false)?;
-            return self.take(listing);
+            let listing = self.read("", 0, timeout, false)?;
+            return self.publish(listing);
         }
-        let listing = self.read("", SMALL_STORE, patience, true)?;
+        let listing = self.read("", SMALL_STORE, timeout, true)?;
         let is_small = listing.items.len() < SMALL_STORE as usize;
         let is_too_old = listing.items.is_empty();
         if is_small && !is_too_old {
-            return self.take(listing);
+            return self.publish(listing);
         }
         // The store answers, which says that it is well whoever brings the rest.
         let _ = self.events.send(Event::StoreHealth(Ok(())));
-        if !is_small && self.is_copied_within(COPIED_WITHIN) {
+        if !is_small && self.wait_for_peer_copy(PEER_COPY_TIMEOUT) {
             return Ok(());
         }
-        let listing = self.read("", 0, patience, false)?;
-        self.take(listing)
+        let listing = self.read("", 0, timeout, false)?;
+        self.publish(listing)
     }
 
     /// Daemons of a large fleet before a large store, as the entries of some daemons tell; nothing
     /// where either is small.
-    fn copies_first(&self, patience: Span) -> Result<Option<usize>, Failure> {
-        let entries = self.read(&self.daemon_prefix, ENTRIES_READ, patience, true)?;
+    fn large_fleet_size(&self, timeout: Span) -> Result<Option<usize>, Failure> {
+        let entries = self.read(&self.daemon_prefix, ENTRY_SAMPLE, timeout, true)?;
         let values = entries.items.iter().filter_map(|item| item.value.as_ref());
         let entries = values.filter_map(|value| DaemonEntry::decode(value).ok());
         let is_large = |entry: &DaemonEntry| {
@@ -247,7 +247,7 @@
         &self,
         prefix: &str,
         limit: u32,
-        patience: Span,
+        timeout: Span,
         may_be_old: bool,
     ) -> Result<Listing, Failure> {
         let range = Range {
@@ -255,9 +255,9 @@
             serializable: may_be_old,
             ..Range::prefix(prefix)
         };
-        let spread = 1.0 + PATIENCE_SPREAD * rand::rng().random_range(-1.0..=1.0);
-        let patience = Span::from_secs_f64(patience.as_secs_f64() * spread);
-        let outcome = self.store.read(range, patience);
+        let spread = 1.0 + READ_TIMEOUT_JITTER * rand::rng().random_range(-1.0..=1.0);
+        let timeout = Span::from_secs_f64(timeout.as_secs_f64() * spread);
+        let outcome = self.store.read(range, timeout);
         let answer = outcome.map_err(|e| Failure::Broken(e.to_string()))?;
         match answer.reply {
             Reply::Range(items) => Ok(listing(answer.revision, items)),
@@ -266,18 +266,18 @@
     }
 
     /// Waits for a peer's copy.
-    fn is_copied_within(&self, patience: Duration) -> bool {
-        let until = Instant::now() + patience;
+    fn wait_for_peer_copy(&self, timeout: Duration) -> bool {
+        let until = Instant::now() + timeout;
         while Instant::now() < until {
             if self.progress.get() > Revision::default() {
                 return true;
             }
-            std::thread::sleep(COPY_LOOK);
+            std::thread::sleep(COPY_POLL);
         }
         false
     }
 
-    fn take(&self, listing: Listing) -> Result<(), Failure> {
+    fn publish(&self, listing: Listing) -> Result<(), Failure> {
         let at = listing.at;
         // The return goes first: entries that are not on the list may only have lapsed.
         let _ = self.events.send(Event::StoreHealth(Ok(())));
--- a/components/fleet/tests/it/claims.rs
+++ b/components/fleet/tests/it/claims.rs
@@ -42,7 +42,7 @@
     Tell {
         from: usize,
         to: usize,
-        under_way_ms: u64,
+        delay_ms: u64,
     },
     /// A daemon starts again.
     Restart { daemon: usize },
@@ -50,22 +50,22 @@
 
 fn step() -> impl Strategy<Value = Step> {
     let daemon = || 0..FLEET;
-    let way = || prop_oneof![0..5_u64, 0..300_u64, 0..6_000_u64];
+    let delay = || prop_oneof![0..5_u64, 0..300_u64, 0..6_000_u64];
     prop_oneof![
         2 => Just(Step::Write),
-        2 => (daemon(), way()).prop_map(|(daemon, took_ms)| Step::Answer { daemon, took_ms }),
-        4 => (daemon(), daemon(), way(), way()).prop_map(|(from, to, there_ms, back_ms)| {
+        2 => (daemon(), delay()).prop_map(|(daemon, took_ms)| Step::Answer { daemon, took_ms }),
+        4 => (daemon(), daemon(), delay(), delay()).prop_map(|(from, to, there_ms, back_ms)| {
             Step::Measure { from, to, there_ms, back_ms }
         }),
-        8 => (daemon(), daemon(), way()).prop_map(|(from, to, under_way_ms)| {
-            Step::Tell { from, to, under_way_ms }
+        8 => (daemon(), daemon(), delay()).prop_map(|(from, to, delay_ms)| {
+            Step::Tell { from, to, delay_ms }
         }),
         1 => daemon().prop_map(|daemon| Step::Restart { daemon }),
     ]
 }
 
 /// What takes effect later.
-enum Due {
+enum Delivery {
     Measured {
         from: usize,
         run: u64,
@@ -91,7 +91,7 @@
     /// When each revision was written, the first one first.
     written_ms: Vec<u64>,
     daemons: Vec<Daemon>,
-    due: Vec<(u64, Due)>,
+    deliveries: Vec<(u64, Delivery)>,
 }
 
 fn address(daemon: usize) -> std::net::SocketAddr {
@@ -110,7 +110,7 @@
             now_ms: 100_000,
             written_ms: vec![0],
             daemons: clocks.into_iter().map(daemon).collect(),
-            due: Vec::new(),
+            deliveries: Vec::new(),
         }
     }
 
@@ -120,9 +120,9 @@
         Revision(written.count() as u64)
     }
 
-    fn play(&mut self, pause_ms: u64, step: &Step) {
+    fn run_step(&mut self, pause_ms: u64, step: &Step) {
         self.now_ms += pause_ms;
-        self.settle();
+        self.deliver_due();
         let now_ms = self.now_ms;
         match *step {
             Step::Write => self.written_ms.push(now_ms),
@@ -147,25 +147,22 @@
                     run: Incarnation(self.daemons[to].run),
                     clock_ms: read_at.since(Time::ZERO).as_millis(),
                 };
-                let due = Due::Measured {
+                let deliveries = Delivery::Measured {
                     from,
                     run: self.daemons[from].run,
                     to,
                     reading,
                     asked_at: self.daemons[from].clock.reads(now_ms),
                 };
-                self.due.push((now_ms + there_ms + back_ms, due));
+                self.deliveries
+                    .push((now_ms + there_ms + back_ms, deliveries));
             }
-            Step::Tell {
-                from,
-                to,
-                under_way_ms,
-            } => {
+            Step::Tell { from, to, delay_ms } => {
                 let sender = &self.daemons[from];
                 let bound = sender.clocks.get(address(to));
                 if let Some(freshness) = bound.and_then(|bound| sender.claims.for_peer(&bound)) {
-                    let due = Due::Told { to, freshness };
-                    self.due.push((now_ms + under_way_ms, due));
+                    let deliveries = Delivery::Told { to, freshness };
+                    self.deliveries.push((now_ms + delay_ms, deliveries));
                 }
             }
             Step::Restart { daemon } => {
@@ -178,16 +175,16 @@
         }
     }
 
-    fn settle(&mut self) {
-        let due = std::mem::take(&mut self.due);
-        let (mut due, later) = due
+    fn deliver_due(&mut self) {
+        let deliveries = std::mem::take(&mut self.deliveries);
+        let (mut deliveries, later) = deliveries
             .into_iter()
             .partition::<Vec<_>, _>(|(at, _)| *at <= self.now_ms);
-        self.due = later;
-        due.sort_by_key(|(at, _)| *at);
-        for (at_ms, due) in due {
-            match due {
-                Due::Measured {
+        self.deliveries = later;
+        deliveries.sort_by_key(|(at, _)| *at);
+        for (at_ms, deliveries) in deliveries {
+            match deliveries {
+                Delivery::Measured {
                     from,
                     run,
                     to,
@@ -203,11 +200,11 @@
                         clocks.note(address(to), reading, asked_at, answered_at);
                     }
                 }
-                Due::Told { to, freshness } => {
+                Delivery::Told { to, freshness } => {
                     let daemon = &mut self.daemons[to];
                     let now = daemon.clock.reads(at_ms);
                     let run = Incarnation(daemon.run);
-                    daemon.claims.take(now, run, &freshness);
+                    daemon.claims.merge(now, run, &freshness);
                 }
             }
         }
@@ -218,20 +215,20 @@
     }
 
     /// By how much any proof is later than the first change that is not held, in ms.
-    fn too_new_ms(&self) -> Option<u64> {
+    fn excess_ms(&self) -> Option<u64> {
         let all = 0..self.written_ms.len();
         let late = self.daemons.iter().flat_map(|daemon| {
             all.clone().filter_map(|held| {
-                let proven_at = daemon.claims.proof(Revision(held as u64))?;
+                let validated_at = daemon.claims.validated_at(Revision(held as u64))?;
                 let written_ms = *self.written_ms.get(held)?;
                 let missed_at = daemon.clock.reads(written_ms);
                 let is_before = written_ms >= daemon.clock.began_ms;
                 let is_late = if is_before {
-                    proven_at > missed_at
+                    validated_at > missed_at
                 } else {
                     true
                 };
-                is_late.then(|| proven_at.since(missed_at).as_millis())
+                is_late.then(|| validated_at.since(missed_at).as_millis())
             })
         });
         late.max()
@@ -250,35 +247,35 @@
 
     /// No claim grows newer on its way, however slow that is.
     #[test]
-    fn no_proof_is_of_after_a_change_that_is_not_held(
+    fn no_claim_validates_a_copy_past_a_missing_change(
         clocks in prop::collection::vec(clock(), FLEET),
         steps in prop::collection::vec((0..400_u64, step()), 1..120),
     ) {
         let mut world = World::new(clocks);
         for (pause_ms, step) in &steps {
-            world.play(*pause_ms, step);
-            prop_assert_eq!(world.too_new_ms(), None, "after {:?}", step);
+            world.run_step(*pause_ms, step);
+            prop_assert_eq!(world.excess_ms(), None, "after {:?}", step);
         }
     }
 }
 
 /// Daemons whose ways are prompt know of a claim within the time that it took to come.
 #[test]
-fn a_claim_that_came_promptly_is_hardly_older() {
+fn prompt_relays_add_little_age_to_a_claim() {
     let clocks = (0..FLEET as u64).map(|n| DaemonClock {
         began_ms: n * 7_000,
         parts_per_million: 0,
     });
     let mut world = World::new(clocks.collect());
-    let way = |from: usize| Step::Tell {
+    let delay = |from: usize| Step::Tell {
         from,
         to: from + 1,
-        under_way_ms: 2,
+        delay_ms: 2,
     };
     for from in 0..FLEET - 1 {
         let (there_ms, back_ms) = (2, 2);
         let to = from + 1;
-        world.play(
+        world.run_step(
             10,
             &Step::Measure {
                 from,
@@ -288,7 +285,7 @@
             },
         );
     }
-    world.play(
+    world.run_step(
         10,
         &Step::Answer {
             daemon: 0,
@@ -297,12 +294,12 @@
     );
     let claimed_ms = world.now_ms - 4;
     for from in 0..FLEET - 1 {
-        world.play(10, &way(from));
+        world.run_step(10, &delay(from));
     }
-    world.play(10, &Step::Write);
+    world.run_step(10, &Step::Write);
     let last = &world.daemons[FLEET - 1];
-    let proven_at = last.claims.proof(Revision(1)).expect("told");
-    let lost = last.clock.reads(claimed_ms).since(proven_at);
+    let validated_at = last.claims.validated_at(Revision(1)).expect("told");
+    let lost = last.clock.reads(claimed_ms).since(validated_at);
     assert!(lost <= Span::from_millis(20), "{lost}");
 }
 
@@ -312,35 +309,35 @@
     let (run, now) = (Incarnation(2), Time::ZERO + Span::from_secs(9));
     let told = |run, clock_ms| Freshness {
         run: Incarnation(run),
-        claims: vec![fleet::DatedClaim {
+        claims: vec![fleet::WireClaim {
             held: Revision(7),
             clock_ms,
         }],
     };
     let mut claims = Claims::default();
-    assert_eq!(claims.take(now, run, &told(1, 8_000)), 1);
-    assert_eq!(claims.take(now, run, &told(2, 9_001)), 1, "not yet");
-    assert_eq!(claims.take(now, run, &told(2, u64::MAX)), 1, "no moment");
-    assert_eq!(claims.proof(Revision(7)), None);
-    assert_eq!(claims.take(now, run, &told(2, 8_000)), 0);
+    assert_eq!(claims.merge(now, run, &told(1, 8_000)), 1);
+    assert_eq!(claims.merge(now, run, &told(2, 9_001)), 1, "not yet");
+    assert_eq!(claims.merge(now, run, &told(2, u64::MAX)), 1, "no moment");
+    assert_eq!(claims.validated_at(Revision(7)), None);
+    assert_eq!(claims.merge(now, run, &told(2, 8_000)), 0);
     assert_eq!(
-        claims.proof(Revision(7)),
+        claims.validated_at(Revision(7)),
         Some(Time::ZERO + Span::from_secs(8))
     );
-    assert_eq!(claims.proof(Revision(6)), None, "behind the claim");
+    assert_eq!(claims.validated_at(Revision(6)), None, "behind the claim");
 }
 
 /// A bound that was measured long ago holds for clocks that drift apart.
 #[test]
-fn a_drifting_clock_makes_no_claim_newer() {
+fn clock_drift_makes_no_claim_newer() {
     let drifts = |parts_per_million| DaemonClock {
         began_ms: 50_000,
         parts_per_million,
     };
     let mut world = World::new(vec![drifts(400), drifts(-400)]);
     let (from, to) = (0, 1);
-    let (there_ms, back_ms, under_way_ms) = (0, 0, 0);
-    world.play(
+    let (there_ms, back_ms, delay_ms) = (0, 0, 0);
+    world.run_step(
         0,
         &Step::Measure {
             from,
@@ -349,36 +346,29 @@
             back_ms,
         },
     );
-    world.play(
+    world.run_step(
         60_000,
         &Step::Answer {
             daemon: 0,
             took_ms: 0,
         },
     );
-    world.play(
-        0,
-        &Step::Tell {
-            from,
-            to,
-            under_way_ms,
-        },
-    );
-    world.play(1, &Step::Write);
-    assert!(world.daemons[to].claims.proof(Revision(1)).is_some());
-    assert_eq!(world.too_new_ms(), None);
+    world.run_step(0, &Step::Tell { from, to, delay_ms });
+    world.run_step(1, &Step::Write);
+    assert!(world.daemons[to].claims.validated_at(Revision(1)).is_some());
+    assert_eq!(world.excess_ms(), None);
 }
 
 /// A daemon that lags a change behind was current before it.
 #[test]
-fn an_older_claim_of_less_is_kept() {
+fn an_older_claim_for_a_lower_revision_is_kept() {
     let at = |secs| Time::ZERO + Span::from_secs(secs);
     let mut claims = Claims::default();
     for (held, secs) in [(5, 1), (7, 2), (7, 1), (9, 2)] {
         let held = Revision(held);
         claims.add(Claim { held, at: at(secs) });
     }
-    assert_eq!(claims.proof(Revision(4)), None);
-    assert_eq!(claims.proof(Revision(6)), Some(at(1)));
-    assert_eq!(claims.proof(Revision(7)), Some(at(2)));
+    assert_eq!(claims.validated_at(Revision(4)), None);
+    assert_eq!(claims.validated_at(Revision(6)), Some(at(1)));
+    assert_eq!(claims.validated_at(Revision(7)), Some(at(2)));
 }
--- a/components/fleet/tests/it/control.rs
+++ b/components/fleet/tests/it/control.rs
@@ -8,8 +8,8 @@
 
 use crate::harness::*;
 
-fn filled() -> Memory {
-    let memory = Memory::default();
+fn seeded_store() -> MemoryStore {
+    let memory = MemoryStore::default();
     memory.set("table", Some("1"));
     memory.set("upstream/u1", Some("v1"));
     memory
@@ -17,84 +17,86 @@
 
 #[test]
 fn a_daemon_is_ready_once_it_knows_a_configuration_and_upstreams() {
-    let memory = Memory::default();
+    let memory = MemoryStore::default();
     memory.set("upstream/u1", Some("v1"));
     let daemons = daemons(1, &memory);
-    until("listed", || daemons[0].state("upstreams") == 1);
+    wait_until("listed", || daemons[0].state("upstreams") == 1);
     assert!(!daemons[0].is_ready());
     memory.set("table", Some("1"));
-    until("ready", || daemons[0].is_ready());
+    wait_until("ready", || daemons[0].is_ready());
 }
 
 #[test]
-fn a_configuration_never_goes_back() {
+fn an_older_configuration_never_replaces_a_newer_one() {
     // An operator's older configuration is written once more by mistake, or read from a
     // copy that lags. Callers would see routes come and go.
-    let memory = filled();
+    let memory = seeded_store();
     memory.set("table", Some("5"));
     let daemons = daemons(1, &memory);
-    until("in force", || daemons[0].table() == Some(5));
+    wait_until("in force", || daemons[0].table() == Some(5));
     memory.set("table", Some("4"));
     memory.set("upstream/u2", Some("v1"));
-    until("seen", || daemons[0].state("upstreams") == 2);
+    wait_until("seen", || daemons[0].state("upstreams") == 2);
     assert_eq!(daemons[0].table(), Some(5));
     memory.set("table", Some("not a number"));
     memory.set("table", Some("6"));
-    until("in force", || daemons[0].table() == Some(6));
+    wait_until("in force", || daemons[0].table() == Some(6));
 }
 
 #[test]
-fn a_daemon_that_the_store_turns_away_hears_from_its_peers() {
+fn a_daemon_cut_off_from_the_store_gets_changes_from_peers() {
     // The store turns one daemon away and serves the others. That one would go on with a
     // revoked key or send to upstreams that left.
-    let memory = filled();
+    let memory = seeded_store();
     let daemons = daemons(3, &memory);
     for daemon in &daemons {
-        until("met", || daemon.state("daemons") == 3 && daemon.is_ready());
+        wait_until("met", || daemon.state("daemons") == 3 && daemon.is_ready());
     }
-    daemons[0].way.is_cut.store(true, Ordering::SeqCst);
+    daemons[0].link.is_cut.store(true, Ordering::SeqCst);
     memory.set("table", Some("2"));
     memory.set("upstream/u2", Some("v1"));
     for daemon in &daemons {
-        until("told", || {
+        wait_until("told", || {
             daemon.table() == Some(2) && daemon.state("upstreams") == 2
         });
     }
 }
 
 #[test]
-fn a_daemon_that_starts_while_the_store_is_out_of_reach_gets_all_from_its_peers() {
-    let memory = filled();
+fn a_new_daemon_without_the_store_gets_changes_from_peers() {
+    let memory = seeded_store();
     let daemons = daemons(2, &memory);
-    until("met", || {
+    wait_until("met", || {
         daemons.iter().all(|daemon| daemon.state("daemons") == 2)
     });
     // The new one is told where the others are by its entry only: let it enter first.
-    let late = daemon(7, Way::to(&memory));
-    until("met", || late.state("daemons") == 3);
-    late.way.is_cut.store(true, Ordering::SeqCst);
+    let late = daemon(7, StoreLink::to(&memory));
+    wait_until("met", || late.state("daemons") == 3);
+    late.link.is_cut.store(true, Ordering::SeqCst);
     memory.set("table", Some("3"));
-    until("told", || late.table() == Some(3));
+    wait_until("told", || late.table() == Some(3));
 }
 
 #[test]
-fn two_daemons_watch_and_the_others_take_over_at_once() {
+fn standbys_take_over_when_both_watchers_lose_the_store() {
     // Every change costs a call for each daemon that watches, so only two do. When both are
     // cut off, the others would learn of no change until the membership noticed.
-    let memory = filled();
+    let memory = seeded_store();
     let daemons = daemons(4, &memory);
     for daemon in &daemons {
-        until("met", || daemon.state("daemons") == 4);
+        wait_until("met", || daemon.state("daemons") == 4);
     }
     let watches = || -> Vec<usize> {
-        let counts = daemons.iter().map(|d| d.way.watches.load(Ordering::SeqCst));
+        let counts = daemons
+            .iter()
+            .map(|d| d.link.watches.load(Ordering::SeqCst));
         counts.collect()
     };
     // A resting daemon begins no watch while changes come.
     let rests = |before: &[usize], after: &[usize]| -> usize {
         before.iter().zip(after).filter(|(b, a)| b == a).count()
     };
-    until("resting", || {
+    wait_until("resting", || {
         let before = watches();
         for n in 0..3 {
             memory.set("upstream/u3", Some(&format!("v{n}")));
@@ -103,26 +105,26 @@
         rests(&before, &watches()) == 4
     });
     for daemon in &daemons[..2] {
-        daemon.way.is_cut.store(true, Ordering::SeqCst);
+        daemon.link.is_cut.store(true, Ordering::SeqCst);
     }
     memory.set("table", Some("2"));
     for daemon in &daemons {
-        until("told", || daemon.table() == Some(2));
+        wait_until("told", || daemon.table() == Some(2));
     }
 }
 
 #[test]
 fn a_rollout_is_acknowledged_and_divides_traffic() {
-    let memory = filled();
+    let memory = seeded_store();
     memory.set("upstream/u2", Some("v2"));
     let daemons = daemons(2, &memory);
-    until("ready", || daemons.iter().all(Daemon::is_ready));
+    wait_until("ready", || daemons.iter().all(Daemon::is_ready));
     memory.set("order/service", Some("v2"));
-    until("written", || {
+    wait_until("written", || {
         memory.get("state/service").as_deref() == Some("running v2")
     });
     for daemon in &daemons {
-        until("divided", || {
+        wait_until("divided", || {
             let rollouts = daemon.state("rollouts");
             rollouts[0][2]
                 .as_f64()
@@ -131,53 +133,53 @@
     }
     memory.set("state/service", Some("reverted v2"));
     for daemon in &daemons {
-        until("taken back", || daemon.state("rollouts")[0][2] == 0.0);
+        wait_until("taken back", || daemon.state("rollouts")[0][2] == 0.0);
     }
 }
 
 #[test]
-fn a_fleet_that_starts_reads_a_large_store_at_its_seeds_only() {
+fn only_seeds_read_a_large_store_at_fleet_start() {
     // All daemons of a fleet are killed and start at one moment. Each read all keys from the
     // store, whose link was full for seconds, and none of them served meanwhile.
-    let memory = filled();
+    let memory = seeded_store();
     for n in 0..2_000 {
         let value = format!("v{n} {}", "x".repeat(200));
         memory.set(&format!("other/{n:04}"), Some(&value));
     }
     let seed = free_address();
-    let mut fleet = vec![daemon_at(0, Way::to(&memory), seed, vec![seed])];
+    let mut fleet = vec![daemon_at(0, StoreLink::to(&memory), seed, vec![seed])];
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    fleet.extend((1..6).map(|n| daemon_at(n, Way::to(&memory), any, vec![seed])));
+    fleet.extend((1..6).map(|n| daemon_at(n, StoreLink::to(&memory), any, vec![seed])));
     for daemon in &fleet {
-        until("ready", || daemon.is_ready());
+        wait_until("ready", || daemon.is_ready());
     }
     let reads = fleet
         .iter()
-        .map(|d| d.way.whole_reads.load(Ordering::SeqCst));
+        .map(|d| d.link.whole_reads.load(Ordering::SeqCst));
     assert_eq!(reads.collect::<Vec<_>>(), [1, 0, 0, 0, 0, 0]);
 }
 
 #[test]
-fn a_large_fleet_that_was_killed_copies_a_large_store() {
+fn a_restarted_large_fleet_copies_a_large_store_from_peers() {
     // All hosts of a large fleet lose power and return at one moment. Each read a first page of
     // a store of many upstreams, waited 3 s for a copy, and then all read the whole at once:
     // callers were refused for 1.3 s in the middle and 4.3 s at the worst daemon.
-    let memory = filled();
+    let memory = seeded_store();
     for n in 0..600 {
         memory.set(&format!("upstream/u{n:03}"), Some("v1"));
     }
     memory.set("daemon/former", Some("127.0.0.1:1 295 601"));
     let seed = free_address();
-    let first = daemon_at(0, Way::to(&memory), seed, vec![seed]);
+    let first = daemon_at(0, StoreLink::to(&memory), seed, vec![seed]);
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     // None of these is one of the few that read first, by a hash of its name.
-    let others = [1, 2, 3].map(|n| daemon_at(n, Way::to(&memory), any, vec![seed]));
+    let others = [1, 2, 3].map(|n| daemon_at(n, StoreLink::to(&memory), any, vec![seed]));
     for daemon in others.iter().chain([&first]) {
-        until("ready", || {
+        wait_until("ready", || {
             daemon.is_ready() && daemon.state("upstreams") == 601
         });
     }
-    let read = others.map(|daemon| daemon.way.keys_read.load(Ordering::SeqCst));
+    let read = others.map(|daemon| daemon.link.keys_read.load(Ordering::SeqCst));
     assert!(read.iter().all(|keys| *keys <= 6), "{read:?} keys");
 }
 
@@ -185,75 +187,75 @@
 fn a_store_of_one_page_is_read_without_waiting_for_peers() {
     // Copies from peers come within some tenths of a second, one page of the store sooner,
     // however large the fleet: hosts with an eighth of a core take long to hand them on.
-    let memory = filled();
+    let memory = seeded_store();
     memory.set("daemon/former", Some("127.0.0.1:1 295 180"));
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let alone = daemon_at(1, Way::to(&memory), any, vec![free_address()]);
-    until("ready", || alone.is_ready());
-    assert!(alone.way.keys_read.load(Ordering::SeqCst) >= 3);
+    let alone = daemon_at(1, StoreLink::to(&memory), any, vec![free_address()]);
+    wait_until("ready", || alone.is_ready());
+    assert!(alone.link.keys_read.load(Ordering::SeqCst) >= 3);
 }
 
 #[test]
-fn a_daemon_whose_seeds_are_stale_reads_the_store_itself() {
-    let memory = filled();
+fn a_daemon_with_stale_seeds_reads_the_store_itself() {
+    let memory = seeded_store();
     for n in 0..1_000 {
         memory.set(&format!("other/{n:04}"), Some("v"));
     }
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let alone = daemon_at(1, Way::to(&memory), any, vec![free_address()]);
-    until("ready", || alone.is_ready());
-    assert_eq!(alone.way.whole_reads.load(Ordering::SeqCst), 1);
+    let alone = daemon_at(1, StoreLink::to(&memory), any, vec![free_address()]);
+    wait_until("ready", || alone.is_ready());
+    assert_eq!(alone.link.whole_reads.load(Ordering::SeqCst), 1);
 }
 
 #[test]
-fn bytes_of_another_writer_name_no_upstream_and_the_others_hold() {
+fn an_unreadable_upstream_entry_is_left_out_and_the_others_stay() {
     // Another program writes under an upstream's key. Callers would be sent to where the
     // upstream was before, or to nobody at all if the whole list were dropped.
-    let memory = filled();
+    let memory = seeded_store();
     memory.set("upstream/u2", Some("v1"));
     let daemons = daemons(1, &memory);
-    until("listed", || daemons[0].state("upstreams") == 2);
+    wait_until("listed", || daemons[0].state("upstreams") == 2);
     memory.set("upstream/u1", Some("?"));
-    until("left out", || daemons[0].state("upstreams") == 1);
+    wait_until("left out", || daemons[0].state("upstreams") == 1);
     assert_eq!(daemons[0].state("unreadable_upstreams"), 1);
     memory.set("upstream/u1", Some("v2"));
-    until("listed again", || daemons[0].state("upstreams") == 2);
+    wait_until("listed again", || daemons[0].state("upstreams") == 2);
     assert_eq!(daemons[0].state("unreadable_upstreams"), 0);
 }
 
 #[test]
-fn a_word_of_a_former_run_does_not_outrank_the_present_run() {
+fn an_entry_of_a_former_run_does_not_replace_the_current_run() {
     // An upstream starts again under its id with another version. A word of its former run
     // was held up on its way and arrives last; requests would go by what it was before.
-    let memory = filled();
+    let memory = seeded_store();
     memory.set("upstream/u1", Some("v2@8"));
     let daemons = daemons(1, &memory);
     let versions = || daemons[0].state("versions").to_string();
-    until("listed", || versions() == r#"{"service v2":1}"#);
+    wait_until("listed", || versions() == r#"{"service v2":1}"#);
     memory.set("upstream/u1", Some("v1@7"));
     memory.set("upstream/u2", Some("v3"));
-    until("seen", || daemons[0].state("upstreams") == 2);
+    wait_until("seen", || daemons[0].state("upstreams") == 2);
     assert_eq!(versions(), r#"{"service v2":1,"service v3":1}"#);
     memory.set("upstream/u1", Some("v4@9"));
-    until("the next run", || {
+    wait_until("the next run", || {
         versions() == r#"{"service v3":1,"service v4":1}"#
     });
 }
 
 #[test]
-fn a_first_reading_of_a_silent_store_is_soon_tried_again() {
+fn the_first_read_of_a_silent_store_is_retried_soon() {
     // All daemons are killed while the store is silent and start before it is back. Their
     // first reading hung for the client's whole timeout, and callers were refused for 1.2 s
     // after the store's return.
-    let memory = filled();
-    let way = Way::to(&memory);
-    way.is_cut.store(true, Ordering::SeqCst);
+    let memory = seeded_store();
+    let link = StoreLink::to(&memory);
+    link.is_cut.store(true, Ordering::SeqCst);
     let seed = free_address();
-    let alone = daemon_at(0, way.clone(), seed, vec![seed]);
-    let told = || way.patience.lock().expect("sound").clone();
-    until("tried four times", || told().len() >= 4);
-    way.is_cut.store(false, Ordering::SeqCst);
-    until("ready", || alone.is_ready());
+    let alone = daemon_at(0, link.clone(), seed, vec![seed]);
+    let told = || link.read_timeouts.lock().expect("sound").clone();
+    wait_until("tried four times", || told().len() >= 4);
+    link.is_cut.store(false, Ordering::SeqCst);
+    wait_until("ready", || alone.is_ready());
     let told = told();
     assert!(told[0] <= Span::from_millis(320), "{told:?}");
     assert!(
@@ -267,15 +269,15 @@
 }
 
 #[test]
-fn an_answer_that_was_held_up_does_not_prove_a_copy_current() {
+fn a_delayed_store_answer_does_not_validate_a_copy() {
     // It lay seconds before a busy host read it; a route added meanwhile was called unknown.
-    let memory = Memory::default();
+    let memory = MemoryStore::default();
     memory.set("table", Some("1"));
-    let way = Way::to(&memory);
-    way.held_up_ms.store(2_500, Ordering::SeqCst);
-    let daemon = daemon(0, way);
+    let link = StoreLink::to(&memory);
+    link.answer_delay_ms.store(2_500, Ordering::SeqCst);
+    let daemon = daemon(0, link);
     let proven_ms = || daemon.state("proven_ms").as_u64();
-    until("it is as old as its answers", || proven_ms() >= Some(2_500));
+    wait_until("it is as old as its answers", || proven_ms() >= Some(2_500));
     for _ in 0..20 {
         assert!(proven_ms() >= Some(2_500), "{:?}", proven_ms());
         std::thread::sleep(Duration::from_millis(20));
--- a/components/fleet/tests/it/freshness.rs
+++ b/components/fleet/tests/it/freshness.rs
@@ -9,20 +9,22 @@
 use traffic::{Command, Seen};
 use types::prelude::*;
 
-use crate::harness::{Daemon, Memory, Way, Words, daemon_at, free_address, settings, start, until};
+use crate::harness::{
+    Daemon, MemoryStore, StoreLink, TextCodec, daemon_at, free_address, settings, start, wait_until,
+};
 
 /// Dumps are this many ms coarse.
-const COARSE: Duration = Duration::from_millis(1);
+const DUMP_RESOLUTION: Duration = Duration::from_millis(1);
 
 /// A control thread whose event loop is the test.
-struct Watched {
+struct ObservedControl {
     told: flume::Receiver<Command>,
     clock_began: Instant,
     running: Running,
     ended: flume::Sender<()>,
 }
 
-fn watched(memory: &Memory, table_takes: Duration) -> Watched {
+fn observed(memory: &MemoryStore, table_decode_time: Duration) -> ObservedControl {
     let (commands, told) = flume::unbounded();
     let (ended_tx, ended) = flume::bounded(1);
     let none = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -34,12 +36,12 @@
         suspects: poison::SharedSuspects::default(),
         ended,
     };
-    let words = Words { table_takes };
+    let words = TextCodec { table_decode_time };
     let clock_began = Instant::now();
     let clock = Clock::new();
-    let store = Arc::new(Way::to(memory));
+    let store = Arc::new(StoreLink::to(memory));
     let running = fleet::start(settings(0, none, Vec::new()), words, store, traffic, clock);
-    Watched {
+    ObservedControl {
         told,
         clock_began,
         running: running.expect("starts"),
@@ -47,7 +49,7 @@
     }
 }
 
-impl Watched {
+impl ObservedControl {
     fn next(&self) -> Command {
         let told = self.told.recv_timeout(Duration::from_secs(30));
         told.expect("goes on")
@@ -61,12 +63,12 @@
 
 /// New routes were called unknown by the old configuration, beside the proof of the new one.
 #[test]
-fn no_proof_comes_before_the_configuration_that_it_is_of() {
-    let memory = Memory::default();
+fn validation_never_precedes_its_configuration() {
+    let memory = MemoryStore::default();
     memory.set("upstream/a", Some("v1"));
     memory.set("table", Some("1"));
     // A large configuration takes a host with an eighth of a core longer than a tick.
-    let daemon = watched(&memory, Duration::from_millis(150));
+    let daemon = observed(&memory, Duration::from_millis(150));
     for version in 1..=5_u64 {
         memory.set("table", Some(&version.to_string()));
         let written_at = memory.written_at();
@@ -91,11 +93,11 @@
 
 /// A configuration that cannot be read may hold the route that is asked for.
 #[test]
-fn nothing_is_proven_while_the_configuration_cannot_be_read() {
-    let memory = Memory::default();
+fn nothing_is_validated_while_the_configuration_cannot_be_read() {
+    let memory = MemoryStore::default();
     memory.set("upstream/a", Some("v1"));
     memory.set("table", Some("1"));
-    let daemon = watched(&memory, Duration::ZERO);
+    let daemon = observed(&memory, Duration::ZERO);
     let until_proven = |is_proven: bool| {
         let deadline = Instant::now() + Duration::from_secs(20);
         let told = || match daemon.next() {
@@ -162,26 +164,26 @@
 }
 
 /// Two daemons, of which only the first reaches the store and the second is told over a slow link.
-fn pair(memory: &Memory, delay: Duration) -> (Daemon, Daemon) {
+fn linked_pair(memory: &MemoryStore, delay: Duration) -> (Daemon, Daemon) {
     let seed = free_address();
-    let first = daemon_at(0, Way::to(memory), seed, Vec::new());
-    let way = Way::to(memory);
-    way.is_cut.store(true, std::sync::atomic::Ordering::SeqCst);
+    let first = daemon_at(0, StoreLink::to(memory), seed, Vec::new());
+    let link = StoreLink::to(memory);
+    link.is_cut.store(true, std::sync::atomic::Ordering::SeqCst);
     let listens = free_address();
     let mut told = settings(1, listens, vec![seed]);
     told.advertise = Some(slow_link(listens, delay));
-    (first, start(way, told))
+    (first, start(link, told))
 }
 
 /// A host that hears others late counted a configuration as current that had been superseded.
 #[test]
-fn a_link_that_is_always_slow_makes_no_proof_newer() {
+fn a_slow_link_makes_no_validation_newer() {
     let delay = Duration::from_millis(700);
-    let memory = Memory::default();
+    let memory = MemoryStore::default();
     memory.set("upstream/a", Some("v1"));
     memory.set("table", Some("1"));
-    let (_first, second) = pair(&memory, delay);
-    until("the second has a proven copy", || {
+    let (_first, second) = linked_pair(&memory, delay);
+    wait_until("the second has a proven copy", || {
         second.table() == Some(1) && second.dump()["proven_ms"].as_u64().is_some()
     });
     for version in 2..=4_u64 {
@@ -196,14 +198,14 @@
                 break;
             }
             let age = dump["proven_ms"].as_u64().map(Duration::from_millis);
-            let proven_at = age.and_then(|age| asked_at.checked_sub(age + COARSE));
+            let proven_at = age.and_then(|age| asked_at.checked_sub(age + DUMP_RESOLUTION));
             let late = proven_at.and_then(|at| at.checked_duration_since(written_at));
             let late = late.filter(|late| !late.is_zero());
             assert_eq!(late, None, "the proof is of after version {version}");
             std::thread::sleep(Duration::from_millis(10));
         }
         let proven = || second.dump()["proven_ms"].as_u64();
-        until("it is proven anew", || {
+        wait_until("it is proven anew", || {
             proven().is_some_and(|ms| ms < 2_000)
         });
     }
--- a/components/fleet/tests/it/gossip.rs
+++ b/components/fleet/tests/it/gossip.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use fleet::{Audience, Peer, Word};
+use fleet::{GossipKind, GossipView, Peer};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use types::prelude::*;
@@ -32,34 +32,40 @@
 }
 
 #[test]
-fn a_daemon_speaks_to_few_of_a_large_fleet() {
+fn a_daemon_contacts_few_peers_of_a_large_fleet() {
     // Peers were drawn from all at each turn, and a connection stays open while it is used:
     // after half a minute each of 300 daemons held one to nearly every other.
     let rng = &mut StdRng::seed_from_u64(1);
     let peers = peers_of(0, FLEET);
-    let mut audience = Audience::default();
-    let mut told = BTreeSet::new();
+    let mut view = GossipView::default();
+    let mut recipients = BTreeSet::new();
     for turn in 0..150 {
-        told.extend(audience.told(at(turn), &peers, Word::Everywhere, rng));
+        recipients.extend(view.recipients(at(turn), &peers, GossipKind::Heartbeat, rng));
     }
-    assert!(told.len() < 50, "{} peers in half a minute", told.len());
+    assert!(
+        recipients.len() < 50,
+        "{} peers in half a minute",
+        recipients.len()
+    );
 }
 
 #[test]
-fn word_crosses_a_large_fleet_in_two_seconds() {
+fn gossip_reaches_a_large_fleet_within_two_seconds() {
     // A change that one daemon has is in force everywhere only once all were told of it.
     let rng = &mut StdRng::seed_from_u64(2);
     let index = (0..FLEET)
         .map(|n| (address(n), n))
         .collect::<BTreeMap<_, _>>();
     let peers = (0..FLEET).map(|n| peers_of(n, FLEET)).collect::<Vec<_>>();
-    let mut audiences = (0..FLEET).map(|_| Audience::default()).collect::<Vec<_>>();
+    let mut views = (0..FLEET)
+        .map(|_| GossipView::default())
+        .collect::<Vec<_>>();
     let mut knows = BTreeSet::from([0]);
     let mut turns = 0;
     while knows.len() < FLEET {
         for n in knows.clone() {
-            let told = audiences[n].told(at(turns), &peers[n], Word::Everywhere, rng);
-            knows.extend(told.iter().map(|address| index[address]));
+            let recipients = views[n].recipients(at(turns), &peers[n], GossipKind::Heartbeat, rng);
+            knows.extend(recipients.iter().map(|address| index[address]));
         }
         turns += 1;
         assert!(turns <= 10, "{} know after {turns} turns", knows.len());
@@ -67,24 +73,28 @@
 }
 
 #[test]
-fn a_peer_that_is_gone_is_told_no_more() {
+fn departed_peers_get_no_messages() {
     let rng = &mut StdRng::seed_from_u64(3);
-    let mut audience = Audience::default();
-    let _ = audience.told(at(0), &peers_of(0, FLEET), Word::Everywhere, rng);
+    let mut view = GossipView::default();
+    let _ = view.recipients(at(0), &peers_of(0, FLEET), GossipKind::Heartbeat, rng);
     let left = peers_of(0, 30);
     for turn in 1..20 {
-        let told = audience.told(at(turn), &left, Word::Everywhere, rng);
-        assert!(told.iter().all(|to| left.iter().any(|p| p.address == *to)));
-        assert!(told.len() >= 4);
+        let recipients = view.recipients(at(turn), &left, GossipKind::Heartbeat, rng);
+        assert!(
+            recipients
+                .iter()
+                .all(|to| left.iter().any(|p| p.address == *to))
+        );
+        assert!(recipients.len() >= 4);
     }
 }
 
 #[test]
-fn all_of_a_small_fleet_are_told() {
+fn all_peers_of_a_small_fleet_get_messages() {
     let rng = &mut StdRng::seed_from_u64(4);
     let peers = peers_of(0, 9);
-    let told = Audience::default().told(at(0), &peers, Word::Everywhere, rng);
-    assert_eq!(told.len(), 8);
-    let near = Audience::default().told(at(0), &peers, Word::Near, rng);
+    let recipients = GossipView::default().recipients(at(0), &peers, GossipKind::Heartbeat, rng);
+    assert_eq!(recipients.len(), 8);
+    let near = GossipView::default().recipients(at(0), &peers, GossipKind::LocalHeartbeat, rng);
     assert_eq!(near, [address(6)]);
 }
--- a/components/fleet/tests/it/harness.rs
+++ b/components/fleet/tests/it/harness.rs
@@ -16,19 +16,19 @@
 use traffic::{Ask, AskError, Forwarding, Standing, Translator};
 use types::prelude::*;
 
-pub use crate::memory::{Memory, Way};
+pub use crate::memory::{MemoryStore, StoreLink};
 
 /// What is waited for must come within this.
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Keys and forms of these tests: plain words.
 #[derive(Default)]
-pub struct Words {
+pub struct TextCodec {
     /// Reading a table takes so long.
-    pub table_takes: Duration,
+    pub table_decode_time: Duration,
 }
 
-impl Codec for Words {
+impl Codec for TextCodec {
     fn table_key(&self) -> &str {
         "table"
     }
@@ -54,7 +54,7 @@
     }
 
     fn table(&self, value: &Bytes) -> Result<RouteTable, DecodeError> {
-        std::thread::sleep(self.table_takes);
+        std::thread::sleep(self.table_decode_time);
         let version = String::from_utf8_lossy(value).parse();
         let version = version.map_err(|_| DecodeError {
             key: "table".to_owned(),
@@ -123,9 +123,9 @@
     }
 }
 
-struct NoNames;
+struct NoTranslator;
 
-impl Translator for NoNames {
+impl Translator for NoTranslator {
     fn ask(&self, _: &Head) -> Result<Ask, AskError> {
         Err(AskError::NotOnce("id"))
     }
@@ -147,7 +147,7 @@
 
 /// A daemon with its way to the store.
 pub struct Daemon {
-    pub way: Way,
+    pub link: StoreLink,
     pub status: SocketAddr,
     pub suspects: SharedSuspects,
     clock: Clock,
@@ -155,8 +155,10 @@
 }
 
 /// Starts daemons that know each other from the store only.
-pub fn daemons(count: usize, memory: &Memory) -> Vec<Daemon> {
-    (0..count).map(|n| daemon(n, Way::to(memory))).collect()
+pub fn daemons(count: usize, memory: &MemoryStore) -> Vec<Daemon> {
+    (0..count)
+        .map(|n| daemon(n, StoreLink::to(memory)))
+        .collect()
 }
 
 /// An address that nothing uses now.
@@ -166,14 +168,14 @@
 }
 
 /// Starts a daemon that knows no seeds.
-pub fn daemon(n: usize, way: Way) -> Daemon {
+pub fn daemon(n: usize, link: StoreLink) -> Daemon {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    daemon_at(n, way, any, Vec::new())
+    daemon_at(n, link, any, Vec::new())
 }
 
 /// Starts a daemon at an address, with seeds.
-pub fn daemon_at(n: usize, way: Way, peers: SocketAddr, seeds: Vec<SocketAddr>) -> Daemon {
-    start(way, settings(n, peers, seeds))
+pub fn daemon_at(n: usize, link: StoreLink, peers: SocketAddr, seeds: Vec<SocketAddr>) -> Daemon {
+    start(link, settings(n, peers, seeds))
 }
 
 /// What a daemon is told at its start.
@@ -198,7 +200,7 @@
 }
 
 /// Starts a daemon.
-pub fn start(way: Way, settings: Settings) -> Daemon {
+pub fn start(link: StoreLink, settings: Settings) -> Daemon {
     let clock = Clock::new();
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let traffic = traffic::Config {
@@ -220,13 +222,13 @@
         grace: Span::from_secs(4),
         dropped_logs: telemetry::logs::Dropped::default(),
     };
-    let traffic = traffic::start(traffic, NoNames, clock).expect("starts");
+    let traffic = traffic::start(traffic, NoTranslator, clock).expect("starts");
     let (status, suspects) = (traffic.status, traffic.suspects.clone());
-    let store = Arc::new(way.clone());
-    let running = fleet::start(settings, Words::default(), store, traffic, clock);
+    let store = Arc::new(link.clone());
+    let running = fleet::start(settings, TextCodec::default(), store, traffic, clock);
     let running = running.expect("starts");
     Daemon {
-        way,
+        link,
         status,
         suspects,
         clock,
@@ -236,7 +238,7 @@
 
 impl Daemon {
     /// An upstream ends under a content of this daemon's, soon after it began to run there.
-    pub fn ends_under(&self, upstream: &str, content: Content) {
+    pub fn upstream_crashes(&self, upstream: &str, content: Content) {
         let upstream = UpstreamRun {
             id: UpstreamId::new(upstream).expect("a name"),
             started_at: None,
@@ -252,12 +254,12 @@
     }
 
     /// A content is answered whole at this daemon.
-    pub fn answers_whole(&self, content: Content) {
+    pub fn completes(&self, content: Content) {
         self.suspects.lock().whole(self.clock.now(), content);
     }
 
     /// Whether a content is sent to no upstream here.
-    pub fn bars(&self, content: Content) -> bool {
+    pub fn quarantines(&self, content: Content) -> bool {
         let admission = self.suspects.lock().admission(self.clock.now(), content);
         admission != Admission::Open
     }
@@ -305,8 +307,8 @@
 }
 
 /// Waits until something holds.
-pub fn until(what: &str, holds: impl Fn() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
+pub fn wait_until(what: &str, holds: impl Fn() -> bool) {
+    let deadline = Instant::now() + TIMEOUT;
     while !holds() {
         assert!(Instant::now() < deadline, "never: {what}");
         std::thread::sleep(Duration::from_millis(20));
--- a/components/fleet/tests/it/memory.rs
+++ b/components/fleet/tests/it/memory.rs
@@ -27,9 +27,9 @@
 
 /// The store.
 #[derive(Clone, Default)]
-pub struct Memory(Arc<(Mutex<Keys>, Condvar)>);
+pub struct MemoryStore(Arc<(Mutex<Keys>, Condvar)>);
 
-impl Memory {
+impl MemoryStore {
     /// Keys that begin so.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let keys = self.0.0.lock().expect("sound");
@@ -82,8 +82,8 @@
 
 /// One daemon's way to the store.
 #[derive(Clone, Default)]
-pub struct Way {
-    memory: Memory,
+pub struct StoreLink {
+    memory: MemoryStore,
     /// Nothing gets through.
     pub is_cut: Arc<AtomicBool>,
     /// Watches begun.
@@ -93,22 +93,22 @@
     /// Keys that were read.
     pub keys_read: Arc<AtomicUsize>,
     /// Answers to watches are held up for so many ms.
-    pub held_up_ms: Arc<AtomicUsize>,
+    pub answer_delay_ms: Arc<AtomicUsize>,
     /// How long each reading was to be waited for.
-    pub patience: Arc<Mutex<Vec<Span>>>,
+    pub read_timeouts: Arc<Mutex<Vec<Span>>>,
 }
 
-impl Way {
+impl StoreLink {
     /// To this store.
-    pub fn to(memory: &Memory) -> Self {
+    pub fn to(memory: &MemoryStore) -> Self {
         Self {
             memory: memory.clone(),
             ..Self::default()
         }
     }
 
-    fn held_up(&self) -> Duration {
-        Duration::from_millis(self.held_up_ms.load(Ordering::SeqCst) as u64)
+    fn answer_delay(&self) -> Duration {
+        Duration::from_millis(self.answer_delay_ms.load(Ordering::SeqCst) as u64)
     }
 
     fn check(&self) -> Result<(), CallError> {
@@ -119,7 +119,7 @@
     }
 }
 
-impl Store for Way {
+impl Store for StoreLink {
     fn call(&self, req: Request) -> Outcome {
         self.check()?;
         let (keys, changed) = &*self.memory.0;
@@ -173,8 +173,8 @@
         })
     }
 
-    fn read(&self, range: Range, patience: Span) -> Outcome {
-        self.patience.lock().expect("sound").push(patience);
+    fn read(&self, range: Range, timeout: Span) -> Outcome {
+        self.read_timeouts.lock().expect("sound").push(timeout);
         self.call(Request::Range(range))
     }
 
@@ -191,7 +191,7 @@
             let batch = WatchBatch {
                 revision: ModRevision(keys.revision),
                 events: events.cloned().collect(),
-                current_at: Instant::now() - self.held_up(),
+                current_at: Instant::now() - self.answer_delay(),
             };
             from = ModRevision(keys.revision + 1);
             drop(keys);
--- a/components/fleet/tests/it/rate_limits.rs
+++ b/components/fleet/tests/it/rate_limits.rs
@@ -1,7 +1,7 @@
 //! Which daemons share upstreams' rate limits, and how daemons of two releases tell them.
 
 use dispatch::Advertisement;
-use fleet::{DatedClaim, Freshness, SentAt, Standing, shares_rate_limits};
+use fleet::{Freshness, Heartbeat, SentAt, WireClaim, shares_rate_limits};
 use membership::{Member, MemberRecord, Stamp, State};
 use mirror::Revision;
 use ratelimit::RunKey;
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_daemon_behind_a_cut_keeps_its_part_of_rate_limits() {
+fn a_partitioned_daemon_keeps_its_share_of_rate_limits() {
     // Both sides of a cut would take over the other's part and send twice what is allowed.
     let now = Time::ZERO + Span::from_secs(1_000);
     let down = |ago: u64| member(State::Down, now - Span::from_secs(ago));
@@ -40,11 +40,11 @@
     assert!(!of(State::Left));
 }
 
-fn standing() -> Standing {
-    Standing {
+fn heartbeat() -> Heartbeat {
+    Heartbeat {
         held: Revision(300),
         watchers: Vec::new(),
-        unanswered: Vec::new(),
+        store_unreachable: Vec::new(),
         rollouts: Vec::new(),
         loads: Vec::new(),
         rate_limits: vec![Advertisement {
@@ -65,43 +65,43 @@
 const BEFORE: [u8; 6] = [0xac, 0x02, 0, 0, 0, 0];
 
 #[test]
-fn daemons_of_the_release_before_are_read_and_read_what_they_know() {
-    let old = Standing::decode(&BEFORE).expect("its form");
+fn heartbeats_are_compatible_with_the_previous_release() {
+    let old = Heartbeat::decode(&BEFORE).expect("its form");
     assert_eq!(old.held, Revision(300));
     assert!(old.rate_limits.is_empty());
     // The older release reads its own form from the begin of the message and passes over the rest.
-    let new = standing().encode().expect("fits");
+    let new = heartbeat().encode().expect("fits");
     assert!(new.starts_with(&BEFORE));
-    assert_eq!(Standing::decode(&new).expect("its form"), standing());
+    assert_eq!(Heartbeat::decode(&new).expect("its form"), heartbeat());
 }
 
 #[test]
-fn an_extension_that_cannot_be_read_does_not_cost_the_message() {
+fn an_unreadable_extension_does_not_invalidate_the_heartbeat() {
     let torn = |extension: &[u8]| {
         let bytes = [&BEFORE[..], extension].concat();
-        Standing::decode(&bytes).expect("its first form").held
+        Heartbeat::decode(&bytes).expect("its first form").held
     };
     assert_eq!(torn(&[9, 1, 2]), Revision(300));
     assert_eq!(torn(&[0xff; 64]), Revision(300));
-    let longer = [standing().encode().expect("fits").as_ref(), &[7, 7, 7]].concat();
-    assert_eq!(Standing::decode(&longer).expect("its form"), standing());
+    let longer = [heartbeat().encode().expect("fits").as_ref(), &[7, 7, 7]].concat();
+    assert_eq!(Heartbeat::decode(&longer).expect("its form"), heartbeat());
 }
 
 #[test]
-fn claims_for_one_receiver_follow_what_earlier_releases_read() {
+fn claims_for_one_receiver_follow_the_fields_of_earlier_releases() {
     let freshness = Freshness {
         run: Incarnation(8),
-        claims: vec![DatedClaim {
+        claims: vec![WireClaim {
             held: Revision(300),
             clock_ms: 12_345,
         }],
     };
-    let any = standing().encode().expect("fits");
-    let one = Standing::encode_for(&any, &freshness).expect("fits");
+    let any = heartbeat().encode().expect("fits");
+    let one = Heartbeat::encode_for(&any, &freshness).expect("fits");
     assert!(one.starts_with(&any));
-    let expected = Standing {
+    let expected = Heartbeat {
         freshness: Some(freshness),
-        ..standing()
+        ..heartbeat()
     };
-    assert_eq!(Standing::decode(&one).expect("its form"), expected);
+    assert_eq!(Heartbeat::decode(&one).expect("its form"), expected);
 }
--- a/components/fleet/tests/it/snapshots.rs
+++ b/components/fleet/tests/it/snapshots.rs
@@ -1,7 +1,7 @@
 //! Whole copies from daemon to daemon while the store goes on.
 
 use bytes::Bytes;
-use fleet::{Handing, Taken, Taking};
+use fleet::{DownloadStep, SnapshotDownload, SnapshotServer};
 use mirror::{Answer, Change, Listing, Mirror, Question, Revision};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -28,27 +28,27 @@
 
 /// Takes a copy, the store changing before each page; the copy and the next moment.
 fn copy(
-    giver: &mut Mirror,
-    handing: &mut Handing,
+    source: &mut Mirror,
+    snapshots: &mut SnapshotServer,
     rng: &mut StdRng,
     mut now: Time,
     name: &str,
 ) -> (Listing, Time) {
     let from = ([127, 0, 0, 1], 1).into();
-    let mut taking = Taking::new(from);
-    let taker = DaemonId::new(name).expect("a name");
+    let mut download = SnapshotDownload::new(from);
+    let receiver = DaemonId::new(name).expect("a name");
     let mut page_after = None;
     loop {
-        let at = giver.at();
+        let at = source.at();
         let next = Revision(at.0 + 1);
         let changes = vec![change(rng, next.0)];
-        giver.apply(at, next, changes).expect("in order");
+        source.apply(at, next, changes).expect("in order");
         now = now + Span::from_millis(rng.random_range(0..400));
         let question = Question {
             held: Revision::default(),
             page_after: page_after.take(),
         };
-        let answer = handing.answer(now, &taker, &question, giver);
+        let answer = snapshots.answer(now, &receiver, &question, source);
         let body = answer.expect("it fits").expect("a free place");
         let Answer::Page {
             at,
@@ -58,15 +58,15 @@
         else {
             panic!("not a page");
         };
-        match taking.take(at, items, has_more) {
-            Taken::More(last) => page_after = Some(last),
-            Taken::Whole(listing) => return (listing, now),
+        match download.take(at, items, has_more) {
+            DownloadStep::More(last) => page_after = Some(last),
+            DownloadStep::Complete(listing) => return (listing, now),
         }
     }
 }
 
 #[test]
-fn a_copy_of_pages_made_at_different_moments_misses_no_change() {
+fn a_snapshot_of_pages_from_different_moments_misses_no_change() {
     // Pages are kept for a moment, since packing them takes long. Were a page older than the
     // revision that the copy counts as, what changed in it between would never be told: a revoked
     // key or an engine that left would stay at that daemon for good.
@@ -77,22 +77,22 @@
             key: format!("k{n}"),
             value: Some(Bytes::from(vec![0; VALUE_BYTES])),
         });
-        let mut giver = Mirror::default();
-        giver.take_listing(Listing {
+        let mut source = Mirror::default();
+        source.take_listing(Listing {
             at: Revision(KEYS as u64),
             items: items.collect(),
         });
-        let mut handing = Handing::default();
+        let mut snapshots = SnapshotServer::default();
         let mut now = Time::ZERO;
         for name in ["a", "b", "c", "d"] {
-            let (listing, after) = copy(&mut giver, &mut handing, rng, now, name);
+            let (listing, after) = copy(&mut source, &mut snapshots, rng, now, name);
             now = after;
-            let mut taker = Mirror::default();
-            taker.take_listing(listing);
-            let news = giver.since(taker.at()).expect("the giver remembers");
-            let at = taker.at();
-            taker.apply(at, giver.at(), news).expect("no gap");
-            assert_eq!(contents(&taker), contents(&giver), "seed {seed}");
+            let mut receiver = Mirror::default();
+            receiver.take_listing(listing);
+            let news = source.since(receiver.at()).expect("the giver remembers");
+            let at = receiver.at();
+            receiver.apply(at, source.at(), news).expect("no gap");
+            assert_eq!(contents(&receiver), contents(&source), "seed {seed}");
         }
     }
 }
