--- a/components/fleet/src/clocks.rs
+++ b/components/fleet/src/clocks.rs
@@ -1,7 +1,7 @@
-//! When a word was said, though it may have been held up on its way.
+//! When a report was made, even if it was delayed on its way.
 //!
-//! No two hosts' clocks are compared: of one speaker's clock only the time that went by between two of
-//! its words is used.
+//! No clocks of different hosts are compared: only the time between two reports by the same
+//! daemon's clock is used.
 
 use std::collections::HashMap;
 
@@ -9,13 +9,14 @@
 
 use crate::heartbeat::StoreReport;
 
-/// A clock may be slower than others by one part of so many, so that one which stood still with its
-/// host for some seconds is trusted again after a minute.
+/// A reporter's clock may be slow by one part in this many, so that a clock that stood still with
+/// its host for some seconds is trusted again after a minute.
 const CLOCK_LEEWAY: u64 = 10;
-/// A clock is remembered for so long: what is held up behind a cut comes within it.
+/// How long a reporter's clock is remembered: messages held up by a network partition arrive within
+/// this time.
 const CLOCK_TTL: Span = Span::from_secs(60);
 
-/// By whose clock it was said when.
+/// A reporter's clock reading and the local time to which it corresponds.
 #[derive(Debug, Clone, Copy)]
 struct ClockSample {
     run: Incarnation,
@@ -23,42 +24,42 @@
     at: Time,
 }
 
-/// Clocks of those who say something of the store.
+/// The last clock reading of each daemon that reports on the store.
 #[derive(Debug, Default)]
 pub(crate) struct ReporterClocks(HashMap<DaemonId, ClockSample>);
 
 impl ReporterClocks {
-    /// When a word was said; nothing for one that is not newer than what its daemon said before.
+    /// The local time at which a report was made, or `None` if it is not newer than that daemon's
+    /// previous one.
     ///
-    /// Guards against word that is held up on its way and passed on as new: a watcher that is gone
-    /// would be believed for as long as its word goes round. By the speaker's own clock it was said
-    /// so long after an earlier word, which came when it came.
-    pub(crate) fn reported_at(&mut self, now: Time, word: &StoreReport) -> Option<Time> {
-        let by_age = now - Span::from_millis(u64::from(word.age_ms));
-        let before = self.0.get(&word.daemon);
-        let at = match before {
-            Some(before) if word.run < before.run => return None,
-            Some(before) if word.run == before.run => {
-                let went_by = word.clock_ms.checked_sub(before.clock_ms)?;
-                if went_by == 0 {
+    /// Guards against reports that are delayed and relayed as new: a dead watcher would count as
+    /// working for as long as its reports go round. The report cannot be later than the previous
+    /// one by more than the time that the reporter's own clock shows between the two.
+    pub(crate) fn reported_at(&mut self, now: Time, report: &StoreReport) -> Option<Time> {
+        let by_reported_age = now - Span::from_millis(u64::from(report.age_ms));
+        let previous = self.0.get(&report.daemon);
+        let at = match previous {
+            Some(previous) if report.run < previous.run => return None,
+            Some(previous) if report.run == previous.run => {
+                let elapsed_ms = report.clock_ms.checked_sub(previous.clock_ms)?;
+                if elapsed_ms == 0 {
                     return None;
                 }
-                let leeway = went_by / CLOCK_LEEWAY;
-                by_age.min(before.at + Span::from_millis(went_by + leeway))
+                let leeway = elapsed_ms / CLOCK_LEEWAY;
+                by_reported_age.min(previous.at + Span::from_millis(elapsed_ms + leeway))
             }
-            _ => by_age,
+            _ => by_reported_age,
         };
-        let clocked = ClockSample {
-            run: word.run,
-            clock_ms: word.clock_ms,
+        let sample = ClockSample {
+            run: report.run,
+            clock_ms: report.clock_ms,
             at,
         };
-        self.0.insert(word.daemon.clone(), clocked);
+        self.0.insert(report.daemon.clone(), sample);
         Some(at)
     }
 
     pub(crate) fn expire(&mut self, now: Time) {
-        self.0
-            .retain(|_, clocked| now.since(clocked.at) < CLOCK_TTL);
+        self.0.retain(|_, sample| now.since(sample.at) < CLOCK_TTL);
     }
 }
--- a/components/fleet/src/freshness.rs
+++ b/components/fleet/src/freshness.rs
@@ -1,9 +1,9 @@
-//! How current copies of the store's keys are known to be.
+//! Claims on how current copies of the store's keys are.
 //!
-//! A claim says that at one moment the store held nothing newer than some revision. It begins with an answer of
-//! the store, and travels from daemon to daemon as a moment on the **receiver's** clock: the sender
-//! knows of that clock, by an answer of the receiver's, how far it is ahead of its own at least. So a
-//! claim gets older on slow ways and with each hop, and never newer.
+//! A claim says that the store held nothing newer than some revision at one moment. It originates
+//! from an answer of the store and travels from daemon to daemon as a moment on the **receiver's**
+//! clock: from an answer of the receiver the sender knows a lower bound of how far that clock is
+//! ahead of its own. A claim therefore gets older on slow links and with each hop, and never newer.
 
 use mirror::Revision;
 use peers::ClockBound;
@@ -12,49 +12,49 @@
 
 /// Claims kept: the newest ones, of a few revisions.
 const MAX_CLAIMS: usize = 8;
-/// Claims in one message at most: the newest, and one for those that lag a change behind.
+/// Claims in one message at most: the newest one, and one for peers that lag a change behind.
 const MAX_SENT: usize = 2;
 
-/// The store held nothing newer than a revision.
+/// The store held nothing newer than a revision at one moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Claim {
-    /// Which revision.
+    /// The revision.
     pub held: Revision,
-    /// When.
+    /// The moment, by the local clock.
     pub at: Time,
 }
 
 impl Claim {
-    /// Whether it says all that another does.
+    /// Whether this claim implies the other.
     fn covers(&self, other: &Self) -> bool {
         self.held <= other.held && self.at >= other.at
     }
 }
 
-/// A claim as it travels.
+/// A claim as sent to a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WireClaim {
-    /// See [`Claim::held`].
+    /// The revision, as in [`Claim::held`].
     pub held: Revision,
-    /// In ms on the receiver's clock.
+    /// The moment in ms on the receiver's clock.
     pub clock_ms: u64,
 }
 
 /// Claims for one receiver.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Freshness {
-    /// The receiver's run, to whose clock the claims belong.
+    /// The receiver's run, to whose clock the claims refer.
     pub run: Incarnation,
-    /// The newest ones.
+    /// The newest claims.
     pub claims: Vec<WireClaim>,
 }
 
-/// The claims that a daemon knows of, its own ones included.
+/// The claims that a daemon knows, including its own.
 #[derive(Debug, Clone, Default)]
 pub struct Claims(Vec<Claim>);
 
 impl Claims {
-    /// Takes a claim.
+    /// Adds a claim unless a known one implies it.
     pub fn add(&mut self, claim: Claim) {
         if self.0.iter().any(|known| known.covers(&claim)) {
             return;
@@ -66,13 +66,14 @@
         self.0.truncate(MAX_CLAIMS);
     }
 
-    /// Takes a peer's claims; how many cannot be of this run's clock.
-    pub fn merge(&mut self, now: Time, run: Incarnation, told: &Freshness) -> usize {
-        if told.run != run {
-            return told.claims.len();
+    /// Merges a peer's claims. Returns how many were dropped because they cannot refer to the clock
+    /// of this run.
+    pub fn merge(&mut self, now: Time, run: Incarnation, received: &Freshness) -> usize {
+        if received.run != run {
+            return received.claims.len();
         }
         let mut dropped = 0;
-        for dated in told.claims.iter().take(MAX_SENT) {
+        for dated in received.claims.iter().take(MAX_SENT) {
             if dated.clock_ms > now.since(Time::ZERO).as_millis() {
                 dropped += 1;
                 continue;
@@ -85,14 +86,14 @@
         dropped
     }
 
-    /// When a copy of a revision was last known to be current.
+    /// Latest moment at which a copy of revision `held` was known to be current.
     #[must_use]
     pub fn validated_at(&self, held: Revision) -> Option<Time> {
         let claims = self.0.iter().filter(|claim| claim.held <= held);
         claims.map(|claim| claim.at).max()
     }
 
-    /// The newest claims, for a peer whose clock is known so well.
+    /// The newest claims dated by a peer's clock, given the bound on its offset.
     #[must_use]
     pub fn for_peer(&self, clock: &ClockBound) -> Option<Freshness> {
         let readings = self.0.iter().take(MAX_SENT);
--- a/components/fleet/src/gossip.rs
+++ b/components/fleet/src/gossip.rs
@@ -1,9 +1,9 @@
-//! Who is told how this daemon stands.
+//! Which peers receive a gossip message.
 //!
-//! All of a small fleet. In a large one a few, drawn each time from a view that stays: word
-//! still crosses the fleet in a few rounds, while a daemon keeps connections to its view only.
-//! Drawn from all, each daemon ends with a connection to nearly every other one: 460 of them,
-//! and 15 MB, with 300 daemons.
+//! In a small fleet all of them. In a large one a few, drawn each time from a partial view that
+//! changes slowly: news still crosses the fleet in a few rounds, while a daemon keeps connections
+//! to its view only. If peers were drawn from the whole fleet, each daemon would end up with a
+//! connection to nearly every other: 460 of them, and 15 MB, with 300 daemons.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -12,53 +12,54 @@
 use rand::seq::{IndexedRandom, IteratorRandom};
 use types::prelude::*;
 
-/// A fleet of up to so many daemons is small: each tells all others how it stands.
+/// A fleet of up to this many daemons is small: each sends its heartbeats to all others.
 const SMALL_FLEET: usize = 16;
-/// Daemons of the own failure domain in the view: what is out at upstreams matters there most, and
-/// bytes between failure domains are paid for. So many speak to each daemon too, and their
-/// loads stand for those of the others.
+/// Peers of the own failure domain in the view. Load at upstreams matters most there, and traffic
+/// between failure domains costs money. About as many peers send to each daemon, and their loads
+/// stand for those of the rest of the fleet.
 const LOCAL_VIEW: usize = 24;
-/// Daemons elsewhere in the view.
+/// Peers of other failure domains in the view.
 const REMOTE_VIEW: usize = 6;
-/// Of the view near, told each time how this daemon stands. Each message wakes four threads, two
-/// at either end, and that is most of what a daemon of a large fleet costs at rest.
+/// Peers of the local view that receive a heartbeat. Each message wakes four threads, two at either
+/// end, which is most of the cost of an idle daemon in a large fleet.
 const LOCAL_FANOUT: usize = 3;
-/// Of the view near, told of a change: it is told once by each, so that more must hear of it.
+/// Peers of the local view that receive a change: each daemon sends it only once, so more peers
+/// must receive it.
 const LOCAL_CHANGE_FANOUT: usize = 5;
-/// Of the view elsewhere: word from one reaches 88 others in some four rounds, and costs each
-/// daemon the same in a fleet of any size.
+/// Peers of the remote view that receive a message: news from one daemon reaches 88 others in some
+/// four rounds, at the same cost per daemon in a fleet of any size.
 const REMOTE_FANOUT: usize = 1;
-/// One daemon of each view makes room for another this often, so that no part of the fleet
-/// stays apart from the rest, and a connection is opened seldom.
+/// Interval at which one peer of each view is replaced: often enough that no part of the fleet
+/// stays separate from the rest, and seldom enough that few connections are opened.
 const VIEW_REFRESH: Span = Span::from_secs(4);
 
-/// Another daemon of the fleet that is present.
+/// Another daemon that is present.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Peer {
-    /// Where it is reached.
+    /// Address at which it is reached.
     pub address: SocketAddr,
-    /// Whether it stands in the same failure domain.
+    /// Whether it is in the same failure domain.
     pub is_near: bool,
 }
 
-/// What is told.
+/// Kind of a gossip message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GossipKind {
-    /// How this daemon stands, to those near; soon told again.
+    /// A heartbeat to the own failure domain only; soon repeated.
     LocalHeartbeat,
-    /// The same, also to other failure domains.
+    /// A heartbeat to all failure domains.
     Heartbeat,
-    /// A change, told once.
+    /// A change, sent once to all failure domains.
     Change,
 }
 
-/// Whether each daemon tells all others.
+/// Whether every daemon of a fleet of this size sends to all others.
 #[must_use]
 pub fn is_small(fleet: usize) -> bool {
     fleet <= SMALL_FLEET
 }
 
-/// The view, the one longest in it first.
+/// A partial view of the fleet; the peers that have been in it longest come first.
 #[derive(Debug, Default)]
 pub struct GossipView {
     near: VecDeque<SocketAddr>,
@@ -67,7 +68,7 @@
 }
 
 impl GossipView {
-    /// Who is told now.
+    /// Chooses the peers that receive a message now.
     pub fn recipients(
         &mut self,
         now: Time,
@@ -99,7 +100,7 @@
     }
 }
 
-/// Drops who is gone from a view, and fills it.
+/// Drops peers that are gone from a view and fills it up to `size`.
 fn refill(
     view: &mut VecDeque<SocketAddr>,
     peers: &[Peer],
--- a/components/fleet/src/heartbeat.rs
+++ b/components/fleet/src/heartbeat.rs
@@ -1,14 +1,15 @@
-//! How a daemon stands: what it tells a few others several times a second.
+//! Heartbeats: the state that a daemon sends to a few peers several times a second.
 //!
-//! Only two daemons watch the store, since every change costs a call for each watcher. The
-//! others must notice at once when no watcher is left that reaches both the store and them.
-//! So every message says who is known to watch with success, and how old that word is; a
-//! relay adds its own holding time, and no two clocks are compared.
+//! Only two daemons watch the store, since every change costs a call for each watcher. The others
+//! must notice at once when no watcher is left that reaches both the store and them. Every
+//! heartbeat therefore names the daemons whose watch is known to work and the age of each report. A
+//! relay adds the time for which it held the report, and no two clocks are compared.
 //!
-//! What was added to the message after its first form follows behind it, so that daemons of either
-//! form read each other: the older one passes over what it does not know, the newer one does without.
+//! Fields added after the first version of the message follow behind it, so that daemons of either
+//! version read each other: an older one ignores the rest, a newer one does without it.
 //!
-//! How current copies of the store's keys are goes with it, see [`crate::freshness`].
+//! A heartbeat also carries claims on how current copies of the store's keys are, see
+//! [`crate::freshness`].
 
 use std::collections::HashMap;
 
@@ -22,85 +23,88 @@
 use crate::clocks::ReporterClocks;
 use crate::freshness::Freshness;
 
-/// Upstreams named in one message at most; the busiest daemons have some hundred out.
+/// Upstreams in one heartbeat at most; the busiest daemons have requests in flight at some hundred.
 const MAX_LOADS: usize = 1_024;
-/// Rate limits taken of one message at most.
+/// Rate limits accepted from one heartbeat at most.
 const MAX_RATE_LIMITS: usize = 64;
-/// Daemons of one kind named in one message at most: two watchers are enough, the rest is for
+/// Daemons of one kind named in one heartbeat at most: two watchers are enough, the rest allows for
 /// overlaps.
 const MAX_REPORTS: usize = 4;
-/// So many daemons must find the store silent before others take it for away: fewer may be cut
-/// off from it, and those after them in the order of watchers are answered a moment later.
+/// Daemons that must get no answer from the store before others take it for unreachable: fewer may
+/// be cut off from it, and those after them in the watch order get an answer a moment later.
 const UNREACHABLE_REPORTS: usize = 3;
 
-/// A daemon that said something of the store.
+/// A daemon's report on whether the store answers it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreReport {
-    /// Which.
+    /// The daemon that made the report.
     pub daemon: DaemonId,
-    /// How long ago it said so, as far as relays know: the way between them is not in it.
+    /// Age of the report in ms as far as relays know it, not counting the network transit between
+    /// them.
     pub age_ms: u16,
-    /// Its run, and when it said so by its own clock, in ms.
+    /// The run of that daemon.
     pub run: Incarnation,
-    /// See [`Self::run`].
+    /// Time of the report by that daemon's own clock, in ms since its run began.
     pub clock_ms: u64,
-    /// The store's revision that it held then, for the release before.
+    /// The store's revision that it held then; read by the previous release only.
     pub held: Revision,
-    /// How long before that copy was known to be current, for the release before.
+    /// How long before the report that copy was last known to be current, in ms; read by the
+    /// previous release only.
     pub validated_ms: Option<u16>,
 }
 
-/// When a message was sent, by its sender's clock, for the release before.
+/// When a heartbeat was sent, by its sender's clock; read by the previous release only.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SentAt {
     /// The sender's run.
     pub run: Incarnation,
-    /// In ms since the begin of that run.
+    /// Time in ms since that run began.
     pub clock_ms: u64,
 }
 
-/// How a daemon stands.
+/// The state of a daemon as it tells its peers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The store's revision that it holds.
+    /// The store's revision that the sender holds.
     pub held: Revision,
-    /// Who watches the store, as far as it knows.
+    /// Daemons whose watch of the store works, as far as the sender knows.
     pub watchers: Vec<StoreReport>,
-    /// Whom the store does not answer, as far as it knows.
+    /// Daemons that get no answer from the store, as far as the sender knows.
     pub store_unreachable: Vec<StoreReport>,
-    /// The fleet's figures of roll-outs, as far as it knows.
+    /// The fleet's evidence on roll-outs, as far as the sender knows.
     pub rollouts: Vec<RolloutWord>,
-    /// What it has out.
+    /// The sender's requests in flight, by upstream.
     pub loads: Vec<SharedLoad>,
-    /// Rate limits of upstreams, as far as it knows.
+    /// Rate limits advertised by upstreams, as far as the sender knows.
     #[serde(skip)]
     pub rate_limits: Vec<Advertisement>,
-    /// When it was sent.
+    /// When the heartbeat was sent.
     #[serde(skip)]
     pub sent_at: Option<SentAt>,
-    /// How current copies are, by the receiver's clock; nothing from a release that does not say so, or
-    /// where that clock is not known yet.
+    /// Freshness claims dated by the receiver's clock; absent from releases that do not send them,
+    /// or while that clock is not known yet.
     #[serde(skip)]
     pub freshness: Option<Freshness>,
 }
 
-/// What follows the message's first form. It has its fields for good: what is newer follows behind it in turn.
+/// The fields that follow the first version of the message. Its own fields are fixed; newer ones
+/// follow behind it in turn.
 #[derive(Debug, Default, Serialize, Deserialize)]
 struct Extension {
     rate_limits: Vec<Advertisement>,
     sent_at: Option<SentAt>,
 }
 
-/// Bytes that are no standing.
+/// The bytes are not a valid heartbeat.
 #[derive(Debug, thiserror::Error)]
-#[error("a peer's standing cannot be read: {0}")]
+#[error("invalid heartbeat: {0}")]
 pub struct HeartbeatError(#[from] postcard::Error);
 
 impl Heartbeat {
-    /// As bytes, for any receiver.
+    /// Encodes the part that is the same for every receiver.
     ///
     /// # Errors
-    /// Never for a message of this form.
+    /// Never for a message of this version.
     pub fn encode(&self) -> Result<Bytes, HeartbeatError> {
         let mut bytes = postcard::to_allocvec(self)?;
         let extension = Extension {
@@ -111,24 +115,24 @@
         Ok(bytes.into())
     }
 
-    /// An encoded message with what is for one receiver only.
+    /// Appends the freshness claims for one receiver to an encoded heartbeat.
     ///
     /// # Errors
-    /// Never for a message of this form.
+    /// Never for a message of this version.
     pub fn encode_for(encoded: &Bytes, freshness: &Freshness) -> Result<Bytes, HeartbeatError> {
         let mut bytes = encoded.to_vec();
         bytes.extend(postcard::to_allocvec(freshness)?);
         Ok(bytes.into())
     }
 
-    /// From bytes, also of an older or newer form.
+    /// Decodes a heartbeat, also of an older or newer version.
     ///
     /// # Errors
-    /// When its first form cannot be read.
+    /// When the first version's fields cannot be read.
     pub fn decode(bytes: &[u8]) -> Result<Self, HeartbeatError> {
         let (mut heartbeat, rest) = postcard::take_from_bytes::<Self>(bytes)?;
         heartbeat.loads.truncate(MAX_LOADS);
-        // What follows and cannot be read must not cost the message.
+        // An unreadable extension does not invalidate the fields before it.
         let extension = postcard::take_from_bytes::<Extension>(rest);
         let (extension, rest) = extension.unwrap_or_default();
         heartbeat.freshness = postcard::from_bytes(rest).ok();
@@ -145,32 +149,32 @@
     held: Revision,
 }
 
-/// What a daemon said last.
+/// A daemon's latest report and when it was made, by the local clock.
 #[derive(Debug, Clone)]
 struct DatedReport {
     at: Time,
-    word: StoreReport,
+    report: StoreReport,
 }
 
-/// How the others stand, as far as they spoke lately.
+/// What peers have reported about themselves and the store, as long as it is valid.
 #[derive(Debug, Default)]
 pub struct PeerStates {
     revisions: HashMap<DaemonId, PeerRevision>,
-    /// What each watcher last said whose watch works.
+    /// Latest reports of daemons whose watch works.
     watchers: HashMap<DaemonId, DatedReport>,
-    /// What each daemon last said that the store does not answer.
+    /// Latest reports of daemons that get no answer from the store.
     store_unreachable: HashMap<DaemonId, DatedReport>,
     clocks: ReporterClocks,
 }
 
 impl PeerStates {
-    /// Takes a message, whose word on revisions counts for `fresh`.
+    /// Merges a peer's heartbeat, whose revision is valid for `ttl`.
     pub fn take(&mut self, now: Time, daemon: &DaemonId, heartbeat: &Heartbeat, ttl: Span) {
-        let revisions = PeerRevision {
+        let revision = PeerRevision {
             until: now + ttl,
             held: heartbeat.held,
         };
-        self.revisions.insert(daemon.clone(), revisions);
+        self.revisions.insert(daemon.clone(), revision);
         let clocks = &mut self.clocks;
         merge_reports(now, clocks, &mut self.watchers, &heartbeat.watchers);
         merge_reports(
@@ -182,44 +186,44 @@
         self.keep_latest();
     }
 
-    /// Keeps the later word of each daemon.
+    /// Keeps only the later of a daemon's success and failure reports.
     ///
     /// Guards against watchers whose connections to the store go silent while those to their peers
-    /// do not: until their last success is too old nobody would watch, for 2.2 s where a change
-    /// is to be in force within 2.
+    /// do not: nobody would watch until their last success is too old, for 2.2 s where a change is
+    /// to be in force within 2.
     fn keep_latest(&mut self) {
         let store_unreachable = &self.store_unreachable;
-        self.watchers.retain(|daemon, said| {
+        self.watchers.retain(|daemon, success| {
             store_unreachable
                 .get(daemon)
-                .is_none_or(|no| no.at < said.at)
+                .is_none_or(|failure| failure.at < success.at)
         });
         let watchers = &self.watchers;
         self.store_unreachable
             .retain(|daemon, _| !watchers.contains_key(daemon));
     }
 
-    /// Notes that the store does not answer this daemon.
-    pub(crate) fn note_store_unreachable(&mut self, now: Time, word: StoreReport) {
-        let daemon = word.daemon.clone();
+    /// Records that the store does not answer this daemon.
+    pub(crate) fn note_store_unreachable(&mut self, now: Time, report: StoreReport) {
+        let daemon = report.daemon.clone();
         self.store_unreachable
-            .insert(daemon, DatedReport { at: now, word });
+            .insert(daemon, DatedReport { at: now, report });
         self.keep_latest();
     }
 
-    /// Whom the store does not answer, the latest word first.
+    /// Reports of daemons that get no answer from the store, latest first.
     pub(crate) fn store_unreachable(&self, now: Time) -> Vec<StoreReport> {
         latest_reports(now, &self.store_unreachable, MAX_REPORTS)
     }
 
-    /// Whether anybody's watch works.
+    /// Whether any daemon's watch works.
     #[must_use]
     pub fn has_watcher(&self) -> bool {
         !self.watchers.is_empty()
     }
 
-    /// Whether the store is taken for away in a fleet of so many: it answers none of some, and
-    /// nobody says that it does.
+    /// Whether the store counts as unreachable in a fleet of this many daemons: several get no
+    /// answer from it, and no watch is known to work.
     #[must_use]
     pub fn is_store_unreachable(&self, fleet: usize) -> bool {
         let others = fleet.saturating_sub(1);
@@ -227,21 +231,21 @@
         self.store_unreachable.len() >= needed && !self.has_watcher()
     }
 
-    /// Drops what is too old.
+    /// Drops heartbeats and reports that are too old.
     pub fn expire(&mut self, now: Time, ttl: Span) {
-        self.revisions.retain(|_, revisions| now < revisions.until);
-        for said in [&mut self.watchers, &mut self.store_unreachable] {
-            said.retain(|_, said| now.since(said.at) < ttl);
+        self.revisions.retain(|_, revision| now < revision.until);
+        for reports in [&mut self.watchers, &mut self.store_unreachable] {
+            reports.retain(|_, report| now.since(report.at) < ttl);
         }
         self.clocks.expire(now);
     }
 
-    /// Who watches with success, the latest word first.
+    /// Reports of daemons whose watch works, latest first.
     pub(crate) fn watcher_reports(&self, now: Time) -> Vec<StoreReport> {
         latest_reports(now, &self.watchers, MAX_REPORTS - 1)
     }
 
-    /// The first daemons in the order of watchers whose watch works.
+    /// The first `count` daemons in the watch order whose watch works.
     pub(crate) fn first_watchers(&self, count: usize) -> Vec<DaemonId> {
         let mut watchers = self.watchers.keys().cloned().collect::<Vec<_>>();
         watchers.sort_by(|a, b| watch_order(a).cmp(&watch_order(b)));
@@ -249,62 +253,58 @@
         watchers
     }
 
-    /// Daemons before `me` in the order of watchers whose watch works.
+    /// Number of daemons ahead of `me` in the watch order whose watch works.
     pub(crate) fn watchers_ahead(&self, me: &DaemonId) -> usize {
         watch_rank(me, self.watchers.keys().filter(|daemon| *daemon != me))
     }
 
-    /// Daemons whose word counts.
+    /// Number of daemons whose heartbeat is still valid.
     pub(crate) fn len(&self) -> usize {
         self.revisions.len()
     }
 
-    /// Daemons that can be asked for what is behind a revision: those that are furthest ahead, or
-    /// all that hold anything for one that holds nothing.
+    /// Daemons to ask for changes after revision `held`: those furthest ahead, or for a daemon that
+    /// holds nothing all that hold anything.
     ///
-    /// Guards against a whole fleet that wants a copy from the few daemons that heard of the last
-    /// change: each change of the store made these others for a moment, and nobody took
-    /// copies from the hundred that had one.
+    /// Guards against a whole fleet that requests snapshots from the few daemons that already have
+    /// the last change: each change of the store made these others for a moment, and nobody copied
+    /// from the hundred that had a snapshot.
     pub fn ahead_of(&self, held: Revision) -> impl Iterator<Item = &DaemonId> {
-        let furthest = self
-            .revisions
-            .values()
-            .map(|revisions| revisions.held)
-            .max();
+        let furthest = self.revisions.values().map(|revision| revision.held).max();
         let least = match held == Revision::default() {
             true => Revision(1),
             false => furthest.unwrap_or_default().max(Revision(held.0 + 1)),
         };
         let ahead = self.revisions.iter();
-        let ahead = ahead.filter(move |(_, revisions)| revisions.held >= least);
+        let ahead = ahead.filter(move |(_, revision)| revision.held >= least);
         ahead.map(|(daemon, _)| daemon)
     }
 }
 
-/// Takes what a message says of others, with its age.
+/// Merges a heartbeat's reports on other daemons, dated by their age.
 fn merge_reports(
     now: Time,
     clocks: &mut ReporterClocks,
-    said: &mut HashMap<DaemonId, DatedReport>,
-    word: &[StoreReport],
+    known: &mut HashMap<DaemonId, DatedReport>,
+    reports: &[StoreReport],
 ) {
-    for word in word.iter().take(MAX_REPORTS) {
-        if let Some(at) = clocks.reported_at(now, word) {
-            let word = word.clone();
-            said.insert(word.daemon.clone(), DatedReport { at, word });
+    for report in reports.iter().take(MAX_REPORTS) {
+        if let Some(at) = clocks.reported_at(now, report) {
+            let report = report.clone();
+            known.insert(report.daemon.clone(), DatedReport { at, report });
         }
     }
 }
 
-/// The latest of what was said, as it travels.
+/// The latest reports with their present age, ready to send.
 fn latest_reports(
     now: Time,
-    said: &HashMap<DaemonId, DatedReport>,
+    reports: &HashMap<DaemonId, DatedReport>,
     count: usize,
 ) -> Vec<StoreReport> {
-    let known = said.values().map(|said| StoreReport {
-        age_ms: u16::try_from(now.since(said.at).as_millis()).unwrap_or(u16::MAX),
-        ..said.word.clone()
+    let known = reports.values().map(|dated| StoreReport {
+        age_ms: u16::try_from(now.since(dated.at).as_millis()).unwrap_or(u16::MAX),
+        ..dated.report.clone()
     });
     let mut known = known.collect::<Vec<_>>();
     known.sort_by_key(|report| report.age_ms);
@@ -312,12 +312,12 @@
     known
 }
 
-/// An order that spreads over hosts and that all daemons share.
+/// Sort key of the watch order: the same at all daemons, and spread over hosts by a hash.
 fn watch_order(daemon: &DaemonId) -> (u64, &DaemonId) {
     (xxh3_64(daemon.as_str().as_bytes()), daemon)
 }
 
-/// Place of `me` among daemons in the order of watchers.
+/// Rank of `me` among daemons in the watch order.
 pub(crate) fn watch_rank<'a>(me: &DaemonId, others: impl Iterator<Item = &'a DaemonId>) -> usize {
     let mine = watch_order(me);
     others.filter(|other| watch_order(other) < mine).count()
--- a/components/fleet/src/peering.rs
+++ b/components/fleet/src/peering.rs
@@ -1,4 +1,5 @@
-//! What rides between daemons: who is there, how far each mirror is, and roll-outs.
+//! Messages between daemons: membership, heartbeats, changes of the mirror, roll-outs and
+//! quarantine.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -19,66 +20,67 @@
 
 mod heartbeat;
 
-/// In a small fleet word is fresh for this long: three messages are missing then.
+/// How long a peer's heartbeat is valid in a small fleet: until three messages in a row are
+/// missing.
 const REPORT_TTL_SMALL_FLEET: Span = Span::from_millis(700);
-/// In a large one, where it takes some rounds to arrive.
+/// How long a peer's heartbeat is valid in a large fleet, where news takes several rounds to
+/// arrive.
 pub(crate) const REPORT_TTL_LARGE_FLEET: Span = Span::from_millis(1_400);
-/// Word goes to a large fleet, and to other failure domains, every so many of the control
-/// thread's ticks.
+/// Heartbeats in a large fleet, and to other failure domains, are sent once per this many ticks of
+/// the control thread.
 const FULL_HEARTBEAT_TICKS: u32 = 2;
-/// Daemons that add up the fleet's figures of roll-outs: the first watchers.
+/// Daemons that aggregate the fleet's roll-out evidence: the first watchers.
 const ROLLOUT_COLLECTORS: usize = 2;
-/// Part of the questions that go to any failure domain.
+/// Fraction of mirror requests that may go to any failure domain.
 const REMOTE_PEER_PROBABILITY: f64 = 0.2;
-/// A daemon that is down keeps its part of upstreams' rate limits for as long as a region may be
-/// cut off: from there it may still send.
+/// A daemon that is down keeps its share of upstreams' rate limits for as long as a region may be
+/// cut off, because it may still be sending from there.
 const MAX_PARTITION: Span = Span::from_secs(600);
 /// Advertised rate limits queued for the next tick; peers repeat what does not fit.
 const MAX_RATE_LIMITS: usize = 1_024;
-/// Daemons that came are logged one by one up to so many at a time.
+/// New daemons are logged one by one up to this many at a time.
 const MAX_LOGGED: usize = 4;
 
-/// Members and facts, and the edge that carries them.
+/// The membership table, what peers have reported, and the transport that carries messages.
 pub(crate) struct Peering {
     members: Membership,
     handle: Handle,
-    /// Daemons that came since they were last logged.
+    /// Daemons that came up since the last log line.
     arrived: Vec<DaemonId>,
     gossip_view: GossipView,
     loads: PeerLoads,
     peer_states: PeerStates,
     claims: Claims,
     gathering: Gathering,
-    /// Rate limits that peers advertised since they were last taken.
+    /// Rate limits advertised by peers and not yet taken by the control thread.
     rate_limits: Vec<Advertisement>,
     ticks: u32,
-    /// Something is to be told before the next turn.
+    /// Whether the next heartbeat goes out at the next tick, to every failure domain.
     must_send_heartbeat: bool,
 }
 
-/// How current this daemon's copy of the store's keys is.
+/// How current this daemon's mirror is.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct MirrorState {
-    /// Up to which revision nothing is missing.
+    /// Highest revision up to which no change is missing.
     pub(crate) held: Revision,
-    /// When it was last known that the store had nothing newer.
+    /// Latest moment at which the store was known to hold nothing newer.
     pub(crate) validated_at: Option<Time>,
 }
 
-/// What a message asks of the control thread.
+/// What the control thread has to do for a message.
 pub(crate) enum Followup {
-    /// Nothing.
     Nothing,
-    /// What is new in the mirror.
+    /// Answer a peer's request for changes of the mirror.
     ServeMirror(DaemonId, Question, peers::Reply),
-    /// To take what is new in a peer's mirror.
+    /// Apply changes from a peer's mirror.
     ApplyAnswer(Answer),
-    /// To add up what became of contents.
+    /// Merge a peer's reports on request contents.
     MergeWords(Words),
 }
 
-/// Whether a daemon has a part of upstreams' rate limits: it is present, or went without a word so
-/// lately that it may be behind a cut.
+/// Whether a daemon has a share of upstreams' rate limits: it is present, or went silent so
+/// recently that it may be on the other side of a network partition.
 #[must_use]
 pub fn shares_rate_limits(now: Time, member: &Member) -> bool {
     match member.record.state {
@@ -104,12 +106,12 @@
         }
     }
 
-    /// The edge that carries messages and questions.
+    /// The transport for messages and requests.
     pub(crate) fn handle(&self) -> Handle {
         self.handle.clone()
     }
 
-    /// Where other daemons reach this one.
+    /// The address at which other daemons reach this one.
     pub(crate) fn address(&self) -> SocketAddr {
         self.handle.address()
     }
@@ -118,7 +120,7 @@
         self.members.fleet_size()
     }
 
-    /// This daemon's place among those present, by name: who acts first.
+    /// This daemon's rank by name among those present; lower ranks act first.
     pub(crate) fn rank(&self) -> u64 {
         let me = &self.members.me().id;
         let present = self
@@ -138,12 +140,12 @@
         self.log_arrived();
     }
 
-    /// One line for each that came, or one for all where a fleet starts: a line for each of
-    /// the others at each daemon is the square of the fleet.
+    /// Logs one line per new daemon, or a single line when a fleet starts: a line for each peer at
+    /// each daemon would grow with the square of the fleet.
     fn log_arrived(&mut self) {
         if self.arrived.len() > MAX_LOGGED {
             let daemons = self.members.fleet_size();
-            tracing::info!(came = self.arrived.len(), daemons, "peers: many are up");
+            tracing::info!(came = self.arrived.len(), daemons, "peers: many joined");
         } else {
             for peer in &self.arrived {
                 tracing::info!(%peer, "peers: up");
@@ -152,7 +154,7 @@
         self.arrived.clear();
     }
 
-    /// Takes a message and says what it asks for.
+    /// Handles a message and returns what the control thread has to do for it.
     pub(crate) fn receive(&mut self, now: Time, inbound: Inbound) -> Followup {
         match inbound {
             Inbound::Message { from, payload } => match payload {
@@ -206,7 +208,7 @@
                 Ok(words) => return Followup::MergeWords(words),
                 Err(e) => tracing::warn!(peer = %from, "peers: {e}"),
             },
-            other => tracing::warn!(peer = %from, "peers: nothing here takes {other:?}"),
+            other => tracing::warn!(peer = %from, "peers: unexpected message part {other:?}"),
         }
         Followup::Nothing
     }
@@ -216,12 +218,11 @@
         self.rate_limits.extend(told.into_iter().take(room));
     }
 
-    /// Rate limits that peers advertised since the last call.
+    /// Takes the rate limits that peers advertised since the last call.
     pub(crate) fn take_rate_limits(&mut self) -> Vec<Advertisement> {
         std::mem::take(&mut self.rate_limits)
     }
 
-    /// The daemons that share upstreams' rate limits.
     pub(crate) fn fleet(&self, now: Time) -> Fleet {
         let others = self.members.members();
         let others = others.filter(|member| shares_rate_limits(now, member));
@@ -237,7 +238,7 @@
         for event in outcome.events {
             match event {
                 MemberEvent::MemberUp { id, .. } => self.arrived.push(id),
-                MemberEvent::MemberSuspect { id } => tracing::info!(peer = %id, "peers: silent"),
+                MemberEvent::MemberSuspect { id } => tracing::info!(peer = %id, "peers: suspected"),
                 MemberEvent::MemberDown { id, left } => {
                     tracing::info!(peer = %id, left, "peers: down");
                 }
@@ -252,7 +253,7 @@
         }
     }
 
-    /// Hands what is new in the store to a few others.
+    /// Gossips changes of the store's keys to a few peers.
     pub(crate) fn send_changes(&mut self, now: Time, answer: &Answer) {
         match answer.encode() {
             Ok(body) => self.send_gossip(now, Part::Mirror, &body, GossipKind::Change),
@@ -260,7 +261,7 @@
         }
     }
 
-    /// Tells a few others what became of contents.
+    /// Gossips reports on request contents to a few peers.
     pub(crate) fn send_suspects(&mut self, now: Time, words: &Words) {
         match words.encode() {
             Ok(body) => self.send_gossip(now, Part::Poison, &body, GossipKind::Change),
@@ -292,7 +293,7 @@
         gossip::is_small(self.members.fleet_size())
     }
 
-    /// Word counts for so long.
+    /// How long a heartbeat's reports are valid.
     pub(crate) fn report_ttl(&self) -> Span {
         match self.is_small() {
             true => REPORT_TTL_SMALL_FLEET,
@@ -300,40 +301,42 @@
         }
     }
 
-    /// This daemon's place in the order of those that are to watch the store.
+    /// This daemon's rank in the order in which daemons watch the store.
     pub(crate) fn watch_rank(&self) -> usize {
         let members = self.members.members();
         let present = members.filter(|member| member.record.state.is_present());
         watch_rank(&self.members.me().id, present.map(|m| &m.record.id))
     }
 
-    /// Daemons before this one in the order of watchers whose watch works, by fresh word.
+    /// Number of daemons ahead of this one in the watch order whose watch works, by reports that
+    /// are still valid.
     pub(crate) fn watchers_ahead(&mut self, now: Time) -> usize {
         let report_ttl = self.report_ttl();
         self.peer_states.expire(now, report_ttl);
         self.peer_states.watchers_ahead(&self.members.me().id)
     }
 
-    /// Whether any other daemon spoke lately.
+    /// Whether a heartbeat of any other daemon is still valid.
     pub(crate) fn hears_peers(&self) -> bool {
         self.peer_states.len() > 0
     }
 
-    /// What the others say of the store.
+    /// What peers have reported about themselves and the store.
     pub(crate) fn peer_states(&self) -> &PeerStates {
         &self.peer_states
     }
 
-    /// Notes that the store does not answer this daemon, for the others.
+    /// Records for the next heartbeat that the store does not answer this daemon.
     pub(crate) fn note_store_failure(&mut self, now: Time, copy: MirrorState) {
         let kind = self.own_report(now, copy);
         self.peer_states.note_store_unreachable(now, kind);
         self.must_send_heartbeat = true;
     }
 
-    /// What all others have out, by upstream.
+    /// Requests in flight from all other daemons, by upstream, as backlog in ms and count.
     ///
-    /// In a large fleet only some spoke lately; they stand for the others.
+    /// In a large fleet only some daemons' heartbeats are known; their sums are scaled up to stand
+    /// for the rest.
     pub(crate) fn peer_loads(&mut self, now: Time) -> HashMap<u32, (f64, u32)> {
         let mut loads = self.loads.sums(now);
         let others = self.members.fleet_size().saturating_sub(1);
@@ -347,25 +350,25 @@
         loads
     }
 
-    /// Notes what this daemon saw of a roll-out and returns what the fleet saw.
+    /// Records this daemon's evidence on a roll-out and returns the fleet's.
     pub(crate) fn gather(&mut self, own: &Evidence) -> RolloutWord {
         let me = self.members.me().id.clone();
         self.gathering.fleet(&me, own)
     }
 
-    /// Tells everybody that an order's version is bad, at once.
+    /// Announces to all daemons at once that an order's version is bad.
     pub(crate) fn mark_bad(&mut self, order: u64) {
         self.gathering.condemn(order);
         self.must_send_heartbeat = true;
     }
 
-    /// Sessions that stay on their version in a roll-out, by all daemons.
+    /// Sessions that stay on their version during a roll-out, as known by all daemons.
     pub(crate) fn staying(&self, order: u64) -> BTreeSet<u32> {
         self.gathering.staying(order)
     }
 
-    /// Reports what this daemon saw of a roll-out to the watchers, and hands on the sessions
-    /// that stay on their version.
+    /// Reports this daemon's evidence on a roll-out to the collectors and gossips the sessions that
+    /// stay on their version.
     pub(crate) fn report(&mut self, now: Time, own: &Evidence, staying: &BTreeSet<u32>) {
         let me = self.members.me().id.clone();
         let order = own.order;
@@ -403,11 +406,12 @@
         }
     }
 
-    /// A peer that is ahead; who holds nothing asks any, before they have told how they stand.
+    /// Chooses a peer whose mirror is ahead of `held`. A daemon that holds nothing asks any present
+    /// peer, even before their heartbeats arrive.
     ///
-    /// One of the own failure domain mostly: a whole copy is as long as all upstreams together,
-    /// and bytes between failure domains are paid for. Now and then another one, for the case
-    /// that nobody near has it.
+    /// Prefers the own failure domain: a snapshot is as large as all upstreams together, and
+    /// traffic between failure domains costs money. Sometimes chooses any other peer, in case none
+    /// nearby has the changes.
     pub(crate) fn choose_catch_up_peer(&self, held: Revision) -> Option<SocketAddr> {
         let ahead = self.peer_states.ahead_of(held);
         let ahead = ahead.filter_map(|daemon| Some(&self.members.member(daemon)?.record));
@@ -431,7 +435,7 @@
         chosen.map(|record| record.address)
     }
 
-    /// Says goodbye.
+    /// Tells peers that this daemon leaves.
     pub(crate) fn leave(&mut self, now: Time) {
         let outcome = self.members.leave(now, &mut rand::rng());
         self.apply_outcome(outcome);
--- a/components/fleet/src/peering/heartbeat.rs
+++ b/components/fleet/src/peering/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: what this daemon tells a few others several times a second, and how current copies are.
+//! Sending heartbeats, several times a second, and the freshness claims they carry.
 
 use bytes::Bytes;
 use dispatch::{Advertisement, SharedLoad};
@@ -18,22 +18,22 @@
         };
         let dropped = self.claims.merge(now, self.handle.run(), told);
         if dropped > 0 {
-            tracing::debug!(peer = %from, dropped, "peers: claims of another clock");
+            tracing::debug!(peer = %from, dropped, "peers: dropped freshness claims for another clock");
         }
     }
 
-    /// Notes what an answer of the store says.
+    /// Records a freshness claim from an answer of the store.
     pub(crate) fn note_claim(&mut self, claim: Claim) {
         self.claims.add(claim);
     }
 
-    /// When a copy of a revision was last known to be current.
+    /// Latest moment at which a copy of revision `held` was known to be current.
     pub(crate) fn validated_at(&self, held: Revision) -> Option<Time> {
         self.claims.validated_at(held)
     }
 
-    /// Tells how this daemon stands to a few others; `watches` says whether it watches the
-    /// store with success.
+    /// Sends a heartbeat to a few peers; `own_watch_works` says whether this daemon's watch of the
+    /// store is answered.
     pub(crate) fn send_heartbeat(
         &mut self,
         now: Time,
@@ -72,7 +72,8 @@
         }
     }
 
-    /// Tells a few others how this daemon stands, and how current its copy is by the clock of each.
+    /// Sends an encoded heartbeat to a few peers, adding for each the freshness claims dated by
+    /// that peer's clock.
     fn send_heartbeat_to_targets(&mut self, now: Time, heartbeat: &Bytes, kind: GossipKind) {
         for address in self.recipients(now, kind) {
             let clock = self.handle.clock_of(address);
@@ -98,7 +99,7 @@
         }
     }
 
-    /// What this daemon says of itself and the store.
+    /// This daemon's report about itself and the store.
     pub(super) fn own_report(&self, now: Time, copy: MirrorState) -> StoreReport {
         let validated_ms = copy.validated_at.map(|at| now.since(at).as_millis());
         let SentAt { run, clock_ms } = self.sent_at(now);
