--- a/components/fleet/src/control/quarantine.rs
+++ b/components/fleet/src/control/quarantine.rs
@@ -1,4 +1,4 @@
-//! Telling other daemons under which contents upstreams ended, and what is barred for it.
+//! Sharing reports on request contents that crashed upstreams, and the quarantine of such contents.
 
 use poison::{Barred, Change, Content, Words};
 use traffic::Command;
@@ -8,24 +8,25 @@
 use crate::codec::Codec;
 use crate::quarantine::QuarantineEntry;
 
-/// Words on contents go out at most this often; after a pause at once.
+/// Reports on contents go out at most this often; the first one after a pause goes out at once.
 const MIN_GOSSIP_INTERVAL: Span = Span::from_millis(50);
 
 impl<C: Codec> Control<C> {
-    /// Adds up what a peer tells of contents, and hands on at once what is news.
+    /// Merges a peer's reports on contents and forwards news at once.
     ///
-    /// Guards against a request that ends an upstream at each daemon: one end at each of three is
-    /// three, and every daemon must know before the caller's next attempt.
+    /// Guards against a request that crashes an upstream at each daemon it reaches: one crash at
+    /// each of three daemons adds up to three, and every daemon must know before the caller's next
+    /// attempt.
     pub(super) fn merge_words(&mut self, now: Time, words: Words) {
         let ended = self.traffic.suspects.lock().take(now, words);
         if !ended.is_empty() {
-            // The event loop may have ended before this thread when the process leaves.
+            // The event loop may have ended before this thread when the process stops.
             let _ = self.traffic.commands.send(Command::Ended(ended));
         }
         self.gossip_suspects(now);
     }
 
-    /// Tells a few others what is new of contents, and the log what is barred.
+    /// Gossips new reports on contents and logs changes of the quarantine.
     pub(super) fn gossip_suspects(&mut self, now: Time) {
         if now < self.next_suspect_gossip_at {
             return;
@@ -45,8 +46,8 @@
 }
 
 impl<C: Codec> Control<C> {
-    /// Takes bars that others wrote into the store, and ends those that are gone from it: an
-    /// operator or another daemon lifted them.
+    /// Applies quarantine entries that others wrote to the store, and lifts those deleted from it
+    /// by an operator or another daemon.
     pub(super) fn apply_quarantine_changes(&mut self, now: Time, changes: &[mirror::Change]) {
         let prefix = self.codec.bar_prefix();
         for change in changes {
@@ -57,9 +58,10 @@
             let mut suspects = self.traffic.suspects.lock();
             match change.value.as_deref().map(QuarantineEntry::decode) {
                 Some(Ok(entry)) => {
-                    let ends = entry.ends.into_iter();
-                    let ends = ends.map(|end| (end.upstream, Span::from_millis(end.ran_ms)));
-                    suspects.restore(now, content, entry.customer.as_ref(), ends);
+                    let crashes = entry.crashes.into_iter();
+                    let crashes =
+                        crashes.map(|crash| (crash.upstream, Span::from_millis(crash.ran_ms)));
+                    suspects.restore(now, content, entry.customer.as_ref(), crashes);
                 }
                 Some(Err(e)) => tracing::warn!(%content, "poison: {e}"),
                 None => drop(suspects.lift(now, content)),
@@ -67,7 +69,8 @@
         }
     }
 
-    /// Writes bars that the store lacks and deletes those that are over, in this daemon's turn.
+    /// Writes quarantine entries that the store lacks and deletes those that are over, when it is
+    /// this daemon's turn.
     pub(super) fn sync_quarantines(&mut self, now: Time, rank: u64) {
         let suspects = self.traffic.suspects.lock();
         if !suspects.bars() || !self.mirror.is_filled() {
@@ -97,7 +100,7 @@
     }
 }
 
-/// The upstreams that ended, and how long the content had run there.
+/// The upstreams that crashed, each with the time for which the content had run there.
 fn crash_list(quarantined: &Barred) -> String {
     let ends = quarantined.ends.iter();
     let ends = ends.map(|(upstream, ran)| format!("{} {}ms", upstream.id, ran.as_millis()));
--- a/components/fleet/src/control/rollouts.rs
+++ b/components/fleet/src/control/rollouts.rs
@@ -1,4 +1,4 @@
-//! Judging roll-outs on the fleet's evidence, and reporting what this daemon saw.
+//! Judging roll-outs on the fleet's evidence, and reporting this daemon's evidence.
 
 use dispatch::Evidence;
 use types::prelude::*;
@@ -7,19 +7,22 @@
 use crate::codec::Codec;
 use crate::rollouts::FleetFindings;
 
-/// What was seen of roll-outs is reported every so many ticks at least.
+/// Evidence on roll-outs is reported once per this many ticks at most.
 const REPORT_TICKS: u32 = 2;
-/// Daemons of a fleet for each tick between two reports: the two judges take some 500 reports a
-/// second from a fleet of any size, where 295 daemons at every second tick sent them 1,475 each.
+/// Adds one tick between two reports for this many daemons in the fleet. The two collectors then
+/// get some 500 reports a second from a fleet of any size; 295 daemons that report at every second
+/// tick would send each of them 1,475.
 const DAEMONS_PER_TICK: usize = 50;
-/// So long after an order all report at every second tick: sessions that are at work must be
-/// known everywhere before the new version gets its first requests.
+/// For this long after an order every daemon reports at every second tick: sessions in progress
+/// must be known everywhere before the new version gets its first requests.
 const FAST_REPORT_PERIOD: Span = Span::from_secs(3);
-/// Evidence tells a roll-out's age in these steps, so that a quiet daemon has nothing to say.
+/// Evidence gives a roll-out's age in steps of this many ms, so that a daemon without traffic has
+/// nothing new to send.
 const ELAPSED_STEP_MS: u64 = 500;
 
 impl<C: Codec> Control<C> {
-    /// Judges the roll-outs, and reports to the watchers when it is this daemon's turn.
+    /// Judges the roll-outs and, when it is this daemon's turn, reports its evidence to the
+    /// collectors.
     pub(super) fn step_rollouts(&mut self, now: Time, is_tick: bool) {
         let services = self.rollouts.services();
         if services.is_empty() {
@@ -48,7 +51,7 @@
             if stepped.is_newly_bad {
                 self.peering.mark_bad(stepped.order);
             }
-            // Once it is decided nothing more is learnt from it.
+            // Evidence on a decided roll-out is not needed.
             if !stepped.is_running {
                 continue;
             }
@@ -59,7 +62,7 @@
         }
     }
 
-    /// Whether this tick is one of this daemon's to report on an order known for so long.
+    /// Whether this daemon reports at this tick on an order that it has known for `known_for`.
     fn is_report_due(&self, known_for: Span) -> bool {
         let by_fleet = u32::try_from(self.daemons / DAEMONS_PER_TICK).unwrap_or(u32::MAX);
         let every = match known_for < FAST_REPORT_PERIOD {
@@ -69,8 +72,8 @@
         self.ticks.is_multiple_of(every)
     }
 
-    /// Part of a service's traffic that the upstreams of a version can take: all of it once
-    /// they are at least as many as the others.
+    /// Fraction of a service's traffic that the upstreams of a version can take: all of it once
+    /// they are at least half as many as the others.
     fn serving_capacity(&self, service: &str, version: &str) -> f64 {
         let upstreams = self.planner.upstreams();
         let ready = upstreams.iter().filter(|upstream| {
--- a/components/fleet/src/planner.rs
+++ b/components/fleet/src/planner.rs
@@ -1,4 +1,4 @@
-//! From the mirror to the plan.
+//! Decodes the mirror's entries into the parts of a plan.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -11,13 +11,13 @@
 
 use crate::codec::Codec;
 
-/// Decoded entries of the mirror.
+/// The decoded entries of the mirror.
 pub(crate) struct Planner {
     table: Option<Arc<RouteTable>>,
-    /// Whether the store's entry could be read.
+    /// Whether the store's configuration could be decoded.
     is_readable: bool,
     upstreams: BTreeMap<String, Arc<Upstream>>,
-    /// Ids under which the store holds something that is no upstream.
+    /// Ids whose entry in the store is not a valid upstream.
     unreadable: BTreeSet<String>,
     pub(crate) lapsed: Lapsed,
 }
@@ -37,18 +37,18 @@
         self.table.as_ref()
     }
 
-    /// Whether the configuration in force is the one that the store holds; an entry that cannot be read
+    /// Whether the configuration in force is the one in the store; an entry that cannot be read
     /// leaves the former one in force.
     pub(crate) fn is_readable(&self) -> bool {
         self.is_readable
     }
 
-    /// Of the configuration in force.
+    /// Version of the configuration in force.
     pub(crate) fn version(&self) -> Option<TableVersion> {
         self.table.as_ref().map(|table| table.version)
     }
 
-    /// Every upstream that is listed, or may only have lapsed.
+    /// Every upstream that is listed, or whose entry may only have lapsed.
     pub(crate) fn upstreams(&self) -> Vec<Arc<Upstream>> {
         self.upstreams
             .values()
@@ -57,12 +57,12 @@
             .collect()
     }
 
-    /// Entries of upstreams that cannot be read.
+    /// Number of upstream entries that cannot be read.
     pub(crate) fn unreadable(&self) -> usize {
         self.unreadable.len()
     }
 
-    /// Takes a change; whether it matters to the plan. `is_logged` gives it a line.
+    /// Applies a change and returns whether it affects the plan; `is_logged` logs it.
     pub(crate) fn apply(
         &mut self,
         now: Time,
@@ -79,17 +79,17 @@
         }
     }
 
-    /// Takes a configuration if it is newer: an old one must not come back, whoever tells it.
+    /// Applies a configuration if it is newer, so that an old one never returns, whoever sends it.
     fn apply_table(&mut self, codec: &impl Codec, value: Option<&Bytes>) -> bool {
         self.is_readable = false;
         let Some(value) = value else {
-            tracing::warn!("config: the store's entry is gone; the last one stays in force");
+            tracing::warn!("config: entry deleted from the store; keeping the current version");
             return false;
         };
         let table = match codec.table(value) {
             Ok(table) => table,
             Err(e) => {
-                tracing::error!("config: cannot be read, the last one stays in force: {e}");
+                tracing::error!("config: cannot be read; keeping the current version: {e}");
                 return false;
             }
         };
@@ -114,7 +114,7 @@
             let gone = self.upstreams.remove(id);
             if let Some(upstream) = gone {
                 if is_logged {
-                    tracing::info!(upstream = id, "upstreams: gone from the list");
+                    tracing::info!(upstream = id, "upstreams: removed");
                 }
                 self.lapsed.gone(now, upstream);
             }
@@ -123,8 +123,8 @@
         match codec.upstream(id, value) {
             Ok(upstream) => self.list_upstream(id, upstream, is_logged),
             Err(e) => {
-                // Another writer's bytes name no upstream, whatever stood there before; that
-                // one has not lapsed either.
+                // Bytes of another writer describe no upstream, whatever the key held before; that
+                // upstream has not lapsed either.
                 tracing::error!("upstreams: an entry cannot be read and is left out: {e}");
                 self.upstreams.remove(id);
                 self.unreadable.insert(id.to_owned());
@@ -133,16 +133,16 @@
         true
     }
 
-    /// Takes an upstream's word of itself.
+    /// Lists an upstream by its entry.
     ///
-    /// Guards against a word of a former run that arrives after one of the present run under
-    /// the same id: the upstream would be believed to be where, and what, it was before.
+    /// Guards against an entry of a former run that arrives after one of the current run under the
+    /// same id: the upstream would be taken for what it was before, at its former address.
     fn list_upstream(&mut self, id: &str, mut upstream: Upstream, is_logged: bool) {
         let held = self.upstreams.get(id).and_then(|held| held.started_at);
         if upstream.started_at.is_some() && upstream.started_at < held {
             tracing::warn!(
                 upstream = id,
-                "upstreams: a former run's entry is passed over"
+                "upstreams: ignoring the entry of a former run"
             );
             return;
         }
@@ -154,7 +154,7 @@
         self.upstreams.insert(id.to_owned(), Arc::new(upstream));
     }
 
-    /// Whether enough is known to serve.
+    /// Whether enough is known to serve requests.
     pub(crate) fn is_ready(&self, mirror: &Mirror) -> bool {
         mirror.is_filled() && self.table.is_some() && !self.upstreams.is_empty()
     }
--- a/components/fleet/src/presence.rs
+++ b/components/fleet/src/presence.rs
@@ -9,12 +9,12 @@
 use crate::entry::DaemonEntry;
 use crate::event::Purpose;
 
-/// The entry lapses this long after the daemon's end; membership notices that itself, so
-/// this only keeps the list of addresses to join by short.
+/// Lease of the entry. Membership notices the end of a daemon by itself, so the lease only keeps
+/// the list of addresses to join by short.
 const LEASE: Span = Span::from_secs(20);
-/// Renewed three times in that, so that two lost answers do not end it.
+/// Renewal interval, three times within a lease, so that two lost answers do not end it.
 const RENEW: Span = Span::from_secs(6);
-/// Next try after a failure.
+/// Delay before a failed call is retried.
 const RETRY: Span = Span::from_secs(1);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -24,7 +24,7 @@
     Entered(LeaseId),
 }
 
-/// This daemon's own entry.
+/// This daemon's entry and the state of its lease.
 #[derive(Debug)]
 pub(crate) struct Presence {
     key: String,
@@ -51,7 +51,8 @@
         }
     }
 
-    /// The next call, if one is due; `fleet` and `keys` are how many daemons and keys there are.
+    /// The next call of the store if one is due; `fleet` and `keys` are the present numbers of
+    /// daemons and keys.
     pub(crate) fn tick(
         &mut self,
         now: Time,
@@ -95,7 +96,7 @@
         })
     }
 
-    /// Takes a call's outcome.
+    /// Handles the outcome of a call.
     pub(crate) fn on_called(&mut self, now: Time, purpose: &Purpose, outcome: &Outcome) {
         self.is_waiting = false;
         let reply = outcome.as_ref().map(|answer| &answer.reply);
@@ -109,8 +110,9 @@
             (Purpose::Renew, Ok(Reply::LeaseKept(None))) => (State::NoLease, now),
             (_, Ok(_)) => (State::NoLease, now + RETRY),
             (_, Err(e)) => {
-                tracing::info!("presence: {purpose:?} failed, tried again in {RETRY}: {e}");
-                // An entry whose lease is gone is refused; a new lease helps in each case.
+                tracing::info!("presence: {purpose:?} failed; retrying in {RETRY}: {e}");
+                // A write under an expired lease is refused; a new lease is right after any failed
+                // write.
                 let state = match self.state {
                     State::Leased(_) => State::NoLease,
                     other => other,
--- a/components/fleet/src/quarantine.rs
+++ b/components/fleet/src/quarantine.rs
@@ -1,9 +1,10 @@
-//! Bars as they stand in the store: for daemons that start, and for operators.
+//! Quarantine entries in the store, for daemons that start and for operators.
 //!
-//! Daemons tell each other of a bar within some hundred ms, but what they know goes with them.
-//! So each bar stands in the store as well, under its content: a daemon that starts reads it with
-//! everything else before it serves, also when all were lost at one moment. Operators see there what
-//! is barred and why, and lift a bar by deleting its key.
+//! Daemons tell each other of a quarantined request content within some hundred ms, but that
+//! knowledge is lost when they stop. Each quarantine is therefore also written to the store under
+//! its content: a daemon that starts reads it with all other keys before it serves, even if the
+//! whole fleet was lost at one moment. Operators see there what is quarantined and why, and lift a
+//! quarantine by deleting its key.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -17,58 +18,59 @@
 
 use crate::event::Purpose;
 
-/// Who is second, third … by name waits this much longer each before it writes: one write is
-/// enough, and the store's condition makes more of them harmless.
+/// Delay per rank by name before a daemon writes: one write is enough, and the condition on the key
+/// makes further ones harmless.
 const TURN: Span = Span::from_secs(1);
-/// Next try after a call.
+/// Delay before a call for the same content is repeated.
 const RETRY: Span = Span::from_secs(1);
-/// Bars that are kept in the store at most, some 300 bytes each.
+/// Quarantine entries in the store at most, of some 300 bytes each.
 const MAX_STORED: usize = 256;
 
-/// A bar as it stands in the store.
+/// A quarantine entry as stored.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct QuarantineEntry {
-    /// Whose requests they are.
+    /// The customer whose requests they are.
     pub customer: Option<Arc<str>>,
-    /// Since when, by the clock of who wrote it, in Unix milliseconds.
+    /// Begin of the quarantine by the writer's clock, in Unix milliseconds.
     pub since: WallTime,
-    /// The upstreams that ended, and how long the content had run there.
-    pub ends: Vec<QuarantineCrash>,
+    /// The upstreams that crashed, each with the time for which the content had run there.
+    #[serde(rename = "ends")]
+    pub crashes: Vec<QuarantineCrash>,
 }
 
-/// An upstream that ended under a content.
+/// An upstream that crashed while it ran a content.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct QuarantineCrash {
-    /// Which.
+    /// The run of the upstream that crashed.
     pub upstream: UpstreamRun,
-    /// How long the content had run there.
+    /// Time for which the content had run there.
     pub ran_ms: u64,
 }
 
-/// Bytes that are no bar.
+/// The bytes are not a valid quarantine entry.
 #[derive(Debug, thiserror::Error)]
-#[error("a bar in the store cannot be read: {0}")]
+#[error("a quarantine entry in the store cannot be read: {0}")]
 pub struct QuarantineEntryError(#[from] serde_json::Error);
 
 impl QuarantineEntry {
     fn of(bar: &Barred, since: WallTime) -> Self {
-        let ends = bar.ends.iter().map(|(upstream, ran)| QuarantineCrash {
+        let crashes = bar.ends.iter().map(|(upstream, ran)| QuarantineCrash {
             upstream: upstream.clone(),
             ran_ms: ran.as_millis(),
         });
         Self {
             customer: bar.customer.clone(),
             since,
-            ends: ends.collect(),
+            crashes: crashes.collect(),
         }
     }
 
-    /// From a value of the store.
+    /// Decodes the entry from a value of the store.
     ///
     /// # Errors
-    /// When it is no bar: another writer may have put it there.
+    /// When the value is not a quarantine entry: another writer may have put it there.
     pub fn decode(value: &[u8]) -> Result<Self, QuarantineEntryError> {
         Ok(serde_json::from_slice(value)?)
     }
@@ -78,24 +80,24 @@
     }
 }
 
-/// What a bar's key lacks.
+/// The state that a key in the store should have and does not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Wanted {
     Written,
     Deleted,
 }
 
-/// Bars that differ between here and the store.
+/// Quarantine entries that differ between this daemon and the store.
 #[derive(Debug, Default)]
 pub(crate) struct QuarantineSync {
-    /// Since when each differs.
+    /// Contents whose entry differs, and since when.
     mismatches: BTreeMap<Content, (Wanted, Time)>,
-    /// Contents whose calls were made, and when they may be made again.
+    /// Contents whose calls were made, and when they may be repeated.
     retry_at: BTreeMap<Content, Time>,
 }
 
 impl QuarantineSync {
-    /// Calls of the store that are due; `rank` is this daemon's place by name and `prefix` begins
+    /// Calls of the store that are due; `rank` is this daemon's rank by name and `prefix` that of
     /// the keys.
     pub(crate) fn calls(
         &mut self,
@@ -103,10 +105,10 @@
         wall: WallTime,
         rank: u64,
         prefix: &str,
-        barred: &[Barred],
+        quarantined: &[Barred],
         mirror: &Mirror,
     ) -> Vec<(Purpose, Request)> {
-        self.compare(now, prefix, barred, mirror);
+        self.compare(now, prefix, quarantined, mirror);
         self.retry_at.retain(|_, again_at| now < *again_at);
         let due = self.mismatches.iter().filter(|(content, (_, since))| {
             let is_turn = now.has_reached(*since + TURN.times(rank));
@@ -118,23 +120,23 @@
         for (content, wanted) in due {
             self.retry_at.insert(content, now + RETRY);
             let key = format!("{prefix}{content}");
-            let bar = barred.iter().find(|bar| bar.content == content);
+            let bar = quarantined.iter().find(|bar| bar.content == content);
             let op = match (wanted, bar) {
                 (Wanted::Written, Some(bar)) => {
                     let age = now.since(bar.since).as_millis();
                     let since = WallTime(wall.0.saturating_sub(age));
-                    put(&key, &QuarantineEntry::of(bar, since))
+                    write_op(&key, &QuarantineEntry::of(bar, since))
                 }
                 _ => Some(Op::Delete(key.clone())),
             };
-            calls.extend(op.map(|op| call(key, op, mirror)));
+            calls.extend(op.map(|op| conditional_write(key, op, mirror)));
         }
         calls
     }
 
-    /// Notes what differs, and since when.
-    fn compare(&mut self, now: Time, prefix: &str, barred: &[Barred], mirror: &Mirror) {
-        let here = barred.iter().map(|bar| bar.content);
+    /// Updates the differing entries; each keeps the time since when it differs.
+    fn compare(&mut self, now: Time, prefix: &str, quarantined: &[Barred], mirror: &Mirror) {
+        let here = quarantined.iter().map(|bar| bar.content);
         let here = here.collect::<BTreeSet<_>>();
         let keys = mirror
             .prefixed(prefix)
@@ -155,7 +157,7 @@
     }
 }
 
-fn put(key: &str, entry: &QuarantineEntry) -> Option<Op> {
+fn write_op(key: &str, entry: &QuarantineEntry) -> Option<Op> {
     match entry.encode() {
         Ok(value) => Some(Op::Put(Put {
             key: key.to_owned(),
@@ -169,9 +171,9 @@
     }
 }
 
-/// A write under the condition that the key is as it is known here: one that comes late or twice
-/// does nothing.
-fn call(key: String, op: Op, mirror: &Mirror) -> (Purpose, Request) {
+/// A write on condition that the key is as in the mirror, so that one that arrives late or twice
+/// has no effect.
+fn conditional_write(key: String, op: Op, mirror: &Mirror) -> (Purpose, Request) {
     let held = mirror.get(&key).map_or(0, |(revision, _)| revision.0);
     let held = ModRevision(i64::try_from(held).unwrap_or_default());
     let txn = Txn {
--- a/components/fleet/src/rollouts.rs
+++ b/components/fleet/src/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs: from orders and evidence to gates and states written down.
+//! Roll-outs: from orders and evidence to gates, and to states written to the store.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -12,24 +12,24 @@
 use crate::codec::Codec;
 use crate::event::Purpose;
 
-/// Who is second, third … by name waits this much longer each before it writes a state:
-/// one write is enough, and the store's condition makes more of them harmless.
+/// Delay per rank by name before a daemon writes a state: one write is enough, and the condition on
+/// the key makes further ones harmless.
 const TURN: Span = Span::from_millis(600);
-/// Next try after a failure.
+/// Delay before a write is retried.
 const RETRY: Span = Span::from_millis(400);
 
-/// One roll-out and what is to be written of it.
+/// A roll-out and the state that is to be written for it.
 #[derive(Debug)]
 struct Rollout {
     trial: Trial,
     gate: Option<Gate>,
-    /// State to be written and since when it is wanted.
+    /// The state to be written, and since when.
     wanted: Option<(RolloutState, Time)>,
     next_try_at: Time,
     is_writing: bool,
 }
 
-/// All roll-outs.
+/// All roll-outs by service.
 #[derive(Debug)]
 pub(crate) struct Rollouts {
     limits: TrialLimits,
@@ -38,12 +38,12 @@
 
 /// What the fleet knows of one roll-out.
 pub(crate) struct FleetFindings<'a> {
-    /// The fleet's figures.
+    /// Evidence of the whole fleet.
     pub(crate) fleet: &'a Evidence,
-    /// Part of the service's traffic that the new version's upstreams can take.
+    /// Fraction of the service's traffic that the new version's upstreams can take.
     pub(crate) serving_capacity: f64,
     pub(crate) is_marked_bad: bool,
-    /// Sessions that some daemon saw at work on another version.
+    /// Sessions that some daemon saw in progress on another version.
     pub(crate) staying: BTreeSet<u32>,
 }
 
@@ -122,13 +122,14 @@
             .collect()
     }
 
-    /// How long an order is known here.
+    /// How long this daemon has known the service's order.
     pub(crate) fn elapsed(&self, now: Time, service: &str) -> Span {
         let rollout = self.by_service.get(service);
         rollout.map_or(Span::ZERO, |rollout| rollout.trial.elapsed(now))
     }
 
-    /// Steps one roll-out; true when its gate changed. Says so when it is newly bad.
+    /// Advances one roll-out. The outcome says whether its gate changed and whether its version was
+    /// just found bad.
     pub(crate) fn step(
         &mut self,
         now: Time,
@@ -193,7 +194,7 @@
             .collect()
     }
 
-    /// Writes that are due; `rank` is this daemon's place among all.
+    /// Writes that are due; `rank` is this daemon's rank by name among those present.
     pub(crate) fn writes(
         &mut self,
         now: Time,
@@ -219,8 +220,8 @@
                 value: codec.encode_state(rollout.trial.order(), state),
                 lease: None,
             };
-            // The condition makes a write harmless that comes late or twice: a state that
-            // was decided meanwhile has another revision.
+            // The condition makes a write that arrives late or twice harmless: a state that was
+            // decided meanwhile has another revision.
             let txn = Txn {
                 compare: vec![Compare::ModRevision(key, held)],
                 success: vec![Op::Put(put)],
@@ -231,7 +232,7 @@
         writes
     }
 
-    /// Notes that a write ended; the mirror shows whether it took effect.
+    /// Records that a write ended; the mirror shows whether it took effect.
     pub(crate) fn on_written(&mut self, now: Time, service: &str) {
         if let Some(rollout) = self.by_service.get_mut(service) {
             rollout.is_writing = false;
@@ -240,7 +241,7 @@
     }
 }
 
-/// What a step did.
+/// Outcome of one step of a roll-out.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct StepOutcome {
     pub(crate) has_changed: bool,
