--- a/components/fleet/src/peering.rs
+++ b/components/fleet/src/peering.rs
@@ -223,6 +223,7 @@
         std::mem::take(&mut self.rate_limits)
     }
 
+    /// The daemons that share upstreams' rate limits.
     pub(crate) fn fleet(&self, now: Time) -> Fleet {
         let others = self.members.members();
         let others = others.filter(|member| shares_rate_limits(now, member));
--- a/components/fleet/src/snapshot.rs
+++ b/components/fleet/src/snapshot.rs
@@ -16,7 +16,7 @@
 /// Downloads served at a time. A receiver spends most of its time processing pages. More downloads
 /// share the same link, so each takes longer, and the first one to complete can serve others only
 /// later.
-const MAX_COPIES: usize = 4;
+const MAX_DOWNLOADS: usize = 4;
 /// A receiver that requests no further page within this time has given up.
 const DOWNLOAD_IDLE: Span = Span::from_millis(400);
 
@@ -75,7 +75,7 @@
     fn admit(&mut self, now: Time, from: &DaemonId) -> bool {
         self.downloads
             .retain(|_, asked_at| now.since(*asked_at) < DOWNLOAD_IDLE);
-        let is_admitted = self.downloads.contains_key(from) || self.downloads.len() < MAX_COPIES;
+        let is_admitted = self.downloads.contains_key(from) || self.downloads.len() < MAX_DOWNLOADS;
         if is_admitted {
             self.downloads.insert(from.clone(), now);
         }
