--- /dev/null
+++ b/components/fleet/src/control/quarantine.rs
@@ -0,0 +1,108 @@
+//! Sharing reports on request contents that crashed upstreams, and the quarantine of such contents.
+
+use poison::{Barred, Change, Content, Words};
+use traffic::Command;
+use types::prelude::*;
+
+use super::Control;
+use crate::codec::Codec;
+use crate::quarantine::QuarantineEntry;
+
+/// Reports on contents go out at most this often; the first one after a pause goes out at once.
+const MIN_GOSSIP_INTERVAL: Span = Span::from_millis(50);
+
+impl<C: Codec> Control<C> {
+    /// Merges a peer's reports on contents and forwards news at once.
+    ///
+    /// Guards against a request that crashes an upstream at each daemon it reaches: one crash at
+    /// each of three daemons adds up to three, and every daemon must know before the caller's next
+    /// attempt.
+    pub(super) fn merge_words(&mut self, now: Time, words: Words) {
+        let ended = self.traffic.suspects.lock().take(now, words);
+        if !ended.is_empty() {
+            // The event loop may have ended before this thread when the process stops.
+            let _ = self.traffic.commands.send(Command::Ended(ended));
+        }
+        self.gossip_suspects(now);
+    }
+
+    /// Gossips new reports on contents and logs changes of the quarantine.
+    pub(super) fn gossip_suspects(&mut self, now: Time) {
+        if now < self.next_suspect_gossip_at {
+            return;
+        }
+        self.next_suspect_gossip_at = now + MIN_GOSSIP_INTERVAL;
+        let mut suspects = self.traffic.suspects.lock();
+        let words = suspects.news(now);
+        let changes = suspects.changes();
+        drop(suspects);
+        if !words.0.is_empty() {
+            self.peering.send_suspects(now, &words);
+        }
+        for change in changes {
+            log(now, &change);
+        }
+    }
+}
+
+impl<C: Codec> Control<C> {
+    /// Applies quarantine entries that others wrote to the store, and lifts those deleted from it
+    /// by an operator or another daemon.
+    pub(super) fn apply_quarantine_changes(&mut self, now: Time, changes: &[mirror::Change]) {
+        let prefix = self.codec.bar_prefix();
+        for change in changes {
+            let name = change.key.strip_prefix(prefix);
+            let Some(Ok(content)) = name.map(str::parse::<Content>) else {
+                continue;
+            };
+            let mut suspects = self.traffic.suspects.lock();
+            match change.value.as_deref().map(QuarantineEntry::decode) {
+                Some(Ok(entry)) => {
+                    let crashes = entry.crashes.into_iter();
+                    let crashes =
+                        crashes.map(|crash| (crash.upstream, Span::from_millis(crash.ran_ms)));
+                    suspects.restore(now, content, entry.customer.as_ref(), crashes);
+                }
+                Some(Err(e)) => tracing::warn!(%content, "poison: {e}"),
+                None => drop(suspects.lift(now, content)),
+            }
+        }
+    }
+
+    /// Writes quarantine entries that the store lacks and deletes those that are over, when it is
+    /// this daemon's turn.
+    pub(super) fn sync_quarantines(&mut self, now: Time, rank: u64) {
+        let suspects = self.traffic.suspects.lock();
+        if !suspects.bars() || !self.mirror.is_filled() {
+            return;
+        }
+        let quarantined = suspects.barred();
+        drop(suspects);
+        let (wall, prefix) = (self.clock.wall(), self.codec.bar_prefix());
+        let calls = self
+            .quarantine_sync
+            .calls(now, wall, rank, prefix, &quarantined, &self.mirror);
+        for (purpose, req) in calls {
+            self.call(purpose, req);
+        }
+    }
+}
+
+fn log(now: Time, change: &Change) {
+    match change {
+        Change::Barred(quarantined) => tracing::warn!(
+            content = %quarantined.content,
+            for_s = now.until(quarantined.until).as_secs_f64(),
+            under = crash_list(quarantined),
+            "poison: barred"
+        ),
+        Change::Cleared(content) => tracing::info!(%content, "poison: cleared"),
+    }
+}
+
+/// The upstreams that crashed, each with the time for which the content had run there.
+fn crash_list(quarantined: &Barred) -> String {
+    let ends = quarantined.ends.iter();
+    let ends = ends.map(|(upstream, ran)| format!("{} {}ms", upstream.id, ran.as_millis()));
+    ends.collect::<Vec<_>>().join("; ")
+}
--- a/components/fleet/src/control/judging.rs
+++ b/components/fleet/src/control/rollouts.rs
@@ -1,25 +1,28 @@
-//! Judging roll-outs on the fleet's evidence, and reporting what this daemon saw.
+//! Judging roll-outs on the fleet's evidence, and reporting this daemon's evidence.
 
 use dispatch::Evidence;
 use types::prelude::*;
 
 use super::Control;
 use crate::codec::Codec;
-use crate::rollouts::Known;
+use crate::rollouts::FleetFindings;
 
-/// What was seen of roll-outs is reported every so many ticks at least.
+/// Evidence on roll-outs is reported once per this many ticks at most.
 const REPORT_TICKS: u32 = 2;
-/// Daemons of a fleet for each tick between two reports: the two judges take some 500 reports a
-/// second from a fleet of any size, where 295 daemons at every second tick sent them 1,475 each.
-const DAEMONS_A_TICK: usize = 50;
-/// So long after an order all report at every second tick: sessions that are at work must be
-/// known everywhere before the new version gets its first requests.
-const SESSIONS_TOLD_WITHIN: Span = Span::from_secs(3);
-/// Evidence tells a roll-out's age in these steps, so that a quiet daemon has nothing to say.
+/// Adds one tick between two reports for this many daemons in the fleet. The two collectors then
+/// get some 500 reports a second from a fleet of any size; 295 daemons that report at every second
+/// tick would send each of them 1,475.
+const DAEMONS_PER_TICK: usize = 50;
+/// For this long after an order every daemon reports at every second tick: sessions in progress
+/// must be known everywhere before the new version gets its first requests.
+const FAST_REPORT_PERIOD: Span = Span::from_secs(3);
+/// Evidence gives a roll-out's age in steps of this many ms, so that a daemon without traffic has
+/// nothing new to send.
 const ELAPSED_STEP_MS: u64 = 500;
 
 impl<C: Codec> Control<C> {
-    /// Judges the roll-outs, and reports to the watchers when it is this daemon's turn.
+    /// Judges the roll-outs and, when it is this daemon's turn, reports its evidence to the
+    /// collectors.
     pub(super) fn step_rollouts(&mut self, now: Time, is_tick: bool) {
         let services = self.rollouts.services();
         if services.is_empty() {
@@ -37,41 +40,41 @@
             let elapsed = elapsed - elapsed % ELAPSED_STEP_MS;
             own.elapsed_ms = u32::try_from(elapsed).unwrap_or(u32::MAX);
             let word = self.peering.gather(&own);
-            let known = Known {
+            let findings = FleetFindings {
                 fleet: &word.fleet,
-                can_serve: self.can_serve(&service, &order.to),
-                is_condemned: word.is_bad,
+                serving_capacity: self.serving_capacity(&service, &order.to),
+                is_marked_bad: word.is_bad,
                 staying: self.peering.staying(order.revision),
             };
-            let stepped = self.rollouts.step(now, &service, known);
+            let stepped = self.rollouts.step(now, &service, findings);
             self.must_plan |= stepped.has_changed;
             if stepped.is_newly_bad {
-                self.peering.condemn(stepped.order);
+                self.peering.mark_bad(stepped.order);
             }
-            // Once it is decided nothing more is learnt from it.
+            // Evidence on a decided roll-out is not needed.
             if !stepped.is_running {
                 continue;
             }
-            if is_tick && self.reports_now(known_for) {
+            if is_tick && self.is_report_due(known_for) {
                 let staying = self.traffic.seen.staying(order.revision);
                 self.peering.report(now, &own, &staying);
             }
         }
     }
 
-    /// Whether this tick is one of this daemon's to report on an order known for so long.
-    fn reports_now(&self, known_for: Span) -> bool {
-        let by_fleet = u32::try_from(self.daemons / DAEMONS_A_TICK).unwrap_or(u32::MAX);
-        let every = match known_for < SESSIONS_TOLD_WITHIN {
+    /// Whether this daemon reports at this tick on an order that it has known for `known_for`.
+    fn is_report_due(&self, known_for: Span) -> bool {
+        let by_fleet = u32::try_from(self.daemons / DAEMONS_PER_TICK).unwrap_or(u32::MAX);
+        let every = match known_for < FAST_REPORT_PERIOD {
             true => REPORT_TICKS,
             false => REPORT_TICKS.max(by_fleet),
         };
         self.ticks.is_multiple_of(every)
     }
 
-    /// Part of a service's traffic that the upstreams of a version can take: all of it once
-    /// they are at least as many as the others.
-    fn can_serve(&self, service: &str, version: &str) -> f64 {
+    /// Fraction of a service's traffic that the upstreams of a version can take: all of it once
+    /// they are at least half as many as the others.
+    fn serving_capacity(&self, service: &str, version: &str) -> f64 {
         let upstreams = self.planner.upstreams();
         let ready = upstreams.iter().filter(|upstream| {
             *upstream.service == *service && upstream.state == routes::UpstreamState::Ready
--- a/components/fleet/src/lib.rs
+++ b/components/fleet/src/lib.rs
@@ -1,45 +1,45 @@
-//! The control thread of a daemon that keeps nothing of its own.
+//! The control thread of a stateless daemon.
 //!
-//! What must last lives in the store; what the daemons know together rides between them.
-//! This thread keeps a mirror of the store's keys, fed by a watch and by peers, and makes
-//! of it the plan that the event loop serves by; it carries the membership; and it judges
-//! roll-outs on the fleet's evidence and writes down how they ended.
+//! All durable state lives in the store; state that the daemons share is gossiped between them.
+//! This thread keeps a mirror of the store's keys, fed by a watch and by peers, and builds from it
+//! the plan that the event loop routes by. It also runs the membership protocol, judges roll-outs
+//! on evidence from the whole fleet and writes their outcome to the store.
 //!
-//! Names of keys and forms of values belong to a [`Codec`].
+//! The names of keys and the encoding of values are defined by a [`Codec`].
 
-mod asking;
-mod audience;
-mod backlog;
-mod bars;
 mod clocks;
 mod codec;
 mod control;
-mod copying;
 mod entry;
 mod error;
 mod event;
 mod freshness;
+mod gossip;
+mod heartbeat;
 mod listing;
+mod peer_sync;
 mod peering;
 mod planner;
 mod presence;
+mod quarantine;
+mod queue_delay;
 mod rollouts;
 mod settings;
-mod standing;
+mod snapshot;
 mod start;
-mod turns;
-mod watching;
+mod succession;
+mod watcher;
 
-pub use audience::{Audience, Peer, Word, is_small};
-pub use bars::{BarEnd, BarEntry, BarEntryError};
 pub use codec::{Codec, DecodeError, StateRecord};
-pub use copying::{Handing, Taken, Taking};
 pub use entry::{DaemonEntry, DaemonEntryError};
 pub use error::FleetError;
-pub use freshness::{Claim, Claims, DatedClaim, Freshness};
+pub use freshness::{Claim, Claims, Freshness, WireClaim};
+pub use gossip::{GossipKind, GossipView, Peer, is_small};
+pub use heartbeat::{Heartbeat, HeartbeatError, PeerStates, SentAt, StoreReport};
 pub use peering::shares_rate_limits;
+pub use quarantine::{QuarantineCrash, QuarantineEntry, QuarantineEntryError};
 pub use settings::Settings;
-pub use standing::{SentAt, Standing, StandingError, Standings, Vouched};
+pub use snapshot::{DownloadStep, SnapshotDownload, SnapshotServer};
 pub use start::{Running, start};
-pub use turns::{Around, Turns};
-pub use watching::Mode;
+pub use succession::{Succession, SuccessionInput};
+pub use watcher::Mode;
--- a/components/fleet/src/peering.rs
+++ b/components/fleet/src/peering.rs
@@ -1,4 +1,5 @@
-//! What rides between daemons: who is there, how far each mirror is, and roll-outs.
+//! Messages between daemons: membership, heartbeats, changes of the mirror, roll-outs and
+//! quarantine.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -13,76 +14,77 @@
 use rand::seq::{IndexedRandom, IteratorRandom};
 use types::prelude::*;
 
-use crate::audience::{self, Audience, Peer, Word};
 use crate::freshness::Claims;
-use crate::standing::{Standing, Standings, watch_rank};
+use crate::gossip::{self, GossipKind, GossipView, Peer};
+use crate::heartbeat::{Heartbeat, PeerStates, watch_rank};
 
 mod heartbeat;
 
-/// In a small fleet word is fresh for this long: three messages are missing then.
-const FRESH_IN_SMALL: Span = Span::from_millis(700);
-/// In a large one, where it takes some rounds to arrive.
-pub(crate) const FRESH_IN_LARGE: Span = Span::from_millis(1_400);
-/// Word goes to a large fleet, and to other failure domains, every so many of the control
-/// thread's ticks.
-const TICKS_AFAR: u32 = 2;
-/// Daemons that add up the fleet's figures of roll-outs: the first watchers.
-const JUDGES: usize = 2;
-/// Part of the questions that go to any failure domain.
-const ASK_FAR: f64 = 0.2;
-/// A daemon that is down keeps its part of upstreams' rate limits for as long as a region may be
-/// cut off: from there it may still send.
-const CUT_LASTS: Span = Span::from_secs(600);
+/// How long a peer's heartbeat is valid in a small fleet: until three messages in a row are
+/// missing.
+const REPORT_TTL_SMALL_FLEET: Span = Span::from_millis(700);
+/// How long a peer's heartbeat is valid in a large fleet, where news takes several rounds to
+/// arrive.
+pub(crate) const REPORT_TTL_LARGE_FLEET: Span = Span::from_millis(1_400);
+/// Heartbeats in a large fleet, and to other failure domains, are sent once per this many ticks of
+/// the control thread.
+const FULL_HEARTBEAT_TICKS: u32 = 2;
+/// Daemons that aggregate the fleet's roll-out evidence: the first watchers.
+const ROLLOUT_COLLECTORS: usize = 2;
+/// Fraction of mirror requests that may go to any failure domain.
+const REMOTE_PEER_PROBABILITY: f64 = 0.2;
+/// A daemon that is down keeps its share of upstreams' rate limits for as long as a region may be
+/// cut off, because it may still be sending from there.
+const MAX_PARTITION: Span = Span::from_secs(600);
 /// Advertised rate limits queued for the next tick; peers repeat what does not fit.
 const MAX_RATE_LIMITS: usize = 1_024;
-/// Daemons that came are logged one by one up to so many at a time.
+/// New daemons are logged one by one up to this many at a time.
 const MAX_LOGGED: usize = 4;
 
-/// Members and facts, and the edge that carries them.
+/// The membership table, what peers have reported, and the transport that carries messages.
 pub(crate) struct Peering {
     members: Membership,
     handle: Handle,
-    /// Daemons that came since they were last logged.
+    /// Daemons that came up since the last log line.
     arrived: Vec<DaemonId>,
-    audience: Audience,
+    gossip_view: GossipView,
     loads: PeerLoads,
-    standings: Standings,
+    peer_states: PeerStates,
     claims: Claims,
     gathering: Gathering,
-    /// Rate limits that peers advertised since they were last taken.
+    /// Rate limits advertised by peers and not yet taken by the control thread.
     rate_limits: Vec<Advertisement>,
     ticks: u32,
-    /// Something is to be told before the next turn.
-    must_tell: bool,
+    /// Whether the next heartbeat goes out at the next tick, to every failure domain.
+    must_send_heartbeat: bool,
 }
 
-/// How current this daemon's copy of the store's keys is.
+/// How current this daemon's mirror is.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct OwnCopy {
-    /// Up to which revision nothing is missing.
+pub(crate) struct MirrorState {
+    /// Highest revision up to which no change is missing.
     pub(crate) held: Revision,
-    /// When it was last known that the store had nothing newer.
-    pub(crate) proven_at: Option<Time>,
+    /// Latest moment at which the store was known to hold nothing newer.
+    pub(crate) validated_at: Option<Time>,
 }
 
-/// What a message asks of the control thread.
-pub(crate) enum Asked {
-    /// Nothing.
+/// What the control thread has to do for a message.
+pub(crate) enum Followup {
     Nothing,
-    /// What is new in the mirror.
-    Mirror(DaemonId, Question, peers::Reply),
-    /// To take what is new in a peer's mirror.
-    Take(Answer),
-    /// To add up what became of contents.
-    AddUp(Words),
+    /// Answer a peer's request for changes of the mirror.
+    ServeMirror(DaemonId, Question, peers::Reply),
+    /// Apply changes from a peer's mirror.
+    ApplyAnswer(Answer),
+    /// Merge a peer's reports on request contents.
+    MergeWords(Words),
 }
 
-/// Whether a daemon has a part of upstreams' rate limits: it is present, or went without a word so
-/// lately that it may be behind a cut.
+/// Whether a daemon has a share of upstreams' rate limits: it is present, or went silent so
+/// recently that it may be on the other side of a network partition.
 #[must_use]
 pub fn shares_rate_limits(now: Time, member: &Member) -> bool {
     match member.record.state {
-        State::Down => now.since(member.since) < CUT_LASTS,
+        State::Down => now.since(member.since) < MAX_PARTITION,
         state => state.is_present(),
     }
 }
@@ -93,23 +95,23 @@
             members,
             handle,
             arrived: Vec::new(),
-            audience: Audience::default(),
+            gossip_view: GossipView::default(),
             loads: PeerLoads::default(),
-            standings: Standings::default(),
+            peer_states: PeerStates::default(),
             claims: Claims::default(),
             gathering: Gathering::default(),
             rate_limits: Vec::new(),
             ticks: 0,
-            must_tell: false,
+            must_send_heartbeat: false,
         }
     }
 
-    /// The edge that carries messages and questions.
+    /// The transport for messages and requests.
     pub(crate) fn handle(&self) -> Handle {
         self.handle.clone()
     }
 
-    /// Where other daemons reach this one.
+    /// The address at which other daemons reach this one.
     pub(crate) fn address(&self) -> SocketAddr {
         self.handle.address()
     }
@@ -118,7 +120,7 @@
         self.members.fleet_size()
     }
 
-    /// This daemon's place among those present, by name: who acts first.
+    /// This daemon's rank by name among those present; lower ranks act first.
     pub(crate) fn rank(&self) -> u64 {
         let me = &self.members.me().id;
         let present = self
@@ -134,16 +136,16 @@
 
     pub(crate) fn tick(&mut self, now: Time) {
         let outcome = self.members.tick(now, &mut rand::rng());
-        self.carry(outcome);
+        self.apply_outcome(outcome);
         self.log_arrived();
     }
 
-    /// One line for each that came, or one for all where a fleet starts: a line for each of
-    /// the others at each daemon is the square of the fleet.
+    /// Logs one line per new daemon, or a single line when a fleet starts: a line for each peer at
+    /// each daemon would grow with the square of the fleet.
     fn log_arrived(&mut self) {
         if self.arrived.len() > MAX_LOGGED {
             let daemons = self.members.fleet_size();
-            tracing::info!(came = self.arrived.len(), daemons, "peers: many are up");
+            tracing::info!(came = self.arrived.len(), daemons, "peers: many joined");
         } else {
             for peer in &self.arrived {
                 tracing::info!(%peer, "peers: up");
@@ -152,45 +154,45 @@
         self.arrived.clear();
     }
 
-    /// Takes a message and says what it asks for.
-    pub(crate) fn receive(&mut self, now: Time, inbound: Inbound) -> Asked {
+    /// Handles a message and returns what the control thread has to do for it.
+    pub(crate) fn receive(&mut self, now: Time, inbound: Inbound) -> Followup {
         match inbound {
             Inbound::Message { from, payload } => match payload {
                 Payload::Membership(message) => {
                     let rng = &mut rand::rng();
                     let outcome = self.members.receive(now, &from, message, rng);
-                    self.carry(outcome);
-                    Asked::Nothing
+                    self.apply_outcome(outcome);
+                    Followup::Nothing
                 }
-                Payload::Part { part, body } => self.take_part(now, from.id, part, &body),
+                Payload::Part { part, body } => self.handle_part(now, from.id, part, &body),
             },
             Inbound::Ask {
                 from,
                 payload: Payload::Part { body, .. },
                 reply,
             } => match Question::decode(&body) {
-                Ok(question) => Asked::Mirror(from.id, question, reply),
+                Ok(question) => Followup::ServeMirror(from.id, question, reply),
                 Err(e) => {
                     tracing::warn!("peers: {e}");
-                    Asked::Nothing
+                    Followup::Nothing
                 }
             },
-            Inbound::Ask { .. } => Asked::Nothing,
+            Inbound::Ask { .. } => Followup::Nothing,
         }
     }
 
-    fn take_part(&mut self, now: Time, from: DaemonId, part: Part, body: &Bytes) -> Asked {
+    fn handle_part(&mut self, now: Time, from: DaemonId, part: Part, body: &Bytes) -> Followup {
         match part {
-            Part::Standing => match Standing::decode(body) {
-                Ok(standing) => {
-                    let fresh = self.fresh();
-                    self.standings.take(now, &from, &standing, fresh);
-                    self.take_claims(now, &from, &standing);
-                    for word in &standing.rollouts {
-                        self.gathering.take_word(word);
+            Part::Standing => match Heartbeat::decode(body) {
+                Ok(heartbeat) => {
+                    let report_ttl = self.report_ttl();
+                    self.peer_states.take(now, &from, &heartbeat, report_ttl);
+                    self.merge_claims(now, &from, &heartbeat);
+                    for rollout in &heartbeat.rollouts {
+                        self.gathering.take_word(rollout);
                     }
-                    self.note_rate_limits(standing.rate_limits);
-                    self.loads.take(now, from, standing.loads);
+                    self.note_rate_limits(heartbeat.rate_limits);
+                    self.loads.take(now, from, heartbeat.loads);
                 }
                 Err(e) => tracing::warn!(peer = %from, "peers: {e}"),
             },
@@ -199,24 +201,24 @@
                 Err(e) => tracing::warn!(peer = %from, "peers: {e}"),
             },
             Part::Mirror => match Answer::decode(body) {
-                Ok(answer) => return Asked::Take(answer),
+                Ok(answer) => return Followup::ApplyAnswer(answer),
                 Err(e) => tracing::warn!(peer = %from, "peers: {e}"),
             },
             Part::Poison => match Words::decode(body) {
-                Ok(words) => return Asked::AddUp(words),
+                Ok(words) => return Followup::MergeWords(words),
                 Err(e) => tracing::warn!(peer = %from, "peers: {e}"),
             },
-            other => tracing::warn!(peer = %from, "peers: nothing here takes {other:?}"),
+            other => tracing::warn!(peer = %from, "peers: unexpected message part {other:?}"),
         }
-        Asked::Nothing
+        Followup::Nothing
     }
 
-    fn note_rate_limits(&mut self, told: Vec<Advertisement>) {
+    fn note_rate_limits(&mut self, advertised: Vec<Advertisement>) {
         let room = MAX_RATE_LIMITS.saturating_sub(self.rate_limits.len());
-        self.rate_limits.extend(told.into_iter().take(room));
+        self.rate_limits.extend(advertised.into_iter().take(room));
     }
 
-    /// Rate limits that peers advertised since the last call.
+    /// Takes the rate limits that peers advertised since the last call.
     pub(crate) fn take_rate_limits(&mut self) -> Vec<Advertisement> {
         std::mem::take(&mut self.rate_limits)
     }
@@ -229,7 +231,7 @@
         Fleet::new(&self.members.me().id, others)
     }
 
-    fn carry(&mut self, outcome: Outcome) {
+    fn apply_outcome(&mut self, outcome: Outcome) {
         for envelope in outcome.send {
             self.handle
                 .send(envelope.to, Payload::Membership(envelope.message));
@@ -237,7 +239,7 @@
         for event in outcome.events {
             match event {
                 MemberEvent::MemberUp { id, .. } => self.arrived.push(id),
-                MemberEvent::MemberSuspect { id } => tracing::info!(peer = %id, "peers: silent"),
+                MemberEvent::MemberSuspect { id } => tracing::info!(peer = %id, "peers: suspected"),
                 MemberEvent::MemberDown { id, left } => {
                     tracing::info!(peer = %id, left, "peers: down");
                 }
@@ -252,92 +254,94 @@
         }
     }
 
-    /// Hands what is new in the store to a few others.
-    pub(crate) fn show_changes(&mut self, now: Time, answer: &Answer) {
+    /// Gossips changes of the store's keys to a few peers.
+    pub(crate) fn send_changes(&mut self, now: Time, answer: &Answer) {
         match answer.encode() {
-            Ok(body) => self.tell(now, Part::Mirror, &body, Word::Change),
+            Ok(body) => self.send_gossip(now, Part::Mirror, &body, GossipKind::Change),
             Err(e) => tracing::warn!("peers: {e}"),
         }
     }
 
-    /// Tells a few others what became of contents.
-    pub(crate) fn show_words(&mut self, now: Time, words: &Words) {
+    /// Gossips reports on request contents to a few peers.
+    pub(crate) fn send_suspects(&mut self, now: Time, words: &Words) {
         match words.encode() {
-            Ok(body) => self.tell(now, Part::Poison, &body, Word::Change),
+            Ok(body) => self.send_gossip(now, Part::Poison, &body, GossipKind::Change),
             Err(e) => tracing::error!("peers: {e}"),
         }
     }
 
-    fn tell(&mut self, now: Time, part: Part, body: &Bytes, word: Word) {
-        for address in self.told(now, word) {
+    fn send_gossip(&mut self, now: Time, part: Part, body: &Bytes, kind: GossipKind) {
+        for address in self.recipients(now, kind) {
             let body = body.clone();
             self.handle.send(address, Payload::Part { part, body });
         }
     }
 
-    fn told(&mut self, now: Time, word: Word) -> Vec<SocketAddr> {
+    fn recipients(&mut self, now: Time, kind: GossipKind) -> Vec<SocketAddr> {
         let here = &self.members.me().failure_domain;
         let members = self.members.members().map(|member| &member.record);
         let present = members.filter(|record| record.state.is_present());
         let peers = present.map(|record| Peer {
             address: record.address,
-            is_near: record.failure_domain == *here,
+            is_local: record.failure_domain == *here,
         });
         let peers = peers.collect::<Vec<_>>();
         let rng = &mut rand::rng();
-        self.audience.told(now, &peers, word, rng)
+        self.gossip_view.recipients(now, &peers, kind, rng)
     }
 
     pub(crate) fn is_small(&self) -> bool {
-        audience::is_small(self.members.fleet_size())
+        gossip::is_small(self.members.fleet_size())
     }
 
-    /// Word counts for so long.
-    pub(crate) fn fresh(&self) -> Span {
+    /// How long a heartbeat's reports are valid.
+    pub(crate) fn report_ttl(&self) -> Span {
         match self.is_small() {
-            true => FRESH_IN_SMALL,
-            false => FRESH_IN_LARGE,
+            true => REPORT_TTL_SMALL_FLEET,
+            false => REPORT_TTL_LARGE_FLEET,
         }
     }
 
-    /// This daemon's place in the order of those that are to watch the store.
+    /// This daemon's rank in the order in which daemons watch the store.
     pub(crate) fn watch_rank(&self) -> usize {
         let members = self.members.members();
         let present = members.filter(|member| member.record.state.is_present());
         watch_rank(&self.members.me().id, present.map(|m| &m.record.id))
     }
 
-    /// Daemons before this one in the order of watchers whose watch works, by fresh word.
-    pub(crate) fn watchers_before(&mut self, now: Time) -> usize {
-        let fresh = self.fresh();
-        self.standings.expire(now, fresh);
-        self.standings.watchers_before(&self.members.me().id)
+    /// Number of daemons ahead of this one in the watch order whose watch works, by reports that
+    /// are still valid.
+    pub(crate) fn watchers_ahead(&mut self, now: Time) -> usize {
+        let report_ttl = self.report_ttl();
+        self.peer_states.expire(now, report_ttl);
+        self.peer_states.watchers_ahead(&self.members.me().id)
     }
 
-    /// Whether any other daemon spoke lately.
-    pub(crate) fn hears_others(&self) -> bool {
-        self.standings.len() > 0
+    /// Whether a heartbeat of any other daemon is still valid.
+    pub(crate) fn hears_peers(&self) -> bool {
+        self.peer_states.len() > 0
     }
 
-    /// What the others say of the store.
-    pub(crate) fn standings(&self) -> &Standings {
-        &self.standings
+    /// What peers have reported about themselves and the store.
+    pub(crate) fn peer_states(&self) -> &PeerStates {
+        &self.peer_states
     }
 
-    /// Notes that the store does not answer this daemon, for the others.
-    pub(crate) fn note_store_failure(&mut self, now: Time, copy: OwnCopy) {
-        let word = self.own_word(now, copy);
-        self.standings.note_unanswered(now, word);
-        self.must_tell = true;
+    /// Records for the next heartbeat that the store does not answer this daemon.
+    pub(crate) fn note_store_failure(&mut self, now: Time, mirror: MirrorState) {
+        let report = self.own_report(now, mirror);
+        self.peer_states.note_store_unreachable(now, report);
+        self.must_send_heartbeat = true;
     }
 
-    /// What all others have out, by upstream.
+    /// Requests in flight from all other daemons, by upstream, as backlog in ms and count.
     ///
-    /// In a large fleet only some spoke lately; they stand for the others.
-    pub(crate) fn others_loads(&mut self, now: Time) -> HashMap<u32, (f64, u32)> {
+    /// In a large fleet only some daemons' heartbeats are known; their sums are scaled up to stand
+    /// for the rest.
+    pub(crate) fn peer_loads(&mut self, now: Time) -> HashMap<u32, (f64, u32)> {
         let mut loads = self.loads.sums(now);
         let others = self.members.fleet_size().saturating_sub(1);
-        let share = others as f64 / self.standings.len().max(1) as f64;
+        let share = others as f64 / self.peer_states.len().max(1) as f64;
         if share > 1.0 {
             for (backlog_ms, in_flight) in loads.values_mut() {
                 *backlog_ms *= share;
@@ -347,25 +351,25 @@
         loads
     }
 
-    /// Notes what this daemon saw of a roll-out and returns what the fleet saw.
+    /// Records this daemon's evidence on a roll-out and returns the fleet's.
     pub(crate) fn gather(&mut self, own: &Evidence) -> RolloutWord {
         let me = self.members.me().id.clone();
         self.gathering.fleet(&me, own)
     }
 
-    /// Tells everybody that an order's version is bad, at once.
-    pub(crate) fn condemn(&mut self, order: u64) {
+    /// Announces to all daemons at once that an order's version is bad.
+    pub(crate) fn mark_bad(&mut self, order: u64) {
         self.gathering.condemn(order);
-        self.must_tell = true;
+        self.must_send_heartbeat = true;
     }
 
-    /// Sessions that stay on their version in a roll-out, by all daemons.
+    /// Sessions that stay on their version during a roll-out, as known by all daemons.
     pub(crate) fn staying(&self, order: u64) -> BTreeSet<u32> {
         self.gathering.staying(order)
     }
 
-    /// Reports what this daemon saw of a roll-out to the watchers, and hands on the sessions
-    /// that stay on their version.
+    /// Reports this daemon's evidence on a roll-out to the collectors and gossips the sessions that
+    /// stay on their version.
     pub(crate) fn report(&mut self, now: Time, own: &Evidence, staying: &BTreeSet<u32>) {
         let me = self.members.me().id.clone();
         let order = own.order;
@@ -376,14 +380,15 @@
             own: *own,
             staying: staying.iter().copied().collect(),
         };
-        let judges = self.standings.first_watchers(JUDGES);
-        let judges = judges.iter().filter(|judge| **judge != me);
-        let addresses = judges.filter_map(|judge| Some(self.members.member(judge)?.record.address));
+        let collectors = self.peer_states.first_watchers(ROLLOUT_COLLECTORS);
+        let collectors = collectors.iter().filter(|collector| **collector != me);
+        let addresses =
+            collectors.filter_map(|collector| Some(self.members.member(collector)?.record.address));
         let addresses = addresses.collect::<Vec<_>>();
         self.send_message(&report, &addresses);
         if let Some(news) = self.gathering.staying_news(order) {
-            let told = self.told(now, Word::Change);
-            self.send_message(&news, &told);
+            let recipients = self.recipients(now, GossipKind::Change);
+            self.send_message(&news, &recipients);
         }
     }
 
@@ -402,35 +407,38 @@
         }
     }
 
-    /// A peer that is ahead; who holds nothing asks any, before they have told how they stand.
+    /// Chooses a peer whose mirror is ahead of `held`. A daemon that holds nothing asks any present
+    /// peer, even before their heartbeats arrive.
     ///
-    /// One of the own failure domain mostly: a whole copy is as long as all upstreams together,
-    /// and bytes between failure domains are paid for. Now and then another one, for the case
-    /// that nobody near has it.
-    pub(crate) fn whom_to_ask(&self, held: Revision) -> Option<SocketAddr> {
-        let ahead = self.standings.ahead_of(held);
+    /// Prefers the own failure domain: a snapshot is as large as all upstreams together, and
+    /// traffic between failure domains costs money. Sometimes chooses any other peer, in case none
+    /// nearby has the changes.
+    pub(crate) fn choose_catch_up_peer(&self, held: Revision) -> Option<SocketAddr> {
+        let ahead = self.peer_states.ahead_of(held);
         let ahead = ahead.filter_map(|daemon| Some(&self.members.member(daemon)?.record));
         let ahead = ahead.collect::<Vec<_>>();
         if !ahead.is_empty() || held > Revision::default() {
-            return self.one_of(&ahead);
+            return self.choose_peer(&ahead);
         }
         let others = self.members.members().map(|member| &member.record);
         let others = others.filter(|record| record.state.is_present());
-        self.one_of(&others.collect::<Vec<_>>())
+        self.choose_peer(&others.collect::<Vec<_>>())
     }
 
-    fn one_of(&self, candidates: &[&MemberRecord]) -> Option<SocketAddr> {
+    fn choose_peer(&self, candidates: &[&MemberRecord]) -> Option<SocketAddr> {
         let rng = &mut rand::rng();
         let here = &self.members.me().failure_domain;
-        let near = candidates.iter().filter(|r| r.failure_domain == *here);
-        let near = near.choose(rng).filter(|_| !rng.random_bool(ASK_FAR));
-        let chosen = near.or_else(|| candidates.choose(rng));
+        let local = candidates.iter().filter(|r| r.failure_domain == *here);
+        let local = local
+            .choose(rng)
+            .filter(|_| !rng.random_bool(REMOTE_PEER_PROBABILITY));
+        let chosen = local.or_else(|| candidates.choose(rng));
         chosen.map(|record| record.address)
     }
 
-    /// Says goodbye.
+    /// Tells peers that this daemon leaves.
     pub(crate) fn leave(&mut self, now: Time) {
         let outcome = self.members.leave(now, &mut rand::rng());
-        self.carry(outcome);
+        self.apply_outcome(outcome);
     }
 }
--- a/components/fleet/src/start.rs
+++ b/components/fleet/src/start.rs
@@ -1,4 +1,4 @@
-//! Starting the threads of a daemon, and stopping them.
+//! Starting and stopping the threads of a daemon.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,28 +13,28 @@
 use types::prelude::*;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::asking::Asking;
-use crate::backlog::Backlog;
-use crate::bars::Bars;
 use crate::codec::Codec;
 use crate::control::Control;
-use crate::copying::Handing;
 use crate::error::FleetError;
 use crate::event::{Event, Purpose};
-use crate::peering::{FRESH_IN_LARGE, Peering};
+use crate::peer_sync::PeerSync;
+use crate::peering::{Peering, REPORT_TTL_LARGE_FLEET};
 use crate::planner::Planner;
 use crate::presence::Presence;
+use crate::quarantine::QuarantineSync;
+use crate::queue_delay::QueueDelay;
 use crate::rollouts::Rollouts;
 use crate::settings::Settings;
-use crate::turns::Turns;
-use crate::watching::{Mode, Progress, Watcher, Watching};
+use crate::snapshot::SnapshotServer;
+use crate::succession::Succession;
+use crate::watcher::{Mode, Progress, WatchControl, Watcher};
 
-/// Beside the seeds, one daemon of so many reads a large store first: enough to hand copies
-/// on to a large fleet in a few rounds.
-const FIRST_READERS: u64 = 16;
-/// Events waiting for the control thread.
+/// Besides the seeds, one daemon in this many reads a large store at start: enough to pass
+/// snapshots on to a large fleet in a few rounds.
+const DIRECT_READER_RATIO: u64 = 16;
+/// Capacity of the control thread's event queue.
 const MAX_EVENTS: usize = 4_096;
-/// Name under which the fleet's shared key is known.
+/// Name of the fleet's shared key.
 const KEY_NAME: &str = "fleet";
 
 /// A running daemon.
@@ -45,10 +45,10 @@
     control: JoinHandle<()>,
 }
 
-/// Starts the threads around an event loop that already runs.
+/// Starts the daemon's threads around an event loop that already runs.
 ///
 /// # Errors
-/// When the edge between daemons or a thread cannot be started.
+/// When the transport between daemons or a thread cannot be started.
 pub fn start(
     settings: Settings,
     codec: impl Codec,
@@ -61,7 +61,7 @@
     let progress = Arc::new(Progress::default());
     let (modes, modes_rx) = flume::unbounded();
     let is_seed = is_seed(&settings, peering.address());
-    let turns = Turns::new(is_seed, FRESH_IN_LARGE);
+    let succession = Succession::new(is_seed, REPORT_TTL_LARGE_FLEET);
     let mode = match is_seed {
         true => Mode::Watch,
         false => Mode::Rest,
@@ -86,25 +86,25 @@
         planner: Planner::new(settings.relisted_within),
         rollouts: Rollouts::new(settings.trial),
         presence: Presence::new(key, peering.address(), settings.shortest_lease),
-        bars: Bars::default(),
-        asking: Asking::new(peering.handle()),
-        handing: Handing::default(),
+        quarantine_sync: QuarantineSync::default(),
+        peer_sync: PeerSync::new(peering.handle()),
+        snapshots: SnapshotServer::default(),
         peering,
-        watching: Watching::new(modes, progress, mode),
+        watch_control: WatchControl::new(modes, progress, mode),
         traffic,
         calls,
-        watched_at: None,
-        proven_at: None,
-        turns,
+        watch_answered_at: None,
+        validated_at: None,
+        succession,
         store_works: true,
-        // Daemons that start together do not all report at one moment.
+        // Spreads the roll-out reports of daemons that start together.
         ticks: xxh3_64(settings.me.as_str().as_bytes()) as u32,
         must_plan: false,
         was_ready: false,
         daemons: 1,
         fleet: Arc::default(),
-        backlog: Backlog::default(),
-        share_words_at: Time::ZERO,
+        queue_delay: QueueDelay::default(),
+        next_suspect_gossip_at: Time::ZERO,
         settings,
         codec,
         clock,
@@ -135,15 +135,15 @@
     Ok(calls)
 }
 
-/// Whether others join by this daemon; one without seeds may be the first.
+/// Whether other daemons join by this one; a daemon without seeds may be the first.
 fn is_seed(settings: &Settings, me: SocketAddr) -> bool {
     settings.seeds.is_empty() || settings.seeds.contains(&me)
 }
 
-/// Whether this daemon reads a large store at its start without waiting for a peer's copy.
+/// Whether this daemon reads a large store at its start without waiting for a peer's snapshot.
 fn reads_first(settings: &Settings) -> bool {
     let hash = xxh3_64(settings.me.as_str().as_bytes());
-    hash.is_multiple_of(FIRST_READERS)
+    hash.is_multiple_of(DIRECT_READER_RATIO)
 }
 
 fn spawn(
@@ -195,9 +195,9 @@
 }
 
 impl Running {
-    /// Leaves: the event loop finishes what it has, then everything ends.
+    /// Stops the daemon: the event loop finishes its requests, then the other threads end.
     pub fn stop(self) {
-        // The event loop has ended already if it cannot be told.
+        // Fails only if the event loop has already ended.
         let _ = self.commands.send(Command::Stop);
         let _ = self.ended.recv();
         let _ = self.events.send(Event::Stop);
--- /dev/null
+++ b/components/fleet/tests/it/control.rs
@@ -0,0 +1,288 @@
+//! What daemons know of the configuration and upstreams, with and without the store.
+
+use std::net::SocketAddr;
+use std::sync::atomic::Ordering;
+use std::time::Duration;
+
+use types::prelude::*;
+
+use crate::harness::*;
+
+fn seeded_store() -> MemoryStore {
+    let memory = MemoryStore::default();
+    memory.set("table", Some("1"));
+    memory.set("upstream/u1", Some("v1"));
+    memory
+}
+
+#[test]
+fn a_daemon_is_ready_once_it_knows_a_configuration_and_upstreams() {
+    let memory = MemoryStore::default();
+    memory.set("upstream/u1", Some("v1"));
+    let daemons = daemons(1, &memory);
+    wait_until("listed", || daemons[0].state("upstreams") == 1);
+    assert!(!daemons[0].is_ready());
+    memory.set("table", Some("1"));
+    wait_until("ready", || daemons[0].is_ready());
+}
+
+#[test]
+fn an_older_configuration_never_replaces_a_newer_one() {
+    // Guards against routes that come and go for callers when an operator writes an older
+    // configuration again by mistake, or it is read from a copy that lags.
+    let memory = seeded_store();
+    memory.set("table", Some("5"));
+    let daemons = daemons(1, &memory);
+    wait_until("in force", || daemons[0].table() == Some(5));
+    memory.set("table", Some("4"));
+    memory.set("upstream/u2", Some("v1"));
+    wait_until("seen", || daemons[0].state("upstreams") == 2);
+    assert_eq!(daemons[0].table(), Some(5));
+    memory.set("table", Some("not a number"));
+    memory.set("table", Some("6"));
+    wait_until("in force", || daemons[0].table() == Some(6));
+}
+
+#[test]
+fn a_daemon_cut_off_from_the_store_gets_changes_from_peers() {
+    // Guards against a daemon that goes on with a revoked key, or sends to upstreams that left,
+    // while the store answers the other daemons but not this one.
+    let memory = seeded_store();
+    let daemons = daemons(3, &memory);
+    for daemon in &daemons {
+        wait_until("met", || daemon.state("daemons") == 3 && daemon.is_ready());
+    }
+    daemons[0].link.is_cut.store(true, Ordering::SeqCst);
+    memory.set("table", Some("2"));
+    memory.set("upstream/u2", Some("v1"));
+    for daemon in &daemons {
+        wait_until("told", || {
+            daemon.table() == Some(2) && daemon.state("upstreams") == 2
+        });
+    }
+}
+
+#[test]
+fn a_new_daemon_without_the_store_gets_changes_from_peers() {
+    let memory = seeded_store();
+    let daemons = daemons(2, &memory);
+    wait_until("met", || {
+        daemons.iter().all(|daemon| daemon.state("daemons") == 2)
+    });
+    // The new daemon is known to the others by its entry only, so it must write that before the
+    // cut.
+    let late = daemon(7, StoreLink::to(&memory));
+    wait_until("met", || late.state("daemons") == 3);
+    late.link.is_cut.store(true, Ordering::SeqCst);
+    memory.set("table", Some("3"));
+    wait_until("told", || late.table() == Some(3));
+}
+
+#[test]
+fn standbys_take_over_when_both_watchers_lose_the_store() {
+    // Only two daemons watch, because every change costs a call for each watcher. Guards against
+    // the others missing changes until membership notices that both are cut off.
+    let memory = seeded_store();
+    let daemons = daemons(4, &memory);
+    for daemon in &daemons {
+        wait_until("met", || daemon.state("daemons") == 4);
+    }
+    let watches = || -> Vec<usize> {
+        let counts = daemons
+            .iter()
+            .map(|d| d.link.watches.load(Ordering::SeqCst));
+        counts.collect()
+    };
+    // A resting daemon begins no watch while changes arrive.
+    let rests = |before: &[usize], after: &[usize]| -> usize {
+        before.iter().zip(after).filter(|(b, a)| b == a).count()
+    };
+    wait_until("resting", || {
+        let before = watches();
+        for n in 0..3 {
+            memory.set("upstream/u3", Some(&format!("v{n}")));
+            std::thread::sleep(Duration::from_millis(100));
+        }
+        rests(&before, &watches()) == 4
+    });
+    for daemon in &daemons[..2] {
+        daemon.link.is_cut.store(true, Ordering::SeqCst);
+    }
+    memory.set("table", Some("2"));
+    for daemon in &daemons {
+        wait_until("told", || daemon.table() == Some(2));
+    }
+}
+
+#[test]
+fn a_rollout_is_acknowledged_and_divides_traffic() {
+    let memory = seeded_store();
+    memory.set("upstream/u2", Some("v2"));
+    let daemons = daemons(2, &memory);
+    wait_until("ready", || daemons.iter().all(Daemon::is_ready));
+    memory.set("order/service", Some("v2"));
+    wait_until("written", || {
+        memory.get("state/service").as_deref() == Some("running v2")
+    });
+    for daemon in &daemons {
+        wait_until("divided", || {
+            let rollouts = daemon.state("rollouts");
+            rollouts[0][2]
+                .as_f64()
+                .is_some_and(|share| share > 0.0 && share <= 0.1)
+        });
+    }
+    memory.set("state/service", Some("reverted v2"));
+    for daemon in &daemons {
+        wait_until("taken back", || daemon.state("rollouts")[0][2] == 0.0);
+    }
+}
+
+#[test]
+fn only_seeds_read_a_large_store_at_fleet_start() {
+    // Guards against a fleet that is killed and restarts at one moment: every daemon read all keys
+    // from the store, whose link was full for seconds, and none of them served meanwhile.
+    let memory = seeded_store();
+    for n in 0..2_000 {
+        let value = format!("v{n} {}", "x".repeat(200));
+        memory.set(&format!("other/{n:04}"), Some(&value));
+    }
+    let seed = free_address();
+    let mut fleet = vec![daemon_at(0, StoreLink::to(&memory), seed, vec![seed])];
+    let any = SocketAddr::from(([127, 0, 0, 1], 0));
+    fleet.extend((1..6).map(|n| daemon_at(n, StoreLink::to(&memory), any, vec![seed])));
+    for daemon in &fleet {
+        wait_until("ready", || daemon.is_ready());
+    }
+    let reads = fleet
+        .iter()
+        .map(|d| d.link.whole_reads.load(Ordering::SeqCst));
+    assert_eq!(reads.collect::<Vec<_>>(), [1, 0, 0, 0, 0, 0]);
+}
+
+#[test]
+fn a_restarted_large_fleet_copies_a_large_store_from_peers() {
+    // Guards against a large fleet that loses power and returns at one moment: each daemon read a
+    // first page of a store with many upstreams, waited 3 s for a copy, and then all read the whole
+    // at once. Callers were refused for 1.3 s at the median daemon and 4.3 s at the worst.
+    let memory = seeded_store();
+    for n in 0..600 {
+        memory.set(&format!("upstream/u{n:03}"), Some("v1"));
+    }
+    memory.set("daemon/former", Some("127.0.0.1:1 295 601"));
+    let seed = free_address();
+    let first = daemon_at(0, StoreLink::to(&memory), seed, vec![seed]);
+    let any = SocketAddr::from(([127, 0, 0, 1], 0));
+    // None of these names hashes to one of the few daemons that read the store first.
+    let others = [1, 2, 3].map(|n| daemon_at(n, StoreLink::to(&memory), any, vec![seed]));
+    for daemon in others.iter().chain([&first]) {
+        wait_until("ready", || {
+            daemon.is_ready() && daemon.state("upstreams") == 601
+        });
+    }
+    let read = others.map(|daemon| daemon.link.keys_read.load(Ordering::SeqCst));
+    assert!(read.iter().all(|keys| *keys <= 6), "{read:?} keys");
+}
+
+#[test]
+fn a_store_of_one_page_is_read_without_waiting_for_peers() {
+    // A page of the store arrives sooner than a peer's snapshot, which takes some tenths of a
+    // second, however large the fleet: hosts with an eighth of a core are slow to pass snapshots
+    // on.
+    let memory = seeded_store();
+    memory.set("daemon/former", Some("127.0.0.1:1 295 180"));
+    let any = SocketAddr::from(([127, 0, 0, 1], 0));
+    let alone = daemon_at(1, StoreLink::to(&memory), any, vec![free_address()]);
+    wait_until("ready", || alone.is_ready());
+    assert!(alone.link.keys_read.load(Ordering::SeqCst) >= 3);
+}
+
+#[test]
+fn a_daemon_with_stale_seeds_reads_the_store_itself() {
+    let memory = seeded_store();
+    for n in 0..1_000 {
+        memory.set(&format!("other/{n:04}"), Some("v"));
+    }
+    let any = SocketAddr::from(([127, 0, 0, 1], 0));
+    let alone = daemon_at(1, StoreLink::to(&memory), any, vec![free_address()]);
+    wait_until("ready", || alone.is_ready());
+    assert_eq!(alone.link.whole_reads.load(Ordering::SeqCst), 1);
+}
+
+#[test]
+fn an_unreadable_upstream_entry_is_left_out_and_the_others_stay() {
+    // Another program writes under an upstream's key. Guards against callers being sent to the
+    // upstream's former address, or nowhere if the whole list were dropped.
+    let memory = seeded_store();
+    memory.set("upstream/u2", Some("v1"));
+    let daemons = daemons(1, &memory);
+    wait_until("listed", || daemons[0].state("upstreams") == 2);
+    memory.set("upstream/u1", Some("?"));
+    wait_until("left out", || daemons[0].state("upstreams") == 1);
+    assert_eq!(daemons[0].state("unreadable_upstreams"), 1);
+    memory.set("upstream/u1", Some("v2"));
+    wait_until("listed again", || daemons[0].state("upstreams") == 2);
+    assert_eq!(daemons[0].state("unreadable_upstreams"), 0);
+}
+
+#[test]
+fn an_entry_of_a_former_run_does_not_replace_the_current_run() {
+    // An upstream restarts under its id with another version, and a delayed entry of its former run
+    // arrives last. Guards against requests being routed by that entry.
+    let memory = seeded_store();
+    memory.set("upstream/u1", Some("v2@8"));
+    let daemons = daemons(1, &memory);
+    let versions = || daemons[0].state("versions").to_string();
+    wait_until("listed", || versions() == r#"{"service v2":1}"#);
+    memory.set("upstream/u1", Some("v1@7"));
+    memory.set("upstream/u2", Some("v3"));
+    wait_until("seen", || daemons[0].state("upstreams") == 2);
+    assert_eq!(versions(), r#"{"service v2":1,"service v3":1}"#);
+    memory.set("upstream/u1", Some("v4@9"));
+    wait_until("the next run", || {
+        versions() == r#"{"service v3":1,"service v4":1}"#
+    });
+}
+
+#[test]
+fn the_first_read_of_a_silent_store_is_retried_soon() {
+    // Guards against a fleet that is killed while the store is silent and starts before it is back:
+    // the first read hung for the client's whole timeout, and callers were refused for 1.2 s after
+    // the store's return.
+    let memory = seeded_store();
+    let link = StoreLink::to(&memory);
+    link.is_cut.store(true, Ordering::SeqCst);
+    let seed = free_address();
+    let alone = daemon_at(0, link.clone(), seed, vec![seed]);
+    let told = || link.read_timeouts.lock().expect("sound").clone();
+    wait_until("tried four times", || told().len() >= 4);
+    link.is_cut.store(false, Ordering::SeqCst);
+    wait_until("ready", || alone.is_ready());
+    let told = told();
+    assert!(told[0] <= Span::from_millis(320), "{told:?}");
+    assert!(
+        told.iter().all(|p| *p <= Span::from_millis(1_250)),
+        "{told:?}"
+    );
+    assert!(
+        told[3] >= Span::from_millis(700),
+        "a slow store needs longer: {told:?}"
+    );
+}
+
+#[test]
+fn a_delayed_store_answer_does_not_validate_a_copy() {
+    // Guards against store answers that wait seconds until a busy host reads them: a route added
+    // meanwhile was refused as unknown.
+    let memory = MemoryStore::default();
+    memory.set("table", Some("1"));
+    let link = StoreLink::to(&memory);
+    link.answer_delay_ms.store(2_500, Ordering::SeqCst);
+    let daemon = daemon(0, link);
+    let proven_ms = || daemon.state("proven_ms").as_u64();
+    wait_until("it is as old as its answers", || proven_ms() >= Some(2_500));
+    for _ in 0..20 {
+        assert!(proven_ms() >= Some(2_500), "{:?}", proven_ms());
+        std::thread::sleep(Duration::from_millis(20));
+    }
+}
--- /dev/null
+++ b/components/fleet/tests/it/heartbeats.rs
@@ -0,0 +1,188 @@
+//! What daemons learn from each other's heartbeats.
+
+use fleet::{Heartbeat, PeerStates, StoreReport};
+use mirror::Revision;
+use types::prelude::*;
+
+const REPORT_TTL: Span = Span::from_millis(1_400);
+
+fn daemon(n: usize) -> DaemonId {
+    DaemonId::new(&format!("d{n}")).expect("a name")
+}
+
+fn holding(held: u64) -> Heartbeat {
+    Heartbeat {
+        held: Revision(held),
+        watchers: Vec::new(),
+        store_unreachable: Vec::new(),
+        rollouts: Vec::new(),
+        loads: Vec::new(),
+        rate_limits: Vec::new(),
+        sent_at: None,
+        freshness: None,
+    }
+}
+
+fn sources(states: &PeerStates, held: u64) -> Vec<DaemonId> {
+    let mut ahead = states.ahead_of(Revision(held)).cloned().collect::<Vec<_>>();
+    ahead.sort();
+    ahead
+}
+
+#[test]
+fn a_daemon_without_a_copy_asks_any_peer_with_one() {
+    // Guards against a restarted fleet that copies from the few daemons with the last change only.
+    // When a key changed, just the watcher had that change for a moment; all others wanted their
+    // copy from it, it served two at a time, and callers were refused for a second more.
+    let mut states = PeerStates::default();
+    for (n, held) in [7, 7, 8, 0].into_iter().enumerate() {
+        states.take(Time::ZERO, &daemon(n), &holding(held), REPORT_TTL);
+    }
+    assert_eq!(sources(&states, 0), [daemon(0), daemon(1), daemon(2)]);
+    // A daemon that has a copy asks for all new changes at once.
+    assert_eq!(sources(&states, 6), [daemon(2)]);
+    assert!(sources(&states, 8).is_empty());
+}
+
+/// A daemon's report on itself, made when its own clock showed `clock_ms`.
+fn report(n: usize, clock_ms: u64) -> StoreReport {
+    StoreReport {
+        daemon: daemon(n),
+        age_ms: 0,
+        run: Incarnation(1),
+        clock_ms,
+        held: Revision(7),
+        validated_ms: Some(0),
+    }
+}
+
+/// The same report, sent by a relay that received it `age_ms` ago.
+fn relayed(report: &StoreReport, age_ms: u16) -> StoreReport {
+    StoreReport {
+        age_ms,
+        ..report.clone()
+    }
+}
+
+fn with_watchers(watchers: Vec<StoreReport>) -> Heartbeat {
+    Heartbeat {
+        watchers,
+        ..holding(7)
+    }
+}
+
+fn at(ms: u64) -> Time {
+    Time::ZERO + Span::from_millis(ms)
+}
+
+#[test]
+fn a_watcher_without_store_answers_no_longer_counts() {
+    // Guards against watchers whose connections to the store go silent while those to their peers
+    // do not, just as a key is revoked. Others trusted the watchers' last success until it was too
+    // old, and accepted the revoked key for more than the two seconds within which a change must be
+    // in force.
+    let now = at(10_000);
+    let mut states = PeerStates::default();
+    let works = with_watchers(vec![relayed(&report(4, 5_000), 100)]);
+    let fails = Heartbeat {
+        store_unreachable: vec![report(4, 5_100)],
+        ..holding(7)
+    };
+    states.take(now, &daemon(0), &works, REPORT_TTL);
+    assert!(states.has_watcher());
+    states.take(now, &daemon(2), &fails, REPORT_TTL);
+    assert!(!states.has_watcher());
+    // An older success report that arrives late changes nothing.
+    states.take(now, &daemon(3), &works, REPORT_TTL);
+    assert!(!states.has_watcher());
+    // The store answers the watcher again.
+    let later = now + Span::from_secs(1);
+    let works = with_watchers(vec![relayed(&report(4, 6_000), 100)]);
+    states.take(later, &daemon(3), &works, REPORT_TTL);
+    assert!(states.has_watcher());
+}
+
+#[test]
+fn relayed_reports_of_a_dead_watcher_expire() {
+    // Guards against the last report of a dead watcher going round while messages are delayed for
+    // seconds. Each relay adds the time for which it held the report but not the transit time, so
+    // every daemon believed in the watcher for as long as the report went round, and nobody
+    // watched.
+    let mut states = PeerStates::default();
+    let last = report(4, 5_000);
+    states.take(
+        at(10_000),
+        &daemon(0),
+        &with_watchers(vec![last.clone()]),
+        REPORT_TTL,
+    );
+    for ms in [11_000, 12_000, 13_000] {
+        let again = with_watchers(vec![relayed(&last, 100)]);
+        states.take(at(ms), &daemon(1), &again, REPORT_TTL);
+        states.expire(at(ms), REPORT_TTL);
+    }
+    assert!(!states.has_watcher());
+}
+
+#[test]
+fn a_delayed_report_keeps_its_age() {
+    // After a partition heals, the messages held up by it arrive at once, among them a report made
+    // 8 s ago that this daemon had not received. It says nothing about the present.
+    let mut states = PeerStates::default();
+    let before = with_watchers(vec![report(4, 5_000)]);
+    states.take(at(10_000), &daemon(0), &before, REPORT_TTL);
+    let answer_delay = with_watchers(vec![report(4, 5_400)]);
+    states.take(at(18_400), &daemon(0), &answer_delay, REPORT_TTL);
+    states.expire(at(18_400), REPORT_TTL);
+    assert!(!states.has_watcher());
+}
+
+#[test]
+fn the_store_is_unreachable_only_if_several_daemons_get_no_answer() {
+    // Leases of upstreams run out in an outage. A daemon that does not watch must know of the outage
+    // to keep them. If it took the loss or partition of both watchers for an outage, it would send
+    // to upstreams that left.
+    let now = Time::ZERO + Span::from_secs(10);
+    let mut states = PeerStates::default();
+    let mut hear = |n, heartbeat: &Heartbeat| {
+        states.take(now, &daemon(n), heartbeat, REPORT_TTL);
+        (
+            states.is_store_unreachable(295),
+            states.is_store_unreachable(2),
+        )
+    };
+    assert_eq!(hear(0, &holding(7)), (false, false), "nobody says anything");
+    let two = Heartbeat {
+        store_unreachable: vec![relayed(&report(1, 5_000), 300), report(2, 5_000)],
+        ..holding(7)
+    };
+    let (is_unreachable, is_unreachable_for_two) = hear(1, &two);
+    assert!(!is_unreachable, "two may be cut off");
+    assert!(is_unreachable_for_two, "there is nobody else");
+    let third = Heartbeat {
+        store_unreachable: vec![report(3, 5_000)],
+        ..holding(7)
+    };
+    assert!(hear(3, &third).0);
+    let works = Heartbeat {
+        watchers: vec![relayed(&report(4, 5_000), 100)],
+        ..holding(7)
+    };
+    assert!(!hear(5, &works).0, "it serves somebody");
+    states.expire(now + Span::from_millis(1_350), REPORT_TTL);
+    assert!(!states.is_store_unreachable(295), "one word is too old");
+}
+
+#[test]
+fn a_watcher_reported_in_late_messages_still_counts() {
+    // Guards against busy hosts that read messages late and take the store for unreachable though
+    // watchers are answered.
+    let mut states = PeerStates::default();
+    for ms in (20_000..22_000).step_by(200) {
+        states.take(at(ms), &daemon(5), &with_watchers(vec![]), REPORT_TTL);
+    }
+    let late = with_watchers(vec![relayed(&report(4, 5_000), 100)]);
+    states.take(at(22_000), &daemon(5), &late, REPORT_TTL);
+    states.expire(at(22_400), REPORT_TTL);
+    assert!(states.has_watcher());
+}
--- a/components/fleet/tests/it/memory.rs
+++ b/components/fleet/tests/it/memory.rs
@@ -1,4 +1,4 @@
-//! A store in memory that can be cut off from a daemon.
+//! A store in memory, and links to it that can be cut.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -13,7 +13,7 @@
 use store::{Sink, Store, Watch, WatchBatch, WatchEnd};
 use types::prelude::*;
 
-/// How long a watch waits at the store.
+/// How long a watch waits for changes before it answers.
 const WATCH_WAIT: Duration = Duration::from_millis(300);
 
 #[derive(Default)]
@@ -21,16 +21,16 @@
     revision: i64,
     items: BTreeMap<String, KeyValue>,
     log: Vec<WatchEvent>,
-    /// When each revision was written, the first one first.
+    /// When each revision was written, in order.
     written_at: Vec<Instant>,
 }
 
-/// The store.
+/// A store in memory.
 #[derive(Clone, Default)]
-pub struct Memory(Arc<(Mutex<Keys>, Condvar)>);
+pub struct MemoryStore(Arc<(Mutex<Keys>, Condvar)>);
 
-impl Memory {
-    /// Keys that begin so.
+impl MemoryStore {
+    /// Lists the keys with a prefix.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let keys = self.0.0.lock().expect("sound");
         let keys = keys.items.keys().filter(|key| key.starts_with(prefix));
@@ -51,7 +51,7 @@
         *keys.written_at.last().expect("something was written")
     }
 
-    /// A key's value.
+    /// The value of a key.
     pub fn get(&self, key: &str) -> Option<String> {
         let keys = self.0.0.lock().expect("sound");
         let item = keys.items.get(key)?;
@@ -80,35 +80,35 @@
     });
 }
 
-/// One daemon's way to the store.
+/// One daemon's link to the store.
 #[derive(Clone, Default)]
-pub struct Way {
-    memory: Memory,
-    /// Nothing gets through.
+pub struct StoreLink {
+    memory: MemoryStore,
+    /// Fails every call while set.
     pub is_cut: Arc<AtomicBool>,
-    /// Watches begun.
+    /// Number of watches begun.
     pub watches: Arc<AtomicUsize>,
-    /// Times that all keys were read.
+    /// Number of reads of all keys.
     pub whole_reads: Arc<AtomicUsize>,
-    /// Keys that were read.
+    /// Number of keys read.
     pub keys_read: Arc<AtomicUsize>,
-    /// Answers to watches are held up for so many ms.
-    pub held_up_ms: Arc<AtomicUsize>,
-    /// How long each reading was to be waited for.
-    pub patience: Arc<Mutex<Vec<Span>>>,
+    /// Delay of answers to watches, in ms.
+    pub answer_delay_ms: Arc<AtomicUsize>,
+    /// Timeout of each read.
+    pub read_timeouts: Arc<Mutex<Vec<Span>>>,
 }
 
-impl Way {
-    /// To this store.
-    pub fn to(memory: &Memory) -> Self {
+impl StoreLink {
+    /// Creates a link to a store.
+    pub fn to(memory: &MemoryStore) -> Self {
         Self {
             memory: memory.clone(),
             ..Self::default()
         }
     }
 
-    fn held_up(&self) -> Duration {
-        Duration::from_millis(self.held_up_ms.load(Ordering::SeqCst) as u64)
+    fn answer_delay(&self) -> Duration {
+        Duration::from_millis(self.answer_delay_ms.load(Ordering::SeqCst) as u64)
     }
 
     fn check(&self) -> Result<(), CallError> {
@@ -119,7 +119,7 @@
     }
 }
 
-impl Store for Way {
+impl Store for StoreLink {
     fn call(&self, req: Request) -> Outcome {
         self.check()?;
         let (keys, changed) = &*self.memory.0;
@@ -173,8 +173,8 @@
         })
     }
 
-    fn read(&self, range: Range, patience: Span) -> Outcome {
-        self.patience.lock().expect("sound").push(patience);
+    fn read(&self, range: Range, timeout: Span) -> Outcome {
+        self.read_timeouts.lock().expect("sound").push(timeout);
         self.call(Request::Range(range))
     }
 
@@ -191,7 +191,7 @@
             let batch = WatchBatch {
                 revision: ModRevision(keys.revision),
                 events: events.cloned().collect(),
-                current_at: Instant::now() - self.held_up(),
+                current_at: Instant::now() - self.answer_delay(),
             };
             from = ModRevision(keys.revision + 1);
             drop(keys);
--- /dev/null
+++ b/components/fleet/tests/it/quarantine.rs
@@ -0,0 +1,115 @@
+//! Request contents that crash upstreams are quarantined by all daemons, including those that start
+//! later.
+
+use std::sync::atomic::Ordering;
+
+use poison::Content;
+
+use crate::harness::*;
+
+fn content(name: &str) -> Content {
+    Content::of("alice", "host", "POST", "/a", name.as_bytes())
+}
+
+fn seeded_store() -> MemoryStore {
+    let memory = MemoryStore::default();
+    memory.set("table", Some("1"));
+    memory.set("upstream/u1", Some("v1"));
+    memory
+}
+
+fn ready_daemons(count: usize, memory: &MemoryStore) -> Vec<Daemon> {
+    let daemons = daemons(count, memory);
+    for daemon in &daemons {
+        wait_until("met", || {
+            daemon.state("daemons") == count && daemon.is_ready()
+        });
+    }
+    daemons
+}
+
+#[test]
+fn one_crash_at_each_of_three_daemons_quarantines_a_content_on_all() {
+    // A caller's retries reach three daemons, and an upstream crashes at each. Guards against each
+    // daemon counting only its own crash, which does not quarantine the content, while the caller's
+    // next retry may reach any daemon.
+    let daemons = ready_daemons(4, &seeded_store());
+    let poison = content("poison");
+    for (n, daemon) in daemons.iter().take(3).enumerate() {
+        daemon.upstream_crashes(&format!("u{n}"), poison);
+    }
+    for daemon in &daemons {
+        wait_until("barred", || daemon.quarantines(poison));
+        assert!(!daemon.quarantines(content("other")));
+    }
+}
+
+#[test]
+fn quarantine_spreads_while_the_store_is_unreachable() {
+    let daemons = ready_daemons(3, &seeded_store());
+    for daemon in &daemons {
+        daemon.link.is_cut.store(true, Ordering::SeqCst);
+    }
+    let poison = content("poison");
+    (0..3).for_each(|n| daemons[0].upstream_crashes(&format!("u{n}"), poison));
+    for daemon in &daemons {
+        wait_until("barred", || daemon.quarantines(poison));
+    }
+}
+
+#[test]
+fn a_restarted_daemon_loads_quarantines_before_it_is_ready() {
+    // Guards against losing a quarantine when all daemons lose power at once during such a
+    // request's retries: what they told each other is gone, and the caller goes on.
+    let memory = seeded_store();
+    let poison = content("poison");
+    {
+        let daemons = ready_daemons(2, &memory);
+        (0..3).for_each(|n| daemons[0].upstream_crashes(&format!("u{n}"), poison));
+        wait_until("written", || memory.keys("bar/").len() == 1);
+    }
+    let daemons = daemons(2, &memory);
+    for daemon in &daemons {
+        wait_until("ready", || daemon.is_ready());
+        assert!(daemon.quarantines(poison));
+    }
+}
+
+#[test]
+fn deleting_its_key_lifts_a_quarantine() {
+    let memory = seeded_store();
+    let daemons = ready_daemons(3, &memory);
+    let poison = content("poison");
+    (0..3).for_each(|n| daemons[1].upstream_crashes(&format!("u{n}"), poison));
+    wait_until("written", || memory.keys("bar/").len() == 1);
+    let key = memory.keys("bar/").remove(0);
+    assert_eq!(key, format!("bar/{poison}"));
+    memory.set(&key, None);
+    for daemon in &daemons {
+        wait_until("lifted", || !daemon.quarantines(poison));
+    }
+}
+
+#[test]
+fn a_completed_content_is_deleted_from_the_store() {
+    let memory = seeded_store();
+    let daemons = ready_daemons(2, &memory);
+    let poison = content("poison");
+    (0..3).for_each(|n| daemons[1].upstream_crashes(&format!("u{n}"), poison));
+    wait_until("written", || memory.keys("bar/").len() == 1);
+    daemons[1].completes(poison);
+    wait_until("deleted", || memory.keys("bar/").is_empty());
+    for daemon in &daemons {
+        wait_until("cleared", || !daemon.quarantines(poison));
+    }
+}
+
+#[test]
+fn foreign_bytes_under_a_quarantine_key_are_ignored() {
+    let memory = seeded_store();
+    let poison = content("poison");
+    memory.set(&format!("bar/{poison}"), Some("none of ours"));
+    memory.set("bar/no content", Some("none of ours"));
+    let daemons = ready_daemons(1, &memory);
+    assert!(!daemons[0].quarantines(poison));
+}
