--- a/components/traffic/src/arm.rs
+++ b/components/traffic/src/arm.rs
@@ -10,7 +10,7 @@
 use types::prelude::*;
 
 use crate::exchange::Request;
-use crate::world::World;
+use crate::shared::World;
 
 /// A request that ends its upstreams is barred within this of the first end: its caller comes again
 /// within a second, and it takes three.
--- a/components/traffic/src/attempt.rs
+++ b/components/traffic/src/attempt.rs
@@ -14,11 +14,11 @@
 use types::prelude::*;
 
 use crate::answer::Whole;
+use crate::attempt_guard::Tracked;
 use crate::exchange::Request;
 use crate::relay::{LOOK, given_up};
-use crate::tracked::Tracked;
+use crate::shared::World;
 use crate::translate::{Forwarding, Reply, Standing, Translator};
-use crate::world::World;
 
 /// An upstream that lives accepts within some ms; one behind a cut never answers.
 const CONNECT_WITHIN: Span = Span::from_millis(300);
--- a/components/traffic/src/tracked.rs
+++ b/components/traffic/src/attempt_guard.rs
@@ -9,7 +9,7 @@
 
 use crate::arm::Arm;
 use crate::exchange::Request;
-use crate::world::World;
+use crate::shared::World;
 
 /// One request at an upstream. Dropped without an ending, it was cancelled.
 pub(crate) struct Tracked<T> {
--- a/components/traffic/src/caller.rs
+++ b/components/traffic/src/caller.rs
@@ -14,8 +14,8 @@
 use crate::metrics::Outcome;
 use crate::report::Finish;
 use crate::request::{NoRequest, read_body, read_head};
+use crate::shared::{Stage, World};
 use crate::translate::{Ask, Translator};
-use crate::world::{Stage, World};
 
 /// A caller that does not close after a last answer is reset after.
 const LINGER: Duration = Duration::from_millis(1_500);
--- a/components/traffic/src/ends.rs
+++ b/components/traffic/src/crashes.rs
@@ -13,7 +13,7 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use types::prelude::*;
 
-use crate::world::World;
+use crate::shared::World;
 
 /// How often is looked whether a doubt is settled, and how often at most: as long as both looks
 /// at an upstream that does not refuse take.
--- a/components/traffic/src/exchange.rs
+++ b/components/traffic/src/exchange.rs
@@ -1,7 +1,7 @@
 //! One request from its first attempt to its end.
 
-mod decide;
-mod tell;
+mod choose;
+mod log;
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -19,8 +19,8 @@
 use crate::relay::{Relay, RelayEnd};
 use crate::report::{Finish, Report};
 use crate::request::Body;
+use crate::shared::{Stage, World};
 use crate::translate::{Ask, Translator};
-use crate::world::{Stage, World};
 
 /// Callers return at least this much later when no upstream could take their request: one
 /// that was full has finished something by then.
--- a/components/traffic/src/limiting.rs
+++ b/components/traffic/src/rate_limits.rs
@@ -3,7 +3,7 @@
 use dispatch::{Advertised, Advertisement, RateLimitChange, UpstreamIndex};
 use types::prelude::*;
 
-use crate::world::World;
+use crate::shared::World;
 
 impl<T> World<T> {
     /// Takes the rate limit of an answer.
--- a/components/traffic/src/relay.rs
+++ b/components/traffic/src/relay.rs
@@ -10,10 +10,10 @@
 
 use crate::answer::{push_connection, push_head};
 use crate::attempt::Stream;
+use crate::attempt_guard::Tracked;
 use crate::exchange::Request;
-use crate::tracked::Tracked;
+use crate::shared::World;
 use crate::translate::Translator;
-use crate::world::World;
 
 /// A stream whose engine has said nothing on any connection for so many of the longest
 /// pauses that are on time goes on elsewhere. An engine that lives may say nothing for two
--- a/components/traffic/src/report.rs
+++ b/components/traffic/src/report.rs
@@ -6,7 +6,7 @@
 
 use crate::exchange::Request;
 use crate::metrics::Outcome;
-use crate::world::World;
+use crate::shared::World;
 
 /// How a request ended.
 #[derive(Debug, Clone, Copy)]
--- a/components/traffic/src/request.rs
+++ b/components/traffic/src/request.rs
@@ -8,7 +8,7 @@
 use types::prelude::*;
 
 use crate::answer::Own;
-use crate::world::World;
+use crate::shared::World;
 
 /// Before a configuration is known: longest head.
 const FIRST_HEAD: usize = 16 * 1024;
--- a/components/traffic/src/server.rs
+++ b/components/traffic/src/server.rs
@@ -20,12 +20,12 @@
 
 use crate::caller;
 use crate::config::Config;
-use crate::ends;
+use crate::crashes;
 use crate::metrics::Metrics;
 use crate::plan::{Plan, Proof};
+use crate::shared::{Seen, Stage, World};
 use crate::status;
 use crate::translate::Translator;
-use crate::world::{Seen, Stage, World};
 
 /// Old kept connections are closed this often.
 const TIDY: Duration = Duration::from_secs(1);
@@ -132,7 +132,7 @@
         let (doubtful, doubtful_rx) = tokio::sync::mpsc::unbounded_channel();
         let world = new_world(cfg, translator, clock, shared, doubtful);
         let tasks = LocalSet::new();
-        tasks.spawn_local(ends::watch(Rc::clone(&world), doubtful_rx));
+        tasks.spawn_local(crashes::watch(Rc::clone(&world), doubtful_rx));
         tasks.block_on(&runtime, serve(world, rx, started_tx));
         drop(ended_tx);
     };
--- a/components/traffic/src/world.rs
+++ b/components/traffic/src/shared.rs
@@ -123,7 +123,7 @@
     pub(crate) breaks: RefCell<Vec<Break>>,
     /// Upstreams that are being asked whether they still listen.
     pub(crate) in_doubt: RefCell<BTreeSet<UpstreamIndex>>,
-    /// Upstreams that may have ended, for [`crate::ends::watch`].
+    /// Upstreams that may have ended, for [`crate::crashes::watch`].
     pub(crate) doubtful: UnboundedSender<LastSeen>,
     pub(crate) pins: RefCell<Pins>,
     pub(crate) budgets: RefCell<HashMap<Arc<str>, RetryBudget>>,
--- a/components/traffic/src/status.rs
+++ b/components/traffic/src/status.rs
@@ -12,8 +12,8 @@
 use types::prelude::*;
 
 use crate::plan::Plan;
+use crate::shared::{Stage, World};
 use crate::translate::Translator;
-use crate::world::{Stage, World};
 
 /// Longest head taken here.
 const MAX_HEAD: usize = 8 * 1024;
--- a/components/traffic/tests/it/main.rs
+++ b/components/traffic/tests/it/main.rs
@@ -4,8 +4,8 @@
 
 mod answers;
 mod bounds;
-mod ends;
-mod leaving;
+mod crashes;
 mod limits;
-mod poison;
+mod quarantine;
+mod shutdown;
 mod streams;
