--- a/components/traffic/src/attempt.rs
+++ b/components/traffic/src/attempt.rs
@@ -20,61 +20,62 @@
 use crate::shared::Shared;
 use crate::translate::{Forwarding, Reply, Standing, Translator};
 
-/// An upstream that lives accepts within some ms; one behind a cut never answers.
+/// A live upstream accepts a connection within milliseconds; one behind a network partition never
+/// answers.
 const CONNECT_TIMEOUT: Span = Span::from_millis(300);
-/// Longest head of an upstream.
+/// Longest response head accepted from an upstream, in bytes.
 const MAX_HEAD: usize = 16 * 1024;
-/// Longest whole answer of an upstream.
+/// Longest whole response body accepted from an upstream, in bytes.
 const MAX_BODY: usize = 8 * 1024 * 1024;
-/// Answers to others' requests that are read away before one connection is given up.
+/// Answers to other requests that are skipped before a connection is abandoned.
 const MAX_STRAY_ANSWERS: u32 = 4;
-/// Part of the objective after which a silent plain service is left for another.
+/// Share of the route's objective after which a silent plain service is abandoned for another.
 const SILENT_SHARE: f64 = 0.7;
-/// Rank that upstreams take for ordinary.
+/// The rank that upstreams treat as ordinary; lower ranks go first.
 const ORDINARY_RANK: u8 = 5;
-/// Connections to upstreams that are silent this long while bytes are out are dead.
+/// An upstream's connection is closed when sent bytes stay unacknowledged for this long.
 const UPSTREAM_WIRE: WireOptions = WireOptions {
     user_timeout: Duration::from_millis(1_500),
     keepalive: Duration::from_secs(1),
 };
 
-/// What a send came to.
+/// Result of one send.
 pub(crate) enum SendResult<T> {
     /// Nothing arrived at the upstream.
     Unreachable,
-    /// The upstream did not and will not run it.
+    /// The upstream did not run the request and will not.
     NotRun(&'static str),
-    /// It may have run.
+    /// The request may have run.
     MayHaveRun(&'static str),
-    /// The upstream's own failure.
+    /// A whole answer with a status of 500 or above.
     Failed(Whole),
-    /// A whole good answer.
+    /// A whole answer with a status below 500.
     Whole(Whole),
-    /// A stream begins.
+    /// The upstream began a stream.
     Stream(Box<Stream<T>>),
 }
 
-/// An answer's head.
+/// The head of an upstream's answer.
 struct AnswerHead {
     head: Head,
     reply: Reply,
     framing: Framing,
 }
 
-/// Why no head came.
+/// Why no response head was read.
 enum Failure {
     /// Nothing arrived at the upstream.
     Unreachable,
-    /// It was silent for too long.
+    /// The upstream was silent for too long.
     Silent,
     /// The connection broke.
     Broken(&'static str),
-    /// Its content was barred while it waited.
+    /// The content was quarantined while the request waited.
     Quarantined,
 }
 
 impl Failure {
-    /// What it says of the upstream, and of the request.
+    /// What this says of the upstream, and of the request.
     fn outcome<T>(self) -> (Ending, SendResult<T>) {
         match self {
             Self::Unreachable => (Ending::Unreachable, SendResult::Unreachable),
@@ -88,13 +89,13 @@
     }
 }
 
-/// A stream that an upstream began.
+/// A stream begun by an upstream.
 pub(crate) struct Stream<T> {
     pub(crate) head: Head,
     pub(crate) confidence: Option<u8>,
     pub(crate) wire: Wire,
     pub(crate) reader: BodyReader,
-    /// Whether the upstream may be left for another when it is silent.
+    /// Whether to switch to another upstream when this one is silent.
     pub(crate) may_switch: bool,
     index: UpstreamIndex,
     shared: Rc<Shared<T>>,
@@ -103,7 +104,7 @@
 }
 
 impl<T> Stream<T> {
-    /// Notes the first event.
+    /// Notes that the first event arrived.
     pub(crate) fn note_first_event(&mut self) {
         self.guard.note_first_output(self.model.as_ref());
     }
@@ -113,7 +114,7 @@
         self.guard.note_heard();
     }
 
-    /// Why it is left for another upstream, if it is.
+    /// Why the upstream is abandoned for another; none if it isn't.
     pub(crate) fn give_up_reason(
         &self,
         request: &Request<T>,
@@ -124,7 +125,7 @@
         give_up_reason(request, &self.guard, silent, has_event)
     }
 
-    /// Ends it; the connection is kept after a whole stream.
+    /// Ends the attempt. The connection returns to the pool after a complete stream.
     pub(crate) fn finish(self, ending: Ending) {
         self.guard.end(ending);
         if ending == Ending::Good && !self.reader.ends_with_connection() {
@@ -146,14 +147,14 @@
     pub(crate) has_delivered: bool,
     /// Whether an earlier attempt of the request failed.
     pub(crate) has_failed: bool,
-    /// Whether a silent upstream may be left for another.
+    /// Whether to switch to another upstream when this one is silent.
     pub(crate) may_switch: bool,
-    /// Whether it sees whether its content's bar still holds.
+    /// Whether this is the half-open trial of a quarantined content.
     pub(crate) is_trial: bool,
 }
 
 impl<T: Translator> Attempt<'_, T> {
-    /// Sends it and waits for the answer's beginning, or its end unless it is a stream.
+    /// Sends the request. Waits for the head of a stream, or for the end of any other answer.
     pub(crate) async fn send(&self, choice: Choice) -> SendResult<T> {
         let mut guard = AttemptGuard::start(self.shared, &choice, self.request, self.has_failed);
         let Some(spec) = self.shared.upstreams.borrow().spec(choice.index).cloned() else {
@@ -194,7 +195,7 @@
             .await
     }
 
-    /// Sends the request and reads the answer's head, on a kept connection if there is one.
+    /// Sends the request and reads the head of the answer, on a pooled connection if there is one.
     async fn request_head(
         &self,
         index: UpstreamIndex,
@@ -206,8 +207,8 @@
         if let Some(wire) = self.take_pooled(index) {
             match self.send_on(&wire, &bytes, guard).await {
                 Ok(answer) => return Ok((wire, answer)),
-                // Guards against an upstream that dropped an idle connection without a word:
-                // what is sent next on it is reset, though the upstream is sound.
+                // The upstream may have silently dropped the idle connection: the next send on it
+                // is reset though the upstream is healthy.
                 Err(Failure::Broken(why)) => {
                     return self.resend(index, spec, guard, why).await;
                 }
@@ -219,11 +220,12 @@
         Ok((wire, answer))
     }
 
-    /// Sends it on a new connection to an upstream on whose kept one it broke.
+    /// Resends the request on a new connection after a pooled connection to the same upstream
+    /// broke.
     ///
-    /// Guards against an upstream that ended under it: it refuses the new connection, and what
-    /// was sent on the kept one would count for nothing, neither as a run nor as a repeat, so
-    /// that one attempt went on to upstream after upstream.
+    /// If the upstream crashed, it refuses the new connection. The send on the pooled connection is
+    /// still reported as broken: if it counted neither as a run nor as a retry, one attempt would
+    /// go on to upstream after upstream.
     async fn resend(
         &self,
         index: UpstreamIndex,
@@ -241,8 +243,9 @@
         Ok((wire, answer))
     }
 
-    /// A kept connection, unless the request may not be repeated: whether one that breaks
-    /// had already lost its other end cannot be told, and a new one costs a millisecond.
+    /// Takes a pooled connection, unless the request may not be retried: when a pooled connection
+    /// breaks, it cannot be told whether the other end had closed it before, and a new one costs a
+    /// millisecond.
     fn take_pooled(&self, index: UpstreamIndex) -> Option<Wire> {
         if !self.request.route.repeat.is_allowed() {
             return None;
@@ -287,7 +290,7 @@
         self.answer_head(wire, guard).await
     }
 
-    /// Why an answer is none, if it is.
+    /// Why an answer is not accepted; none if it is.
     fn refusal(
         &self,
         index: UpstreamIndex,
@@ -309,8 +312,8 @@
         (is_success && !is_own).then_some((Ending::Broken, SendResult::MayHaveRun(why)))
     }
 
-    /// Takes what an answer of this run says of its rate limit; only one that the upstream vouches
-    /// for lifts it.
+    /// Applies the rate limit that an answer of this run carries. Only an answer that the upstream
+    /// signed can lift a limit.
     fn observe_rate_limit(&self, index: UpstreamIndex, guard: &AttemptGuard<T>, reply: &Reply) {
         let is_of_run = reply.standing != Standing::OtherRun && !reply.is_encoded;
         let says_nothing = reply.rate_limit == Advertised::Nothing;
@@ -350,7 +353,7 @@
         out
     }
 
-    /// A customer's rank goes before the route's; streams under way go before new ones.
+    /// A customer's rank overrides the route's; a stream in progress goes before new requests.
     fn rank(&self) -> u8 {
         if !self.shared.cfg.policy.timing.ranks {
             return ORDINARY_RANK;
@@ -386,8 +389,9 @@
         }
     }
 
-    /// Whether its content was barred while it waits. Guards against requests that reached
-    /// upstreams before the word did, and that end one after the other as their turn comes there.
+    /// Whether the content was quarantined while the request waits. Otherwise requests that reached
+    /// upstreams before the news of the quarantine would crash them one after another as their turn
+    /// comes.
     fn is_quarantined(&self) -> bool {
         !self.is_trial
             && self
@@ -396,7 +400,7 @@
                 .is_some()
     }
 
-    /// Whether a silent upstream is left for another.
+    /// Whether the upstream has been silent long enough to switch to another.
     fn is_silent_too_long(&self, guard: &AttemptGuard<T>) -> bool {
         let route = &self.request.route;
         let silent = guard.outstanding_for();
@@ -408,10 +412,10 @@
         give_up_reason(self.request, guard, silent, false).is_some()
     }
 
-    /// Skips answers to other requests.
+    /// Reads response heads until one answers this request.
     ///
-    /// Guards against an answer that arrives late or twice on a kept connection: without
-    /// the comparison of ids the caller would get another one's answer.
+    /// An answer can arrive late or twice on a pooled connection; without comparing ids, the caller
+    /// would get another caller's answer.
     async fn matching_head(&self, wire: &Wire) -> Result<AnswerHead, Failure> {
         for _ in 0..MAX_STRAY_ANSWERS {
             let read = read_response_head(wire, MAX_HEAD).await;
@@ -423,7 +427,7 @@
             let reply = self.shared.translator.reply(&head);
             let is_own = match &reply.attempt {
                 Some(id) => **id == *self.request.ask.attempt,
-                // Refusals may come without an id; a success never does.
+                // A refusal may come without an id; a success never does.
                 None => !(200..300).contains(&head.status()),
             };
             if is_own {
--- a/components/traffic/src/exchange.rs
+++ b/components/traffic/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request from its first attempt to its end.
+//! One request, from its first attempt to its end.
 
 mod choose;
 mod log;
@@ -22,17 +22,17 @@
 use crate::shared::{Shared, Stage};
 use crate::translate::{Ask, Translator};
 
-/// Callers return at least this much later when no upstream could take their request: one
-/// that was full has finished something by then.
+/// Least pause a caller is told when no upstream could take its request: a busy one has finished
+/// something by then.
 const BUSY_RETRY: Span = Span::from_millis(150);
-/// Sends of one request beyond the runs that its route allows: refusals cost little, but
-/// each is a repeat for the service.
+/// Sends of one request beyond the runs that its route allows. Refusals are cheap, but each takes a
+/// retry from the service's budget.
 const MAX_EXTRA_SENDS: u32 = 2;
-/// Upstreams that one request finds unreachable before it is given up: a failure domain
-/// that goes takes a fourth of them at once.
+/// Upstreams that one request may find unreachable before it fails: the loss of a failure domain
+/// takes away a fourth of them at once.
 const MAX_UNREACHABLE: u32 = 8;
 
-/// A request that was read whole and belongs on a route.
+/// A request that was read whole and matched to a route.
 pub(crate) struct Request<T> {
     pub(crate) head: Head,
     pub(crate) ask: Ask,
@@ -46,20 +46,20 @@
     pub(crate) keeps_alive: bool,
 }
 
-/// How an attempt leaves the request.
+/// What to do after an attempt.
 enum Next {
     Finished(Finish),
-    /// Not run, or may be repeated: go on with another upstream.
+    /// It did not run, or may be retried: try another upstream, at the cost of a retry.
     Retry(Use),
-    /// Nothing arrived: go on with another upstream; no repeat for the service.
+    /// Nothing arrived at the upstream: try another, at no cost to the retry budget.
     TryAnother,
-    /// The outcome is unknown and it must not be repeated.
+    /// Stop: it failed or its outcome is unknown, and it must not be retried.
     GiveUp(&'static str),
-    /// No upstream may be sent it.
+    /// No upstream can be chosen.
     NoneAvailable(NoUpstream),
 }
 
-/// One request on its way.
+/// A request in progress, over all of its attempts.
 pub(crate) struct Exchange<'a, T> {
     shared: &'a Rc<Shared<T>>,
     wire: &'a Wire,
@@ -67,7 +67,7 @@
     service: Arc<str>,
     placement_hash: u64,
     tried: Vec<UpstreamIndex>,
-    /// What the last upstream was chosen by.
+    /// The load by which the last upstream was chosen.
     chosen_by: Load,
     /// The upstream that has the request now.
     outstanding: Option<UpstreamIndex>,
@@ -76,16 +76,16 @@
     unreachable: u32,
     /// Attempts that may have run.
     runs: u32,
-    /// Whether one of them failed.
+    /// Whether one of the runs failed.
     has_failed: bool,
-    /// Whether it is sent once, to see whether its content's bar still holds.
+    /// Whether this is the half-open trial of its quarantined content; it is sent only once.
     is_trial: bool,
-    /// Place of the model asked, where this system chooses.
+    /// Index into the route's models, where the daemon chooses the model.
     model_index: Option<usize>,
-    /// The stream's version, once an event of it was delivered.
+    /// The version that sent the events delivered so far; a resumed stream stays on it.
     version: Option<Arc<str>>,
     relay: Relay,
-    /// The last failure that an upstream told itself, in case nothing better comes.
+    /// The last failure answer of an upstream, relayed if no later attempt succeeds.
     failure: Option<Whole>,
     report: Report,
 }
@@ -126,14 +126,17 @@
         }
     }
 
-    /// Runs it to its end.
+    /// Runs attempts until the request has an answer or its deadline passes.
     pub(crate) async fn run(&mut self) -> Finish {
         self.shared.count_request(&self.service);
         let deadline = self.shared.instant(self.request.deadline);
         match tokio::time::timeout_at(deadline, self.attempts()).await {
             Ok(finish) => finish,
-            Err(_) if self.relay.has_begun() => Finish::cut("out of time"),
-            Err(_) => self.send_reply(LocalReply::Timeout, "out of time").await,
+            Err(_) if self.relay.has_begun() => Finish::cut("the deadline passed"),
+            Err(_) => {
+                self.send_reply(LocalReply::Timeout, "the deadline passed")
+                    .await
+            }
         }
     }
 
@@ -150,17 +153,17 @@
                 Next::Finished(finish) => return finish,
                 Next::GiveUp(why) => return self.give_up(why).await,
                 Next::NoneAvailable(no) => return self.refuse(no).await,
-                // What is barred meanwhile takes no repeat.
+                // A content quarantined in the meantime takes no retry: the next pass refuses it.
                 Next::Retry(what) => self.is_quarantined() || self.may_retry(what),
                 Next::TryAnother => self.unreachable < MAX_UNREACHABLE,
             };
             if !may_go_on {
-                return self.give_up("no repeat is left").await;
+                return self.give_up("no retry is left").await;
             }
         }
     }
 
-    /// Gives up a request that no upstream may be sent; says when one may.
+    /// Fails a request for which no upstream can be chosen, with the time at which one can.
     async fn refuse(&mut self, no: NoUpstream) -> Finish {
         let now = self.shared.now();
         let wait = match no {
@@ -177,8 +180,8 @@
         self.give_up_after(why, Span::ZERO).await
     }
 
-    /// The last word: what is true of everything that was tried. It is not worth coming back before
-    /// `wait` is over.
+    /// Sends the caller the final answer after the last attempt: whatever holds for all attempts. A
+    /// retry is not worthwhile before `wait` has passed.
     async fn give_up_after(&mut self, why: &'static str, wait: Span) -> Finish {
         if self.relay.has_begun() {
             return Finish::cut(why);
@@ -194,9 +197,9 @@
             .await
     }
 
-    /// Ends a request whose content is barred, at once: no upstream is to run it.
+    /// Refuses a request with a quarantined content at once.
     async fn refuse_quarantined(&mut self, until: Time) -> Finish {
-        let why = "upstreams ended under its content";
+        let why = "upstreams crashed under its content";
         if self.relay.has_begun() {
             return Finish::cut(why);
         }
--- a/components/traffic/src/exchange/choose.rs
+++ b/components/traffic/src/exchange/choose.rs
@@ -1,5 +1,4 @@
-//! What a request asks the decisions for: which upstream, version and model, and whether to
-//! go on.
+//! Decisions on a request: upstream, version, model, and whether to go on.
 
 use std::sync::Arc;
 
@@ -11,12 +10,12 @@
 use crate::translate::Translator;
 
 impl<T: Translator> Exchange<'_, T> {
-    /// Until when the request's content is barred, if it is. Takes the trial of one whose bar
-    /// lapses here.
+    /// Until when the request's content is quarantined; none if it isn't. Takes the half-open trial
+    /// when the quarantine has expired.
     ///
-    /// Guards against a request that ends each upstream which begins to run it: without this
-    /// look before every send it ends as many as its route allows runs, for each attempt that
-    /// its caller makes at any daemon.
+    /// Without this check before every send, a request that crashes each upstream running it would
+    /// crash as many as its route allows runs, for each attempt that its caller makes at any
+    /// daemon.
     pub(super) fn quarantined_until(&mut self) -> Option<Time> {
         if self.is_trial && self.runs == 0 {
             return None;
@@ -35,14 +34,14 @@
         }
     }
 
-    /// Whether its content was barred while it was out.
+    /// Whether its content was quarantined while the request was in flight.
     pub(super) fn is_quarantined(&self) -> bool {
         self.shared
             .quarantined_until(self.request.content)
             .is_some()
     }
 
-    /// Whether its content is nearly barred.
+    /// Whether its content is close to being quarantined.
     pub(super) fn is_suspect(&self) -> bool {
         let suspects = self.shared.cfg.suspects.lock();
         suspects.is_suspect(self.request.content)
@@ -71,7 +70,7 @@
         upstreams.choose(now, &need, &mut *self.shared.rng.borrow_mut())
     }
 
-    /// When a model's first event can be expected, from now.
+    /// Expected time until a model's first event.
     pub(super) fn expected_first_event(&self, model: usize) -> Option<Span> {
         let model = self.request.route.models.get(model)?;
         let choice = self.choose(Some(model), &[]).ok()?;
@@ -79,7 +78,7 @@
         Some(Span::from_secs_f64(ms / 1_000.0))
     }
 
-    /// Whether a silent upstream may be left for another: only while a run stays for an
+    /// Whether to switch away from a silent upstream: only while another run is left for an
     /// upstream that breaks.
     pub(super) fn may_switch(&self) -> bool {
         let is_allowed = self.request.route.repeat.is_allowed();
@@ -87,7 +86,7 @@
         is_allowed && self.runs + 1 < self.request.route.max_runs
     }
 
-    /// Versions that it may run on now.
+    /// The versions on which the request may run now.
     pub(super) fn permit(&self) -> Permit {
         let now = self.shared.now();
         if let Some(version) = &self.version {
@@ -116,7 +115,7 @@
     }
 
     pub(super) fn larger_model(&self, confidence: Option<u8>) -> Option<usize> {
-        // A trial is one send: its draft is kept.
+        // A half-open trial is sent once, so its draft is kept.
         if self.is_trial || self.relay.has_begun() || self.runs >= self.request.route.max_runs {
             return None;
         }
@@ -139,7 +138,7 @@
     pub(super) fn may_retry(&self, what: Use) -> bool {
         let max_runs = self.request.route.max_runs;
         let has_room = self.runs < max_runs && self.sends < max_runs + MAX_EXTRA_SENDS;
-        // Asking a larger model was paid for when the smaller one's answer was dropped.
+        // The escalation took its retry when the smaller model's answer was dropped.
         has_room && (what == Use::LargerModel || self.shared.take_retry(&self.service, what))
     }
 }
--- a/components/traffic/src/exchange/log.rs
+++ b/components/traffic/src/exchange/log.rs
@@ -1,4 +1,4 @@
-//! What the log says of a request.
+//! Log lines of a request.
 
 use dispatch::UpstreamIndex;
 
@@ -16,11 +16,10 @@
         report
     }
 
-    /// A line on where the request is now.
+    /// Logs where the request is now: once for each stream that begins and each further send.
     ///
-    /// Guards against a host that is killed or loses power: the line at a request's end never
-    /// comes then, and on-call could not tell which upstream had it. One line for each stream
-    /// that begins and for each further send.
+    /// When a host is killed or loses power, the line at a request's end never comes; without this
+    /// one, on-call could not tell which upstream had the request.
     pub(super) fn log_progress(&self, what: &'static str, index: UpstreamIndex) {
         let upstreams = self.shared.upstreams.borrow();
         let spec = upstreams.spec(index);
@@ -36,14 +35,14 @@
         );
     }
 
-    /// Adds an attempt that is over to the log line.
+    /// Adds a finished attempt to the line at the request's end.
     pub(super) fn record_try(&mut self, index: UpstreamIndex, what: &str) {
         self.outstanding = None;
         let tried = self.describe(index, what);
         self.report.add(tried);
     }
 
-    /// An attempt in a few words: what it was chosen by, and what came of it.
+    /// Describes an attempt: upstream, the load by which it was chosen, and its result.
     pub(super) fn describe(&self, index: UpstreamIndex, what: &str) -> String {
         let upstreams = self.shared.upstreams.borrow();
         let spec = upstreams.spec(index);
--- a/components/traffic/src/lib.rs
+++ b/components/traffic/src/lib.rs
@@ -1,14 +1,14 @@
-//! One event loop that reads callers, chooses, forwards and relays.
+//! The data plane: one event loop that reads callers' requests, chooses upstreams, forwards the
+//! requests and relays the answers.
 //!
-//! A connection of a caller is a task of one thread, so nothing here is locked and no
-//! request is handed from thread to thread. A request is read whole ([`caller`]), taken
-//! through its attempts ([`exchange`]), each on a kept connection to an upstream
-//! ([`attempt`]), and its answer is relayed whole or event by event ([`relay`]). What is
-//! decided on the way is decided by the `dispatch` component. Field names on the wire
-//! belong to a [`Translator`].
+//! All connections are tasks of one thread, so nothing here is locked and no request is handed from
+//! thread to thread. A request is read whole ([`caller`]), taken through its attempts
+//! ([`exchange`]), each on a pooled connection to an upstream ([`attempt`]), and its answer is
+//! relayed whole or event by event ([`relay`]). The decisions on the way are made by the `dispatch`
+//! component. A [`Translator`] maps header names on the wire.
 //!
-//! The control thread sends a [`Plan`] whenever the configuration, the upstreams or a
-//! roll-out changes, and reads back what was seen of roll-outs.
+//! The control thread sends a [`Plan`] whenever the configuration, the upstreams or a rollout
+//! changes, and reads back what was observed of rollouts ([`Seen`]).
 
 mod answer;
 mod arm;
--- a/components/traffic/src/server.rs
+++ b/components/traffic/src/server.rs
@@ -1,4 +1,4 @@
-//! The event loop's thread: listening, commands, and the way out.
+//! The event loop's thread: listening, commands and shutdown.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -27,45 +27,45 @@
 use crate::status;
 use crate::translate::Translator;
 
-/// Old kept connections are closed this often.
+/// Interval at which expired pooled connections and old run records are dropped.
 const TIDY_INTERVAL: Duration = Duration::from_secs(1);
-/// What is out is shown to the control thread this often, which tells the other daemons.
+/// Interval at which loads are published to the control thread, which tells the other daemons.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(100);
-/// After being told to stop, new requests are taken for this long: new connections come
-/// until two questions for readiness in a row, a second apart, were answered with no. What
-/// comes later may not end within the grace and is refused, so that it runs elsewhere.
+/// How long new requests are accepted after the stop command: load balancers keep sending until two
+/// readiness checks in a row, a second apart, were answered with no. A later request might not
+/// finish within the grace period, so it is refused and runs elsewhere.
 const READINESS_NOTICE: Duration = Duration::from_millis(2_800);
-/// The way out is looked at this often.
+/// Interval at which shutdown progress is checked.
 const EXIT_POLL: Duration = Duration::from_millis(50);
-/// Left of the grace for the process to end in.
+/// Part of the grace period that is left for the process to exit.
 const EXIT_MARGIN: Span = Span::from_millis(400);
-/// Connections of callers that are silent this long while bytes are out are dead.
+/// A caller's connection is closed when sent bytes stay unacknowledged for this long.
 const CALLER_WIRE: WireOptions = WireOptions {
     user_timeout: Duration::from_secs(5),
     keepalive: Duration::from_secs(5),
 };
 
-/// What other daemons say.
+/// State received from other daemons.
 #[derive(Debug, Default)]
 pub struct Others {
-    /// What all of them have out, by upstream.
+    /// Load that all other daemons together have in flight, by upstream.
     pub loads: HashMap<u32, (f64, u32)>,
-    /// How current the configuration is known to be.
+    /// The configuration version last proven to be current.
     pub proof: Option<Proof>,
-    /// Rate limits of upstreams.
+    /// Rate limits of upstreams that other daemons advertise.
     pub rate_limits: Vec<Advertisement>,
 }
 
-/// What the event loop is told.
+/// A command to the event loop.
 #[derive(Debug)]
 pub enum Command {
-    /// Serve by this from now on.
+    /// Serve by this plan from now on.
     Plan(Arc<Plan>),
-    /// What other daemons say.
+    /// Merge the state of other daemons.
     Others(Others),
-    /// These upstreams ended, as other daemons tell.
+    /// These upstreams crashed, as reported by other daemons.
     Ended(Vec<UpstreamRun>),
-    /// Finish what is there and end.
+    /// Finish the requests in flight, then exit.
     Stop,
 }
 
@@ -75,12 +75,12 @@
     /// An address cannot be listened on.
     #[error("cannot listen on {address}: {source}; check the address and port")]
     Listen {
-        /// Which.
+        /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The runtime or the thread cannot be made.
+    /// The runtime or the thread cannot be created.
     #[error("cannot start the event loop: {0}")]
     Thread(std::io::Error),
 }
@@ -88,24 +88,24 @@
 /// The running event loop.
 #[derive(Debug)]
 pub struct Handle {
-    /// Where it listens for callers.
+    /// Address on which it listens for callers.
     pub callers: SocketAddr,
-    /// Where readiness, metrics and the state are asked for.
+    /// Address that serves readiness, metrics and the state.
     pub status: SocketAddr,
-    /// Tells it something.
+    /// Sends commands to it.
     pub commands: flume::Sender<Command>,
-    /// What was seen of roll-outs.
+    /// What it observed of rollouts, and its loads.
     pub seen: Seen,
-    /// What is held against contents.
+    /// Crash evidence against request contents, shared with the control thread.
     pub suspects: SharedSuspects,
-    /// Closed once it has ended.
+    /// Disconnected once the event loop has ended.
     pub ended: flume::Receiver<()>,
 }
 
 /// Starts the event loop on a thread of its own.
 ///
 /// # Errors
-/// When it cannot listen or the thread cannot be made.
+/// When an address cannot be listened on, or the thread cannot be created.
 pub fn start<T: Translator + Send>(
     cfg: Config,
     translator: T,
@@ -182,7 +182,7 @@
     })
 }
 
-/// Addresses listened on, for callers and for questions.
+/// The addresses listened on, for callers and for status.
 type Started = Result<(SocketAddr, SocketAddr), StartError>;
 
 async fn serve<T: Translator>(
@@ -194,7 +194,7 @@
     let ((callers, at), (status_listener, status_at)) = match listeners {
         Ok(listeners) => listeners,
         Err(e) => {
-            // The starting thread waits for this.
+            // The starting thread waits for this result.
             let _ = started.send(Err(e));
             return;
         }
@@ -204,15 +204,15 @@
     tokio::task::spawn_local(accept_status(Rc::clone(&shared), status_listener));
     tokio::task::spawn_local(tidy_periodically(Rc::clone(&shared)));
     tokio::task::spawn_local(publish_state(Rc::clone(&shared)));
-    // On a task of its own: what the runtime is blocked on is looked at with every event.
+    // On a task of its own, because the future the runtime blocks on is polled with every event.
     let listening = tokio::task::spawn_local(run_commands(Rc::clone(&shared), commands));
     match listening.await {
         Ok(commands) => drain(&shared, &commands).await,
-        Err(e) => tracing::error!("traffic: the task that takes commands ended: {e}"),
+        Err(e) => tracing::error!("traffic: the command task failed: {e}"),
     }
 }
 
-/// Takes what the control thread says until that is to stop; gives back where it says it.
+/// Applies commands until the control thread says stop; returns the receiver for later commands.
 async fn run_commands<T: Translator>(
     shared: Rc<Shared<T>>,
     commands: flume::Receiver<Command>,
@@ -252,17 +252,17 @@
     loop {
         let stream = tokio::select! {
             biased;
-            // The balancer sends callers also to daemons that are not ready when too few
-            // are; a closed port tells them at once to try another.
+            // A load balancer also uses daemons that are not ready when too few are; a closed port
+            // sends callers elsewhere at once.
             _ = stages.wait_for(|stage| *stage == Stage::Closing) => return,
             (stream, _) = callers::accept(&listener) => stream,
         };
-        // Beyond the bound a connection is closed unread, which tells the caller that
-        // nothing was run.
+        // A connection beyond the limit is closed unread, which tells the caller that nothing was
+        // run.
         if shared.caller_connections.get() >= shared.cfg.max_callers {
             tracing::warn!(
                 callers = shared.caller_connections.get(),
-                "callers: too many connections"
+                "callers: connection limit reached, new connection closed"
             );
             continue;
         }
@@ -313,14 +313,15 @@
     }
 }
 
-/// Leaves: not ready at once, serving until that was noticed, then until nothing is left.
+/// Shuts down: reports not ready, serves until load balancers have noticed, then until no request
+/// or connection is left or the grace period ends.
 async fn drain<T>(shared: &Shared<T>, commands: &flume::Receiver<Command>) {
     let stop_at = shared.now();
     let deadline = stop_at + (shared.cfg.grace - EXIT_MARGIN);
     shared.stage.send_replace(Stage::Leaving);
     tracing::info!(
         requests = shared.requests_in_flight.get(),
-        "traffic: leaving"
+        "traffic: shutting down"
     );
     let closing_at = stop_at + Span::from(READINESS_NOTICE);
     loop {
@@ -340,6 +341,6 @@
     tracing::info!(
         requests = shared.requests_in_flight.get(),
         callers = shared.caller_connections.get(),
-        "traffic: ended"
+        "traffic: shutdown finished"
     );
 }
--- a/components/traffic/src/shared.rs
+++ b/components/traffic/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the event loop share.
+//! State shared by the tasks of the event loop.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -20,21 +20,21 @@
 use crate::metrics::Metrics;
 use crate::plan::{Plan, Proof};
 
-/// How far this daemon's life is.
+/// Stage of this daemon's shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// Serving.
+    /// Serving and ready.
     Serving,
-    /// Told to stop: not ready any more, still serving while that is noticed.
+    /// Told to stop: reports not ready, and still serves while load balancers notice.
     Leaving,
-    /// New connections no longer come; idle ones are closed.
+    /// Accepts no new connections and closes idle ones.
     Closing,
 }
 
-/// Roll-outs whose sessions are remembered.
+/// Rollout orders whose staying sessions are remembered.
 const MAX_ROLLOUT_ORDERS: usize = 8;
 
-/// What the event loop shows the control thread.
+/// Values that the event loop publishes to the control thread.
 #[derive(Debug, Default)]
 struct Published {
     evidence: BTreeMap<Arc<str>, Evidence>,
@@ -43,7 +43,8 @@
     rate_limits: Vec<Advertisement>,
 }
 
-/// What the event loop shows the control thread: evidence on roll-outs and its loads.
+/// What the event loop publishes to the control thread: evidence on rollouts, and its loads and
+/// rate limits.
 #[derive(Debug, Clone, Default)]
 pub struct Seen(Arc<Mutex<Published>>);
 
@@ -52,13 +53,14 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What was seen of roll-outs, by service.
+    /// Returns the evidence on rollouts, by service.
     #[must_use]
     pub fn evidence(&self) -> BTreeMap<Arc<str>, Evidence> {
         self.lock().evidence.clone()
     }
 
-    /// Sessions seen at work on another version than an order's, by the order's revision.
+    /// Returns the sessions seen active on a version other than the order's, for the order with
+    /// this revision.
     #[must_use]
     pub fn staying(&self, order: u64) -> BTreeSet<u32> {
         self.lock().staying.get(&order).cloned().unwrap_or_default()
@@ -66,20 +68,20 @@
 
     pub(crate) fn add_staying(&self, order: u64, sessions: impl IntoIterator<Item = u32>) {
         let mut published = self.lock();
-        // Orders before the last few are over.
+        // Only the latest orders can still be in progress.
         while published.staying.len() > MAX_ROLLOUT_ORDERS {
             published.staying.pop_first();
         }
         published.staying.entry(order).or_default().extend(sessions);
     }
 
-    /// What is out at upstreams.
+    /// Returns the load that this daemon has in flight, by upstream.
     #[must_use]
     pub fn loads(&self) -> Vec<SharedLoad> {
         self.lock().loads.clone()
     }
 
-    /// Rate limits of upstreams, as other daemons are to be told.
+    /// Returns the rate limits of upstreams to advertise to other daemons.
     #[must_use]
     pub fn rate_limits(&self) -> Vec<Advertisement> {
         self.lock().rate_limits.clone()
@@ -111,35 +113,35 @@
     }
 }
 
-/// State of the event loop. Borrows never last over a wait.
+/// State of the event loop. No `RefCell` borrow is held across an await.
 pub(crate) struct Shared<T> {
     pub(crate) cfg: Config,
     pub(crate) translator: T,
     pub(crate) clock: Clock,
     pub(crate) metrics: Metrics,
     pub(crate) plan: RefCell<Arc<Plan>>,
-    /// How current the configuration is known to be.
+    /// The version last proven to be the newest, and when.
     pub(crate) proof: Cell<Option<Proof>>,
     pub(crate) upstreams: RefCell<Upstreams>,
     pub(crate) pool: RefCell<Pool<UpstreamIndex>>,
-    /// What is or was under way at each upstream.
+    /// Runs in progress at each upstream, and recent ones.
     pub(crate) runs: RefCell<Runs<UpstreamIndex>>,
-    /// Answers that broke off and are not counted yet in a roll-out.
+    /// Broken answers that are not counted yet in a rollout.
     pub(crate) broken_answers: RefCell<Vec<BrokenAnswer>>,
-    /// Upstreams that are being asked whether they still listen.
+    /// Upstreams that are being probed for whether they still listen.
     pub(crate) probing: RefCell<BTreeSet<UpstreamIndex>>,
-    /// Upstreams that may have ended, for [`crate::ends::watch`].
+    /// Sends upstreams that may have crashed to [`crate::crashes::probe_doubtful`].
     pub(crate) probe_tx: UnboundedSender<LastSeen>,
     pub(crate) pins: RefCell<Pins>,
     pub(crate) budgets: RefCell<HashMap<Arc<str>, RetryBudget>>,
     pub(crate) rng: RefCell<SmallRng>,
     pub(crate) seen: Seen,
     pub(crate) stage: watch::Sender<Stage>,
-    /// Requests in hand.
+    /// Callers' requests in flight.
     pub(crate) requests_in_flight: Cell<usize>,
-    /// Connections of callers.
+    /// Open connections from callers.
     pub(crate) caller_connections: Cell<usize>,
-    /// Bytes of callers' bodies held.
+    /// Bytes of request bodies held in memory.
     pub(crate) held_body_bytes: Cell<u64>,
 }
 
@@ -152,7 +154,7 @@
         Arc::clone(&self.plan.borrow())
     }
 
-    /// Whether a change that was to be in force by now may be missing in the configuration.
+    /// Whether the configuration may lack a change that should be in force by now.
     pub(crate) fn may_be_stale(&self) -> bool {
         let bound = self.cfg.current_within;
         let proven_at = self.plan.borrow().proven_at(self.proof.get());
@@ -163,7 +165,7 @@
         *self.stage.borrow()
     }
 
-    /// Takes what the control thread knows.
+    /// Applies a new plan from the control thread.
     pub(crate) fn set_plan(&self, plan: Arc<Plan>) {
         let now = self.now();
         self.log_table_version(now, &plan);
@@ -186,7 +188,7 @@
         *self.plan.borrow_mut() = plan;
     }
 
-    /// Says which configuration is in use, and how old the proof beside the former one was.
+    /// Logs the configuration now in use, and the age of the proof that went with the former one.
     fn log_table_version(&self, now: Time, plan: &Plan) {
         let version_of = |plan: &Plan| plan.table.as_ref().map(|table| table.version.0);
         let former = version_of(&self.plan.borrow());
@@ -197,13 +199,13 @@
         }
     }
 
-    /// So long ago the configuration was last known to be current.
+    /// Milliseconds since the configuration was last known to be current.
     pub(crate) fn proven_ms(&self, now: Time) -> Option<u64> {
         let proven_at = self.plan.borrow().proven_at(self.proof.get());
         proven_at.map(|at| now.since(at).as_millis())
     }
 
-    /// Notes sessions that stay on their version, at the begin of a roll-out.
+    /// At the start of a rollout, publishes the active sessions that stay on another version.
     fn publish_staying(&self, plan: &Plan) {
         let now = self.now();
         let pins = self.pins.borrow();
@@ -215,13 +217,13 @@
         }
     }
 
-    /// Notes a caller's request for a service.
+    /// Counts a caller's request towards the retry budget of a service.
     pub(crate) fn count_request(&self, service: &Arc<str>) {
         let now = self.now();
         self.with_budget(service, |budget| budget.requested(now));
     }
 
-    /// Takes a repeat if there is one left.
+    /// Takes a retry from the budget of a service; false if none is left.
     pub(crate) fn take_retry(&self, service: &Arc<str>, what: Use) -> bool {
         let now = self.now();
         self.with_budget(service, |budget| budget.take(now, what))
@@ -237,7 +239,7 @@
         f(budget)
     }
 
-    /// Until when a content is barred, if it is.
+    /// Until when a request content is quarantined; none if it isn't.
     pub(crate) fn quarantined_until(&self, content: Content) -> Option<Time> {
         let suspects = self.cfg.suspects.lock();
         match suspects.admission(self.now(), content) {
@@ -246,7 +248,7 @@
         }
     }
 
-    /// The moment on the runtime's clock.
+    /// Converts a time to the runtime's clock.
     pub(crate) fn instant(&self, at: Time) -> tokio::time::Instant {
         tokio::time::Instant::now() + self.now().until(at).to_duration()
     }
