--- a/components/traffic/src/answer.rs
+++ b/components/traffic/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers in bytes: upstreams' passed on, and this daemon's own.
+//! Encoding answers: upstreams' answers to relay, and this daemon's own replies.
 
 use bytes::Bytes;
 use http1::Head;
@@ -13,7 +13,7 @@
     pub(crate) body: Bytes,
 }
 
-/// Why this daemon answers itself.
+/// A reply of this daemon itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LocalReply {
     Malformed,
@@ -23,21 +23,22 @@
     BodyTooSlow,
     BodyTooLarge,
     HeadTooLarge,
-    /// Not run; worth coming back after this.
+    /// The request did not run; a retry is worthwhile after this pause.
     NotRun {
         retry_after: Span,
     },
-    /// Not run, since upstreams ended under the same content; worth coming back after this.
+    /// The request did not run, since upstreams crashed under the same content; a retry is
+    /// worthwhile after this pause.
     Quarantined {
         retry_after: Span,
     },
-    /// Run, and upstreams ended under it; worth coming back after this.
+    /// The request ran and upstreams crashed under it; a retry is worthwhile after this pause.
     Crashed {
         retry_after: Span,
     },
-    /// Sent, and it cannot be told whether it ran.
+    /// The request was sent, and it is unknown whether it ran.
     OutcomeUnknown,
-    /// Out of time.
+    /// The deadline passed.
     Timeout,
 }
 
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Whether the caller's message cannot be read to its end, so the connection must go.
+    /// Whether the caller's message cannot be read to its end, so the connection must close.
     pub(crate) fn ends_connection(self) -> bool {
         matches!(
             self,
@@ -82,7 +83,7 @@
         )
     }
 
-    /// When a repeat makes sense, where that is known.
+    /// When a retry is worthwhile, where that is known.
     fn retry_after(self) -> Option<Span> {
         match self {
             Self::NotRun { retry_after }
@@ -92,7 +93,7 @@
         }
     }
 
-    /// In bytes.
+    /// Encodes the response.
     pub(crate) fn encode(self, keeps_alive: bool) -> Vec<u8> {
         let mut out = Vec::with_capacity(160);
         out.extend_from_slice(b"HTTP/1.1 ");
@@ -110,13 +111,12 @@
     }
 }
 
-/// When to come back: spread over as long again, so that those refused together do not
-/// return together.
+/// Adds jitter up to the pause itself, so that callers refused together do not return together.
 pub(crate) fn spread(least: Span, rng: &mut impl Rng) -> Span {
     least + Span(rng.random_range(0..=least.0))
 }
 
-/// An upstream's status line and fields, without those of its connection.
+/// Writes an upstream's status line and headers, without those of its connection.
 pub(crate) fn push_head(out: &mut Vec<u8>, head: &Head) {
     push_status(out, head.status());
     for (name, value) in head.fields() {
@@ -134,7 +134,7 @@
 }
 
 impl Whole {
-    /// In bytes, with a length whatever the upstream's framing was.
+    /// Encodes the response with a Content-Length, whatever the upstream's framing was.
     pub(crate) fn encode(&self, keeps_alive: bool) -> Vec<u8> {
         let mut out = Vec::with_capacity(512 + self.body.len());
         push_head(&mut out, &self.head);
--- a/components/traffic/src/arm.rs
+++ b/components/traffic/src/arm.rs
@@ -1,7 +1,7 @@
-//! Which side of a roll-out a request counts for.
+//! The arm of a rollout, old or new version, that a request counts for.
 //!
-//! A connection that breaks counts against a version a moment later than what an upstream tells
-//! itself: it may be the upstream's end, and that may be a request's doing.
+//! A broken connection counts against a version a moment later than a failure that the upstream
+//! reports: it may be a crash, and the crash may be caused by the request's content.
 
 use std::sync::Arc;
 
@@ -12,25 +12,25 @@
 use crate::exchange::Request;
 use crate::shared::Shared;
 
-/// A request that ends its upstreams is barred within this of the first end: its caller comes again
-/// within a second, and it takes three.
+/// A content that crashes its upstreams is quarantined within this of the first crash: three
+/// crashes are needed, and its caller retries within a second.
 const QUARANTINE_WAIT: Span = Span::from_secs(2);
-/// Breaks that wait to be counted at most; beyond it they count at once.
+/// Bounds the broken answers that wait to be counted; any beyond it count at once.
 const MAX_BROKEN_ANSWERS: usize = 1_024;
 
-/// Which roll-out a request counts for, and on which side.
+/// The rollout and arm that a request counts for.
 #[derive(Debug, Clone)]
 pub(crate) struct Arm {
     service: Arc<str>,
     order: u64,
     is_new: bool,
-    /// Place of the request's kind.
+    /// Index of the request's kind in the counts.
     kind: usize,
-    /// Whether how it ends says anything new of the version.
+    /// Whether the request's result is new evidence on the version.
     pub(crate) is_evidence: bool,
 }
 
-/// An answer that broke off, not counted yet.
+/// An answer that broke off and is not counted yet.
 #[derive(Debug)]
 pub(crate) struct BrokenAnswer {
     arm: Arm,
@@ -40,7 +40,7 @@
 }
 
 impl Arm {
-    /// Of a request that is about to be sent; nothing where there is no roll-out.
+    /// Returns the arm of a request that is about to be sent; none where no rollout runs.
     pub(crate) fn for_request<T>(
         shared: &Shared<T>,
         choice: &Choice,
@@ -72,7 +72,7 @@
 }
 
 impl<T> Shared<T> {
-    /// Notes an answer that broke off at an upstream; counted by [`Self::count_breaks`].
+    /// Keeps an answer that broke off at an upstream, for [`Self::count_broken_answers`].
     pub(crate) fn note_broken_answer(&self, arm: Arm, index: UpstreamIndex) {
         let upstream = self.upstreams.borrow().last_seen(index);
         let mut broken_answers = self.broken_answers.borrow_mut();
@@ -89,11 +89,11 @@
         }
     }
 
-    /// Counts answers that broke off: of an upstream that lives at once, of one that ended if no
-    /// barred content explains it.
+    /// Counts answers that broke off: at once if the upstream is alive, and if it crashed only when
+    /// no quarantined content explains the crash.
     ///
-    /// Guards against a good version that is taken back since a request that ends upstreams came
-    /// by its few ones: each end breaks some dozen answers, and does so again a moment later.
+    /// Guards against reverting a good version because a request that crashes upstreams reached its
+    /// few ones: each crash breaks some dozen answers, and the next follows a moment later.
     pub(crate) fn count_broken_answers(&self) {
         let now = self.now();
         let mut broken_answers = self.broken_answers.borrow_mut();
--- a/components/traffic/src/attempt_guard.rs
+++ b/components/traffic/src/attempt_guard.rs
@@ -1,4 +1,4 @@
-//! One request at an upstream, counted from its start to its end.
+//! Accounting for one attempt at an upstream, from its start to its end.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use crate::exchange::Request;
 use crate::shared::Shared;
 
-/// One request at an upstream. Dropped without an ending, it was cancelled.
+/// Accounts for one attempt at an upstream when dropped. Without an ending it counts as cancelled.
 pub(crate) struct AttemptGuard<T> {
     shared: Rc<Shared<T>>,
     index: UpstreamIndex,
@@ -26,12 +26,11 @@
 }
 
 impl<T> AttemptGuard<T> {
-    /// Counts a request that is about to be sent; `has_failed` says whether an earlier attempt
-    /// of it did.
+    /// Counts a request that is about to be sent; `has_failed` says whether an earlier attempt of
+    /// it failed.
     ///
-    /// Guards against a version that is judged by one request several times: some requests
-    /// fail for their own sake wherever they run, and all of their attempts count as
-    /// independent failures then.
+    /// Guards against judging a version by one request several times: some requests fail wherever
+    /// they run, and each of their attempts would count as an independent failure.
     pub(crate) fn start(
         shared: &Rc<Shared<T>>,
         choice: &Choice,
@@ -70,7 +69,7 @@
         guard
     }
 
-    /// Notes the first sign of the answer itself.
+    /// Notes the first output of the answer itself.
     pub(crate) fn note_first_output(&mut self, model: Option<&Arc<str>>) {
         let now = self.shared.now();
         let ms = now.since(self.sent_at).as_secs_f64() * 1_000.0;
@@ -111,7 +110,7 @@
         self.sent_at
     }
 
-    /// How long the request is out.
+    /// How long the request has been outstanding.
     pub(crate) fn outstanding_for(&self) -> Span {
         self.shared.now().since(self.sent_at)
     }
@@ -123,13 +122,14 @@
         upstreams.mute_for(now, self.index, self.sent_at)
     }
 
-    /// When it may be expected to answer, with twice as much again for what is not known.
+    /// Time within which the first output can be expected: the estimate, and twice as much again
+    /// for what the daemon cannot know.
     pub(crate) fn first_output_within(&self) -> Span {
         let ms = 3.0 * (self.load.wait_ms + self.load.expected_ms);
         Span::from_secs_f64(ms / 1_000.0)
     }
 
-    /// Sets how it ended; counted when this goes.
+    /// Sets how the attempt ended; dropping the guard counts it.
     pub(crate) fn end(mut self, ending: Ending) {
         self.ending = ending;
     }
@@ -163,7 +163,7 @@
     }
 }
 
-/// What an ending says of the upstream that the request was sent to.
+/// Translates an ending into what it says of the run at the upstream.
 fn run_end(ending: Ending) -> RunEnd {
     match ending {
         Ending::Good => RunEnd::Whole,
--- a/components/traffic/src/caller.rs
+++ b/components/traffic/src/caller.rs
@@ -1,4 +1,4 @@
-//! One connection of a caller: requests one after the other.
+//! One connection of a caller: its requests, one after another.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -17,27 +17,26 @@
 use crate::shared::{Shared, Stage};
 use crate::translate::{Ask, Translator};
 
-/// A caller that does not close after a last answer is reset after.
+/// Time after which a caller that does not close after the last answer is reset.
 const LINGER: Duration = Duration::from_millis(1_500);
-/// Callers return at least this much later while this daemon knows no configuration, and
-/// after as long again as it has been without one: an outage of the store that lasted so
-/// long lasts on average as long again, and a caller has few attempts. Of callers that met a
-/// fleet that started while its store was silent, half were refused a second time and lost
-/// when all were told half a second.
+/// Least pause a caller is told while this daemon knows no configuration. The pause grows with the
+/// time the daemon has been without one: a store outage lasts on average as long again as it has
+/// lasted, and a caller has few attempts. With a pause of half a second for all, half of the
+/// callers of a fleet that started while its store was silent were refused a second time and lost.
 const UNREADY_RETRY: Span = Span::from_millis(500);
-/// A copy that may be old is made sure of within about this, where the store is in reach.
+/// Time in which a configuration that may be stale is validated, if the store is reachable.
 const STALE_RETRY: Span = Span::from_millis(500);
-/// Part of the time that a caller has left after which it returns at the latest: with the
-/// spread over as long again it is within the third that callers wait for.
+/// Largest share of a caller's remaining time that a pause may take: with jitter of up to as long
+/// again, it stays within the third that callers wait for.
 const MAX_RETRY_SHARE: f64 = 1.0 / 6.0;
-/// A first configuration is waited for so long by any caller.
+/// How long any caller waits for a first configuration.
 const FIRST_TABLE_WAIT: Span = Span::from_millis(300);
-/// Every daemon of a fleet of hundreds that starts at once has its configuration this long after
-/// its start; until then a caller with time to spare waits, for up to [`LATEST_RETRY_SHARE`] of it.
+/// Time after its start within which every daemon of a fleet of hundreds that starts at once has
+/// its configuration. Until then a caller waits, for up to [`MAX_RETRY_SHARE`] of its time.
 const FLEET_START_TIME: Span = Span::from_secs(1);
-/// It is looked for this often meanwhile.
+/// Interval at which a first configuration is checked for.
 const TABLE_POLL: Duration = Duration::from_millis(10);
-/// Callers return at least this much later when this daemon leaves: another one is there.
+/// Least pause a caller is told when this daemon is leaving: another one is there.
 const LEAVING_RETRY: Span = Span::from_millis(50);
 /// Bytes of a pipelined request that are kept while another is served.
 const MAX_PIPELINED: usize = 16 * 1024;
@@ -70,14 +69,17 @@
         }
         Err(NoRequest::Closed) => false,
         Err(NoRequest::Answer(reply)) => {
-            tracing::info!(status = reply.status(), "callers: head refused: {reply:?}");
+            tracing::info!(
+                status = reply.status(),
+                "callers: request head rejected: {reply:?}"
+            );
             send_reply(shared, wire, reply, false, Span::ZERO).await;
             false
         }
     }
 }
 
-/// Where a request belongs, or why it is not served.
+/// Where a request belongs.
 struct Routed {
     table: Arc<RouteTable>,
     route: Arc<Route>,
@@ -118,8 +120,8 @@
         Err(_) => ask.patience.unwrap_or(UNREADY_RETRY),
     };
     let deadline = arrived_at + patience;
-    // The body is read also of what is refused: a caller that is still writing may not see
-    // an answer that comes first.
+    // The body is read even if the request is refused: a caller that is still writing may not see
+    // an answer that comes before.
     let body = match read_body(shared, wire, &head, framing, deadline).await {
         Ok(body) => body,
         Err(NoRequest::Closed) => return false,
@@ -145,7 +147,7 @@
     run(shared, wire, request).await
 }
 
-/// Runs a request while its caller stays.
+/// Runs a request for as long as its caller stays connected.
 async fn run<T: Translator>(shared: &Rc<Shared<T>>, wire: &Wire, request: Request<T>) -> bool {
     let mut exchange = Exchange::new(shared, wire, &request);
     let finish = tokio::select! {
@@ -162,9 +164,9 @@
     finish.keeps_alive
 }
 
-/// Waits a moment for the first configuration: a daemon that just started gets it within
-/// some ten ms, in a large fleet that starts at once within a second, and a caller that is refused
-/// has used up one of its few attempts.
+/// Waits a moment for the first configuration. A daemon that just started gets it within some ten
+/// milliseconds, or within a second in a large fleet that starts at once; a refusal would use up
+/// one of the caller's few attempts.
 async fn wait_for_table<T>(shared: &Shared<T>, patience: Option<Span>) {
     if !shared.cfg.policy.timing.waits_for_configuration {
         return;
@@ -226,11 +228,10 @@
     })
 }
 
-/// What the configuration does not hold.
+/// Refuses a request for a route or key that the configuration does not hold.
 ///
-/// Guards against a refusal for good on an old copy: that a route or key is unknown is said of now,
-/// and a caller that is told so does not come back. Where the copy may lack a change that is in force
-/// elsewhere the caller is told that nothing ran, and to come again.
+/// Calling it unknown is final: the caller does not retry. Where the configuration may lack a
+/// change that is in force elsewhere, the caller is told that nothing ran and to retry.
 fn refuse_unknown<T>(
     shared: &Shared<T>,
     ask: &Ask,
@@ -248,19 +249,18 @@
     )
 }
 
-/// When a caller is to return at the earliest to a daemon that has run for `age` and knows
-/// no configuration.
+/// Least pause for a caller of a daemon that has run for `age` and knows no configuration.
 fn unready_retry_after(age: Span, patience: Option<Span>) -> Span {
     cap_retry_after(UNREADY_RETRY.max(age), patience)
 }
 
-/// A pause that leaves the caller time for its next try.
+/// Shortens a pause so that the caller has time for its next attempt.
 fn cap_retry_after(pause: Span, patience: Option<Span>) -> Span {
     let latest = patience.map(|left| left.as_secs_f64() * MAX_RETRY_SHARE);
     latest.map_or(pause, |latest| pause.min(Span::from_secs_f64(latest)))
 }
 
-/// Names what is asked for.
+/// Identifies the content of a request, for quarantine.
 fn content_of(head: &Head, customer: Option<&Customer>, body: &[u8]) -> Content {
     let Kind::Request { method, target } = &head.kind else {
         return Content::of("", "", "", "", body);
@@ -290,6 +290,6 @@
         _ => Outcome::Rejected,
     };
     shared.metrics.ended(outcome, None, took);
-    // A caller that is gone needs no answer.
+    // A caller that disconnected needs no answer.
     let _ = wire.write_all(&reply.encode(keeps_alive)).await;
 }
--- a/components/traffic/src/config.rs
+++ b/components/traffic/src/config.rs
@@ -1,4 +1,4 @@
-//! What the event loop is told at its start.
+//! Settings of the event loop.
 
 use std::net::SocketAddr;
 
@@ -7,34 +7,34 @@
 use telemetry::logs::Dropped;
 use types::prelude::*;
 
-/// What the event loop is told at its start.
+/// Settings of the event loop.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Where callers connect.
+    /// Address for callers' connections.
     pub callers: SocketAddr,
-    /// Where readiness, metrics and the state are asked for.
+    /// Address that serves readiness, metrics and the state.
     pub status: SocketAddr,
-    /// Path of the question whether this daemon is ready.
+    /// Path of the readiness check.
     pub ready_path: String,
-    /// Where this daemon stands.
+    /// The failure domain of this daemon.
     pub failure_domain: FailureDomain,
-    /// Connections of callers at most, from the process's descriptors.
+    /// Largest number of callers' connections, from the process's file descriptors.
     pub max_callers: usize,
-    /// Bytes of callers' bodies held at most, from the process's memory.
+    /// Largest total of request bodies held, from the process's memory.
     pub max_held: ByteSize,
-    /// What decides, and by which bounds.
+    /// Policy of all decisions, with its bounds.
     pub policy: Policy,
-    /// How many repeats the fleet may send.
+    /// Limits of the retry budgets.
     pub retries: RetryLimits,
-    /// What is held against contents, by all daemons.
+    /// Crash evidence against request contents, shared by all daemons.
     pub suspects: SharedSuspects,
-    /// Requests of a session follow each other within.
+    /// Longest pause between two requests of a session.
     pub session_idle: Span,
-    /// What the configuration does not hold is called unknown only if it was proven current so
-    /// lately; a change is in force everywhere by then.
+    /// A route or key missing from the configuration is called unknown only if the configuration
+    /// was proven current within this time; a change is in force everywhere by then.
     pub current_within: Span,
-    /// A daemon that is told to stop ends its last request within.
+    /// Longest time from the stop command until the last request has ended.
     pub grace: Span,
-    /// Counts log lines that were dropped.
+    /// Counts the log lines that were dropped.
     pub dropped_logs: Dropped,
 }
--- a/components/traffic/src/crashes.rs
+++ b/components/traffic/src/crashes.rs
@@ -1,8 +1,9 @@
-//! How the end of an upstream shows, and what had begun there.
+//! How the crash of an upstream is detected, and which requests ran there.
 //!
-//! A connection that breaks may be the upstream's end, a cut link or one lost connection. So the
-//! upstream is asked at once whether it still listens: a program that has ended refuses. Where
-//! the host itself is gone nobody refuses, and its entry in the list goes some seconds later.
+//! A broken connection may be a crash, a network partition or one lost connection. So the upstream
+//! is probed at once for whether it still listens: the host of a stopped program refuses
+//! connections. Where the host itself is gone nothing refuses, and the upstream's entry leaves the
+//! list some seconds later.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,32 +16,34 @@
 
 use crate::shared::Shared;
 
-/// How often is looked whether a doubt is settled, and how often at most: as long as both looks
-/// at an upstream that does not refuse take.
+/// Interval of the checks whether all probes are done.
 const PROBE_POLL: Duration = Duration::from_millis(5);
+/// Number of these checks: together they last as long as both connection attempts of a probe that
+/// isn't refused.
 const MAX_PROBE_POLLS: u32 = 32;
-/// Contents named in one log line at most: a busy engine's are some dozen.
+/// Contents named in one log line: a busy engine runs some dozen.
 const MAX_LOGGED_CONTENTS: usize = 16;
 
-/// How an upstream's end showed.
+/// The sign of an upstream's crash.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Sign {
     /// It refuses connections.
     Refuses,
-    /// Its entry went from the list, after a run had broken there.
+    /// Its entry left the list after a run had broken there.
     GoneFromList,
-    /// Other daemons tell.
+    /// Other daemons reported it.
     Told,
-    /// It was known before; a connection of it breaks only now.
+    /// The crash was known before; one of its connections breaks only now.
     Known,
 }
 
-/// Asks upstreams that may have ended whether they still listen, each once at a time.
+/// Probes upstreams that may have crashed for whether they still listen, with at most one probe of
+/// each at a time.
 pub(crate) async fn probe_doubtful<T: 'static>(
     shared: Rc<Shared<T>>,
-    mut probe_tx: UnboundedReceiver<LastSeen>,
+    mut probe_rx: UnboundedReceiver<LastSeen>,
 ) {
-    while let Some(upstream) = probe_tx.recv().await {
+    while let Some(upstream) = probe_rx.recv().await {
         if !shared.probing.borrow_mut().insert(upstream.index) {
             continue;
         }
@@ -57,10 +60,10 @@
 }
 
 impl<T> Shared<T> {
-    /// Notes that a run of a content is over.
+    /// Notes that a run of a content has ended.
     pub(crate) fn run_ended(&self, index: UpstreamIndex, run: Run, content: Content, end: RunEnd) {
         let now = self.now();
-        // What a leaving upstream cuts was planned.
+        // An upstream that is leaving cuts its connections on purpose.
         let was_leaving = self.upstreams.borrow().is_leaving(index);
         let end = match end {
             RunEnd::Broken if was_leaving => RunEnd::NotRun,
@@ -70,7 +73,7 @@
             self.cfg.suspects.lock().whole(now, content);
         }
         let under = self.runs.borrow_mut().over(now, index, run, end);
-        // A draft of what upstreams ended under before may end this one after it was dropped.
+        // A dropped draft of a content with crash evidence may still crash the upstream.
         let needs_probe = match end {
             RunEnd::Broken => true,
             RunEnd::GivenUp => self.cfg.suspects.lock().is_held(content),
@@ -88,12 +91,12 @@
 
     fn probe(&self, index: UpstreamIndex) {
         if let Some(upstream) = self.upstreams.borrow().last_seen(index) {
-            // The task that asks lives as long as the event loop.
+            // The probing task lives as long as the event loop.
             let _ = self.probe_tx.send(upstream);
         }
     }
 
-    /// Notes that an upstream refuses connections: its program has ended.
+    /// Notes that an upstream refuses connections: its program has stopped.
     pub(crate) fn upstream_refuses(&self, index: UpstreamIndex) {
         let upstream = self.upstreams.borrow().last_seen(index);
         if let Some(upstream) = upstream {
@@ -101,8 +104,8 @@
         }
     }
 
-    /// Notes an upstream whose entry went without a word before. One on which nothing broke may
-    /// live on: some leave that way.
+    /// Notes that an upstream's entry left the list without notice. One at which nothing broke may
+    /// still be running: some leave that way.
     pub(crate) fn unlisted(&self, gone: LastSeen) {
         let runs = self.runs.borrow();
         let (has_broken, has_given_up) =
@@ -111,13 +114,13 @@
         if has_broken {
             self.record_upstream_crash(&gone, Sign::GoneFromList);
         } else if has_given_up {
-            // The task that asks lives as long as the event loop.
+            // The probing task lives as long as the event loop.
             let _ = self.probe_tx.send(gone);
         }
     }
 
-    /// Takes other daemons' word that an upstream ended: what was given up here just before may
-    /// have ended it.
+    /// Applies other daemons' report of a crash: a run that was given up here just before may have
+    /// caused it.
     pub(crate) fn peer_reported_crash(&self, run: &UpstreamRun) {
         let found = self.upstreams.borrow().find(&run.id, run.started_at);
         if let Some(upstream) = found {
@@ -164,19 +167,18 @@
         self.probe_earlier(under);
     }
 
-    /// Asks upstreams at which the same contents were dropped before they were suspected: the end
-    /// of one that ran nothing else breaks no connection.
+    /// Probes upstreams at which the same contents were given up before they were suspected: if
+    /// nothing else ran there, their crash breaks no connection.
     fn probe_earlier(&self, under: &[Under]) {
         let contents = under.iter().map(|under| under.content).collect();
         let earlier = self.runs.borrow().given_up(&contents);
         earlier.into_iter().for_each(|index| self.probe(index));
     }
 
-    /// Waits until it is known whether upstreams that are in doubt have ended, for a moment at
-    /// most.
+    /// Waits, for a moment at most, until all probes are done.
     ///
-    /// Guards against the next attempt of a request that ends its upstreams: it comes within
-    /// some ms, before the last end is known, and takes one more.
+    /// The next attempt of a request that crashes upstreams comes within milliseconds. Without this
+    /// wait it would be sent before the last crash is known, and crash one more.
     pub(crate) async fn await_probes(&self) {
         for _ in 0..MAX_PROBE_POLLS {
             if self.probing.borrow().is_empty() {
--- a/components/traffic/src/metrics.rs
+++ b/components/traffic/src/metrics.rs
@@ -11,31 +11,31 @@
 use types::prelude::*;
 
 const PREFIX: &str = "buckthorncross";
-/// Shortest bound of the histograms, in seconds: a plain answer takes some ms.
+/// Lowest histogram bound, in seconds: a plain answer takes some milliseconds.
 const SHORTEST_S: f64 = 0.005;
-/// Bounds double; the 13th is 20 s, beyond every objective.
+/// Number of histogram bounds. Each doubles the last; the 13th is 20 s, beyond every objective.
 const BUCKETS: u16 = 13;
 
 /// How a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum Outcome {
-    /// An upstream's whole answer.
+    /// A whole answer of an upstream.
     Answered,
-    /// An upstream's own failure, passed on.
+    /// An upstream's own failure, relayed.
     UpstreamFailure,
-    /// Refused as not run.
+    /// Refused; the request did not run.
     Refused,
-    /// Refused since upstreams ended under its content.
+    /// Refused because upstreams crashed under its content.
     Barred,
-    /// Not proper: unknown route or key, malformed, too large.
+    /// The request was invalid: unknown route or key, malformed, or too large.
     Rejected,
-    /// An upstream's outcome is unknown.
+    /// It is unknown whether an upstream ran the request.
     Unclear,
-    /// Out of time.
+    /// The deadline passed.
     Timeout,
-    /// A stream that ended before its end.
+    /// A stream that broke off before its end.
     CutShort,
-    /// The caller left.
+    /// The caller disconnected.
     CallerGone,
 }
 
@@ -49,38 +49,38 @@
 pub struct Metrics {
     registry: Registry,
     requests: Family<OutcomeLabel, Counter>,
-    /// From a request's arrival to the first byte of its answer.
+    /// Time from a request's arrival to the first byte of its answer.
     first_byte: Histogram,
-    /// From a request's arrival to its end.
+    /// Time from a request's arrival to its end.
     whole: Histogram,
     /// Requests sent to upstreams.
     pub attempts: Counter,
-    /// Of these beyond the first of a caller's request.
+    /// Attempts beyond the first of a caller's request.
     pub repeats: Counter,
     /// Connections opened to upstreams.
     pub connects: Counter,
-    /// Upstreams that ended while requests ran there.
+    /// Upstreams that crashed while requests ran there.
     pub upstream_ends: Counter,
     /// Upstreams that advertise a rate limit.
     pub limited_upstreams: Gauge,
     /// Requests sent to upstreams that advertise a rate limit.
     pub limited_sends: Counter,
-    /// Requests refused since every upstream for them was at its rate limit.
+    /// Requests refused because every suitable upstream was at its rate limit.
     pub limited_requests: Counter,
     /// Answers with a rate limit that cannot be read.
     pub invalid_rate_limits: Counter,
-    /// Requests in hand.
+    /// Requests in flight.
     pub in_flight: Gauge,
-    /// Contents that are barred.
+    /// Quarantined contents.
     pub barred_contents: Gauge,
-    /// Entries of upstreams that cannot be read.
+    /// Upstream entries that cannot be read.
     pub unreadable: Gauge,
     dropped_log_lines: Counter,
     scratch: RefCell<String>,
 }
 
 impl Metrics {
-    /// All zero.
+    /// Creates and registers all metrics, at zero.
     #[must_use]
     pub fn new() -> Self {
         let buckets = || exponential_buckets(SHORTEST_S, 2.0, BUCKETS);
@@ -180,7 +180,7 @@
         );
     }
 
-    /// Notes a request's end.
+    /// Records how a request ended and how long it took.
     pub fn ended(&self, outcome: Outcome, first_byte: Option<Span>, whole: Span) {
         self.requests.get_or_create(&OutcomeLabel { outcome }).inc();
         if let Some(wait) = first_byte {
@@ -189,7 +189,8 @@
         self.whole.observe(whole.as_secs_f64());
     }
 
-    /// In the text format of Prometheus; `dropped_log_lines` is what the logs count.
+    /// Encodes the metrics in the Prometheus text format; `dropped_log_lines` is the logger's
+    /// total.
     pub fn text(&self, dropped_log_lines: u64) -> String {
         let counted = self.dropped_log_lines.get();
         self.dropped_log_lines
@@ -197,7 +198,7 @@
         let mut text = self.scratch.borrow_mut();
         text.clear();
         if let Err(e) = text::encode(&mut *text, &self.registry) {
-            tracing::warn!("metrics: cannot be written as text: {e}");
+            tracing::warn!("metrics: cannot encode the metrics as text: {e}");
         }
         text.clone()
     }
--- a/components/traffic/src/rate_limits.rs
+++ b/components/traffic/src/rate_limits.rs
@@ -6,7 +6,7 @@
 use crate::shared::Shared;
 
 impl<T> Shared<T> {
-    /// Takes the rate limit of an answer.
+    /// Applies the rate limit that an answer carries.
     pub(crate) fn observe_rate_limit(
         &self,
         index: UpstreamIndex,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// An upstream that refused a request wants to be left alone for a while.
+    /// Sends nothing to an upstream for the time that its refusal asks for.
     pub(crate) fn back_off(&self, index: UpstreamIndex, wait: Span) {
         let now = self.now();
         let mut upstreams = self.upstreams.borrow_mut();
--- a/components/traffic/src/relay.rs
+++ b/components/traffic/src/relay.rs
@@ -1,4 +1,4 @@
-//! Relaying a stream event by event, over as many upstreams as it takes.
+//! Relaying a stream event by event, across as many upstreams as it takes.
 
 use std::time::Duration;
 
@@ -15,21 +15,22 @@
 use crate::shared::Shared;
 use crate::translate::Translator;
 
-/// A stream whose engine has said nothing on any connection for so many of the longest
-/// pauses that are on time goes on elsewhere. An engine that lives may say nothing for two
-/// or three seconds while it reads long prompts; one whose host is gone shows earlier, when
-/// the kernel's probes stay unanswered.
+/// Multiple of the longest pause that is on time. When an engine is silent on all connections for
+/// longer, the stream resumes elsewhere. A live engine may be silent for two or three seconds while
+/// it prefills long prompts; a lost host shows earlier, when the kernel's keepalive probes go
+/// unanswered.
 const MUTE_PAUSES: f64 = 1.5;
-/// A stream that alone is silent for so many of them goes on elsewhere, though its engine
-/// lives: it was put back, and reading the prompt anew elsewhere takes less.
+/// Multiple of the longest pause that is on time. When a stream alone is silent for longer, it
+/// resumes elsewhere though its engine is alive: the engine has preempted it, and a re-prefill
+/// elsewhere takes less time.
 const STALLED_PAUSES: f64 = 2.5;
-/// Part of the objective that is added to what may be expected of a first event, in which a
-/// daemon cannot see all that an engine has to do. Left sooner, engines read prompts in
-/// vain: of 4,196 requests of a day with 90 engines 602 were left after 0.8 s.
+/// Share of the objective added to the expected time of a first event, since a daemon cannot see
+/// all the work of an engine. With less slack, prefills are wasted: in a day with 90 engines, 602
+/// of 4,196 requests were abandoned after 0.8 s.
 const FIRST_SLACK_SHARE: f64 = 0.8;
-/// Longest pause where the route names none.
+/// Longest pause that is on time where the route names none.
 const DEFAULT_PAUSE: Span = Span::from_secs(2);
-/// Silence is looked at this often.
+/// Interval at which silence is checked.
 pub(crate) const SILENCE_POLL: Duration = Duration::from_millis(100);
 
 /// How relaying from one upstream ended.
@@ -37,13 +38,13 @@
 pub(crate) enum RelayEnd {
     /// The caller has the whole stream.
     Complete,
-    /// The caller left.
+    /// The caller disconnected.
     CallerGone,
-    /// The upstream stopped short; what was delivered is whole events.
+    /// The upstream broke off; the events delivered so far are whole.
     Broken(&'static str, Ending),
 }
 
-/// A caller's stream.
+/// The stream to one caller, across upstreams.
 #[derive(Debug)]
 pub(crate) struct Relay {
     last: Option<u64>,
@@ -51,7 +52,7 @@
     first_at: Option<Time>,
 }
 
-/// What came next from the upstream.
+/// What the upstream sent next.
 enum NextRead {
     Events(Vec<Event>),
     End,
@@ -59,7 +60,7 @@
 }
 
 impl Relay {
-    /// Of a caller who has the events up to `resume_after`.
+    /// Creates a relay to a caller who has the events up to `resume_after`.
     pub(crate) fn new(resume_after: Option<u64>) -> Self {
         Self {
             last: resume_after,
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Whether the caller has got anything.
+    /// Whether anything was delivered to the caller.
     pub(crate) fn has_begun(&self) -> bool {
         self.first_at.is_some()
     }
@@ -86,7 +87,7 @@
         self.delivered
     }
 
-    /// Relays what one upstream streams.
+    /// Relays the stream of one upstream.
     pub(crate) async fn run<T: Translator>(
         &mut self,
         shared: &Shared<T>,
@@ -98,7 +99,7 @@
         let mut splitter = Splitter::default();
         let mut has_event = false;
         let mut heard_at = shared.now();
-        // One timer for all of the stream: making one for each event was a tenth of its cost.
+        // One timer for the whole stream: one for each event would be a tenth of its cost.
         let mut silence_poll = tokio::time::interval(SILENCE_POLL);
         loop {
             let next = tokio::select! {
@@ -135,10 +136,10 @@
         }
     }
 
-    /// Adds events in their order; false at the first that does not follow.
+    /// Appends events in order; false at the first that does not follow the last one.
     ///
-    /// Guards against a run that goes on at the wrong place: the caller would get an event
-    /// twice or miss one, and could not tell.
+    /// An upstream may resume at the wrong event. The caller would get one twice or miss one, and
+    /// could not tell.
     fn append(&mut self, out: &mut Vec<u8>, events: Vec<Event>) -> bool {
         for event in events {
             let follows = match (event.id, self.last) {
@@ -184,7 +185,7 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// Waits until at least one whole event has come, or the stream ended.
+/// Waits until at least one whole event has arrived or the stream ended.
 async fn next<T>(stream: &mut Stream<T>, splitter: &mut Splitter) -> NextRead {
     loop {
         let mut has_ended = false;
@@ -234,7 +235,7 @@
     Ok(events)
 }
 
-/// Why a silent upstream is left for another, if it is.
+/// Why a silent upstream is abandoned for another; none if it isn't.
 pub(crate) fn give_up_reason<T>(
     request: &Request<T>,
     guard: &AttemptGuard<T>,
--- a/components/traffic/src/report.rs
+++ b/components/traffic/src/report.rs
@@ -18,17 +18,17 @@
 }
 
 impl Finish {
-    /// The caller left.
+    /// The caller disconnected.
     pub(crate) fn caller_gone() -> Self {
         Self {
             outcome: Outcome::CallerGone,
             status: 0,
-            why: "the caller left",
+            why: "the caller disconnected",
             keeps_alive: false,
         }
     }
 
-    /// A stream that ends before its end.
+    /// A stream was cut short.
     pub(crate) fn cut(why: &'static str) -> Self {
         Self {
             outcome: Outcome::CutShort,
@@ -39,18 +39,18 @@
     }
 }
 
-/// What the log says of a request besides its end.
+/// Details of a request for its log line, besides how it ended.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Report {
     pub(crate) first_byte_at: Option<Time>,
-    /// Each attempt in a few words.
+    /// A short description of each attempt.
     tries: String,
     service: Option<Arc<str>>,
     pub(crate) events: u64,
 }
 
 impl Report {
-    /// Of a request for a service.
+    /// Creates an empty report for a request to this service.
     pub(crate) fn for_service(service: Arc<str>) -> Self {
         Self {
             service: Some(service),
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Adds an attempt.
+    /// Adds the description of an attempt.
     pub(crate) fn add(&mut self, tried: String) {
         if !self.tries.is_empty() {
             self.tries.push_str("; ");
@@ -66,7 +66,7 @@
         self.tries.push_str(&tried);
     }
 
-    /// One line for the request.
+    /// Logs the line at the request's end.
     pub(crate) fn log<T>(&self, shared: &Shared<T>, request: &Request<T>, finish: &Finish) {
         let now = shared.now();
         let first = self
--- a/components/traffic/src/request.rs
+++ b/components/traffic/src/request.rs
@@ -1,4 +1,4 @@
-//! Reading a caller's request, and what of it is held.
+//! Reading a caller's request, and accounting for the body bytes held.
 
 use std::rc::Rc;
 
@@ -10,23 +10,23 @@
 use crate::answer::LocalReply;
 use crate::shared::Shared;
 
-/// Before a configuration is known: longest head.
+/// Longest head before a configuration is known, in bytes.
 const DEFAULT_MAX_HEAD: usize = 16 * 1024;
-/// Before a configuration is known: longest body.
+/// Longest body before a configuration is known, in bytes.
 const DEFAULT_MAX_BODY: u64 = 1024 * 1024;
-/// Before a configuration is known: a head must be complete within.
+/// Longest time for a complete head before a configuration is known.
 const DEFAULT_HEAD_TIMEOUT: Span = Span::from_secs(3);
-/// Before a configuration is known: an idle connection is kept for.
+/// How long an idle connection is kept before a configuration is known.
 const DEFAULT_IDLE_TIMEOUT: Span = Span::from_secs(15);
-/// Callers return at least this much later when this daemon holds all that it may.
+/// Least pause a caller is told when request bodies use up the memory set aside for them.
 const MEMORY_FULL_RETRY: Span = Span::from_millis(500);
 
 /// Why no request was read.
 #[derive(Debug)]
 pub(crate) enum NoRequest {
-    /// The caller closed or was idle for too long: nothing to say.
+    /// The caller closed the connection or was idle for too long; there is no one to answer.
     Closed,
-    /// To be answered, then closed.
+    /// The request gets this reply and the connection is closed.
     Answer(LocalReply),
 }
 
@@ -43,7 +43,8 @@
     }
 }
 
-/// What a caller may send, by the newest configuration or until there is one.
+/// Limits on what a caller may send, by the newest configuration or the defaults until there is
+/// one.
 fn bounds_of<T>(shared: &Shared<T>) -> Bounds {
     let plan = shared.plan();
     let limits = plan.table.as_ref().map(|table| table.limits);
@@ -63,7 +64,7 @@
     )
 }
 
-/// Waits for a request's head. Ends early when `leaving` completes while no byte is there.
+/// Waits for a request's head. Ends early when `leaving` completes before the first byte.
 pub(crate) async fn read_head<T>(
     shared: &Shared<T>,
     wire: &Wire,
@@ -73,7 +74,7 @@
     Ok(callers::read_head(wire, &bounds, leaving).await?)
 }
 
-/// A body, counted against what the daemon may hold.
+/// A request body, counted in the bytes that the daemon holds until it is dropped.
 pub(crate) struct Body<T> {
     pub(crate) bytes: Bytes,
     shared: Rc<Shared<T>>,
@@ -88,7 +89,7 @@
     }
 }
 
-/// Reads the body behind a head, until `deadline`.
+/// Reads the body that follows a head, until `deadline`.
 pub(crate) async fn read_body<T>(
     shared: &Rc<Shared<T>>,
     wire: &Wire,
--- a/components/traffic/src/status.rs
+++ b/components/traffic/src/status.rs
@@ -1,4 +1,4 @@
-//! Readiness, metrics and the state, on the address that the platform asks.
+//! Readiness, metrics and the state, served on an address of their own.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -15,21 +15,21 @@
 use crate::shared::{Shared, Stage};
 use crate::translate::Translator;
 
-/// Longest head taken here.
+/// Longest head accepted here, in bytes.
 const MAX_HEAD: usize = 8 * 1024;
-/// A connection without a question is closed after.
-const IDLE: Duration = Duration::from_secs(30);
+/// How long an idle connection is kept.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The state in short.
+/// A summary of the daemon's state.
 #[derive(Debug, Serialize)]
 struct Dump<'a> {
     stage: String,
     is_ready: bool,
     table_version: Option<u64>,
-    /// So long ago the configuration was last known to be current.
+    /// Milliseconds since the configuration was last known to be current.
     proven_ms: Option<u64>,
     upstreams: usize,
-    /// Upstreams by service and version.
+    /// Number of upstreams by service and version.
     versions: BTreeMap<String, usize>,
     unreadable_upstreams: usize,
     daemons: usize,
@@ -45,16 +45,16 @@
     barred: Vec<QuarantinedContent>,
 }
 
-/// A content that is sent to no upstream.
+/// A quarantined content, which is sent to no upstream.
 #[derive(Debug, Serialize)]
 struct QuarantinedContent {
     content: Content,
     customer: Option<Arc<str>>,
-    /// For so long already.
+    /// Seconds since the quarantine began.
     for_s: f64,
-    /// Tried again after this.
+    /// Seconds until the half-open trial.
     tried_in_s: f64,
-    /// Upstreams that ended under it, with the ms for which it had run there.
+    /// Upstreams that crashed under it, each with the milliseconds for which it had run there.
     ended: BTreeMap<String, u64>,
 }
 
@@ -75,7 +75,7 @@
 /// Serves one connection.
 pub(crate) async fn serve<T: Translator>(shared: Rc<Shared<T>>, wire: Wire) {
     loop {
-        let answered = tokio::time::timeout(IDLE, answer(&shared, &wire)).await;
+        let answered = tokio::time::timeout(IDLE_TIMEOUT, answer(&shared, &wire)).await;
         if !matches!(answered, Ok(true)) {
             return;
         }
@@ -158,7 +158,7 @@
     match serde_json::to_string(&dump) {
         Ok(text) => text,
         Err(e) => {
-            tracing::warn!("status: the state cannot be written as JSON: {e}");
+            tracing::warn!("status: cannot serialize the state as JSON: {e}");
             String::new()
         }
     }
--- a/components/traffic/src/translate.rs
+++ b/components/traffic/src/translate.rs
@@ -1,4 +1,4 @@
-//! What callers and upstreams say, free of the names on the wire.
+//! Requests and replies independent of header names on the wire.
 
 use std::sync::Arc;
 
@@ -10,103 +10,103 @@
 /// The prompt of a request to a model.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// Its parts in order; the last is the request's own.
+    /// Parts in order; the last is the request's own.
     pub parts: Vec<PromptPart>,
-    /// Its whole length in tokens.
+    /// Length of the whole prompt in tokens.
     pub tokens: u32,
     /// Longest answer in tokens.
     pub max_output: u32,
 }
 
-/// What a caller asks for.
+/// A caller's request, as read from its head.
 #[derive(Debug, Clone)]
 pub struct Ask {
     /// The caller's id of this attempt.
     pub attempt: Arc<str>,
-    /// How long the caller waits.
+    /// How long the caller waits for an answer.
     pub patience: Option<Span>,
-    /// The caller's key.
+    /// The caller's API key.
     pub key: Option<ApiKey>,
-    /// The model named by the caller; absent where this system chooses.
+    /// The model named by the caller; none where the daemon chooses.
     pub model: Option<Arc<str>>,
-    /// The prompt, of requests to models.
+    /// The prompt, if the request goes to a model.
     pub prompt: Option<Prompt>,
-    /// A hash of the session, of requests that belong together.
+    /// Hash of the session that the request belongs to.
     pub session: Option<u64>,
-    /// The last event that the caller has of this stream.
+    /// The last event of the stream that the caller already has.
     pub resume_after: Option<u64>,
 }
 
 /// Why a caller's head cannot be served.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum AskError {
-    /// A field that every request carries is missing or given twice.
-    #[error("the field {0} must be given once")]
+    /// A header that every request carries is missing or given twice.
+    #[error("the header {0} must be given exactly once")]
     NotOnce(&'static str),
-    /// A field cannot be read.
-    #[error("the field {0} cannot be read")]
+    /// A header cannot be read.
+    #[error("the header {0} cannot be read")]
     Unreadable(&'static str),
 }
 
-/// What an upstream is told beside what the caller sent.
+/// What an upstream is sent besides the caller's own headers.
 #[derive(Debug, Clone)]
 pub struct Forwarding<'a> {
     /// The caller's head.
     pub head: &'a Head,
     /// How long the answer is waited for.
     pub patience: Span,
-    /// Which run of the upstream is meant.
+    /// The run of the upstream that is meant.
     pub upstream: &'a UpstreamId,
-    /// Whose request it is.
+    /// Name of the customer.
     pub customer: Option<&'a str>,
-    /// The model to use, where this system chooses.
+    /// The model to use, where the daemon chooses.
     pub model: Option<&'a str>,
-    /// Go on after this event.
+    /// The event after which the stream is to resume.
     pub resume_after: Option<u64>,
-    /// Rank among other requests at the upstream.
+    /// Rank among the upstream's requests; lower goes first.
     pub rank: u8,
 }
 
 /// Whether an upstream ran a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
-    /// It did, or may have.
+    /// It ran, or may have.
     Ran,
-    /// It promises that it did not.
+    /// The upstream promises that it did not run.
     NotRun,
-    /// Another run of a program answered; it did not run it.
+    /// Another run of the upstream's program answered; it did not run the request.
     OtherRun,
 }
 
-/// What an upstream's head says.
+/// An upstream's reply, as read from its head.
 #[derive(Debug, Clone)]
 pub struct Reply {
-    /// The attempt that it answers.
+    /// The id of the attempt that it answers.
     pub attempt: Option<Arc<str>>,
-    /// Whether the upstream vouches for it.
+    /// Whether the upstream signed the answer as its own.
     pub is_signed: bool,
-    /// Whether it ran.
+    /// Whether the request ran.
     pub standing: Standing,
-    /// The model's opinion of its answer, 0 to 100.
+    /// The model's confidence in its answer, 0 to 100.
     pub confidence: Option<u8>,
-    /// The upstream's rate limit.
+    /// The rate limit that the upstream advertises.
     pub rate_limit: Advertised,
-    /// When the upstream wants to be asked again, of an answer that says it did not run.
+    /// When the upstream may be asked again, if the request did not run.
     pub retry_after: Option<Span>,
-    /// The body was encoded on the way and is not the upstream's.
+    /// Whether the body was encoded on the way, so that it isn't the upstream's own.
     pub is_encoded: bool,
 }
 
-/// Names and forms on the wire.
+/// Maps requests and replies to header names on the wire.
 pub trait Translator: 'static {
     /// Reads a caller's head.
     ///
     /// # Errors
-    /// Says which field is at fault.
+    /// Names the header that is missing, duplicated or malformed.
     fn ask(&self, head: &Head) -> Result<Ask, AskError>;
 
-    /// Writes the fields of the request to an upstream, each as a line; framing, which is
-    /// the connection's own, is left to the caller of this.
+    /// Writes the header lines of the request to an upstream, without those that frame the body,
+    /// which the connection writes itself.
     fn forward(&self, forwarding: &Forwarding<'_>, out: &mut Vec<u8>);
 
     /// Reads an upstream's head.
