--- a/components/traffic/tests/it/answers.rs
+++ b/components/traffic/tests/it/answers.rs
@@ -1,4 +1,4 @@
-//! Whole answers: relayed, crossed, cut, refused.
+//! Whole answers: relayed, mismatched, truncated and refused.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -33,9 +33,8 @@
 
 #[test]
 fn skips_a_late_answer_to_an_earlier_request() {
-    // An upstream answers a request twice; the second answer comes when the next request of
-    // another caller is already on the connection. That caller would get the first one's
-    // answer.
+    // An upstream answers a request twice, and the second answer arrives when another caller's
+    // request is already on the connection. That caller would get the first one's answer.
     let address = upstream(|served| {
         let first = served.request().expect("one");
         served.write(&answer(id_of(&first), "first"));
@@ -53,7 +52,7 @@
 
 #[test]
 fn does_not_reuse_a_connection_with_unread_data() {
-    // The second answer lies on the kept connection before the next request is sent.
+    // The stray answer is on the pooled connection before the next request is sent.
     let address = upstream(|served| {
         while let Some(request) = served.request() {
             let id = id_of(&request);
@@ -70,8 +69,8 @@
 
 #[test]
 fn does_not_retry_a_truncated_answer_to_a_non_idempotent_request() {
-    // The upstream runs a booking and its answer is cut. Sent again, the booking is made
-    // twice; called "not run", the caller makes it again.
+    // The upstream runs a booking and its answer is truncated. A retry would book twice, and so
+    // would the caller if it were told that nothing ran.
     let runs = Arc::new(AtomicUsize::new(0));
     let count = Arc::clone(&runs);
     let address = upstream(move |served| {
@@ -143,7 +142,7 @@
 
 #[test]
 fn rejects_an_unsigned_or_reencoded_answer() {
-    // Something between here and the upstream answers in its place, or encodes the body.
+    // Something between the daemon and the upstream answers in its place, or encodes the body.
     for fields in ["", "signed: 1\r\ncontent-encoding: gzip\r\n"] {
         let address = upstream(move |served| {
             while let Some(request) = served.request() {
@@ -204,12 +203,12 @@
 
 #[test]
 fn recovers_from_a_pooled_connection_that_the_upstream_dropped() {
-    // An upstream drops idle connections silently; what comes next on them is reset. The
-    // caller would get a failure though the upstream is sound.
+    // An upstream silently drops idle connections, and the next send on one is reset. The caller
+    // would get a failure though the upstream is healthy.
     let address = upstream(|served| {
         let request = served.request().expect("one");
         served.write(&answer(id_of(&request), "world"));
-        // The next request is read and met with the connection's end.
+        // The next request is read, and the connection closes without an answer.
         served.request();
     });
     let running = serving(Repeat::Any, &[address]);
@@ -222,7 +221,8 @@
 
 #[test]
 fn a_non_idempotent_request_gets_a_new_connection() {
-    // The same upstream; a booking on the dropped connection could not be made again.
+    // The upstream silently drops idle connections. A booking sent on a dropped one could not be
+    // retried.
     let address = upstream(|served| {
         let request = served.request().expect("one");
         served.write(&answer(id_of(&request), "world"));
@@ -237,8 +237,8 @@
 
 #[test]
 fn a_request_that_fails_everywhere_counts_once_against_the_version() {
-    // Some requests fail for their own sake wherever they run. Each attempt counted as a
-    // failure of the new version under trial, which was taken back though it was good.
+    // Some requests fail wherever they run. Counting each attempt as a failure of the new version
+    // would revert it though it is good.
     let failing = || {
         upstream(|served| {
             while let Some(request) = served.request() {
--- a/components/traffic/tests/it/bounds.rs
+++ b/components/traffic/tests/it/bounds.rs
@@ -1,4 +1,4 @@
-//! What callers may not do, and what is told to those who may not be served.
+//! Limits on what callers may send, and the replies to requests that cannot be served.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -9,7 +9,7 @@
 
 use crate::harness::*;
 
-/// An event loop before an upstream that counts what reaches it.
+/// Starts an event loop with one upstream, and returns the count of requests that reach it.
 fn start_counting() -> (TestLoop, Arc<AtomicUsize>) {
     let runs = Arc::new(AtomicUsize::new(0));
     let count = Arc::clone(&runs);
@@ -24,7 +24,7 @@
 
 #[test]
 fn rejects_smuggled_requests() {
-    // A caller hides a second request behind lengths that two readers take differently.
+    // A caller hides a second request behind lengths that two parsers read differently.
     let lengths = [
         "Content-Length: 6\r\nTransfer-Encoding: chunked",
         "Transfer-Encoding: chunked\r\nContent-Length: 6",
@@ -72,7 +72,7 @@
 
 #[test]
 fn times_out_an_incomplete_head() {
-    // A caller sends a byte a minute and would hold its connection for hours.
+    // A caller that sends a byte a minute would hold its connection for hours.
     let (running, _) = start_counting();
     let mut caller = running.caller();
     caller.send("POST /a/b HT");
@@ -106,9 +106,8 @@
 
 #[test]
 fn a_stale_configuration_refuses_unknown_routes_and_keys_as_retryable() {
-    // Operators added a route; it is acknowledged and in force everywhere but at one daemon, which has
-    // heard nothing of the store for seconds and does not know what it lacks. Its callers were told 404 and
-    // did not come back, 54 of them in one run.
+    // A new route is in force everywhere except at one daemon, which has been cut off from the
+    // store for seconds and cannot know what it lacks. A 404 would be final for its callers.
     let (running, _) = start_counting();
     let answer = |text: &str| {
         let mut caller = running.caller();
@@ -125,7 +124,7 @@
         };
         assert!((0..500).any(has_status), "{status} never came");
     };
-    // Known to be current longer ago than a change may take, or never.
+    // Last proven current longer ago than a change may take, or never.
     for proven_at in [Some(Time::ZERO), None] {
         running.prove_current(proven_at);
         if proven_at.is_some() {
@@ -140,7 +139,7 @@
     running.prove_current(Some(Time::NEVER));
     wait_for_status(404);
     assert_eq!(status_of(&answer(&new_key)), 401);
-    // A proof that is of another configuration than the one in use.
+    // The proof is for another version than the one in use.
     running.prove_newer();
     wait_for_status(503);
     assert_eq!(status_of(&answer(&new_key)), 503);
@@ -148,8 +147,8 @@
 
 #[test]
 fn refuses_and_is_not_ready_without_a_configuration() {
-    // A daemon that just started, while the store is down, knows no keys and no routes. Told
-    // 401 or 404, callers would not come back.
+    // A daemon that just started while the store is down knows no keys or routes. After a 401 or
+    // 404 callers would not retry.
     let running = start();
     assert_eq!(running.readiness(), 503);
     let text = running.caller().ask("r1");
@@ -159,8 +158,8 @@
 
 #[test]
 fn a_request_waits_briefly_for_the_first_configuration() {
-    // A daemon was killed and is back. Its first callers come some ms before its first
-    // configuration and have few attempts left.
+    // The first callers of a restarted daemon arrive milliseconds before its first configuration,
+    // and have few attempts left.
     let running = start();
     let address = upstream(|served| {
         while let Some(request) = served.request() {
@@ -176,9 +175,9 @@
 
 #[test]
 fn a_long_timeout_waits_longer_for_the_first_configuration() {
-    // All hosts of a large fleet are back at one moment and each has its configuration within a
-    // second. A caller with seconds to spare was refused after 0.3 s and came back with its last
-    // attempt, which many a one had used for the connection that the power cut broke.
+    // All hosts of a large fleet start at once, and each has its configuration within a second.
+    // Refused after 0.3 s, a caller would need another attempt, and many have used theirs for the
+    // connection that the power cut broke.
     let running = start();
     let address = upstream(|served| {
         while let Some(request) = served.request() {
@@ -196,9 +195,8 @@
 
 #[test]
 fn retry_after_without_a_configuration_fits_the_callers_timeout() {
-    // A fleet starts while its store is silent. A caller is told when to come back; told a
-    // time beyond what it waits for it would give up, told too soon a one it would be refused
-    // twice and have no attempt left.
+    // A fleet starts while its store is unreachable. A caller gives up if its pause is longer than
+    // its timeout; if the pause is too short, it is refused twice and has no attempt left.
     let running = start();
     let retry_after = |wait: u64| {
         let text = post("r", "x").replace("wait: 9000", &format!("wait: {wait}"));
--- a/components/traffic/tests/it/crashes.rs
+++ b/components/traffic/tests/it/crashes.rs
@@ -1,4 +1,4 @@
-//! How the end of an upstream shows.
+//! Detection of upstream crashes.
 
 use std::net::TcpListener;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 
 use crate::harness::*;
 
-/// Counted ends of upstreams, once there are as many or a second has gone.
+/// Returns the number of crashes counted, as soon as it reaches `awaited` or after a second.
 fn crash_count(running: &TestLoop, awaited: u64) -> u64 {
     let mut counted = 0;
     for _ in 0..50 {
@@ -22,8 +22,8 @@
 
 #[test]
 fn counts_an_upstream_crash_during_a_request() {
-    // An upstream's program ends while it runs a request: the connection breaks and the address
-    // refuses from then on. On call must see that it ended, and what had begun there.
+    // An upstream's program crashes while it runs a request: the connection breaks and the address
+    // refuses from then on. On-call must see the crash and what ran there.
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
     std::thread::spawn(move || {
--- a/components/traffic/tests/it/harness.rs
+++ b/components/traffic/tests/it/harness.rs
@@ -1,4 +1,4 @@
-//! An event loop, upstreams that follow a script, and callers that speak bytes.
+//! A running event loop, scripted upstreams, and callers that write raw bytes.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -18,10 +18,10 @@
 };
 use types::prelude::*;
 
-/// A caller or upstream that waits longer has failed.
+/// Longest time that a caller or upstream waits before the test fails.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Names on the wire of these tests.
+/// Maps to the header names of these tests.
 pub struct TestTranslator;
 
 impl Translator for TestTranslator {
@@ -90,14 +90,14 @@
     }
 }
 
-/// One connection at an upstream.
+/// An accepted connection, seen from the upstream.
 pub struct Served {
     stream: TcpStream,
     buf: Vec<u8>,
 }
 
 impl Served {
-    /// Of a connection that was accepted.
+    /// Wraps an accepted connection.
     pub fn new(stream: TcpStream) -> Self {
         stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a span");
         Self {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// The next request's head and body as text; nothing once the other side has closed.
+    /// Reads the next request's head and body as text; none once the other side has closed.
     pub fn request(&mut self) -> Option<String> {
         loop {
             if let Some(end) = message_len(&self.buf) {
@@ -123,9 +123,9 @@
         }
     }
 
-    /// Writes bytes as they are.
+    /// Writes text as it is.
     pub fn write(&mut self, text: &str) {
-        // The event loop may have left this connection, which some tests are about.
+        // The event loop may have closed this connection, which some tests are about.
         let _ = self.stream.write_all(text.as_bytes());
     }
 
@@ -136,7 +136,7 @@
     }
 }
 
-/// Length of the first whole message with a length or no body.
+/// Length of the first complete message with a Content-Length or no body.
 fn message_len(buf: &[u8]) -> Option<usize> {
     let text = String::from_utf8_lossy(buf);
     let head = text.find("\r\n\r\n")? + 4;
@@ -147,24 +147,24 @@
     (buf.len() >= end).then_some(end)
 }
 
-/// The id that a request to an upstream carries.
+/// Returns the id of a request to an upstream.
 pub fn id_of(request: &str) -> &str {
     field(request, "id").unwrap_or_default()
 }
 
-/// A field of a message.
+/// Returns a header of a message.
 pub fn field<'a>(message: &'a str, name: &str) -> Option<&'a str> {
     let prefix = format!("{name}: ");
     message.lines().find_map(|line| line.strip_prefix(&prefix))
 }
 
-/// A whole good answer.
+/// Encodes a whole, signed answer with status 200.
 pub fn answer(id: &str, body: &str) -> String {
     let length = body.len();
     format!("HTTP/1.1 200 OK\r\nid: {id}\r\nsigned: 1\r\nContent-Length: {length}\r\n\r\n{body}")
 }
 
-/// The head of a stream.
+/// Encodes the head of a stream.
 pub fn stream_head(id: &str, sure: u8) -> String {
     format!(
         "HTTP/1.1 200 OK\r\nid: {id}\r\nsigned: 1\r\nsure: {sure}\r\n\
@@ -172,16 +172,16 @@
     )
 }
 
-/// An event as a chunk.
+/// Encodes an event as a chunk.
 pub fn event(id: u64) -> String {
     let text = format!("id: {id}\ndata: e{id}\n\n");
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// The end of a stream.
+/// The last chunk of a stream.
 pub const END: &str = "0\r\n\r\n";
 
-/// An address that refuses connections for as long as the socket is kept.
+/// Returns an address that refuses connections while the socket is kept.
 pub fn refusing_address() -> (socket2::Socket, SocketAddr) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None);
     let socket = socket.expect("a socket");
@@ -208,14 +208,14 @@
     address
 }
 
-/// An event loop with its addresses.
+/// A running event loop with its addresses.
 pub struct TestLoop {
     pub handle: Handle,
     pub callers: SocketAddr,
     pub status: SocketAddr,
 }
 
-/// Starts an event loop that knows nothing yet.
+/// Starts an event loop without a configuration.
 pub fn start() -> TestLoop {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let cfg = Config {
@@ -245,7 +245,7 @@
     }
 }
 
-/// Starts an event loop that serves by a route of this kind from upstreams at addresses.
+/// Starts an event loop with one route of this kind and upstreams at these addresses.
 pub fn serving(repeat: Repeat, upstreams: &[SocketAddr]) -> TestLoop {
     let running = start();
     running.send_plan(repeat, upstreams, Vec::new());
@@ -277,7 +277,7 @@
     }
 }
 
-/// The configuration so many versions after that of [`table`] was current then.
+/// Proof that the configuration `newer` versions after that of [`table`] was current at a time.
 fn proof(newer: u64, at: Time) -> Proof {
     let version = TableVersion(table(Repeat::Any).version.0 + newer);
     Proof { version, at }
@@ -311,7 +311,7 @@
     table.expect("a proper table")
 }
 
-/// An upstream as operators list it.
+/// An upstream listed under this id and address.
 pub fn listed_upstream(id: &str, address: SocketAddr) -> Arc<Upstream> {
     Arc::new(Upstream {
         id: UpstreamId::new(id).expect("a name"),
@@ -326,7 +326,7 @@
     })
 }
 
-/// A roll-out to the only version there is, which has all of the traffic.
+/// A rollout to the only version, which gets all of the traffic.
 pub fn gate_of_all() -> Gate {
     Gate {
         service: Arc::from("service"),
@@ -341,17 +341,17 @@
 }
 
 impl TestLoop {
-    /// The configuration was last known to be current then.
+    /// Tells the event loop when its configuration was last known to be current.
     pub fn prove_current(&self, proven_at: Option<Time>) {
         self.send_others(proven_at.map(|at| proof(0, at)), Vec::new());
     }
 
-    /// A configuration newer than the one in use is known to be current.
+    /// Tells the event loop that a configuration newer than its own is current.
     pub fn prove_newer(&self) {
         self.send_others(Some(proof(1, Time::NEVER)), Vec::new());
     }
 
-    /// A peer tells that an upstream advertises a rate limit.
+    /// Reports a rate limit of an upstream as a peer does.
     pub fn send_peer_limit(&self, id: &str, rate: f32) {
         let limit = dispatch::Advertisement {
             run: dispatch::run_key(&UpstreamId::new(id).expect("a name"), None),
@@ -372,14 +372,14 @@
         sent.expect("the loop runs");
     }
 
-    /// Hands over a plan.
+    /// Sends a plan with upstreams at these addresses.
     pub fn send_plan(&self, repeat: Repeat, upstreams: &[SocketAddr], gates: Vec<Gate>) {
         let listed = upstreams.iter().enumerate();
         let listed = listed.map(|(n, address)| listed_upstream(&format!("u{n}"), *address));
         self.send_plan_of(repeat, listed.collect(), gates);
     }
 
-    /// Hands over a plan of these upstreams.
+    /// Sends a plan with these upstreams.
     pub fn send_plan_of(&self, repeat: Repeat, upstreams: Vec<Arc<Upstream>>, gates: Vec<Gate>) {
         let plan = Plan {
             table: Some(Arc::new(table(repeat))),
@@ -401,12 +401,12 @@
         Caller { stream }
     }
 
-    /// Status of the readiness answer.
+    /// Returns the status of the readiness check.
     pub fn readiness(&self) -> u16 {
         status_of(&self.get("/ready"))
     }
 
-    /// The value of a counter or gauge without labels.
+    /// Returns the value of a counter or gauge without labels.
     pub fn metric(&self, name: &str) -> u64 {
         let text = self.get("/metrics");
         let line = text.lines().find_map(|line| line.strip_prefix(name));
@@ -414,7 +414,7 @@
             .expect(name)
     }
 
-    /// What the status address answers.
+    /// Returns the response of the status address to a GET.
     pub fn get(&self, path: &str) -> String {
         let mut stream = TcpStream::connect(self.status).expect("listening");
         let ask = format!("GET {path} HTTP/1.1\r\nConnection: close\r\n\r\n");
@@ -425,7 +425,7 @@
     }
 }
 
-/// The status of an answer; 0 where there is none.
+/// Returns the status code of an answer; 0 without one.
 pub fn status_of(answer: &str) -> u16 {
     let status = answer.split(' ').nth(1);
     status.and_then(|status| status.parse().ok()).unwrap_or(0)
@@ -436,7 +436,7 @@
     pub stream: TcpStream,
 }
 
-/// A proper request.
+/// Encodes a valid request.
 pub fn post(id: &str, body: &str) -> String {
     let length = body.len();
     format!(
@@ -446,7 +446,7 @@
 }
 
 impl Caller {
-    /// Sends bytes.
+    /// Sends text as it is.
     pub fn send(&mut self, text: &str) {
         self.stream.write_all(text.as_bytes()).expect("open");
     }
@@ -454,12 +454,12 @@
     /// Reads until the connection ends, and returns everything.
     pub fn read_to_end(&mut self) -> String {
         let mut bytes = Vec::new();
-        // A reset after the answer is an end as well.
+        // A reset after the answer ends the connection as well.
         let _ = self.stream.read_to_end(&mut bytes);
         String::from_utf8_lossy(&bytes).into_owned()
     }
 
-    /// Reads one answer, with a length or in chunks.
+    /// Reads one answer, with a Content-Length or in chunks.
     pub fn answer(&mut self) -> String {
         let mut bytes = Vec::new();
         let mut byte = [0; 1];
@@ -479,7 +479,7 @@
         }
     }
 
-    /// Reads until a text has come.
+    /// Reads until a text has arrived.
     pub fn read_until(&mut self, text: &str) {
         let mut bytes = Vec::new();
         let mut byte = [0; 1];
@@ -489,14 +489,14 @@
         }
     }
 
-    /// Sends a proper request and reads its answer.
+    /// Sends a valid request and reads its answer.
     pub fn ask(&mut self, id: &str) -> String {
         self.send(&post(id, "hello"));
         self.answer()
     }
 }
 
-/// The numbers of the events in an answer.
+/// Returns the ids of the events in an answer.
 pub fn events_of(answer: &str) -> Vec<u64> {
     let ids = answer.lines().filter_map(|line| line.strip_prefix("id: "));
     ids.filter_map(|id| id.parse().ok()).collect()
--- a/components/traffic/tests/it/limits.rs
+++ b/components/traffic/tests/it/limits.rs
@@ -9,7 +9,7 @@
 
 use crate::harness::*;
 
-/// An upstream that counts what it gets, and names a limit as long as it is told to.
+/// An upstream that counts requests, and advertises a limit while the flag is set.
 struct Limited {
     address: SocketAddr,
     received: Arc<AtomicUsize>,
@@ -55,7 +55,7 @@
     for n in 0..80 {
         assert_eq!(status_of(&caller.ask(&format!("r{n}"))), 200);
     }
-    // One that told the limit, one of burst, and what came since.
+    // One request that learned the limit, one of burst, and one per second since.
     let allowed = 2.0 + began.elapsed().as_secs_f64();
     let received = limited.received();
     assert!(
@@ -128,11 +128,11 @@
 
 #[test]
 fn a_resend_after_a_broken_pooled_connection_counts_against_the_limit() {
-    // Sent once more on a new connection, it reaches the upstream twice.
+    // The resend on a new connection reaches the upstream a second time.
     let received = Arc::new(AtomicUsize::new(0));
     let count = Arc::clone(&received);
     let address = upstream(move |served| {
-        // Each connection answers once and ends with the next request.
+        // Each connection answers one request and closes at the next.
         if let Some(request) = served.request() {
             count.fetch_add(1, Ordering::SeqCst);
             let text = answer(id_of(&request), "world");
--- a/components/traffic/tests/it/main.rs
+++ b/components/traffic/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! The event loop between callers and scripted upstreams.
+//! Tests of the event loop between callers and scripted upstreams.
 
 mod harness;
 
--- a/components/traffic/tests/it/quarantine.rs
+++ b/components/traffic/tests/it/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that end the upstreams which run them.
+//! Quarantine of requests that crash the upstreams running them.
 
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -10,43 +10,44 @@
 use crate::harness::*;
 
 const RESUMABLE: Repeat = Repeat::Stream { resumable: true };
-/// The body under which engines end.
+/// The request body that crashes engines.
 const POISON: &str = "poison";
-/// An engine ends so long after it began to run that: its connection may be closed by then.
+/// Time after which an engine crashes once it runs the poison: the daemon may have closed the
+/// connection by then.
 const CRASH_DELAY: Duration = Duration::from_millis(40);
-/// Upstreams that may end under one content, and repeats of it that may reach one afterwards.
+/// Upstreams that one content may crash, and further sends of it that may reach one afterwards.
 const MAX_CRASHES: usize = 3;
 
-/// What became of the engines.
+/// Counts over all engines of a test.
 #[derive(Clone, Default)]
 struct Tally {
     /// Sends of the poison that reached an engine.
     reached: Arc<AtomicUsize>,
-    /// Engines that ended.
+    /// Engines that crashed.
     crashed: Arc<AtomicUsize>,
 }
 
-/// An engine's program.
+/// A program of an engine that crashes when it runs the poison.
 #[derive(Clone, Default)]
 struct Engine {
     tally: Tally,
     has_crashed: Arc<AtomicBool>,
-    /// Nobody reaches it any more.
+    /// Whether the port is closed.
     is_closed: Arc<AtomicBool>,
     open: Arc<Mutex<Vec<TcpStream>>>,
-    /// It ends before the first byte of its answer.
+    /// Whether it crashes before the first byte of its answer.
     is_silent: bool,
-    /// It answers whole.
+    /// Whether it gives whole answers instead of streams.
     is_plain: bool,
 }
 
 impl Engine {
-    /// Starts one; says where it listens.
+    /// Starts an engine that streams; returns its address.
     fn start(tally: &Tally) -> SocketAddr {
         Self::default().listen(tally)
     }
 
-    /// Starts one that ends before the first byte of its answer.
+    /// Starts an engine that crashes before the first byte of its answer.
     fn start_crashing_silently(tally: &Tally) -> SocketAddr {
         let engine = Self {
             is_silent: true,
@@ -55,7 +56,7 @@
         engine.listen(tally)
     }
 
-    /// Starts a plain service's, which tells nothing before its whole answer.
+    /// Starts an upstream of a plain service, which sends nothing before its whole answer.
     fn start_plain(tally: &Tally) -> SocketAddr {
         let engine = Self {
             is_silent: true,
@@ -118,9 +119,9 @@
         }
     }
 
-    /// The program ends, and all its connections with it. One that broke is a sign that nobody
-    /// listens any more: as long as the port took connections, the next request could be sent
-    /// to a program that had ended.
+    /// Closes the port, then all connections. In this order, because a broken connection tells the
+    /// daemon that nobody listens any more: while the port still accepted, the next request could
+    /// be sent to a crashed program.
     fn crash(&self) {
         if !self.has_crashed.swap(true, Ordering::SeqCst) {
             self.tally.crashed.fetch_add(1, Ordering::SeqCst);
@@ -129,7 +130,7 @@
             std::thread::sleep(Duration::from_millis(1));
         }
         for stream in self.open.lock().expect("unbroken").drain(..) {
-            // One that is closed already is as good as shut down.
+            // The connection may be closed already.
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
@@ -137,12 +138,10 @@
 
 #[test]
 fn quarantines_a_streamed_request_that_crashes_engines() {
-    // Users saw half of their drafts fail for twenty seconds, and engine after engine end. One
-    // customer's request crashes each engine that begins to run it, also when its draft is dropped
-    // at once. Its attempt is sent to another engine, which crashes too, until no run is left;
-    // then the caller sends the same again under a new id, and all of it begins anew.
-    // Evidence: in the first play of the incident one content's runs, 12 attempts at six daemons,
-    // began within 110 ms before 18 of 23 ends; 48 engines ended under it in 20 s.
+    // One customer's request crashes every engine that begins to run it, even if its draft is
+    // dropped at once. It is retried on another engine, which crashes too, until no run is left;
+    // then the caller sends the same content under a new id. Without a quarantine it takes down
+    // engine after engine, and the drafts of other users fail: 48 engines crashed within 20 s.
     let tally = Tally::default();
     let engines = (0..40).map(|_| Engine::start(&tally)).collect::<Vec<_>>();
     let running = serving(RESUMABLE, &engines);
@@ -162,7 +161,7 @@
     );
 }
 
-/// Sends the poison and something else by turns; checks that the first is soon sent no more.
+/// Alternates the poison with other requests, and checks that the poison is soon sent no more.
 fn check_plain_quarantine(repeat: Repeat) {
     let tally = Tally::default();
     let upstreams = (0..40).map(|_| Engine::start_plain(&tally));
@@ -181,24 +180,22 @@
 
 #[test]
 fn quarantines_a_plain_call_that_crashes_upstreams() {
-    // No sign tells when a plain upstream begins to run a call: it ends before its first byte.
+    // Nothing shows that a plain upstream runs a call: it crashes before its first byte.
     check_plain_quarantine(Repeat::Any);
 }
 
 #[test]
 fn quarantines_a_non_idempotent_call_that_crashes_upstreams() {
-    // Each of its attempts is one send; the caller makes new ones, and each ends an upstream.
+    // Each attempt is a single send; the caller makes new attempts, and each crashes an upstream.
     check_plain_quarantine(Repeat::Never);
 }
 
 #[test]
 fn a_send_that_breaks_a_pooled_connection_counts_as_a_run() {
-    // An engine ends before the first byte of its answer, under a request that went out on a
-    // kept connection. The daemon tries the same engine on a new connection and is refused; it
-    // took that for "nothing arrived", which costs no run and no repeat, and went on to
-    // engine after engine: eight of them for one attempt of a caller whose route allows three.
-    // Evidence: in the logs of the incident an attempt sent on a kept connection is "unreachable"
-    // 74 ms after it was sent, where one that finds nobody takes 3 ms.
+    // An engine crashes before the first byte of its answer, under a request sent on a pooled
+    // connection. The resend on a new connection is refused. Taken for "nothing arrived", which
+    // costs neither a run nor a retry, that would send one attempt to engine after engine: eight of
+    // them, where the route allows three runs.
     let tally = Tally::default();
     let engines = (0..20).map(|_| Engine::start_crashing_silently(&tally));
     let engines = engines.collect::<Vec<_>>();
@@ -215,9 +212,8 @@
 
 #[test]
 fn a_version_is_not_judged_by_quarantined_requests() {
-    // A new version is brought in, and a request that ends engines comes by its few ones. Each
-    // end breaks everything that runs there, three times within a second; the good version was
-    // taken back for it.
+    // A request that crashes engines reaches the few upstreams of a new version. Each crash breaks
+    // everything that runs there, three times within a second, and would revert a good version.
     let tally = Tally::default();
     let engines = (0..8).map(|_| Engine::start(&tally)).collect::<Vec<_>>();
     let running = serving(RESUMABLE, &engines);
--- a/components/traffic/tests/it/shutdown.rs
+++ b/components/traffic/tests/it/shutdown.rs
@@ -1,4 +1,4 @@
-//! The way out.
+//! Shutdown.
 
 use std::io::Read;
 use std::time::Duration;
@@ -19,8 +19,8 @@
 
 #[test]
 fn a_stopping_daemon_finishes_requests_and_reports_not_ready() {
-    // A daemon is told to stop while it serves. A request that it has read would end without
-    // an answer, or the balancer would go on sending new ones.
+    // A daemon is told to stop while it serves. A request it has read must not end without an
+    // answer, and load balancers must stop sending new ones.
     let running = serving(Repeat::Never, &[slow_upstream()]);
     let mut busy = running.caller();
     let mut idle = running.caller();
--- a/components/traffic/tests/it/streams.rs
+++ b/components/traffic/tests/it/streams.rs
@@ -1,4 +1,4 @@
-//! Streams: relayed as they come, resumed, never joined wrongly.
+//! Streams: relayed event by event, resumed, never joined with a gap.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -9,7 +9,7 @@
 
 const RESUMABLE: Repeat = Repeat::Stream { resumable: true };
 
-/// Streams events after `after` up to `last`, then ends or stops in the middle.
+/// Streams the events after `after` up to `last`, then completes or breaks off within an event.
 fn serve_stream(served: &mut Served, after: u64, last: u64, completes: bool) {
     while let Some(request) = served.request() {
         let asked = field(&request, "after").and_then(|id| id.parse().ok());
@@ -37,8 +37,8 @@
 
 #[test]
 fn resumes_a_broken_stream_after_the_last_whole_event() {
-    // An engine crashes in the middle of an event. The caller would see half an event, or
-    // a stream that ends early, or one event twice.
+    // An engine crashes within an event. The caller would see half an event, a stream that ends
+    // early, or one event twice.
     let broken = upstream(|served| serve_stream(served, 0, 3, false));
     let healthy = upstream(|served| serve_stream(served, 0, 6, true));
     for _ in 0..6 {
@@ -51,7 +51,7 @@
 
 #[test]
 fn does_not_join_a_resumed_stream_that_skips_an_event() {
-    // The second engine leaves out an event. The caller could not tell.
+    // The second engine skips an event, which the caller could not tell.
     let broken = upstream(|served| serve_stream(served, 0, 3, false));
     let skipping = upstream(|served| {
         while let Some(request) = served.request() {
@@ -115,7 +115,7 @@
 
 #[test]
 fn a_disconnecting_caller_cancels_the_upstream_request() {
-    // A caller closes in the middle of a stream. The engine would go on for seconds.
+    // A caller disconnects during a stream. The engine would go on for seconds.
     let (tx, rx) = flume::bounded(1);
     let address = upstream(move |served| {
         let request = served.request().expect("one");
@@ -135,8 +135,8 @@
 
 #[test]
 fn switches_away_from_a_silent_engine() {
-    // An engine goes dark in the middle of a stream, without a reset. The caller would wait
-    // until it gives up.
+    // An engine goes silent during a stream, without a reset. The caller would wait until it gives
+    // up.
     let silent = upstream(|served| {
         let request = served.request().expect("one");
         served.write(&stream_head(id_of(&request), 90));
@@ -153,8 +153,8 @@
 
 #[test]
 fn waits_for_an_engine_that_prefills_a_long_prompt() {
-    // An engine says nothing for seconds while it reads a long prompt. Left too soon, it has
-    // read in vain, the next one begins anew, and after a few no run is left.
+    // An engine is silent for seconds while it prefills a long prompt. Abandoned too soon, its
+    // prefill is wasted, the next engine begins anew, and after a few no run is left.
     let runs = Arc::new(AtomicUsize::new(0));
     let count = Arc::clone(&runs);
     let address = upstream(move |served| {
