--- a/components/traffic/src/answer.rs
+++ b/components/traffic/src/answer.rs
@@ -112,8 +112,8 @@
 }
 
 /// Adds jitter up to the pause itself, so that callers refused together do not return together.
-pub(crate) fn spread(least: Span, rng: &mut impl Rng) -> Span {
-    least + Span(rng.random_range(0..=least.0))
+pub(crate) fn add_jitter(min_pause: Span, rng: &mut impl Rng) -> Span {
+    min_pause + Span(rng.random_range(0..=min_pause.0))
 }
 
 /// Writes an upstream's status line and headers, without those of its connection.
--- a/components/traffic/src/caller.rs
+++ b/components/traffic/src/caller.rs
@@ -9,7 +9,7 @@
 use routes::{Customer, Route, RouteTable};
 use types::prelude::*;
 
-use crate::answer::{LocalReply, spread};
+use crate::answer::{LocalReply, add_jitter};
 use crate::exchange::{Exchange, Request};
 use crate::metrics::Outcome;
 use crate::report::Finish;
@@ -115,11 +115,11 @@
     };
     wait_for_table(shared, ask.patience).await;
     let routed = find_route(shared, &head, &ask);
-    let patience = match &routed {
+    let timeout = match &routed {
         Ok(routed) => timeout_of(&ask, &routed.route),
         Err(_) => ask.patience.unwrap_or(UNREADY_RETRY),
     };
-    let deadline = arrived_at + patience;
+    let deadline = arrived_at + timeout;
     // The body is read even if the request is refused: a caller that is still writing may not see
     // an answer that comes before.
     let body = match read_body(shared, wire, &head, framing, deadline).await {
@@ -167,14 +167,14 @@
 /// Waits a moment for the first configuration. A daemon that just started gets it within some ten
 /// milliseconds, or within a second in a large fleet that starts at once; a refusal would use up
 /// one of the caller's few attempts.
-async fn wait_for_table<T>(shared: &Shared<T>, patience: Option<Span>) {
+async fn wait_for_table<T>(shared: &Shared<T>, timeout: Option<Span>) {
     if !shared.cfg.policy.timing.waits_for_configuration {
         return;
     }
     let now = shared.now();
-    let spare = patience.map_or(0.0, |left| left.as_secs_f64() * MAX_RETRY_SHARE);
-    let starts_in = FLEET_START_TIME - now.since(Time::ZERO);
-    let wait = starts_in.min(Span::from_secs_f64(spare));
+    let max_wait = timeout.map_or(0.0, |timeout| timeout.as_secs_f64() * MAX_RETRY_SHARE);
+    let start_time_left = FLEET_START_TIME - now.since(Time::ZERO);
+    let wait = start_time_left.min(Span::from_secs_f64(max_wait));
     let until = shared.instant(now + FIRST_TABLE_WAIT.max(wait));
     while shared.plan().table.is_none() {
         if tokio::time::Instant::now() >= until {
@@ -185,8 +185,8 @@
 }
 
 fn timeout_of(ask: &Ask, route: &Route) -> Span {
-    let said = ask.patience.unwrap_or(route.timeout);
-    said.min(route.timeout)
+    let asked = ask.patience.unwrap_or(route.timeout);
+    asked.min(route.timeout)
 }
 
 fn find_route<T>(
@@ -195,13 +195,13 @@
     ask: &Ask,
 ) -> Result<Routed, (LocalReply, &'static str)> {
     if shared.stage() == Stage::Closing {
-        let retry_after = spread(LEAVING_RETRY, &mut *shared.rng.borrow_mut());
+        let retry_after = add_jitter(LEAVING_RETRY, &mut *shared.rng.borrow_mut());
         return Err((LocalReply::NotRun { retry_after }, "this daemon is leaving"));
     }
     let plan = shared.plan();
     let Some(table) = &plan.table else {
-        let least = unready_retry_after(shared.now().since(Time::ZERO), ask.patience);
-        let retry_after = spread(least, &mut *shared.rng.borrow_mut());
+        let min_pause = unready_retry_after(shared.now().since(Time::ZERO), ask.patience);
+        let retry_after = add_jitter(min_pause, &mut *shared.rng.borrow_mut());
         return Err((
             LocalReply::NotRun { retry_after },
             "no configuration is known yet",
@@ -242,7 +242,7 @@
         return (reply, why);
     }
     let retry_after = cap_retry_after(STALE_RETRY, ask.patience);
-    let retry_after = spread(retry_after, &mut *shared.rng.borrow_mut());
+    let retry_after = add_jitter(retry_after, &mut *shared.rng.borrow_mut());
     (
         LocalReply::NotRun { retry_after },
         "the configuration may be out of date",
@@ -250,14 +250,14 @@
 }
 
 /// Least pause for a caller of a daemon that has run for `age` and knows no configuration.
-fn unready_retry_after(age: Span, patience: Option<Span>) -> Span {
-    cap_retry_after(UNREADY_RETRY.max(age), patience)
+fn unready_retry_after(age: Span, timeout: Option<Span>) -> Span {
+    cap_retry_after(UNREADY_RETRY.max(age), timeout)
 }
 
 /// Shortens a pause so that the caller has time for its next attempt.
-fn cap_retry_after(pause: Span, patience: Option<Span>) -> Span {
-    let latest = patience.map(|left| left.as_secs_f64() * MAX_RETRY_SHARE);
-    latest.map_or(pause, |latest| pause.min(Span::from_secs_f64(latest)))
+fn cap_retry_after(pause: Span, timeout: Option<Span>) -> Span {
+    let max_pause = timeout.map(|timeout| timeout.as_secs_f64() * MAX_RETRY_SHARE);
+    max_pause.map_or(pause, |max_pause| pause.min(Span::from_secs_f64(max_pause)))
 }
 
 /// Identifies the content of a request, for quarantine.
--- a/components/traffic/src/crashes.rs
+++ b/components/traffic/src/crashes.rs
@@ -131,8 +131,8 @@
     pub(crate) fn tidy_quarantine(&self, now: Time) {
         let mut suspects = self.cfg.suspects.lock();
         suspects.tidy(now);
-        let barred = i64::try_from(suspects.barred().len()).unwrap_or(i64::MAX);
-        self.metrics.barred_contents.set(barred);
+        let quarantined = i64::try_from(suspects.barred().len()).unwrap_or(i64::MAX);
+        self.metrics.barred_contents.set(quarantined);
     }
 
     fn record_upstream_crash(&self, upstream: &LastSeen, sign: Sign) {
--- a/components/traffic/src/exchange.rs
+++ b/components/traffic/src/exchange.rs
@@ -13,7 +13,7 @@
 use types::prelude::*;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::answer::{LocalReply, Whole, spread};
+use crate::answer::{LocalReply, Whole, add_jitter};
 use crate::attempt::{Attempt, SendResult};
 use crate::metrics::Outcome;
 use crate::relay::{Relay, RelayEnd};
@@ -192,7 +192,7 @@
         if self.runs > 0 {
             return self.send_reply(LocalReply::OutcomeUnknown, why).await;
         }
-        let retry_after = spread(wait.max(BUSY_RETRY), &mut *self.shared.rng.borrow_mut());
+        let retry_after = add_jitter(wait.max(BUSY_RETRY), &mut *self.shared.rng.borrow_mut());
         self.send_reply(LocalReply::NotRun { retry_after }, why)
             .await
     }
@@ -271,8 +271,8 @@
             SendResult::Stream(stream) => {
                 self.runs += 1;
                 if let Some(larger) = self.larger_model(stream.confidence) {
-                    let sure = stream.confidence.unwrap_or_default();
-                    self.record_try(index, &format!("dropped as unsure ({sure})"));
+                    let confidence = stream.confidence.unwrap_or_default();
+                    self.record_try(index, &format!("dropped as unsure ({confidence})"));
                     self.model_index = Some(larger);
                     self.tried.clear();
                     return Next::Retry(Use::LargerModel);
@@ -316,7 +316,9 @@
         self.report.first_byte_at = self.relay.first_at();
         match end {
             RelayEnd::Complete => {
-                let what = stream.confidence.map(|sure| format!("streamed ({sure})"));
+                let what = stream
+                    .confidence
+                    .map(|confidence| format!("streamed ({confidence})"));
                 self.record_try(index, what.as_deref().unwrap_or("streamed"));
                 stream.finish(Ending::Good);
                 Next::Finished(Finish {
--- a/components/traffic/src/exchange/choose.rs
+++ b/components/traffic/src/exchange/choose.rs
@@ -109,7 +109,7 @@
 
     pub(super) fn model_name(&self) -> Option<&Arc<str>> {
         match self.model_index {
-            Some(place) => self.request.route.models.get(place),
+            Some(index) => self.request.route.models.get(index),
             None => self.request.ask.model.as_ref(),
         }
     }
@@ -128,7 +128,7 @@
         };
         let models = self.request.route.models.len();
         let now = self.shared.now();
-        let expected = |place| self.expected_first_event(place);
+        let expected = |index| self.expected_first_event(index);
         let cascade = Cascade::new(self.shared.cfg.policy.cascade);
         let larger = cascade.next(now, models, draft, expected)?;
         let is_paid = self.shared.take_retry(&self.service, Use::LargerModel);
--- a/components/traffic/src/shared.rs
+++ b/components/traffic/src/shared.rs
@@ -212,7 +212,7 @@
         for gate in plan.gates.iter().filter(|gate| gate.share <= 0.0) {
             let active = pins
                 .not_on(now, &gate.to)
-                .filter(|place| gate.notes(*place));
+                .filter(|session| gate.notes(*session));
             self.seen.add_staying(gate.order, active.map(Gate::mark));
         }
     }
--- a/components/traffic/src/status.rs
+++ b/components/traffic/src/status.rs
@@ -59,15 +59,15 @@
 }
 
 impl QuarantinedContent {
-    fn of(now: Time, bar: Barred) -> Self {
-        let ended = bar.ends.iter();
+    fn of(now: Time, quarantined: Barred) -> Self {
+        let ended = quarantined.ends.iter();
         let ended = ended.map(|(upstream, ran)| (upstream.id.to_string(), ran.as_millis()));
         Self {
-            content: bar.content,
-            for_s: now.since(bar.since).as_secs_f64(),
-            tried_in_s: now.until(bar.until).as_secs_f64(),
+            content: quarantined.content,
+            for_s: now.since(quarantined.since).as_secs_f64(),
+            tried_in_s: now.until(quarantined.until).as_secs_f64(),
             ended: ended.collect(),
-            customer: bar.customer,
+            customer: quarantined.customer,
         }
     }
 }
@@ -130,7 +130,7 @@
 fn dump<T>(shared: &Shared<T>, is_ready: bool) -> String {
     let plan = shared.plan();
     let gates = plan.gates.iter();
-    let (now, barred) = (shared.now(), shared.cfg.suspects.lock().barred());
+    let (now, quarantined) = (shared.now(), shared.cfg.suspects.lock().barred());
     let dump = Dump {
         stage: format!("{:?}", shared.stage()),
         is_ready,
@@ -149,10 +149,10 @@
         kept_connections: shared.pool.borrow().len(),
         sessions: shared.pins.borrow().len(),
         rate_limits: shared.upstreams.borrow().limited().collect(),
-        barred_contents: barred.len(),
-        barred: barred
+        barred_contents: quarantined.len(),
+        barred: quarantined
             .into_iter()
-            .map(|bar| QuarantinedContent::of(now, bar))
+            .map(|quarantined| QuarantinedContent::of(now, quarantined))
             .collect(),
     };
     match serde_json::to_string(&dump) {
