--- a/components/traffic/src/attempt.rs
+++ b/components/traffic/src/attempt.rs
@@ -372,12 +372,12 @@
         guard: &AttemptGuard<T>,
     ) -> Result<AnswerHead, Failure> {
         let mut read = std::pin::pin!(self.matching_head(wire));
-        let mut silence_poll = tokio::time::interval(SILENCE_POLL);
+        let mut ticker = tokio::time::interval(SILENCE_POLL);
         loop {
             tokio::select! {
                 biased;
                 done = &mut read => return done,
-                _ = silence_poll.tick() => {
+                _ = ticker.tick() => {
                     if self.may_switch && self.is_silent_too_long(guard) {
                         return Err(Failure::Silent);
                     }
--- a/components/traffic/src/relay.rs
+++ b/components/traffic/src/relay.rs
@@ -100,12 +100,12 @@
         let mut has_event = false;
         let mut heard_at = shared.now();
         // One timer for the whole stream: one for each event would be a tenth of its cost.
-        let mut silence_poll = tokio::time::interval(SILENCE_POLL);
+        let mut ticker = tokio::time::interval(SILENCE_POLL);
         loop {
             let next = tokio::select! {
                 biased;
                 next = next(stream, &mut splitter) => next,
-                _ = silence_poll.tick() => match stream.give_up_reason(request, heard_at, has_event) {
+                _ = ticker.tick() => match stream.give_up_reason(request, heard_at, has_event) {
                     Some(why) if stream.may_switch => NextRead::Broken(why, Ending::Silent),
                     _ => continue,
                 },
