--- a/components/traffic/src/exchange.rs
+++ b/components/traffic/src/exchange.rs
@@ -1,7 +1,7 @@
-//! One request from its first attempt to its end.
+//! One request, from its first attempt to its end.
 
-mod decide;
-mod tell;
+mod choose;
+mod log;
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -13,26 +13,26 @@
 use types::prelude::*;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::answer::{Own, Whole, spread};
-use crate::attempt::{Attempt, Sent};
+use crate::answer::{LocalReply, Whole, add_jitter};
+use crate::attempt::{Attempt, SendResult};
 use crate::metrics::Outcome;
 use crate::relay::{Relay, RelayEnd};
 use crate::report::{Finish, Report};
 use crate::request::Body;
+use crate::shared::{Shared, Stage};
 use crate::translate::{Ask, Translator};
-use crate::world::{Stage, World};
 
-/// Callers return at least this much later when no upstream could take their request: one
-/// that was full has finished something by then.
+/// Least pause a caller is told when no upstream could take its request: a busy one has finished
+/// something by then.
 const BUSY_RETRY: Span = Span::from_millis(150);
-/// Sends of one request beyond the runs that its route allows: refusals cost little, but
-/// each is a repeat for the service.
-const EXTRA_SENDS: u32 = 2;
-/// Upstreams that one request finds unreachable before it is given up: a failure domain
-/// that goes takes a fourth of them at once.
+/// Sends of one request beyond the runs that its route allows. Refusals are cheap, but each takes a
+/// retry from the service's budget.
+const MAX_EXTRA_SENDS: u32 = 2;
+/// Upstreams that one request may find unreachable before it fails: the loss of a failure domain
+/// takes away a fourth of them at once.
 const MAX_UNREACHABLE: u32 = 8;
 
-/// A request that was read whole and belongs on a route.
+/// A request that was read whole and matched to a route.
 pub(crate) struct Request<T> {
     pub(crate) head: Head,
     pub(crate) ask: Ask,
@@ -46,79 +46,79 @@
     pub(crate) keeps_alive: bool,
 }
 
-/// How an attempt leaves the request.
+/// What to do after an attempt.
 enum Next {
     Finished(Finish),
-    /// Not run, or may be repeated: go on with another upstream.
-    Again(Use),
-    /// Nothing arrived: go on with another upstream; no repeat for the service.
-    Elsewhere,
-    /// The outcome is unknown and it must not be repeated.
-    Stuck(&'static str),
-    /// No upstream may be sent it.
-    Nowhere(NoUpstream),
+    /// It did not run, or may be retried: try another upstream, at the cost of a retry.
+    Retry(Use),
+    /// Nothing arrived at the upstream: try another, at no cost to the retry budget.
+    TryAnother,
+    /// Stop: it failed or its outcome is unknown, and it must not be retried.
+    GiveUp(&'static str),
+    /// No upstream can be chosen.
+    NoneAvailable(NoUpstream),
 }
 
-/// One request on its way.
+/// A request in progress, over all of its attempts.
 pub(crate) struct Exchange<'a, T> {
-    world: &'a Rc<World<T>>,
+    shared: &'a Rc<Shared<T>>,
     wire: &'a Wire,
     request: &'a Request<T>,
     service: Arc<str>,
-    place: u64,
+    placement_hash: u64,
     tried: Vec<UpstreamIndex>,
-    /// What the last upstream was chosen by.
+    /// The load by which the last upstream was chosen.
     chosen_by: Load,
     /// The upstream that has the request now.
-    pending: Option<UpstreamIndex>,
+    outstanding: Option<UpstreamIndex>,
     sends: u32,
     /// Attempts that reached no upstream.
     unreachable: u32,
     /// Attempts that may have run.
     runs: u32,
-    /// Whether one of them failed.
+    /// Whether one of the runs failed.
     has_failed: bool,
-    /// Whether it is sent once, to see whether its content's bar still holds.
+    /// Whether this is the half-open trial of its quarantined content; it is sent only once.
     is_trial: bool,
-    /// Place of the model asked, where this system chooses.
-    model: Option<usize>,
-    /// The stream's version, once an event of it was delivered.
+    /// Index into the route's models, where the daemon chooses the model.
+    model_index: Option<usize>,
+    /// The version that sent the events delivered so far; a resumed stream stays on it.
     version: Option<Arc<str>>,
     relay: Relay,
-    /// The last failure that an upstream told itself, in case nothing better comes.
+    /// The last failure answer of an upstream, relayed if no later attempt succeeds.
     failure: Option<Whole>,
     report: Report,
 }
 
 impl<'a, T: Translator> Exchange<'a, T> {
-    pub(crate) fn new(world: &'a Rc<World<T>>, wire: &'a Wire, request: &'a Request<T>) -> Self {
-        let place = request
+    pub(crate) fn new(shared: &'a Rc<Shared<T>>, wire: &'a Wire, request: &'a Request<T>) -> Self {
+        let placement_hash = request
             .ask
             .session
             .unwrap_or_else(|| xxh3_64(request.ask.attempt.as_bytes()));
-        let service = Arc::clone(request.route.target(place));
+        let service = Arc::clone(request.route.target(placement_hash));
         let is_chosen_here = request.ask.model.is_none();
         let models = if is_chosen_here {
             request.route.models.len()
         } else {
             0
         };
-        let report = Report::of(service.clone());
+        let report = Report::for_service(service.clone());
         Self {
-            world,
+            shared,
             wire,
             request,
             service,
-            place,
+            placement_hash,
             tried: Vec::new(),
             chosen_by: Load::default(),
-            pending: None,
+            outstanding: None,
             sends: 0,
             unreachable: 0,
             runs: 0,
             has_failed: false,
             is_trial: false,
-            model: Cascade::first(models),
+            model_index: Cascade::first(models),
             version: None,
             relay: Relay::new(request.ask.resume_after),
             failure: None,
@@ -126,163 +126,167 @@
         }
     }
 
-    /// Runs it to its end.
+    /// Runs attempts until the request has an answer or its deadline passes.
     pub(crate) async fn run(&mut self) -> Finish {
-        self.world.requested(&self.service);
-        let deadline = self.world.instant(self.request.deadline);
+        self.shared.count_request(&self.service);
+        let deadline = self.shared.instant(self.request.deadline);
         match tokio::time::timeout_at(deadline, self.attempts()).await {
             Ok(finish) => finish,
-            Err(_) if self.relay.has_begun() => Finish::cut("out of time"),
-            Err(_) => self.own(Own::Timeout, "out of time").await,
+            Err(_) if self.relay.has_begun() => Finish::cut("the deadline passed"),
+            Err(_) => {
+                self.send_reply(LocalReply::Timeout, "the deadline passed")
+                    .await
+            }
         }
     }
 
     async fn attempts(&mut self) -> Finish {
         loop {
             if self.is_suspect() {
-                self.world.settle().await;
+                self.shared.await_probes().await;
             }
-            if let Some(until) = self.barred_until() {
-                return self.refuse_barred(until).await;
+            if let Some(until) = self.quarantined_until() {
+                return self.refuse_quarantined(until).await;
             }
             let next = self.attempt().await;
             let may_go_on = match next {
                 Next::Finished(finish) => return finish,
-                Next::Stuck(why) => return self.give_up(why).await,
-                Next::Nowhere(no) => return self.refuse(no).await,
-                // What is barred meanwhile takes no repeat.
-                Next::Again(what) => self.is_barred() || self.may_send_again(what),
-                Next::Elsewhere => self.unreachable < MAX_UNREACHABLE,
+                Next::GiveUp(why) => return self.give_up(why).await,
+                Next::NoneAvailable(no) => return self.refuse(no).await,
+                // A content quarantined in the meantime takes no retry: the next pass refuses it.
+                Next::Retry(what) => self.is_quarantined() || self.may_retry(what),
+                Next::TryAnother => self.unreachable < MAX_UNREACHABLE,
             };
             if !may_go_on {
-                return self.give_up("no repeat is left").await;
+                return self.give_up("no retry is left").await;
             }
         }
     }
 
-    /// Gives up a request that no upstream may be sent; says when one may.
+    /// Fails a request for which no upstream can be chosen, with the time at which one can.
     async fn refuse(&mut self, no: NoUpstream) -> Finish {
-        let now = self.world.now();
+        let now = self.shared.now();
         let wait = match no {
             NoUpstream::Limited { until } => {
-                self.world.metrics.limited_requests.inc();
+                self.shared.metrics.limited_requests.inc();
                 now.until(until)
             }
             NoUpstream::Unknown | NoUpstream::Tried => Span::ZERO,
         };
-        self.give_up_for(no.reason(), wait).await
+        self.give_up_after(no.reason(), wait).await
     }
 
     async fn give_up(&mut self, why: &'static str) -> Finish {
-        self.give_up_for(why, Span::ZERO).await
+        self.give_up_after(why, Span::ZERO).await
     }
 
-    /// The last word: what is true of everything that was tried. It is not worth coming back before
-    /// `wait` is over.
-    async fn give_up_for(&mut self, why: &'static str, wait: Span) -> Finish {
+    /// Sends the caller the final answer after the last attempt: whatever holds for all attempts. A
+    /// retry is not worthwhile before `wait` has passed.
+    async fn give_up_after(&mut self, why: &'static str, wait: Span) -> Finish {
         if self.relay.has_begun() {
             return Finish::cut(why);
         }
         if let Some(failure) = self.failure.take() {
-            return self.pass_on(failure, Outcome::UpstreamFailure).await;
+            return self.relay_whole(failure, Outcome::UpstreamFailure).await;
         }
         if self.runs > 0 {
-            return self.own(Own::Unclear, why).await;
+            return self.send_reply(LocalReply::OutcomeUnknown, why).await;
         }
-        let retry_after = spread(wait.max(BUSY_RETRY), &mut *self.world.rng.borrow_mut());
-        self.own(Own::NotRun { retry_after }, why).await
+        let retry_after = add_jitter(wait.max(BUSY_RETRY), &mut *self.shared.rng.borrow_mut());
+        self.send_reply(LocalReply::NotRun { retry_after }, why)
+            .await
     }
 
-    /// Ends a request whose content is barred, at once: no upstream is to run it.
-    async fn refuse_barred(&mut self, until: Time) -> Finish {
-        let why = "upstreams ended under its content";
+    /// Refuses a request with a quarantined content at once.
+    async fn refuse_quarantined(&mut self, until: Time) -> Finish {
+        let why = "upstreams crashed under its content";
         if self.relay.has_begun() {
             return Finish::cut(why);
         }
-        let retry_after = self.world.now().until(until);
-        let own = match self.runs {
-            0 => Own::Barred { retry_after },
-            _ => Own::Ended { retry_after },
+        let retry_after = self.shared.now().until(until);
+        let reply = match self.runs {
+            0 => LocalReply::Quarantined { retry_after },
+            _ => LocalReply::Crashed { retry_after },
         };
-        self.own(own, why).await
+        self.send_reply(reply, why).await
     }
 
     async fn attempt(&mut self) -> Next {
         let model = self.model_name().cloned();
         let choice = match self.choose(model.as_ref(), &self.tried) {
             Ok(choice) => choice,
-            Err(no) => return Next::Nowhere(no),
+            Err(no) => return Next::NoneAvailable(no),
         };
         if self.sends + self.unreachable > 0 {
-            self.log("requests: sent again", choice.index);
+            self.log_progress("requests: sent again", choice.index);
         }
         self.tried.push(choice.index);
-        self.pending = Some(choice.index);
+        self.outstanding = Some(choice.index);
         self.chosen_by = choice.load;
         self.sends += 1;
         let attempt = Attempt {
-            world: self.world,
+            shared: self.shared,
             request: self.request,
             service: &self.service,
             model: model.as_ref(),
             resume_after: self.relay.last_event(),
             has_delivered: self.relay.has_begun(),
             has_failed: self.has_failed,
-            may_leave: self.may_leave(),
+            may_switch: self.may_switch(),
             is_trial: self.is_trial,
         };
         let sent = attempt.send(choice).await;
-        self.take_sent(sent).await
+        self.handle_outcome(sent).await
     }
 
-    async fn take_sent(&mut self, sent: Sent<T>) -> Next {
+    async fn handle_outcome(&mut self, sent: SendResult<T>) -> Next {
         let index = self.tried[self.tried.len() - 1];
         match sent {
-            Sent::Unreachable => {
-                self.note(index, "unreachable");
+            SendResult::Unreachable => {
+                self.record_try(index, "unreachable");
                 self.sends -= 1;
                 self.unreachable += 1;
-                Next::Elsewhere
+                Next::TryAnother
             }
-            Sent::NotRun(what) => {
-                self.note(index, what);
-                Next::Again(Use::Failure)
+            SendResult::NotRun(what) => {
+                self.record_try(index, what);
+                Next::Retry(Use::Failure)
             }
-            Sent::Unclear(what) => {
-                self.note(index, what);
+            SendResult::MayHaveRun(what) => {
+                self.record_try(index, what);
                 self.runs += 1;
-                self.repeat_or_stop(what)
+                self.retry_or_give_up(what)
             }
-            Sent::Failed(whole) => {
-                self.note(index, "failed");
+            SendResult::Failed(whole) => {
+                self.record_try(index, "failed");
                 self.runs += 1;
                 self.failure = Some(whole);
-                self.repeat_or_stop("the upstream failed")
+                self.retry_or_give_up("the upstream failed")
             }
-            Sent::Whole(whole) => {
-                self.note(index, "answered");
+            SendResult::Whole(whole) => {
+                self.record_try(index, "answered");
                 self.runs += 1;
-                Next::Finished(self.pass_on(whole, Outcome::Answered).await)
+                Next::Finished(self.relay_whole(whole, Outcome::Answered).await)
             }
-            Sent::Stream(stream) => {
+            SendResult::Stream(stream) => {
                 self.runs += 1;
                 if let Some(larger) = self.larger_model(stream.confidence) {
-                    let sure = stream.confidence.unwrap_or_default();
-                    self.note(index, &format!("dropped as unsure ({sure})"));
-                    self.model = Some(larger);
+                    let confidence = stream.confidence.unwrap_or_default();
+                    self.record_try(index, &format!("dropped as unsure ({confidence})"));
+                    self.model_index = Some(larger);
                     self.tried.clear();
-                    return Next::Again(Use::LargerModel);
+                    return Next::Retry(Use::LargerModel);
                 }
                 self.relay_stream(index, *stream).await
             }
         }
     }
 
-    fn repeat_or_stop(&mut self, why: &'static str) -> Next {
+    fn retry_or_give_up(&mut self, why: &'static str) -> Next {
         self.has_failed = true;
         match self.request.route.repeat.is_allowed() {
-            true => Next::Again(Use::Failure),
-            false => Next::Stuck(why),
+            true => Next::Retry(Use::Failure),
+            false => Next::GiveUp(why),
         }
     }
 
@@ -291,29 +295,31 @@
         index: UpstreamIndex,
         mut stream: crate::attempt::Stream<T>,
     ) -> Next {
-        self.log("requests: streaming", index);
-        let idle = self.world.cfg.session_idle;
+        self.log_progress("requests: streaming", index);
+        let idle = self.shared.cfg.session_idle;
         self.pin(index, self.request.deadline + idle);
         let keeps_alive = self.keeps_alive();
-        let leaves_silent = self.world.cfg.policy.timing.leaves_silent;
+        let leaves_silent = self.shared.cfg.policy.timing.leaves_silent;
         let is_allowed = self.request.route.repeat.is_allowed();
-        stream.may_leave = leaves_silent && is_allowed && self.runs < self.request.route.max_runs;
+        stream.may_switch = leaves_silent && is_allowed && self.runs < self.request.route.max_runs;
         let end = self
             .relay
             .run(
-                self.world,
+                self.shared,
                 self.wire,
                 self.request,
                 &mut stream,
                 keeps_alive,
             )
             .await;
-        self.pin(index, self.world.now() + idle);
+        self.pin(index, self.shared.now() + idle);
         self.report.first_byte_at = self.relay.first_at();
         match end {
             RelayEnd::Complete => {
-                let what = stream.confidence.map(|sure| format!("streamed ({sure})"));
-                self.note(index, what.as_deref().unwrap_or("streamed"));
+                let what = stream
+                    .confidence
+                    .map(|confidence| format!("streamed ({confidence})"));
+                self.record_try(index, what.as_deref().unwrap_or("streamed"));
                 stream.finish(Ending::Good);
                 Next::Finished(Finish {
                     outcome: Outcome::Answered,
@@ -323,17 +329,17 @@
                 })
             }
             RelayEnd::CallerGone => {
-                self.note(index, "caller gone");
-                Next::Finished(Finish::gone())
+                self.record_try(index, "caller gone");
+                Next::Finished(Finish::caller_gone())
             }
             RelayEnd::Broken(why, ending) => {
-                self.note(index, why);
+                self.record_try(index, why);
                 stream.finish(ending);
                 if self.relay.has_begun() && self.version.is_none() {
-                    let upstreams = self.world.upstreams.borrow();
+                    let upstreams = self.shared.upstreams.borrow();
                     self.version = upstreams.spec(index).map(|spec| spec.version.clone());
                 }
-                self.repeat_or_stop(why)
+                self.retry_or_give_up(why)
             }
         }
     }
@@ -343,24 +349,24 @@
         let Some(session) = self.request.ask.session else {
             return;
         };
-        let now = self.world.now();
-        let upstreams = self.world.upstreams.borrow();
+        let now = self.shared.now();
+        let upstreams = self.shared.upstreams.borrow();
         if let Some(spec) = upstreams.spec(index) {
-            let mut pins = self.world.pins.borrow_mut();
+            let mut pins = self.shared.pins.borrow_mut();
             pins.set(now, session, &spec.version, used_until);
         }
     }
 
     fn keeps_alive(&self) -> bool {
-        self.request.keeps_alive && self.world.stage() < Stage::Leaving
+        self.request.keeps_alive && self.shared.stage() < Stage::Leaving
     }
 
-    async fn pass_on(&mut self, whole: Whole, outcome: Outcome) -> Finish {
+    async fn relay_whole(&mut self, whole: Whole, outcome: Outcome) -> Finish {
         let keeps_alive = self.keeps_alive();
-        self.report.first_byte_at = Some(self.world.now());
+        self.report.first_byte_at = Some(self.shared.now());
         let bytes = whole.encode(keeps_alive);
         if self.wire.write_all(&bytes).await.is_err() {
-            return Finish::gone();
+            return Finish::caller_gone();
         }
         Finish {
             outcome,
@@ -370,21 +376,26 @@
         }
     }
 
-    async fn own(&mut self, own: Own, why: &'static str) -> Finish {
-        let keeps_alive = self.keeps_alive() && !own.ends_connection();
-        let outcome = match own {
-            Own::NotRun { .. } => Outcome::Refused,
-            Own::Timeout => Outcome::Timeout,
-            Own::Unclear => Outcome::Unclear,
-            Own::Barred { .. } | Own::Ended { .. } => Outcome::Barred,
+    async fn send_reply(&mut self, reply: LocalReply, why: &'static str) -> Finish {
+        let keeps_alive = self.keeps_alive() && !reply.ends_connection();
+        let outcome = match reply {
+            LocalReply::NotRun { .. } => Outcome::Refused,
+            LocalReply::Timeout => Outcome::Timeout,
+            LocalReply::OutcomeUnknown => Outcome::Unclear,
+            LocalReply::Quarantined { .. } | LocalReply::Crashed { .. } => Outcome::Barred,
             _ => Outcome::Rejected,
         };
-        if self.wire.write_all(&own.encode(keeps_alive)).await.is_err() {
-            return Finish::gone();
+        if self
+            .wire
+            .write_all(&reply.encode(keeps_alive))
+            .await
+            .is_err()
+        {
+            return Finish::caller_gone();
         }
         Finish {
             outcome,
-            status: own.status(),
+            status: reply.status(),
             why,
             keeps_alive,
         }
--- a/components/traffic/src/exchange/decide.rs
+++ b/components/traffic/src/exchange/choose.rs
@@ -1,5 +1,4 @@
-//! What a request asks the decisions for: which upstream, version and model, and whether to
-//! go on.
+//! Decisions on a request: upstream, version, model, and whether to go on.
 
 use std::sync::Arc;
 
@@ -7,23 +6,23 @@
 use poison::Admission;
 use types::prelude::*;
 
-use super::{EXTRA_SENDS, Exchange};
+use super::{Exchange, MAX_EXTRA_SENDS};
 use crate::translate::Translator;
 
 impl<T: Translator> Exchange<'_, T> {
-    /// Until when the request's content is barred, if it is. Takes the trial of one whose bar
-    /// lapses here.
+    /// Until when the request's content is quarantined; none if it isn't. Takes the half-open trial
+    /// when the quarantine has expired.
     ///
-    /// Guards against a request that ends each upstream which begins to run it: without this
-    /// look before every send it ends as many as its route allows runs, for each attempt that
-    /// its caller makes at any daemon.
-    pub(super) fn barred_until(&mut self) -> Option<Time> {
+    /// Without this check before every send, a request that crashes each upstream running it would
+    /// crash as many as its route allows runs, for each attempt that its caller makes at any
+    /// daemon.
+    pub(super) fn quarantined_until(&mut self) -> Option<Time> {
         if self.is_trial && self.runs == 0 {
             return None;
         }
-        let now = self.world.now();
+        let now = self.shared.now();
         let content = self.request.content;
-        let mut suspects = self.world.cfg.suspects.lock();
+        let mut suspects = self.shared.cfg.suspects.lock();
         match suspects.admission(now, content) {
             Admission::Open => None,
             Admission::Barred { until } => Some(until),
@@ -35,14 +34,16 @@
         }
     }
 
-    /// Whether its content was barred while it was out.
-    pub(super) fn is_barred(&self) -> bool {
-        self.world.barred_until(self.request.content).is_some()
+    /// Whether its content was quarantined while the request was in flight.
+    pub(super) fn is_quarantined(&self) -> bool {
+        self.shared
+            .quarantined_until(self.request.content)
+            .is_some()
     }
 
-    /// Whether its content is nearly barred.
+    /// Whether its content is close to being quarantined.
     pub(super) fn is_suspect(&self) -> bool {
-        let suspects = self.world.cfg.suspects.lock();
+        let suspects = self.shared.cfg.suspects.lock();
         suspects.is_suspect(self.request.content)
     }
 
@@ -62,80 +63,82 @@
             permit: &permit,
             apart: self.is_trial || self.is_suspect(),
             exclude: tried,
-            near: &self.world.cfg.failure_domain,
+            near: &self.shared.cfg.failure_domain,
         };
-        let now = self.world.now();
-        let upstreams = self.world.upstreams.borrow();
-        upstreams.choose(now, &need, &mut *self.world.rng.borrow_mut())
+        let now = self.shared.now();
+        let upstreams = self.shared.upstreams.borrow();
+        upstreams.choose(now, &need, &mut *self.shared.rng.borrow_mut())
     }
 
-    /// When a model's first event can be expected, from now.
-    pub(super) fn expected_of(&self, model: usize) -> Option<Span> {
+    /// Expected time until a model's first event.
+    pub(super) fn expected_first_event(&self, model: usize) -> Option<Span> {
         let model = self.request.route.models.get(model)?;
         let choice = self.choose(Some(model), &[]).ok()?;
         let ms = choice.load.wait_ms + choice.load.expected_ms;
         Some(Span::from_secs_f64(ms / 1_000.0))
     }
 
-    /// Whether a silent upstream may be left for another: only while a run stays for an
+    /// Whether to switch away from a silent upstream: only while another run is left for an
     /// upstream that breaks.
-    pub(super) fn may_leave(&self) -> bool {
+    pub(super) fn may_switch(&self) -> bool {
         let is_allowed = self.request.route.repeat.is_allowed();
-        let is_allowed = is_allowed && self.world.cfg.policy.timing.leaves_silent;
+        let is_allowed = is_allowed && self.shared.cfg.policy.timing.leaves_silent;
         is_allowed && self.runs + 1 < self.request.route.max_runs
     }
 
-    /// Versions that it may run on now.
+    /// The versions on which the request may run now.
     pub(super) fn permit(&self) -> Permit {
-        let now = self.world.now();
+        let now = self.shared.now();
         if let Some(version) = &self.version {
             return Permit::Only(version.clone());
         }
-        let plan = self.world.plan();
+        let plan = self.shared.plan();
         let Some(gate) = plan.gate(&self.service) else {
             return Permit::Any;
         };
-        if gate.notes(self.place) {
-            self.world.seen.stay(gate.order, [Gate::mark(self.place)]);
+        if gate.notes(self.placement_hash) {
+            self.shared
+                .seen
+                .add_staying(gate.order, [Gate::mark(self.placement_hash)]);
         }
-        let pins = self.world.pins.borrow();
+        let pins = self.shared.pins.borrow();
         let session = self.request.ask.session;
         let pinned = session.and_then(|session| pins.get(now, session));
-        gate.permit(self.place, pinned)
+        gate.permit(self.placement_hash, pinned)
     }
 
     pub(super) fn model_name(&self) -> Option<&Arc<str>> {
-        match self.model {
-            Some(place) => self.request.route.models.get(place),
+        match self.model_index {
+            Some(index) => self.request.route.models.get(index),
             None => self.request.ask.model.as_ref(),
         }
     }
 
     pub(super) fn larger_model(&self, confidence: Option<u8>) -> Option<usize> {
-        // A trial is one send: its draft is kept.
+        // A half-open trial is sent once, so its draft is kept.
         if self.is_trial || self.relay.has_begun() || self.runs >= self.request.route.max_runs {
             return None;
         }
         let draft = Draft {
-            asked: self.model?,
+            asked: self.model_index?,
             runs_left: self.request.route.max_runs - self.runs,
             confidence: confidence?,
             arrived_at: self.request.arrived_at,
             objective: self.request.route.objective,
         };
         let models = self.request.route.models.len();
-        let now = self.world.now();
-        let expected = |place| self.expected_of(place);
-        let cascade = Cascade::new(self.world.cfg.policy.cascade);
+        let now = self.shared.now();
+        let expected = |index| self.expected_first_event(index);
+        let cascade = Cascade::new(self.shared.cfg.policy.cascade);
         let larger = cascade.next(now, models, draft, expected)?;
-        let is_paid = self.world.take_repeat(&self.service, Use::LargerModel);
+        let is_paid = self.shared.take_retry(&self.service, Use::LargerModel);
         is_paid.then_some(larger)
     }
 
-    pub(super) fn may_send_again(&self, what: Use) -> bool {
+    pub(super) fn may_retry(&self, what: Use) -> bool {
         let max_runs = self.request.route.max_runs;
-        let has_room = self.runs < max_runs && self.sends < max_runs + EXTRA_SENDS;
-        // Asking a larger model was paid for when the smaller one's answer was dropped.
-        has_room && (what == Use::LargerModel || self.world.take_repeat(&self.service, what))
+        let has_room = self.runs < max_runs && self.sends < max_runs + MAX_EXTRA_SENDS;
+        // The escalation took its retry when the smaller model's answer was dropped.
+        has_room && (what == Use::LargerModel || self.shared.take_retry(&self.service, what))
     }
 }
--- a/components/traffic/src/report.rs
+++ b/components/traffic/src/report.rs
@@ -6,7 +6,7 @@
 
 use crate::exchange::Request;
 use crate::metrics::Outcome;
-use crate::world::World;
+use crate::shared::Shared;
 
 /// How a request ended.
 #[derive(Debug, Clone, Copy)]
@@ -18,17 +18,17 @@
 }
 
 impl Finish {
-    /// The caller left.
-    pub(crate) fn gone() -> Self {
+    /// The caller disconnected.
+    pub(crate) fn caller_gone() -> Self {
         Self {
             outcome: Outcome::CallerGone,
             status: 0,
-            why: "the caller left",
+            why: "the caller disconnected",
             keeps_alive: false,
         }
     }
 
-    /// A stream that ends before its end.
+    /// A stream was cut short.
     pub(crate) fn cut(why: &'static str) -> Self {
         Self {
             outcome: Outcome::CutShort,
@@ -39,26 +39,26 @@
     }
 }
 
-/// What the log says of a request besides its end.
+/// Details of a request for its log line, besides how it ended.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Report {
     pub(crate) first_byte_at: Option<Time>,
-    /// Each attempt in a few words.
+    /// A short description of each attempt.
     tries: String,
     service: Option<Arc<str>>,
     pub(crate) events: u64,
 }
 
 impl Report {
-    /// Of a request for a service.
-    pub(crate) fn of(service: Arc<str>) -> Self {
+    /// Creates an empty report for a request to this service.
+    pub(crate) fn for_service(service: Arc<str>) -> Self {
         Self {
             service: Some(service),
             ..Self::default()
         }
     }
 
-    /// Adds an attempt.
+    /// Adds the description of an attempt.
     pub(crate) fn add(&mut self, tried: String) {
         if !self.tries.is_empty() {
             self.tries.push_str("; ");
@@ -66,9 +66,9 @@
         self.tries.push_str(&tried);
     }
 
-    /// One line for the request.
-    pub(crate) fn log<T>(&self, world: &World<T>, request: &Request<T>, finish: &Finish) {
-        let now = world.now();
+    /// Logs the line at the request's end.
+    pub(crate) fn log<T>(&self, shared: &Shared<T>, request: &Request<T>, finish: &Finish) {
+        let now = shared.now();
         let first = self
             .first_byte_at
             .map(|at| at.since(request.arrived_at).as_millis());
--- a/components/traffic/src/world.rs
+++ b/components/traffic/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the event loop share.
+//! State shared by the tasks of the event loop.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -15,71 +15,73 @@
 use tokio::sync::watch;
 use types::prelude::*;
 
-use crate::arm::Break;
+use crate::arm::BrokenAnswer;
 use crate::config::Config;
 use crate::metrics::Metrics;
 use crate::plan::{Plan, Proof};
 
-/// How far this daemon's life is.
+/// Stage of this daemon's shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// Serving.
+    /// Serving and ready.
     Serving,
-    /// Told to stop: not ready any more, still serving while that is noticed.
+    /// Told to stop: reports not ready, and still serves while load balancers notice.
     Leaving,
-    /// New connections no longer come; idle ones are closed.
+    /// Accepts no new connections and closes idle ones.
     Closing,
 }
 
-/// Roll-outs whose sessions are remembered.
-const MAX_ORDERS: usize = 8;
+/// Rollout orders whose staying sessions are remembered.
+const MAX_ROLLOUT_ORDERS: usize = 8;
 
-/// What the event loop shows the control thread.
+/// Values that the event loop publishes to the control thread.
 #[derive(Debug, Default)]
-struct Shown {
+struct Published {
     evidence: BTreeMap<Arc<str>, Evidence>,
     staying: BTreeMap<u64, BTreeSet<u32>>,
     loads: Vec<SharedLoad>,
     rate_limits: Vec<Advertisement>,
 }
 
-/// What the event loop shows the control thread: evidence on roll-outs and its loads.
+/// What the event loop publishes to the control thread: evidence on rollouts, and its loads and
+/// rate limits.
 #[derive(Debug, Clone, Default)]
-pub struct Seen(Arc<Mutex<Shown>>);
+pub struct Seen(Arc<Mutex<Published>>);
 
 impl Seen {
-    fn lock(&self) -> MutexGuard<'_, Shown> {
+    fn lock(&self) -> MutexGuard<'_, Published> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What was seen of roll-outs, by service.
+    /// Returns the evidence on rollouts, by service.
     #[must_use]
     pub fn evidence(&self) -> BTreeMap<Arc<str>, Evidence> {
         self.lock().evidence.clone()
     }
 
-    /// Sessions seen at work on another version than an order's, by the order's revision.
+    /// Returns the sessions seen active on a version other than the order's, for the order with
+    /// this revision.
     #[must_use]
     pub fn staying(&self, order: u64) -> BTreeSet<u32> {
         self.lock().staying.get(&order).cloned().unwrap_or_default()
     }
 
-    pub(crate) fn stay(&self, order: u64, sessions: impl IntoIterator<Item = u32>) {
-        let mut shown = self.lock();
-        // Orders before the last few are over.
-        while shown.staying.len() > MAX_ORDERS {
-            shown.staying.pop_first();
+    pub(crate) fn add_staying(&self, order: u64, sessions: impl IntoIterator<Item = u32>) {
+        let mut published = self.lock();
+        // Only the latest orders can still be in progress.
+        while published.staying.len() > MAX_ROLLOUT_ORDERS {
+            published.staying.pop_first();
         }
-        shown.staying.entry(order).or_default().extend(sessions);
+        published.staying.entry(order).or_default().extend(sessions);
     }
 
-    /// What is out at upstreams.
+    /// Returns the load that this daemon has in flight, by upstream.
     #[must_use]
     pub fn loads(&self) -> Vec<SharedLoad> {
         self.lock().loads.clone()
     }
 
-    /// Rate limits of upstreams, as other daemons are to be told.
+    /// Returns the rate limits of upstreams to advertise to other daemons.
     #[must_use]
     pub fn rate_limits(&self) -> Vec<Advertisement> {
         self.lock().rate_limits.clone()
@@ -93,9 +95,14 @@
         self.lock().loads = loads;
     }
 
-    pub(crate) fn change(&self, service: &Arc<str>, order: u64, f: impl FnOnce(&mut Evidence)) {
-        let mut shown = self.lock();
-        let evidence = shown.evidence.entry(service.clone()).or_default();
+    pub(crate) fn update_evidence(
+        &self,
+        service: &Arc<str>,
+        order: u64,
+        f: impl FnOnce(&mut Evidence),
+    ) {
+        let mut published = self.lock();
+        let evidence = published.evidence.entry(service.clone()).or_default();
         if evidence.order != order {
             *evidence = Evidence {
                 order,
@@ -106,39 +113,39 @@
     }
 }
 
-/// State of the event loop. Borrows never last over a wait.
-pub(crate) struct World<T> {
+/// State of the event loop. No `RefCell` borrow is held across an await.
+pub(crate) struct Shared<T> {
     pub(crate) cfg: Config,
     pub(crate) translator: T,
     pub(crate) clock: Clock,
     pub(crate) metrics: Metrics,
     pub(crate) plan: RefCell<Arc<Plan>>,
-    /// How current the configuration is known to be.
+    /// The version last proven to be the newest, and when.
     pub(crate) proof: Cell<Option<Proof>>,
     pub(crate) upstreams: RefCell<Upstreams>,
     pub(crate) pool: RefCell<Pool<UpstreamIndex>>,
-    /// What is or was under way at each upstream.
+    /// Runs in progress at each upstream, and recent ones.
     pub(crate) runs: RefCell<Runs<UpstreamIndex>>,
-    /// Answers that broke off and are not counted yet in a roll-out.
-    pub(crate) breaks: RefCell<Vec<Break>>,
-    /// Upstreams that are being asked whether they still listen.
-    pub(crate) in_doubt: RefCell<BTreeSet<UpstreamIndex>>,
-    /// Upstreams that may have ended, for [`crate::ends::watch`].
-    pub(crate) doubtful: UnboundedSender<LastSeen>,
+    /// Broken answers that are not counted yet in a rollout.
+    pub(crate) broken_answers: RefCell<Vec<BrokenAnswer>>,
+    /// Upstreams that are being probed for whether they still listen.
+    pub(crate) probing: RefCell<BTreeSet<UpstreamIndex>>,
+    /// Sends upstreams that may have crashed to [`crate::crashes::probe_doubtful`].
+    pub(crate) probe_tx: UnboundedSender<LastSeen>,
     pub(crate) pins: RefCell<Pins>,
     pub(crate) budgets: RefCell<HashMap<Arc<str>, RetryBudget>>,
     pub(crate) rng: RefCell<SmallRng>,
     pub(crate) seen: Seen,
     pub(crate) stage: watch::Sender<Stage>,
-    /// Requests in hand.
-    pub(crate) in_hand: Cell<usize>,
-    /// Connections of callers.
-    pub(crate) callers: Cell<usize>,
-    /// Bytes of callers' bodies held.
-    pub(crate) held: Cell<u64>,
+    /// Callers' requests in flight.
+    pub(crate) requests_in_flight: Cell<usize>,
+    /// Open connections from callers.
+    pub(crate) caller_connections: Cell<usize>,
+    /// Bytes of request bodies held in memory.
+    pub(crate) held_body_bytes: Cell<u64>,
 }
 
-impl<T> World<T> {
+impl<T> Shared<T> {
     pub(crate) fn now(&self) -> Time {
         self.clock.now()
     }
@@ -147,8 +154,8 @@
         Arc::clone(&self.plan.borrow())
     }
 
-    /// Whether a change that was to be in force by now may be missing in the configuration.
-    pub(crate) fn may_be_old(&self) -> bool {
+    /// Whether the configuration may lack a change that should be in force by now.
+    pub(crate) fn may_be_stale(&self) -> bool {
         let bound = self.cfg.current_within;
         let proven_at = self.plan.borrow().proven_at(self.proof.get());
         proven_at.is_none_or(|at| self.now().since(at) > bound)
@@ -158,16 +165,16 @@
         *self.stage.borrow()
     }
 
-    /// Takes what the control thread knows.
+    /// Applies a new plan from the control thread.
     pub(crate) fn set_plan(&self, plan: Arc<Plan>) {
         let now = self.now();
-        self.log_table(now, &plan);
+        self.log_table_version(now, &plan);
         let mut upstreams = self.upstreams.borrow_mut();
         let gone = upstreams.configure(&plan.upstreams);
         upstreams.set_fleet(now, &plan.fleet);
         drop(upstreams);
         for gone in gone {
-            self.gone_from_list(gone);
+            self.unlisted(gone);
         }
         for budget in self.budgets.borrow_mut().values_mut() {
             budget.set_daemons(plan.daemons);
@@ -175,14 +182,14 @@
         let mut suspects = self.cfg.suspects.lock();
         suspects.set_fleet(plan.daemons, plan.upstreams.len());
         drop(suspects);
-        self.note_staying(&plan);
+        self.publish_staying(&plan);
         let unreadable = i64::try_from(plan.unreadable).unwrap_or(i64::MAX);
         self.metrics.unreadable.set(unreadable);
         *self.plan.borrow_mut() = plan;
     }
 
-    /// Says which configuration is in use, and how old the proof beside the former one was.
-    fn log_table(&self, now: Time, plan: &Plan) {
+    /// Logs the configuration now in use, and the age of the proof that went with the former one.
+    fn log_table_version(&self, now: Time, plan: &Plan) {
         let version_of = |plan: &Plan| plan.table.as_ref().map(|table| table.version.0);
         let former = version_of(&self.plan.borrow());
         let version = version_of(plan);
@@ -192,32 +199,32 @@
         }
     }
 
-    /// So long ago the configuration was last known to be current.
+    /// Milliseconds since the configuration was last known to be current.
     pub(crate) fn proven_ms(&self, now: Time) -> Option<u64> {
         let proven_at = self.plan.borrow().proven_at(self.proof.get());
         proven_at.map(|at| now.since(at).as_millis())
     }
 
-    /// Notes sessions that stay on their version, at the begin of a roll-out.
-    fn note_staying(&self, plan: &Plan) {
+    /// At the start of a rollout, publishes the active sessions that stay on another version.
+    fn publish_staying(&self, plan: &Plan) {
         let now = self.now();
         let pins = self.pins.borrow();
         for gate in plan.gates.iter().filter(|gate| gate.share <= 0.0) {
-            let at_work = pins
+            let active = pins
                 .not_on(now, &gate.to)
-                .filter(|place| gate.notes(*place));
-            self.seen.stay(gate.order, at_work.map(Gate::mark));
+                .filter(|session| gate.notes(*session));
+            self.seen.add_staying(gate.order, active.map(Gate::mark));
         }
     }
 
-    /// Notes a caller's request for a service.
-    pub(crate) fn requested(&self, service: &Arc<str>) {
+    /// Counts a caller's request towards the retry budget of a service.
+    pub(crate) fn count_request(&self, service: &Arc<str>) {
         let now = self.now();
         self.with_budget(service, |budget| budget.requested(now));
     }
 
-    /// Takes a repeat if there is one left.
-    pub(crate) fn take_repeat(&self, service: &Arc<str>, what: Use) -> bool {
+    /// Takes a retry from the budget of a service; false if none is left.
+    pub(crate) fn take_retry(&self, service: &Arc<str>, what: Use) -> bool {
         let now = self.now();
         self.with_budget(service, |budget| budget.take(now, what))
     }
@@ -232,8 +239,8 @@
         f(budget)
     }
 
-    /// Until when a content is barred, if it is.
-    pub(crate) fn barred_until(&self, content: Content) -> Option<Time> {
+    /// Until when a request content is quarantined; none if it isn't.
+    pub(crate) fn quarantined_until(&self, content: Content) -> Option<Time> {
         let suspects = self.cfg.suspects.lock();
         match suspects.admission(self.now(), content) {
             Admission::Barred { until } => Some(until),
@@ -241,7 +248,7 @@
         }
     }
 
-    /// The moment on the runtime's clock.
+    /// Converts a time to the runtime's clock.
     pub(crate) fn instant(&self, at: Time) -> tokio::time::Instant {
         tokio::time::Instant::now() + self.now().until(at).to_duration()
     }
--- a/components/traffic/src/status.rs
+++ b/components/traffic/src/status.rs
@@ -1,4 +1,4 @@
-//! Readiness, metrics and the state, on the address that the platform asks.
+//! Readiness, metrics and the state, served on an address of their own.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -12,24 +12,24 @@
 use types::prelude::*;
 
 use crate::plan::Plan;
+use crate::shared::{Shared, Stage};
 use crate::translate::Translator;
-use crate::world::{Stage, World};
 
-/// Longest head taken here.
+/// Longest head accepted here, in bytes.
 const MAX_HEAD: usize = 8 * 1024;
-/// A connection without a question is closed after.
-const IDLE: Duration = Duration::from_secs(30);
+/// How long an idle connection is kept.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The state in short.
+/// A summary of the daemon's state.
 #[derive(Debug, Serialize)]
 struct Dump<'a> {
     stage: String,
     is_ready: bool,
     table_version: Option<u64>,
-    /// So long ago the configuration was last known to be current.
+    /// Milliseconds since the configuration was last known to be current.
     proven_ms: Option<u64>,
     upstreams: usize,
-    /// Upstreams by service and version.
+    /// Number of upstreams by service and version.
     versions: BTreeMap<String, usize>,
     unreadable_upstreams: usize,
     daemons: usize,
@@ -42,47 +42,47 @@
     /// Rate limits that upstreams advertise, by upstream.
     rate_limits: BTreeMap<String, Rate>,
     barred_contents: usize,
-    barred: Vec<BarredContent>,
+    barred: Vec<QuarantinedContent>,
 }
 
-/// A content that is sent to no upstream.
+/// A quarantined content, which is sent to no upstream.
 #[derive(Debug, Serialize)]
-struct BarredContent {
+struct QuarantinedContent {
     content: Content,
     customer: Option<Arc<str>>,
-    /// For so long already.
+    /// Seconds since the quarantine began.
     for_s: f64,
-    /// Tried again after this.
+    /// Seconds until the half-open trial.
     tried_in_s: f64,
-    /// Upstreams that ended under it, with the ms for which it had run there.
+    /// Upstreams that crashed under it, each with the milliseconds for which it had run there.
     ended: BTreeMap<String, u64>,
 }
 
-impl BarredContent {
-    fn of(now: Time, bar: Barred) -> Self {
-        let ended = bar.ends.iter();
+impl QuarantinedContent {
+    fn of(now: Time, quarantined: Barred) -> Self {
+        let ended = quarantined.ends.iter();
         let ended = ended.map(|(upstream, ran)| (upstream.id.to_string(), ran.as_millis()));
         Self {
-            content: bar.content,
-            for_s: now.since(bar.since).as_secs_f64(),
-            tried_in_s: now.until(bar.until).as_secs_f64(),
+            content: quarantined.content,
+            for_s: now.since(quarantined.since).as_secs_f64(),
+            tried_in_s: now.until(quarantined.until).as_secs_f64(),
             ended: ended.collect(),
-            customer: bar.customer,
+            customer: quarantined.customer,
         }
     }
 }
 
 /// Serves one connection.
-pub(crate) async fn serve<T: Translator>(world: Rc<World<T>>, wire: Wire) {
+pub(crate) async fn serve<T: Translator>(shared: Rc<Shared<T>>, wire: Wire) {
     loop {
-        let answered = tokio::time::timeout(IDLE, answer(&world, &wire)).await;
+        let answered = tokio::time::timeout(IDLE_TIMEOUT, answer(&shared, &wire)).await;
         if !matches!(answered, Ok(true)) {
             return;
         }
     }
 }
 
-async fn answer<T: Translator>(world: &World<T>, wire: &Wire) -> bool {
+async fn answer<T: Translator>(shared: &Shared<T>, wire: &Wire) -> bool {
     let head = loop {
         match Head::take_request(&mut wire.buf(), MAX_HEAD) {
             Ok(Some(head)) => break head,
@@ -96,14 +96,14 @@
     let Kind::Request { target, .. } = &head.kind else {
         return false;
     };
-    let is_ready = is_ready(world);
+    let is_ready = is_ready(shared);
     let (status, body) = match target.as_str() {
-        path if path == world.cfg.ready_path => (if is_ready { 200 } else { 503 }, String::new()),
+        path if path == shared.cfg.ready_path => (if is_ready { 200 } else { 503 }, String::new()),
         "/metrics" => {
-            let dropped = world.cfg.dropped_logs.lines();
-            (200, world.metrics.text(dropped))
+            let dropped = shared.cfg.dropped_logs.lines();
+            (200, shared.metrics.text(dropped))
         }
-        "/state" => (200, dump(world, is_ready)),
+        "/state" => (200, dump(shared, is_ready)),
         _ => (404, String::new()),
     };
     let mut out = Vec::with_capacity(128 + body.len());
@@ -114,8 +114,8 @@
     wire.write_all(&out).await.is_ok() && head.keeps_alive()
 }
 
-fn is_ready<T>(world: &World<T>) -> bool {
-    world.plan().is_ready && world.stage() == Stage::Serving
+fn is_ready<T>(shared: &Shared<T>) -> bool {
+    shared.plan().is_ready && shared.stage() == Stage::Serving
 }
 
 fn versions(plan: &Plan) -> BTreeMap<String, usize> {
@@ -127,15 +127,15 @@
     versions
 }
 
-fn dump<T>(world: &World<T>, is_ready: bool) -> String {
-    let plan = world.plan();
+fn dump<T>(shared: &Shared<T>, is_ready: bool) -> String {
+    let plan = shared.plan();
     let gates = plan.gates.iter();
-    let (now, barred) = (world.now(), world.cfg.suspects.lock().barred());
+    let (now, quarantined) = (shared.now(), shared.cfg.suspects.lock().barred());
     let dump = Dump {
-        stage: format!("{:?}", world.stage()),
+        stage: format!("{:?}", shared.stage()),
         is_ready,
         table_version: plan.table.as_ref().map(|table| table.version.0),
-        proven_ms: world.proven_ms(now),
+        proven_ms: shared.proven_ms(now),
         upstreams: plan.upstreams.len(),
         versions: versions(&plan),
         unreadable_upstreams: plan.unreadable,
@@ -143,22 +143,22 @@
         rollouts: gates
             .map(|gate| (&*gate.service, &*gate.to, gate.share))
             .collect(),
-        callers: world.callers.get(),
-        requests: world.in_hand.get(),
-        held_bytes: world.held.get(),
-        kept_connections: world.pool.borrow().len(),
-        sessions: world.pins.borrow().len(),
-        rate_limits: world.upstreams.borrow().limited().collect(),
-        barred_contents: barred.len(),
-        barred: barred
+        callers: shared.caller_connections.get(),
+        requests: shared.requests_in_flight.get(),
+        held_bytes: shared.held_body_bytes.get(),
+        kept_connections: shared.pool.borrow().len(),
+        sessions: shared.pins.borrow().len(),
+        rate_limits: shared.upstreams.borrow().limited().collect(),
+        barred_contents: quarantined.len(),
+        barred: quarantined
             .into_iter()
-            .map(|bar| BarredContent::of(now, bar))
+            .map(|quarantined| QuarantinedContent::of(now, quarantined))
             .collect(),
     };
     match serde_json::to_string(&dump) {
         Ok(text) => text,
         Err(e) => {
-            tracing::warn!("status: the state cannot be written as JSON: {e}");
+            tracing::warn!("status: cannot serialize the state as JSON: {e}");
             String::new()
         }
     }
--- a/components/traffic/tests/it/main.rs
+++ b/components/traffic/tests/it/main.rs
@@ -1,11 +1,11 @@
-//! The event loop between callers and scripted upstreams.
+//! Tests of the event loop between callers and scripted upstreams.
 
 mod harness;
 
 mod answers;
 mod bounds;
-mod ends;
-mod leaving;
+mod crashes;
 mod limits;
-mod poison;
+mod quarantine;
+mod shutdown;
 mod streams;
