--- a/components/quality/src/choice.rs
+++ b/components/quality/src/choice.rs
@@ -2,7 +2,7 @@
 
 use types::prelude::*;
 
-use crate::counts::Confidence;
+use crate::rating::Confidence;
 
 /// What an offer asks for.
 #[derive(Debug, Clone, PartialEq)]
--- a/components/quality/src/cell.rs
+++ b/components/quality/src/fact.rs
@@ -7,7 +7,7 @@
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use types::prelude::*;
 
-use crate::counts::{BINS, Bin, Totals};
+use crate::rating::{BINS, Bin, Totals};
 use crate::stream::{Phase, StreamId};
 use crate::suspension::Rounds;
 
--- a/components/quality/src/lib.rs
+++ b/components/quality/src/lib.rs
@@ -10,25 +10,25 @@
 //! Nothing here reads a clock, a socket or a random source of its own.
 
 mod budget;
-mod cell;
 mod choice;
 mod config;
-mod counts;
 mod detector;
 mod estimate;
+mod fact;
 mod mixture;
 mod quality;
+mod rating;
 mod sampling;
 mod stream;
 mod suspension;
 mod table;
 
-pub use cell::{Cell, CellError, MAX_KEY_BYTES, MAX_VALUE_BYTES};
 pub use choice::{Candidate, ChoiceInput, Escalation, OfferTerms, Plan, RolloutShare};
 pub use config::Config;
-pub use counts::{BINS, Confidence, Rating};
 pub use detector::{Detector, Thresholds, mean_run_length};
 pub use estimate::Estimate;
+pub use fact::{Cell, CellError, MAX_KEY_BYTES, MAX_VALUE_BYTES};
 pub use mixture::{Alternative, Mixture, cheapest_mixture};
 pub use quality::{Change, Quality};
+pub use rating::{BINS, Confidence, Rating};
 pub use stream::{Dump, Phase, StreamDump, StreamId};
--- a/components/quality/src/quality.rs
+++ b/components/quality/src/quality.rs
@@ -10,11 +10,11 @@
 use types::prelude::*;
 
 use crate::budget::{Budget, BudgetTerms};
-use crate::cell::CellError;
 use crate::choice::{Candidate, OfferTerms};
 use crate::config::Config;
-use crate::counts::Rating;
-use crate::counts::Totals;
+use crate::fact::CellError;
+use crate::rating::Rating;
+use crate::rating::Totals;
 use crate::sampling::{Bucket, Need, shares};
 use crate::stream::{Dump, Name, Phase, Stream, StreamDump, StreamId, Terms};
 use crate::suspension::Suspensions;
--- a/components/quality/src/quality/choose.rs
+++ b/components/quality/src/quality/choose.rs
@@ -6,8 +6,8 @@
 
 use super::Quality;
 use crate::choice::{Candidate, ChoiceInput, Escalation, Plan};
-use crate::counts::Confidence;
 use crate::mixture::Mixture;
+use crate::rating::Confidence;
 use crate::stream::{Phase, StreamId};
 use crate::table::Table;
 
--- a/components/quality/src/quality/exchange.rs
+++ b/components/quality/src/quality/exchange.rs
@@ -6,8 +6,8 @@
 use types::prelude::*;
 
 use super::Quality;
-use crate::cell::{Cell, CellError, Evidence, Fact, decode, encode};
-use crate::counts::{Faded, Totals};
+use crate::fact::{Cell, CellError, Evidence, Fact, decode, encode};
+use crate::rating::{Faded, Totals};
 use crate::stream::{Phase, Stream, StreamId};
 
 /// Most daemons whose counters are held, live or gone.
--- a/components/quality/src/stream.rs
+++ b/components/quality/src/stream.rs
@@ -6,9 +6,9 @@
 
 use crate::budget::{Budget, Progress};
 use crate::config::Config;
-use crate::counts::{BINS, Faded, Totals};
 use crate::detector::{Detector, Thresholds};
 use crate::estimate::Estimate;
+use crate::rating::{BINS, Faded, Totals};
 
 /// How far above its target a version is still held to its claim.
 const HEADROOM: f64 = 0.03;
--- a/components/quality/src/table.rs
+++ b/components/quality/src/table.rs
@@ -8,9 +8,9 @@
 
 use crate::choice::{Candidate, OfferTerms};
 use crate::config::Config;
-use crate::counts::BINS;
 use crate::estimate::Estimate;
 use crate::mixture::{Alternative, Mixture, cheapest_mixture};
+use crate::rating::BINS;
 use crate::stream::{Phase, Stream, StreamId};
 
 /// Ratings with a stated confidence before a cascade is weighed.
