--- a/components/quality/src/choice.rs
+++ b/components/quality/src/choice.rs
@@ -1,102 +1,102 @@
-//! What a choice is made from, and what comes out.
+//! Input and result of the choice of a version.
 
 use types::prelude::*;
 
 use crate::rating::Confidence;
 
-/// What an offer asks for.
+/// Requirements of an offer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OfferTerms {
     /// The offer's name.
     pub name: EntryName,
-    /// The kind of work.
+    /// Class of work.
     pub class: ClassName,
     /// Share of answers that must be adequate.
     pub target: Share,
-    /// Weight of money; only the ratios of the weights count.
+    /// Weight of cost. Only the ratios of the weights matter.
     pub cost_weight: f64,
-    /// Weight of time to the answer.
+    /// Weight of the time until the answer is complete.
     pub latency_weight: f64,
-    /// Weight of answers from versions not yet proved.
+    /// Weight of avoiding answers from versions not yet proved.
     pub exposure_weight: f64,
 }
 
 impl OfferTerms {
-    /// From 0 to 1: the part that exposure has of all weights.
+    /// Share of the exposure weight in all weights, from 0 to 1.
     pub(crate) fn caution(&self) -> f64 {
-        let all = self.cost_weight + self.latency_weight + self.exposure_weight;
-        (self.exposure_weight / all.max(f64::MIN_POSITIVE)).clamp(0.0, 1.0)
+        let total_weight = self.cost_weight + self.latency_weight + self.exposure_weight;
+        (self.exposure_weight / total_weight.max(f64::MIN_POSITIVE)).clamp(0.0, 1.0)
     }
 }
 
-/// The part of another version's new work that a version takes over.
+/// Share of another version's new work that goes to a version being rolled out.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RolloutShare {
-    /// The version that goes.
+    /// Version being replaced.
     pub from: VersionId,
-    /// Share of its new sessions and requests.
+    /// Share of its new sessions and requests that is taken over.
     pub share: Share,
 }
 
-/// A version that the customer may be served from now.
+/// Version that the customer may be served from now.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Candidate {
     /// The version.
     pub version: VersionId,
-    /// Whether it takes new sessions; otherwise it serves only those that it has.
+    /// Whether it takes new sessions; otherwise it serves only its present ones.
     pub takes_new: bool,
     /// Expected cost of this class's average answer.
     pub cost: Cost,
-    /// Expected time to the end of the answer, queues included.
+    /// Expected time until the answer is complete, queues included.
     pub latency: Span,
-    /// The catalogue's expected quality in this class.
+    /// Quality that the catalogue claims for this class.
     pub expected: Option<Share>,
-    /// Set while it is being rolled out.
+    /// Set while the version is being rolled out.
     pub rollout: Option<RolloutShare>,
 }
 
-/// One request's part of the choice.
+/// Input to the choice for one request.
 #[derive(Debug, Clone, Copy)]
 pub struct ChoiceInput<'a> {
-    /// The offer.
+    /// Requirements of the offer.
     pub offer: &'a OfferTerms,
-    /// The versions that this customer may be served from, in any order.
+    /// Versions that this customer may be served from, in any order.
     pub candidates: &'a [Candidate],
-    /// The session's version.
+    /// Version that the session is pinned to.
     pub pin: Option<&'a VersionId>,
-    /// A session begins with this request or goes on: one version answers alone.
+    /// Whether the request begins or continues a session, which one version serves alone.
     pub in_session: bool,
-    /// Whether a first answer can be held back and discarded.
+    /// Whether a first answer can be withheld and discarded, as an escalation needs.
     pub may_escalate: bool,
-    /// Time left until the answer is due.
+    /// Time left until the request's deadline.
     pub time_left: Span,
 }
 
-/// Goes on to another version when the first answer is not sure enough.
+/// Escalation to another version after a low-confidence answer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Escalation {
-    /// The version to go on to.
+    /// Version to escalate to.
     pub to: VersionId,
-    /// Go on when the stated confidence is lower, or none was stated.
+    /// Escalate when the stated confidence is lower, or none was stated.
     pub below: Confidence,
 }
 
-/// How to serve a request.
+/// Result of the choice: how to serve a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
-    /// The version to ask first.
+    /// Version to ask first.
     pub first: VersionId,
-    /// What follows an unsure answer.
+    /// Escalation after a low-confidence answer.
     pub escalation: Option<Escalation>,
-    /// The session had another version, which may not serve it any more.
+    /// Whether the session was pinned to another version, which may no longer serve it.
     pub repinned: bool,
 }
 
 impl Plan {
-    /// Whether to discard an answer of the first version and go on.
+    /// Whether to discard an answer of the first version and escalate.
     #[must_use]
     pub fn escalates(&self, confidence: Option<Confidence>) -> bool {
-        let unsure = |step: &Escalation| confidence.is_none_or(|stated| stated < step.below);
-        self.escalation.as_ref().is_some_and(unsure)
+        let is_low = |step: &Escalation| confidence.is_none_or(|stated| stated < step.below);
+        self.escalation.as_ref().is_some_and(is_low)
     }
 }
--- a/components/quality/src/config.rs
+++ b/components/quality/src/config.rs
@@ -1,49 +1,49 @@
-//! Settings of the decisions, with the defaults that the experiments were run with.
+//! Settings of the version choice and their defaults.
 
 use serde::{Deserialize, Serialize};
 use types::prelude::*;
 
-/// Settings of the decisions.
+/// Settings of the version choice.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Config {
-    /// Ratings that the rater takes from the whole fleet.
+    /// Ratings per second that the rater takes from the whole fleet.
     pub ratings: Rate,
-    /// One false suspension at most in this many requests.
+    /// Mean number of requests between false suspensions, at least.
     pub false_alarm_requests: f64,
-    /// A version counts as bad only below its reference by more than this.
+    /// How far below its reference a version's share of adequate answers must lie to count as bad.
     pub tolerance: f64,
-    /// The same, while the reference is but the catalogue's claim.
+    /// The same while the reference is still the catalogue's claim.
     pub claim_tolerance: f64,
-    /// How far below the target a version may lie and still serve in a mixture.
+    /// How far below the target a version's quality may lie for it to serve in a mixture.
     pub slack: f64,
-    /// Ratings that the catalogue's expected quality counts for.
+    /// Number of ratings that the catalogue's expected quality weighs as much as.
     pub prior_ratings: f64,
-    /// Most ratings remembered; older ones fade as new ones come.
+    /// Maximum number of ratings that count; older ones decay as new ones come.
     pub memory: f64,
-    /// Ratings that a version needs before it is proved.
+    /// Ratings that a version needs before it can be proved.
     pub proof_ratings: f64,
-    /// Standard deviations by which a mixture's estimate must clear the target.
+    /// Standard deviations by which an estimate must exceed the target in a mixture.
     pub confidence: f64,
-    /// Answers that an unproved version may give, over the whole fleet, before any rating.
+    /// Answers that an unproved version may give over the whole fleet before any is rated.
     pub unproved_base: f64,
-    /// Answers that a suspect version may give, over the whole fleet, before any rating.
+    /// Answers that a suspect version may give over the whole fleet before any is rated.
     pub suspect_base: f64,
     /// Further answers that each rating allows.
     pub answers_per_rating: f64,
-    /// Share of an offer's requests spent on versions that might turn out cheaper.
+    /// Share of an offer's requests sent to proved versions that might turn out cheaper.
     pub exploration: f64,
-    /// The same, on versions that have too few ratings yet.
+    /// Share of an offer's requests sent to versions that have too few ratings yet.
     pub trial: f64,
-    /// Ratings at which half of an estimate's uncertainty is held against it.
+    /// Number of ratings at which half of an estimate's uncertainty counts against the version.
     pub claim_ratings: f64,
-    /// Part of the test's threshold from which a version is suspect.
+    /// Level of the sequential test, as a share of its threshold, from which a version is suspect.
     pub suspect_at: f64,
-    /// Shortest time between two publications of one counter.
+    /// Minimum time between two publications of one counter.
     pub publish_every: Span,
-    /// Longest time that a choice stands on the same estimates.
+    /// Maximum time that a table is used before it is rebuilt.
     pub refresh_every: Span,
-    /// How long the largest fleet seen still counts when budgets are shared out.
+    /// How long the largest fleet size seen is used to divide the budgets.
     pub fleet_memory: Span,
 }
 
--- a/components/quality/src/detector.rs
+++ b/components/quality/src/detector.rs
@@ -1,27 +1,27 @@
 //! Sequential test for a version that is worse than its reference.
 //!
-//! One CUSUM for each of a few alternatives. CUSUM number `j` sums the log likelihood ratio
-//! of "share is `alternative[j]`" against "share is the null share", never below zero, and the
-//! test alarms when any reaches its threshold. The expected number of ratings before a
-//! false alarm is found exactly (see [`mean_run_length`]), so the threshold is no larger
-//! than the stated rate asks for. Fewer answers are rated than served, so a rate a rating
-//! bounds the rate a request.
+//! The test runs one CUSUM for each of a few alternatives. CUSUM number `j` sums the log likelihood
+//! ratio of "share is `alternative[j]`" against "share is the null share", never below zero, and
+//! the test alarms when any of them reaches its threshold. The expected number of ratings before a
+//! false alarm is computed numerically (see [`mean_run_length`]), so the threshold is no larger
+//! than the required rate of false alarms needs. Fewer answers are rated than served, so a bound
+//! per rating is also a bound per request.
 
 use serde::Serialize;
 
-/// How far below the null share the alternatives lie.
-const DROPS: [f64; 2] = [0.12, 0.33];
-const ALTERNATIVES: usize = DROPS.len();
-const LOWEST_SHARE: f64 = 0.02;
-const HIGHEST_SHARE: f64 = 0.995;
-const GRID: usize = 256;
-const SWEEPS: usize = 2000;
-const SETTLED: f64 = 1e-4;
-const PRECISION: f64 = 0.05;
-/// Null shares are rounded down to a multiple of one part of this many.
-const NULL_STEPS: f64 = 200.0;
+/// Distances of the alternatives below the null share.
+const ALTERNATIVE_DROPS: [f64; 2] = [0.12, 0.33];
+const ALTERNATIVES: usize = ALTERNATIVE_DROPS.len();
+const MIN_SHARE: f64 = 0.02;
+const MAX_SHARE: f64 = 0.995;
+const GRID_CELLS: usize = 256;
+const MAX_SWEEPS: usize = 2000;
+const CONVERGED_CHANGE: f64 = 1e-4;
+const THRESHOLD_PRECISION: f64 = 0.05;
+/// Null shares are rounded down to a multiple of 1 over this.
+const NULL_SHARE_STEPS: f64 = 200.0;
 
-/// What a rating adds to one CUSUM.
+/// Amounts that a good and a bad rating add to one CUSUM.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 struct Steps {
     good: f64,
@@ -37,39 +37,39 @@
     }
 }
 
-/// Thresholds of the test for one null share.
+/// Parameters of the test for one null share.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Thresholds {
-    /// The null share that they hold for.
+    /// Null share that they hold for.
     pub null: f64,
     steps: [Steps; ALTERNATIVES],
     heights: [f64; ALTERNATIVES],
 }
 
 impl Thresholds {
-    /// For a null share and the mean number of ratings before a false alarm.
+    /// Computes the thresholds for a null share and a mean number of ratings before a false alarm.
     #[must_use]
     pub fn new(null: f64, run_length: f64) -> Self {
-        let null = (null * NULL_STEPS).floor() / NULL_STEPS;
-        let null = null.clamp(2.0 * LOWEST_SHARE, HIGHEST_SHARE);
-        let steps = DROPS.map(|drop| Steps::new(null, (null - drop).max(LOWEST_SHARE)));
-        let each = run_length * ALTERNATIVES as f64;
+        let null = (null * NULL_SHARE_STEPS).floor() / NULL_SHARE_STEPS;
+        let null = null.clamp(2.0 * MIN_SHARE, MAX_SHARE);
+        let steps = ALTERNATIVE_DROPS.map(|drop| Steps::new(null, (null - drop).max(MIN_SHARE)));
+        let run_length_each = run_length * ALTERNATIVES as f64;
         Self {
             null,
             steps,
-            heights: steps.map(|steps| height(null, steps, each)),
+            heights: steps.map(|steps| smallest_threshold(null, steps, run_length_each)),
         }
     }
 }
 
-/// State of the test.
+/// State of the sequential test.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Detector {
     sums: [f64; ALTERNATIVES],
 }
 
 impl Detector {
-    /// Takes ratings whose order is not known.
+    /// Adds ratings whose order is not known.
     pub fn add(&mut self, thresholds: &Thresholds, good: u64, bad: u64) {
         for (sum, steps) in self.sums.iter_mut().zip(&thresholds.steps) {
             let change = good as f64 * steps.good + bad as f64 * steps.bad;
@@ -77,7 +77,7 @@
         }
     }
 
-    /// How near the test is to its alarm: 0 is far, 1 is there.
+    /// Level of the test: 0 is far from the alarm, 1 raises it.
     #[must_use]
     pub fn level(&self, thresholds: &Thresholds) -> f64 {
         let levels = self.sums.iter().zip(&thresholds.heights);
@@ -85,12 +85,13 @@
     }
 }
 
-/// Smallest threshold at which the mean run length is reached, within a small error upwards.
-fn height(null: f64, steps: Steps, run_length: f64) -> f64 {
+/// Smallest threshold at which the mean run length is reached, rounded up by
+/// [`THRESHOLD_PRECISION`] at most.
+fn smallest_threshold(null: f64, steps: Steps, run_length: f64) -> f64 {
     // Wald's bound: a CUSUM with threshold h runs for at least e^h ratings on average.
     let mut high = run_length.ln().max(1.0);
     let mut low = high / 2.0;
-    while high - low > PRECISION {
+    while high - low > THRESHOLD_PRECISION {
         let middle = (low + high) / 2.0;
         if run_length_of(null, steps, middle) < run_length {
             low = middle;
@@ -101,66 +102,80 @@
     high
 }
 
-/// Mean number of ratings before a CUSUM for `alternative` against `null` reaches `threshold`
-/// while the true share is `share`.
+/// Mean number of ratings before a CUSUM for `alternative` against `null` reaches `threshold` while
+/// the true share is `share`.
 ///
-/// A run is a series of cycles that begin at zero and end at zero or at the threshold, so
-/// the mean is the mean length of a cycle over the probability that it ends at the threshold.
+/// A run is a sequence of cycles that begin at zero and end at zero or at the threshold, so the
+/// mean run length is the mean length of a cycle divided by the probability that the cycle ends at
+/// the threshold.
 #[must_use]
 pub fn mean_run_length(share: f64, null: f64, alternative: f64, threshold: f64) -> f64 {
     run_length_of(share, Steps::new(null, alternative), threshold)
 }
 
 fn run_length_of(share: f64, steps: Steps, threshold: f64) -> f64 {
-    let cell = threshold / GRID as f64;
-    let moves: Vec<[Place; 2]> = (0..GRID)
-        .map(|index| [steps.bad, steps.good].map(|step| Place::new(index as f64 + step / cell)))
+    let cell_size = threshold / GRID_CELLS as f64;
+    let transitions: Vec<[GridPosition; 2]> = (0..GRID_CELLS)
+        .map(|index| {
+            [steps.bad, steps.good].map(|step| GridPosition::new(index as f64 + step / cell_size))
+        })
         .collect();
-    let mut hit = [0.0; GRID];
-    let mut length = [0.0; GRID];
-    for _ in 0..SWEEPS {
+    let mut alarm_probability = [0.0; GRID_CELLS];
+    let mut mean_length = [0.0; GRID_CELLS];
+    for _ in 0..MAX_SWEEPS {
         let mut change = 0.0_f64;
-        for (index, [up, down]) in moves.iter().enumerate() {
-            let mean = |up: f64, down: f64| (1.0 - share) * up + share * down;
-            let next_hit = mean(up.value(&hit, 1.0), down.value(&hit, 1.0));
-            let next_length = 1.0 + mean(up.value(&length, 0.0), down.value(&length, 0.0));
-            change = change.max((next_length - length[index]).abs() / next_length);
-            change = change.max((next_hit - hit[index]).abs() / next_hit.max(f64::MIN_POSITIVE));
-            hit[index] = next_hit;
-            length[index] = next_length;
+        for (index, [after_bad, after_good]) in transitions.iter().enumerate() {
+            let mean =
+                |after_bad: f64, after_good: f64| (1.0 - share) * after_bad + share * after_good;
+            let next_probability = mean(
+                after_bad.value(&alarm_probability, 1.0),
+                after_good.value(&alarm_probability, 1.0),
+            );
+            let next_length = 1.0
+                + mean(
+                    after_bad.value(&mean_length, 0.0),
+                    after_good.value(&mean_length, 0.0),
+                );
+            change = change.max((next_length - mean_length[index]).abs() / next_length);
+            change = change.max(
+                (next_probability - alarm_probability[index]).abs()
+                    / next_probability.max(f64::MIN_POSITIVE),
+            );
+            alarm_probability[index] = next_probability;
+            mean_length[index] = next_length;
         }
-        if change < SETTLED {
+        if change < CONVERGED_CHANGE {
             break;
         }
     }
-    length[0] / hit[0].max(f64::MIN_POSITIVE)
+    mean_length[0] / alarm_probability[0].max(f64::MIN_POSITIVE)
 }
 
-/// Where a rating leads on the grid.
+/// Position on the grid after a rating.
 #[derive(Clone, Copy)]
-enum Place {
+enum GridPosition {
     Zero,
-    Between(usize, f64),
-    Beyond,
+    AtIndex(usize, f64),
+    AtThreshold,
 }
 
-impl Place {
-    fn new(at: f64) -> Self {
-        if at <= 0.0 {
+impl GridPosition {
+    fn new(position: f64) -> Self {
+        if position <= 0.0 {
             Self::Zero
-        } else if at >= GRID as f64 {
-            Self::Beyond
+        } else if position >= GRID_CELLS as f64 {
+            Self::AtThreshold
         } else {
-            Self::Between(at as usize, at.fract())
+            Self::AtIndex(position as usize, position.fract())
         }
     }
 
-    fn value(self, values: &[f64; GRID], beyond: f64) -> f64 {
+    fn value(self, values: &[f64; GRID_CELLS], at_threshold: f64) -> f64 {
         match self {
             Self::Zero => 0.0,
-            Self::Beyond => beyond,
-            Self::Between(index, part) => {
-                let next = values[(index + 1).min(GRID - 1)];
+            Self::AtThreshold => at_threshold,
+            Self::AtIndex(index, part) => {
+                let next = values[(index + 1).min(GRID_CELLS - 1)];
                 values[index] + (next - values[index]) * part
             }
         }
--- a/components/quality/src/estimate.rs
+++ b/components/quality/src/estimate.rs
@@ -1,4 +1,4 @@
-//! A version's share of adequate answers, with its uncertainty.
+//! Estimate of a version's share of adequate answers, with its uncertainty.
 
 use serde::Serialize;
 
@@ -7,12 +7,12 @@
 pub struct Estimate {
     /// Adequate answers, the prior's included.
     pub good: f64,
-    /// The others, the prior's included.
+    /// Inadequate answers, the prior's included.
     pub bad: f64,
 }
 
 impl Estimate {
-    /// From a prior share worth `prior_ratings`, and counts.
+    /// Creates an estimate from counts and a prior share that weighs as much as `prior_ratings`.
     #[must_use]
     pub fn new(prior: f64, prior_ratings: f64, good: f64, bad: f64) -> Self {
         Self {
@@ -35,13 +35,13 @@
         (mean * (1.0 - mean) / (sum + 1.0)).sqrt()
     }
 
-    /// The share less so many deviations, at least 0.
+    /// Mean minus `deviations` standard deviations, at least 0.
     #[must_use]
     pub fn below(&self, deviations: f64) -> f64 {
         (self.mean() - deviations * self.deviation()).max(0.0)
     }
 
-    /// The share plus so many deviations, at most 1.
+    /// Mean plus `deviations` standard deviations, at most 1.
     #[must_use]
     pub fn above(&self, deviations: f64) -> f64 {
         (self.mean() + deviations * self.deviation()).min(1.0)
--- a/components/quality/src/mixture.rs
+++ b/components/quality/src/mixture.rs
@@ -1,29 +1,29 @@
-//! The cheapest mixture of options that meets a quality target on average.
+//! The cheapest mixture of alternatives that meets a quality target on average.
 
-/// One way to serve: what it costs and what share of its answers is adequate.
+/// One way to serve requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Alternative {
-    /// Any unit, lower is better.
+    /// Cost in any unit, lower is better.
     pub cost: f64,
     /// Share of adequate answers.
     pub quality: f64,
 }
 
-/// One option, or two with the second's share.
+/// One alternative, or two with the share of the stronger one.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Mixture {
-    /// Index of the weaker option.
+    /// Index of the weaker alternative.
     pub weak: usize,
-    /// Index of the stronger one, equal to `weak` when there is but one.
+    /// Index of the stronger one; equal to `weak` if there is only one.
     pub strong: usize,
-    /// Share of requests for the stronger one.
+    /// Share of requests that go to the stronger one.
     pub strong_share: f64,
     /// Whether the target is met.
     pub met: bool,
 }
 
 impl Mixture {
-    fn only(index: usize, met: bool) -> Self {
+    fn single(index: usize, met: bool) -> Self {
         Self {
             weak: index,
             strong: index,
@@ -32,27 +32,27 @@
         }
     }
 
-    /// A figure of the mixture from the options' figures.
-    pub fn average(&self, figure: impl Fn(usize) -> f64) -> f64 {
-        let weak = figure(self.weak) * (1.0 - self.strong_share);
-        weak + figure(self.strong) * self.strong_share
+    /// Mean of a value over the mixture, given the value of each alternative.
+    pub fn average(&self, value: impl Fn(usize) -> f64) -> f64 {
+        let weak = value(self.weak) * (1.0 - self.strong_share);
+        weak + value(self.strong) * self.strong_share
     }
 }
 
-/// Solves "least cost, quality at least `target`" over all mixtures.
+/// Returns the cheapest mixture whose quality is at least `target`, or the best one if none is.
 ///
-/// With one constraint some optimum mixes two options at most, and these are neighbours
-/// on the convex hull of (cost, quality). Nothing only when there are no options.
+/// With one constraint, some optimum mixes two alternatives at most, and these are neighbours on
+/// the convex hull of (cost, quality). Returns `None` only when there are no alternatives.
 #[must_use]
-pub fn cheapest_mixture(options: &[Alternative], target: f64) -> Option<Mixture> {
-    let hull = hull(options);
+pub fn cheapest_mixture(alternatives: &[Alternative], target: f64) -> Option<Mixture> {
+    let hull = hull(alternatives);
     let first = *hull.first()?;
-    if options[first].quality >= target {
-        return Some(Mixture::only(first, true));
+    if alternatives[first].quality >= target {
+        return Some(Mixture::single(first, true));
     }
     for pair in hull.windows(2) {
         let (weak, strong) = (pair[0], pair[1]);
-        let (low, high) = (options[weak].quality, options[strong].quality);
+        let (low, high) = (alternatives[weak].quality, alternatives[strong].quality);
         if high >= target {
             return Some(Mixture {
                 weak,
@@ -62,25 +62,27 @@
             });
         }
     }
-    hull.last().map(|best| Mixture::only(*best, false))
+    hull.last().map(|best| Mixture::single(*best, false))
 }
 
-/// Indices of the options on the upper left of the convex hull, from cheapest to best.
-fn hull(options: &[Alternative]) -> Vec<usize> {
-    let mut order: Vec<usize> = (0..options.len()).collect();
+/// Indices of the alternatives on the upper left of the convex hull, cheapest first.
+fn hull(alternatives: &[Alternative]) -> Vec<usize> {
+    let mut order: Vec<usize> = (0..alternatives.len()).collect();
     order.sort_by(|a, b| {
-        let (a, b) = (&options[*a], &options[*b]);
+        let (a, b) = (&alternatives[*a], &alternatives[*b]);
         let by_cost = a.cost.total_cmp(&b.cost);
         by_cost.then(b.quality.total_cmp(&a.quality))
     });
     let mut hull: Vec<usize> = Vec::new();
     for index in order {
-        let best = hull.last().map_or(f64::MIN, |last| options[*last].quality);
-        if options[index].quality <= best {
+        let best = hull
+            .last()
+            .map_or(f64::MIN, |last| alternatives[*last].quality);
+        if alternatives[index].quality <= best {
             continue;
         }
         while let [.., before, last] = hull[..] {
-            if slope(options, before, last) > slope(options, before, index) {
+            if slope(alternatives, before, last) > slope(alternatives, before, index) {
                 break;
             }
             hull.pop();
@@ -90,7 +92,7 @@
     hull
 }
 
-fn slope(options: &[Alternative], from: usize, to: usize) -> f64 {
-    let cost = options[to].cost - options[from].cost;
-    (options[to].quality - options[from].quality) / cost.max(f64::MIN_POSITIVE)
+fn slope(alternatives: &[Alternative], from: usize, to: usize) -> f64 {
+    let cost = alternatives[to].cost - alternatives[from].cost;
+    (alternatives[to].quality - alternatives[from].quality) / cost.max(f64::MIN_POSITIVE)
 }
