--- a/components/quality/src/budget.rs
+++ b/components/quality/src/budget.rs
@@ -1,74 +1,82 @@
 //! Budgets of answers for versions that are not proved.
 //!
-//! The budget is the fleet's: so many answers at first and some more for each rating that
-//! came back, so that what is served but not yet judged is bounded. Each daemon may
-//! spend its equal part without asking anyone.
+//! A budget is for the whole fleet: a number of answers at first, and some more for each rating
+//! received, which bounds the answers served but not yet rated. Each daemon may spend an equal
+//! share without asking the others.
 
 use rand::{Rng, RngExt};
 use types::prelude::*;
 
-/// This daemon's part of the fleet's budget for one version.
+/// One daemon's share of the fleet's budget for one stream.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Budget {
     base: f64,
     per_rating: f64,
-    /// Answers a second that come free, for versions that must not starve of ratings.
-    trickle: Rate,
+    /// Answers per second that are granted without ratings, to versions that must keep getting
+    /// ratings.
+    guaranteed_rate: Rate,
     since: Time,
-    seen_before: f64,
-    /// A part below one answer rounds up with its own probability: drawn once, so that
-    /// asking again does not help and the fleet's sum is right on average.
+    ratings_seen_before: f64,
+    /// Rounds the fractional part of this daemon's share up with a probability equal to the
+    /// fraction. Drawn once, so that asking again does not help, and the fleet's sum is right on
+    /// average.
     rounding: f64,
     spent: f64,
 }
 
-/// Part of the base that an owner who does not mind at all allows.
-const MOST_BASE: f64 = 1.5;
+/// Factor on the base for an owner whose caution is 0.
+const MAX_BASE_FACTOR: f64 = 1.5;
 
-/// How far the judgement of a version has come.
+/// What is known of a version when its budget is checked.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Progress {
-    /// Ratings of the whole fleet seen.
-    pub(crate) seen: f64,
-    /// How near the test is to its alarm, 1 being there.
+    /// Ratings of the whole fleet since the start.
+    pub(crate) ratings_seen: f64,
+    /// Level of the sequential test: 0 is far from the alarm, 1 raises it.
     pub(crate) level: f64,
-    /// From 0 to 1: how much the owner minds answers that are not proved.
+    /// Weight that the offer's owner gives to avoiding answers from unproved versions, from 0 to 1.
     pub(crate) caution: f64,
 }
 
-/// What a budget is made of.
+/// Parameters of a budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct BudgetTerms {
     pub(crate) base: f64,
     pub(crate) per_rating: f64,
-    pub(crate) trickle: Rate,
+    pub(crate) guaranteed_rate: Rate,
 }
 
 impl Budget {
-    pub(crate) fn new(terms: BudgetTerms, now: Time, seen: f64, rng: &mut impl Rng) -> Self {
+    pub(crate) fn new(
+        terms: BudgetTerms,
+        now: Time,
+        ratings_seen: f64,
+        rng: &mut impl Rng,
+    ) -> Self {
         Self {
             base: terms.base,
             per_rating: terms.per_rating,
-            trickle: terms.trickle,
+            guaranteed_rate: terms.guaranteed_rate,
             since: now,
-            seen_before: seen,
+            ratings_seen_before: ratings_seen,
             rounding: rng.random(),
             spent: 0.0,
         }
     }
 
-    /// Whether one more answer fits, for what is known of the version and the size of the fleet.
+    /// Whether one more answer fits into this daemon's share of the budget.
     ///
-    /// The nearer the test is to its alarm, the fewer ratings it still needs, and answers
-    /// that wait for theirs beyond that number only add to the harm.
-    pub(crate) fn allows(&self, now: Time, stream: &Progress, fleet: usize) -> bool {
-        let earned = self.per_rating * (stream.seen - self.seen_before);
-        let free = self.trickle.over(now.since(self.since));
-        let part = (self.base * (1.0 - stream.level).max(0.0) * (MOST_BASE - stream.caution)
-            + earned
-            + free)
-            / fleet.max(1) as f64;
-        self.spent + 1.0 <= part + self.rounding
+    /// The base shrinks as the test nears its alarm: fewer ratings are needed then, and answers
+    /// served beyond those would only add harm while their ratings are outstanding.
+    pub(crate) fn allows(&self, now: Time, progress: &Progress, fleet: usize) -> bool {
+        let earned = self.per_rating * (progress.ratings_seen - self.ratings_seen_before);
+        let guaranteed = self.guaranteed_rate.over(now.since(self.since));
+        let share =
+            (self.base * (1.0 - progress.level).max(0.0) * (MAX_BASE_FACTOR - progress.caution)
+                + earned
+                + guaranteed)
+                / fleet.max(1) as f64;
+        self.spent + 1.0 <= share + self.rounding
     }
 
     pub(crate) fn spend(&mut self) {
--- a/components/quality/src/fact.rs
+++ b/components/quality/src/fact.rs
@@ -1,99 +1,99 @@
-//! Small facts that daemons exchange: counters of ratings, and suspensions.
+//! Encoding of the facts that daemons publish to each other: counters of ratings, and suspensions.
 //!
-//! A counter's fact holds its daemon's own totals, which only grow, and the daemon's view of
-//! the fleet, from which a daemon that has just started takes what daemons since gone had
-//! learnt. A fact of a suspension holds two rounds, which only grow.
+//! An evidence fact holds its daemon's own totals, which only grow, and the daemon's view of the
+//! whole fleet; a daemon that has just started takes from that view what daemons that are gone had
+//! learned. A suspension fact holds two counters, which only grow too.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use types::prelude::*;
 
 use crate::rating::{BINS, Bin, Totals};
 use crate::stream::{Phase, StreamId};
-use crate::suspension::Rounds;
+use crate::suspension::SuspensionCounters;
 
-/// Longest key.
+/// Maximum length of a key, in bytes.
 pub const MAX_KEY_BYTES: usize = 64;
-/// Longest value.
+/// Maximum length of a value, in bytes.
 pub const MAX_VALUE_BYTES: usize = 256;
 
-const EVIDENCE: u8 = b'q';
-const SUSPENSION: u8 = b's';
-const FORMAT: u8 = 1;
-const MILLIS: u64 = 1_000;
+const EVIDENCE_KIND: u8 = b'q';
+const SUSPENSION_KIND: u8 = b's';
+const FORMAT_VERSION: u8 = 1;
+const MILLIS_PER_SECOND: u64 = 1_000;
 const SHARE_STEPS: f64 = 65_535.0;
-const CONTINUED: u8 = 0x80;
+const VARINT_CONTINUES: u8 = 0x80;
 const VARINT_BITS: u32 = 7;
-const VARINT_BYTES: u32 = 5;
+const VARINT_MAX_BYTES: u32 = 5;
 
-/// One fact, ready to be published under this daemon's name.
+/// Encoded fact, published under this daemon's name.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Cell {
-    /// At most [`MAX_KEY_BYTES`].
+pub struct EncodedFact {
+    /// Encoded kind and stream, at most [`MAX_KEY_BYTES`] long.
     pub key: Bytes,
-    /// At most [`MAX_VALUE_BYTES`].
+    /// Encoded content, at most [`MAX_VALUE_BYTES`] long.
     pub value: Bytes,
 }
 
-impl Cell {
-    /// Whether it tells of a suspension, which should spread at once.
+impl EncodedFact {
+    /// Whether it is about a suspension, which should be sent to the peers at once.
     #[must_use]
     pub fn is_suspension(&self) -> bool {
-        self.key.first() == Some(&SUSPENSION)
+        self.key.first() == Some(&SUSPENSION_KIND)
     }
 }
 
-/// Why a peer's fact is refused.
+/// Reason for which a peer's fact, or a new stream, is refused.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum CellError {
-    /// Longer than allowed.
+pub enum FactError {
+    /// The key or value is too long.
     #[error("a fact of {0} bytes is longer than allowed; the peer runs another release")]
     TooLong(usize),
-    /// Not a key of this component.
+    /// The key or the format is unknown.
     #[error("a fact has an unknown key; the peer runs another release")]
     UnknownKey,
-    /// Ends early or holds what it must not.
+    /// The value is truncated or holds an invalid number.
     #[error("a fact cannot be read; the peer runs another release or is faulty")]
     Malformed,
-    /// More versions and classes than are kept.
+    /// The maximum number of streams is reached.
     #[error("more than {0} versions and classes are known; withdraw some from the catalogue")]
     TooMany(usize),
 }
 
-/// What a fact says.
+/// Decoded fact.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum Fact {
     Evidence(StreamId, Evidence),
-    Suspension(StreamId, Rounds),
+    Suspension(StreamId, SuspensionCounters),
 }
 
-/// One daemon's counters for one stream.
+/// One daemon's evidence on one stream.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Evidence {
     pub(crate) incarnation: Incarnation,
-    /// How long the daemon had run when it published this.
+    /// Uptime of the daemon when it published this.
     pub(crate) uptime: Span,
     pub(crate) totals: Totals,
-    /// The daemon's faded view of the whole fleet.
+    /// The daemon's decayed totals over the whole fleet.
     pub(crate) view: Totals,
     pub(crate) reference: f64,
     pub(crate) phase: Phase,
 }
 
-pub(crate) fn encode(fact: &Fact) -> Cell {
+pub(crate) fn encode(fact: &Fact) -> EncodedFact {
     let mut value = BytesMut::with_capacity(MAX_VALUE_BYTES);
-    value.put_u8(FORMAT);
+    value.put_u8(FORMAT_VERSION);
     let key = match fact {
         Fact::Evidence(id, evidence) => {
             put_evidence(&mut value, evidence);
-            key(EVIDENCE, *id)
+            key(EVIDENCE_KIND, *id)
         }
-        Fact::Suspension(id, rounds) => {
-            put_varint(&mut value, rounds.suspended);
-            put_varint(&mut value, rounds.lifted);
-            key(SUSPENSION, *id)
+        Fact::Suspension(id, counters) => {
+            put_varint(&mut value, counters.suspended);
+            put_varint(&mut value, counters.lifted);
+            key(SUSPENSION_KIND, *id)
         }
     };
-    Cell {
+    EncodedFact {
         key,
         value: value.freeze(),
     }
@@ -106,31 +106,31 @@
     key.freeze()
 }
 
-pub(crate) fn decode(mut key: &[u8], mut value: &[u8]) -> Result<Fact, CellError> {
+pub(crate) fn decode(mut key: &[u8], mut value: &[u8]) -> Result<Fact, FactError> {
     if key.len() > MAX_KEY_BYTES || value.len() > MAX_VALUE_BYTES {
-        return Err(CellError::TooLong(key.len().max(value.len())));
+        return Err(FactError::TooLong(key.len().max(value.len())));
     }
-    let kind = key.try_get_u8().map_err(|_| CellError::UnknownKey)?;
-    let id = StreamId(key.try_get_u64().map_err(|_| CellError::UnknownKey)?);
-    let format = value.try_get_u8().map_err(|_| CellError::Malformed)?;
-    if !key.is_empty() || format != FORMAT {
-        return Err(CellError::UnknownKey);
+    let kind = key.try_get_u8().map_err(|_| FactError::UnknownKey)?;
+    let id = StreamId(key.try_get_u64().map_err(|_| FactError::UnknownKey)?);
+    let format = value.try_get_u8().map_err(|_| FactError::Malformed)?;
+    if !key.is_empty() || format != FORMAT_VERSION {
+        return Err(FactError::UnknownKey);
     }
     let fact = match kind {
-        EVIDENCE => Fact::Evidence(id, get_evidence(&mut value)?),
-        SUSPENSION => Fact::Suspension(id, get_rounds(&mut value)?),
-        _ => return Err(CellError::UnknownKey),
+        EVIDENCE_KIND => Fact::Evidence(id, get_evidence(&mut value)?),
+        SUSPENSION_KIND => Fact::Suspension(id, get_counters(&mut value)?),
+        _ => return Err(FactError::UnknownKey),
     };
     if value.is_empty() {
         Ok(fact)
     } else {
-        Err(CellError::Malformed)
+        Err(FactError::Malformed)
     }
 }
 
 fn put_evidence(buf: &mut BytesMut, evidence: &Evidence) {
     buf.put_u64(evidence.incarnation.0);
-    buf.put_u32(u32::try_from(evidence.uptime.as_millis() / MILLIS).unwrap_or(u32::MAX));
+    buf.put_u32(u32::try_from(evidence.uptime.as_millis() / MILLIS_PER_SECOND).unwrap_or(u32::MAX));
     put_totals(buf, &evidence.totals);
     put_totals(buf, &evidence.view);
     buf.put_u16((evidence.reference.clamp(0.0, 1.0) * SHARE_STEPS) as u16);
@@ -142,8 +142,8 @@
     });
 }
 
-fn get_evidence(buf: &mut &[u8]) -> Result<Evidence, CellError> {
-    let malformed = |_| CellError::Malformed;
+fn get_evidence(buf: &mut &[u8]) -> Result<Evidence, FactError> {
+    let malformed = |_| FactError::Malformed;
     let incarnation = Incarnation(buf.try_get_u64().map_err(malformed)?);
     let uptime = Span::from_secs(buf.try_get_u32().map_err(malformed)?.into());
     let totals = get_totals(buf)?;
@@ -154,7 +154,7 @@
         1 => Phase::Proved,
         2 => Phase::Suspect,
         3 => Phase::Suspended,
-        _ => return Err(CellError::Malformed),
+        _ => return Err(FactError::Malformed),
     };
     Ok(Evidence {
         incarnation,
@@ -166,28 +166,28 @@
     })
 }
 
-fn get_rounds(buf: &mut &[u8]) -> Result<Rounds, CellError> {
-    Ok(Rounds {
+fn get_counters(buf: &mut &[u8]) -> Result<SuspensionCounters, FactError> {
+    Ok(SuspensionCounters {
         suspended: get_varint(buf)?,
         lifted: get_varint(buf)?,
     })
 }
 
 fn put_totals(buf: &mut BytesMut, totals: &Totals) {
-    let filled = |bin: &Bin<u32>| bin.good > 0 || bin.bad > 0;
+    let is_filled = |bin: &Bin<u32>| bin.good > 0 || bin.bad > 0;
     let bins = totals.0.iter().enumerate();
-    let mask = bins.fold(0u16, |mask, (n, bin)| mask | u16::from(filled(bin)) << n);
+    let mask = bins.fold(0u16, |mask, (n, bin)| mask | u16::from(is_filled(bin)) << n);
     buf.put_u16(mask);
-    for bin in totals.0.iter().filter(|bin| filled(bin)) {
+    for bin in totals.0.iter().filter(|bin| is_filled(bin)) {
         put_varint(buf, bin.good);
         put_varint(buf, bin.bad);
     }
 }
 
-fn get_totals(buf: &mut &[u8]) -> Result<Totals, CellError> {
-    let mask = buf.try_get_u16().map_err(|_| CellError::Malformed)?;
+fn get_totals(buf: &mut &[u8]) -> Result<Totals, FactError> {
+    let mask = buf.try_get_u16().map_err(|_| FactError::Malformed)?;
     if mask >> BINS != 0 {
-        return Err(CellError::Malformed);
+        return Err(FactError::Malformed);
     }
     let mut totals = Totals::default();
     let bins = totals.0.iter_mut().enumerate();
@@ -198,22 +198,22 @@
     Ok(totals)
 }
 
-fn put_varint(buf: &mut BytesMut, mut number: u32) {
-    while number >= u32::from(CONTINUED) {
-        buf.put_u8(number as u8 | CONTINUED);
-        number >>= VARINT_BITS;
+fn put_varint(buf: &mut BytesMut, mut value: u32) {
+    while value >= u32::from(VARINT_CONTINUES) {
+        buf.put_u8(value as u8 | VARINT_CONTINUES);
+        value >>= VARINT_BITS;
     }
-    buf.put_u8(number as u8);
+    buf.put_u8(value as u8);
 }
 
-fn get_varint(buf: &mut &[u8]) -> Result<u32, CellError> {
-    let mut number = 0u64;
-    for place in 0..VARINT_BYTES {
-        let byte = buf.try_get_u8().map_err(|_| CellError::Malformed)?;
-        number |= u64::from(byte & !CONTINUED) << (place * VARINT_BITS);
-        if byte & CONTINUED == 0 {
-            return u32::try_from(number).map_err(|_| CellError::Malformed);
+fn get_varint(buf: &mut &[u8]) -> Result<u32, FactError> {
+    let mut value = 0u64;
+    for byte_index in 0..VARINT_MAX_BYTES {
+        let byte = buf.try_get_u8().map_err(|_| FactError::Malformed)?;
+        value |= u64::from(byte & !VARINT_CONTINUES) << (byte_index * VARINT_BITS);
+        if byte & VARINT_CONTINUES == 0 {
+            return u32::try_from(value).map_err(|_| FactError::Malformed);
         }
     }
-    Err(CellError::Malformed)
+    Err(FactError::Malformed)
 }
--- a/components/quality/src/quality.rs
+++ b/components/quality/src/quality.rs
@@ -1,4 +1,4 @@
-//! The state of one daemon's decisions.
+//! Quality state of one daemon: ratings, phases of versions, and dumps.
 
 mod choose;
 mod exchange;
@@ -12,46 +12,47 @@
 use crate::budget::{Budget, BudgetTerms};
 use crate::choice::{Candidate, OfferTerms};
 use crate::config::Config;
-use crate::fact::CellError;
+use crate::fact::FactError;
 use crate::rating::Rating;
 use crate::rating::Totals;
-use crate::sampling::{Bucket, Need, shares};
+use crate::sampling::{RatingBucket, SamplingInput, sampling_shares};
 use crate::stream::{Dump, Name, Phase, Stream, StreamDump, StreamId, Terms};
 use crate::suspension::Suspensions;
 use crate::table::Table;
 
 use exchange::Origin;
 
-/// Most (class, version) pairs known.
+/// Maximum number of streams kept, which bounds memory.
 const MAX_STREAMS: usize = 4096;
-/// Part of a new rate in the smoothed one, a tick.
+/// Weight of the newest request rate in the smoothed one, applied on each tick.
 const RATE_SMOOTHING: f64 = 0.1;
-/// Weight of ratings of a version on a budget, beside deviations well below 0.1.
-const URGENT_WEIGHT: f64 = 1.0;
-/// Weight that every version keeps, since any may turn bad.
-const LEAST_WEIGHT: f64 = 0.01;
-/// Answers a second that a suspect version gets over the fleet, so that it is not
-/// stuck when its ratings were lost.
-const SUSPECT_TRICKLE: Rate = Rate(0.2);
+/// Sampling weight of a version on a budget. Other versions weigh as much as their deviation, which
+/// is well below 0.1, so a version on a budget is rated first.
+const ON_BUDGET_WEIGHT: f64 = 1.0;
+/// Minimum sampling weight. Every version keeps being rated, since any may turn bad.
+const MIN_WEIGHT: f64 = 0.01;
+/// Answers per second over the whole fleet that a suspect version may always give. Without them it
+/// would stay suspect for ever if its ratings were lost.
+const SUSPECT_GUARANTEED_RATE: Rate = Rate(0.2);
 
-/// A version's standing changed.
+/// A change of a version's phase in a class.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Change {
     /// The class of work.
     pub class: ClassName,
     /// The version.
     pub version: VersionId,
-    /// What it was.
+    /// Phase before the change.
     pub from: Phase,
-    /// What it is.
+    /// Phase after the change.
     pub to: Phase,
-    /// Estimated share of adequate answers then.
+    /// Estimated share of adequate answers at the time of the change.
     pub quality: f64,
-    /// Ratings remembered then.
+    /// Ratings behind the estimate, after decay.
     pub ratings: f64,
 }
 
-/// The state of one daemon's decisions.
+/// Quality state of one daemon.
 #[derive(Debug)]
 pub struct Quality {
     cfg: Config,
@@ -61,18 +62,19 @@
     origins: BTreeMap<DaemonId, Origin>,
     suspensions: Suspensions,
     tables: BTreeMap<u64, Table>,
-    /// Rises whenever a version's standing changes, so that tables are built anew.
+    /// Incremented whenever a phase changes, so that tables built before are rebuilt.
     generation: u64,
-    bucket: Bucket,
+    rating_bucket: RatingBucket,
     fleet: usize,
     largest_fleet: usize,
-    largest_until: Time,
+    largest_fleet_until: Time,
     ticked_at: Time,
     changes: Vec<Change>,
 }
 
 impl Quality {
-    /// A daemon that knows nothing yet. `incarnation` tells its restarts apart.
+    /// Creates the state of a daemon without any evidence. `incarnation` tells one run of the
+    /// daemon from the next.
     #[must_use]
     pub fn new(cfg: Config, incarnation: Incarnation, now: Time) -> Self {
         Self {
@@ -84,30 +86,28 @@
             suspensions: Suspensions::default(),
             tables: BTreeMap::new(),
             generation: 0,
-            bucket: Bucket::new(now),
+            rating_bucket: RatingBucket::new(now),
             fleet: 1,
             largest_fleet: 1,
-            largest_until: Time::ZERO,
+            largest_fleet_until: Time::ZERO,
             ticked_at: now,
             changes: Vec::new(),
         }
     }
 
-    /// Runs what goes by time, for a fleet of so many live daemons, and tells what changed.
+    /// Does the periodic work for a fleet of `fleet` live daemons; returns the phases that changed
+    /// since the last tick.
     pub fn tick(&mut self, now: Time, fleet: usize, rng: &mut impl Rng) -> Vec<Change> {
-        self.note_fleet(now, fleet);
+        self.update_fleet_size(now, fleet);
         self.refresh_rates(now);
         let ids: Vec<StreamId> = self.streams.keys().copied().collect();
         for id in ids {
-            self.settle(now, id, rng);
+            self.update_phase(now, id, rng);
         }
         std::mem::take(&mut self.changes)
     }
 
-    /// Takes a rating of one of this daemon's answers.
-    ///
-    /// # Errors
-    /// When too many classes and versions are known.
+    /// Adds a rating of one of this daemon's answers.
     pub fn record_rating(
         &mut self,
         now: Time,
@@ -115,22 +115,22 @@
         version: &VersionId,
         rating: Rating,
         rng: &mut impl Rng,
-    ) -> Result<(), CellError> {
+    ) -> Result<(), FactError> {
         let id = StreamId::of(class, version, rating.escalated);
         let cfg = self.cfg.clone();
         let stream = self.stream(now, id, rng)?;
-        let mut one = Totals::default();
-        one.add(rating);
+        let mut ratings = Totals::default();
+        ratings.add(rating);
         stream.own.add(rating);
-        stream.learn(&one, &cfg);
-        self.settle(now, id, rng);
+        stream.add_ratings(&ratings, &cfg);
+        self.update_phase(now, id, rng);
         Ok(())
     }
 
-    /// Whether to have an answer rated; a yes counts against the rater's rate.
+    /// Whether to have an answer rated; `true` uses up a token of the rater's rate limit.
     ///
-    /// To be asked of every answer, also of those that were discarded: an escalated answer is
-    /// counted here, since its choice did not know whether it would come to it.
+    /// Call it for every answer, discarded ones included: it also counts escalated answers, since
+    /// at the time of the choice it was not known whether the request would be escalated.
     pub fn should_rate(
         &mut self,
         now: Time,
@@ -141,7 +141,7 @@
     ) -> bool {
         let id = StreamId::of(class, version, escalated);
         if escalated {
-            self.serve(id, true);
+            self.record_served(id, true);
         }
         let Some(stream) = self.streams.get(&id) else {
             return false;
@@ -150,13 +150,13 @@
         if !urgent && !rand::RngExt::random_bool(rng, stream.sampling.clamp(0.0, 1.0)) {
             return false;
         }
-        let part = Rate(self.cfg.ratings.0 / self.fleet as f64);
-        self.bucket.take(now, part, urgent)
+        let daemon_rate = Rate(self.cfg.ratings.0 / self.fleet as f64);
+        self.rating_bucket.take(now, daemon_rate, urgent)
     }
 
-    /// The rater failed or refused: it is left alone until then.
+    /// Stops asking for ratings until the given time, after the rater failed or refused.
     pub fn pause_rating(&mut self, until: Time) {
-        self.bucket.paused_until = until;
+        self.rating_bucket.paused_until = until;
     }
 
     /// Whether a version is suspended in any class.
@@ -164,32 +164,30 @@
     pub fn suspended(&self, version: &VersionId) -> bool {
         let mut streams = self.streams.values();
         streams.any(|stream| {
-            let named = stream.name.as_ref();
-            stream.phase == Phase::Suspended && named.is_some_and(|name| name.version == *version)
+            let name = stream.name.as_ref();
+            stream.phase == Phase::Suspended && name.is_some_and(|name| name.version == *version)
         })
     }
 
-    /// An operator's word: suspends a version in a class.
-    ///
-    /// # Errors
-    /// When too many classes and versions are known.
+    /// Suspends a version in a class at an operator's request.
     pub fn suspend(
         &mut self,
         now: Time,
         class: &ClassName,
         version: &VersionId,
         rng: &mut impl Rng,
-    ) -> Result<(), CellError> {
+    ) -> Result<(), FactError> {
         let id = StreamId::new(class, version);
         self.stream(now, id, rng)?;
         self.suspensions.begin(id);
-        self.settle(now, id, rng);
+        self.update_phase(now, id, rng);
         Ok(())
     }
 
-    /// An operator's word: a version starts again as unproved wherever it is suspended.
-    /// Says in how many of the classes that was. Peers may have told of a suspension before
-    /// any request did, hence the classes.
+    /// Lifts a version's suspension at an operator's request: it starts again as unproved.
+    ///
+    /// Returns in how many of `classes` it was suspended. The caller lists the classes since a
+    /// suspension may have been learned from peers before this daemon saw a request of that class.
     pub fn lift(
         &mut self,
         now: Time,
@@ -201,16 +199,16 @@
         let mut lifted = 0;
         for class in classes {
             let ids = [false, true].map(|escalated| StreamId::of(class, version, escalated));
-            let open = ids.map(|id| self.suspensions.lift(id));
-            lifted += usize::from(open.contains(&true));
+            let was_suspended = ids.map(|id| self.suspensions.lift(id));
+            lifted += usize::from(was_suspended.contains(&true));
             for id in ids {
-                self.settle(now, id, rng);
+                self.update_phase(now, id, rng);
             }
         }
         lifted
     }
 
-    /// How far a version is trusted in a class, with its estimate.
+    /// Phase and estimate of a version's direct answers in a class.
     #[must_use]
     pub fn standing(&self, class: &ClassName, version: &VersionId) -> Option<StreamDump> {
         let id = StreamId::new(class, version);
@@ -219,7 +217,7 @@
             .and_then(|stream| self.dump_of(stream))
     }
 
-    /// State for people.
+    /// Snapshot of the state for operators.
     #[must_use]
     pub fn dump(&self) -> Dump {
         let streams = self.streams.values();
@@ -228,7 +226,7 @@
             origins: self.origins.len(),
             fleet: self.largest_fleet,
             tables: self.tables.len(),
-            rater_paused_until: Some(self.bucket.paused_until)
+            rater_paused_until: Some(self.rating_bucket.paused_until)
                 .filter(|until| !self.ticked_at.has_reached(*until)),
         }
     }
@@ -243,7 +241,7 @@
             phase: stream.phase,
             quality: estimate.mean(),
             deviation: estimate.deviation(),
-            ratings: stream.faded.sum(),
+            ratings: stream.decayed.sum(),
             reference: stream.reference,
             level: stream.level(),
             sampling: stream.sampling,
@@ -251,59 +249,60 @@
         })
     }
 
-    /// Remembers the largest fleet of late.
+    /// Updates the fleet size and the largest size seen within the configured period.
     ///
-    /// Guards against a cut: a daemon that sees few others would take a larger part of
-    /// every budget, as would the other side. Its part stays that of the whole fleet.
-    fn note_fleet(&mut self, now: Time, fleet: usize) {
+    /// Guards against a network partition: a daemon that sees few others would take a larger share
+    /// of every budget, and so would the daemons on the other side. Budgets are therefore divided
+    /// by the largest recent size.
+    fn update_fleet_size(&mut self, now: Time, fleet: usize) {
         self.fleet = fleet.max(1);
-        if self.fleet >= self.largest_fleet || now.has_reached(self.largest_until) {
+        if self.fleet >= self.largest_fleet || now.has_reached(self.largest_fleet_until) {
             self.largest_fleet = self.fleet;
-            self.largest_until = now + self.cfg.fleet_memory;
+            self.largest_fleet_until = now + self.cfg.fleet_memory;
         }
     }
 
-    /// Smooths the rates of requests and shares out the ratings.
+    /// Updates the smoothed request rates and divides the ratings among the streams.
     fn refresh_rates(&mut self, now: Time) {
         let elapsed = now.since(self.ticked_at).as_secs_f64();
         self.ticked_at = now;
         if elapsed <= 0.0 {
             return;
         }
-        let mut needs = Vec::with_capacity(self.streams.len());
+        let mut inputs = Vec::with_capacity(self.streams.len());
         for stream in self.streams.values_mut() {
-            let rate = (stream.served - stream.served_before) as f64 / elapsed;
-            stream.served_before = stream.served;
+            let rate = (stream.served - stream.served_at_refresh) as f64 / elapsed;
+            stream.served_at_refresh = stream.served;
             stream.served_rate += RATE_SMOOTHING * (rate - stream.served_rate);
-            needs.push(Need {
+            inputs.push(SamplingInput {
                 rate: stream.served_rate,
-                weight: weight(stream, &self.cfg),
+                weight: sampling_weight(stream, &self.cfg),
             });
         }
-        let part = Rate(self.cfg.ratings.0 / self.fleet as f64);
-        let shares = shares(&needs, part);
+        let daemon_rate = Rate(self.cfg.ratings.0 / self.fleet as f64);
+        let shares = sampling_shares(&inputs, daemon_rate);
         for (stream, share) in self.streams.values_mut().zip(shares) {
             stream.sampling = share;
         }
     }
 
-    /// Brings a stream's phase in line with the suspensions and the evidence.
-    fn settle(&mut self, now: Time, id: StreamId, rng: &mut impl Rng) {
-        let active = self.suspensions.is_active(id);
+    /// Updates a stream's phase from the suspensions and the evidence.
+    fn update_phase(&mut self, now: Time, id: StreamId, rng: &mut impl Rng) {
+        let suspended = self.suspensions.is_active(id);
         let Some(stream) = self.streams.get_mut(&id) else {
             return;
         };
         let before = stream.phase;
-        if active {
+        if suspended {
             stream.phase = Phase::Suspended;
         } else if before == Phase::Suspended {
-            let budget = budget(&self.cfg, Phase::Unproved, now, stream.seen, rng);
-            stream.start_again(budget);
+            let budget = new_budget(&self.cfg, Phase::Unproved, now, stream.ratings_seen, rng);
+            stream.reset(budget);
         } else {
             let next = stream.next_phase(&self.cfg);
             if next != before {
-                let budget = budget(&self.cfg, next, now, stream.seen, rng);
-                stream.enter(next, budget);
+                let budget = new_budget(&self.cfg, next, now, stream.ratings_seen, rng);
+                stream.enter_phase(next, budget);
             }
         }
         let after = stream.phase;
@@ -314,10 +313,10 @@
         if after == Phase::Suspended {
             self.suspend_version(now, id, rng);
         }
-        self.note_change(id, before);
+        self.record_change(id, before);
     }
 
-    /// A version that is bad after escalations is bad: its direct answers stop too.
+    /// Suspends a version. One that is bad on escalated requests stops giving direct answers too.
     fn suspend_version(&mut self, now: Time, id: StreamId, rng: &mut impl Rng) {
         self.suspensions.begin(id);
         let name = self.streams.get(&id).and_then(|stream| stream.name.clone());
@@ -326,10 +325,10 @@
         };
         let direct = StreamId::new(&name.class, &name.version);
         self.suspensions.begin(direct);
-        self.settle(now, direct, rng);
+        self.update_phase(now, direct, rng);
     }
 
-    fn note_change(&mut self, id: StreamId, from: Phase) {
+    fn record_change(&mut self, id: StreamId, from: Phase) {
         let stream = &self.streams[&id];
         let Some(name) = stream.name.clone() else {
             return;
@@ -340,7 +339,7 @@
             from,
             to: stream.phase,
             quality: stream.estimate(&self.cfg).mean(),
-            ratings: stream.faded.sum(),
+            ratings: stream.decayed.sum(),
         });
     }
 
@@ -349,20 +348,20 @@
         now: Time,
         id: StreamId,
         rng: &mut impl Rng,
-    ) -> Result<&mut Stream, CellError> {
+    ) -> Result<&mut Stream, FactError> {
         if !self.streams.contains_key(&id) {
             if self.streams.len() >= MAX_STREAMS {
-                return Err(CellError::TooMany(MAX_STREAMS));
+                return Err(FactError::TooMany(MAX_STREAMS));
             }
-            let budget = budget(&self.cfg, Phase::Unproved, now, 0.0, rng);
+            let budget = new_budget(&self.cfg, Phase::Unproved, now, 0.0, rng);
             self.streams.insert(id, Stream::unnamed(budget));
         }
         self.streams
             .get_mut(&id)
-            .ok_or(CellError::TooMany(MAX_STREAMS))
+            .ok_or(FactError::TooMany(MAX_STREAMS))
     }
 
-    /// Names a candidate's streams and takes over what the catalogue says of it.
+    /// Sets the names of a candidate's streams and what the catalogue says of it.
     fn describe(
         &mut self,
         now: Time,
@@ -394,16 +393,22 @@
     matches!(phase, Phase::Unproved | Phase::Suspect)
 }
 
-/// How much a rating of a stream teaches.
-fn weight(stream: &Stream, cfg: &Config) -> f64 {
+/// Sampling weight of a stream: the less certain its estimate, the more of its answers are rated.
+fn sampling_weight(stream: &Stream, cfg: &Config) -> f64 {
     if on_budget(stream.phase) {
-        URGENT_WEIGHT
+        ON_BUDGET_WEIGHT
     } else {
-        stream.estimate(cfg).deviation() + LEAST_WEIGHT
+        stream.estimate(cfg).deviation() + MIN_WEIGHT
     }
 }
 
-fn budget(cfg: &Config, phase: Phase, now: Time, seen: f64, rng: &mut impl Rng) -> Budget {
+fn new_budget(
+    cfg: &Config,
+    phase: Phase,
+    now: Time,
+    ratings_seen: f64,
+    rng: &mut impl Rng,
+) -> Budget {
     let suspect = phase == Phase::Suspect;
     let terms = BudgetTerms {
         base: if suspect {
@@ -412,7 +417,11 @@
             cfg.unproved_base
         },
         per_rating: cfg.answers_per_rating,
-        trickle: if suspect { SUSPECT_TRICKLE } else { Rate(0.0) },
+        guaranteed_rate: if suspect {
+            SUSPECT_GUARANTEED_RATE
+        } else {
+            Rate(0.0)
+        },
     };
-    Budget::new(terms, now, seen, rng)
+    Budget::new(terms, now, ratings_seen, rng)
 }
--- a/components/quality/src/quality/choose.rs
+++ b/components/quality/src/quality/choose.rs
@@ -1,4 +1,4 @@
-//! One request's choice: a draw from the offer's table, within the budgets.
+//! Chooses the version for one request: a random draw from the offer's table, within the budgets.
 
 use rand::{Rng, RngExt};
 use types::prelude::*;
@@ -11,30 +11,31 @@
 use crate::stream::{Phase, StreamId};
 use crate::table::Table;
 
-/// Most choices kept ready.
+/// Maximum number of tables kept, which bounds memory.
 const MAX_TABLES: usize = 1024;
 
 impl Quality {
-    /// Chooses how to serve a request; nothing when every version is suspended or none is given.
+    /// Chooses how to serve a request. Returns `None` when every version is suspended or there is
+    /// no candidate.
     pub fn choose(
         &mut self,
         now: Time,
         input: &ChoiceInput<'_>,
         rng: &mut impl Rng,
     ) -> Option<Plan> {
-        if let Some(plan) = self.pinned(input) {
+        if let Some(plan) = self.pinned_plan(input) {
             return Some(plan);
         }
         let key = table_key(input);
-        self.prepare(now, key, input, rng);
+        self.refresh_table(now, key, input, rng);
         let mut table = self.tables.remove(&key)?;
-        let plan = self.draw(now, &mut table, input, rng);
+        let plan = self.draw_plan(now, &mut table, input, rng);
         self.tables.insert(key, table);
         plan
     }
 
-    /// The session's version, unless it may not serve any more.
-    fn pinned(&mut self, input: &ChoiceInput<'_>) -> Option<Plan> {
+    /// Plan to stay on the session's version, unless that version may no longer serve.
+    fn pinned_plan(&mut self, input: &ChoiceInput<'_>) -> Option<Plan> {
         let pin = input.pin?;
         let mut permitted = input.candidates.iter();
         permitted.find(|candidate| candidate.version == *pin)?;
@@ -42,7 +43,7 @@
         if self.phase(id) == Some(Phase::Suspended) {
             return None;
         }
-        self.serve(id, true);
+        self.record_served(id, true);
         Some(Plan {
             first: pin.clone(),
             escalation: None,
@@ -54,39 +55,39 @@
         self.streams.get(&id).map(|stream| stream.phase)
     }
 
-    /// Counts a request, against the version's budget where that binds.
-    pub(super) fn serve(&mut self, id: StreamId, binds: bool) {
+    /// Counts a request given to a stream, also against its budget if `on_budget` is set.
+    pub(super) fn record_served(&mut self, id: StreamId, on_budget: bool) {
         if let Some(stream) = self.streams.get_mut(&id) {
             stream.served += 1;
-            if binds {
+            if on_budget {
                 stream.budget.spend();
             }
         }
     }
 
-    /// Has the offer's table ready, built on estimates that are fresh enough.
-    fn prepare(&mut self, now: Time, key: u64, input: &ChoiceInput<'_>, rng: &mut impl Rng) {
-        let held = self.tables.get(&key);
-        let fresh = held.is_some_and(|table| {
+    /// Rebuilds the table of the offer and its candidates unless the present one is recent enough.
+    fn refresh_table(&mut self, now: Time, key: u64, input: &ChoiceInput<'_>, rng: &mut impl Rng) {
+        let table = self.tables.get(&key);
+        let is_recent = table.is_some_and(|table| {
             table.generation == self.generation && !now.has_reached(table.rebuild_at)
         });
-        if fresh {
+        if is_recent {
             return;
         }
         for candidate in input.candidates {
             self.describe(now, input.offer, candidate, rng);
         }
-        let account = self.tables.remove(&key).map(|table| table.account);
+        let served = self.tables.remove(&key).map(|table| table.served);
         if self.tables.len() >= MAX_TABLES {
             self.tables.pop_first();
         }
-        let account = account.unwrap_or_default();
+        let served = served.unwrap_or_default();
         let mut table = Table::build(
             input.offer,
             input.candidates,
             &self.streams,
             &self.cfg,
-            account,
+            served,
             self.fleet,
         );
         table.generation = self.generation;
@@ -94,27 +95,27 @@
         self.tables.insert(key, table);
     }
 
-    fn draw(
+    fn draw_plan(
         &mut self,
         now: Time,
         table: &mut Table,
         input: &ChoiceInput<'_>,
         rng: &mut impl Rng,
     ) -> Option<Plan> {
-        let wished = self.wished(table, input, rng)?;
-        let way = if self.fits(now, table, wished, input) {
-            wished
+        let drawn = self.draw_strategy(table, input, rng)?;
+        let strategy = if self.is_allowed(now, table, drawn, input) {
+            drawn
         } else {
             self.fallback(now, table, input, rng)?
         };
-        table.note(way);
-        let way = table.ways[way].clone();
-        let first = self.taken_over(now, table, way.first, rng);
-        let binds = table.budgets_bind() || first != way.first;
-        self.serve(table.ids[first], binds);
+        table.record_use(strategy);
+        let strategy = table.strategies[strategy].clone();
+        let first = self.apply_rollout(now, table, strategy.first, rng);
+        let on_budget = table.budgets_apply() || first != strategy.first;
+        self.record_served(table.ids[first], on_budget);
         let mut escalation = None;
-        if let Some((next, bin)) = way.next {
-            let next = self.taken_over(now, table, next, rng);
+        if let Some((next, bin)) = strategy.next {
+            let next = self.apply_rollout(now, table, next, rng);
             escalation = Some(Escalation {
                 to: table.candidates[next].version.clone(),
                 below: Confidence::lowest_of(bin),
@@ -127,48 +128,68 @@
         })
     }
 
-    /// The way that the mixture, or now and then an exploration, asks for.
-    fn wished(&self, table: &Table, input: &ChoiceInput<'_>, rng: &mut impl Rng) -> Option<usize> {
-        for (ways, share) in [
+    /// The strategy drawn from the mixture or, for a small share of requests, from the trials or
+    /// explorations.
+    fn draw_strategy(
+        &self,
+        table: &Table,
+        input: &ChoiceInput<'_>,
+        rng: &mut impl Rng,
+    ) -> Option<usize> {
+        for (strategies, share) in [
             (&table.trial, self.cfg.trial),
             (&table.explore, self.cfg.exploration),
         ] {
-            if !ways.is_empty() && rng.random_bool(share.clamp(0.0, 1.0)) {
-                return Some(ways[rng.random_range(0..ways.len())]);
+            if !strategies.is_empty() && rng.random_bool(share.clamp(0.0, 1.0)) {
+                return Some(strategies[rng.random_range(0..strategies.len())]);
             }
         }
-        let one_version = input.in_session || !input.may_escalate;
-        let mixture = if one_version { table.direct } else { table.any };
-        mixture.map(|mixture| pick(&mixture, rng))
+        let single_version = input.in_session || !input.may_escalate;
+        let mixture = if single_version {
+            table.direct_mixture
+        } else {
+            table.any_mixture
+        };
+        mixture.map(|mixture| draw_from(&mixture, rng))
     }
 
-    /// Whether a way is in time and within its versions' budgets.
-    fn fits(&self, now: Time, table: &Table, way: usize, input: &ChoiceInput<'_>) -> bool {
-        let way = &table.ways[way];
-        let bind = table.budgets_bind();
-        let within = |id: StreamId| self.within_budget(now, id, bind);
-        let next = way.next.map(|(next, _)| next);
-        way.latency <= input.time_left
-            && within(table.ids[way.first])
+    /// Whether a strategy meets the deadline and its versions' budgets.
+    fn is_allowed(
+        &self,
+        now: Time,
+        table: &Table,
+        strategy: usize,
+        input: &ChoiceInput<'_>,
+    ) -> bool {
+        let strategy = &table.strategies[strategy];
+        let limit_unproved = table.budgets_apply();
+        let within = |id: StreamId| self.within_budget(now, id, limit_unproved);
+        let next = strategy.next.map(|(next, _)| next);
+        strategy.latency <= input.time_left
+            && within(table.ids[strategy.first])
             && next.is_none_or(|next| within(table.escalated_ids[next]))
     }
 
-    /// A suspect is always held to its budget, the unproved only where `bind` says so.
-    fn within_budget(&self, now: Time, id: StreamId, bind: bool) -> bool {
+    /// Whether a stream may give one more answer. The budget always limits a suspect version, and
+    /// an unproved one only if `limit_unproved` is set.
+    fn within_budget(&self, now: Time, id: StreamId, limit_unproved: bool) -> bool {
         self.streams.get(&id).is_some_and(|stream| {
-            let held = match stream.phase {
-                Phase::Unproved => bind,
+            let limited = match stream.phase {
+                Phase::Unproved => limit_unproved,
                 Phase::Suspect => true,
                 Phase::Proved => false,
                 Phase::Suspended => return false,
             };
             let progress = stream.progress();
-            !held || stream.budget.allows(now, &progress, self.largest_fleet)
+            !limited || stream.budget.allows(now, &progress, self.largest_fleet)
         })
     }
 
-    /// The proved versions' mixture; else the best version in time, which comes to pass
-    /// when nothing is proved; else the fastest.
+    /// The strategy used when the drawn one is not allowed.
+    ///
+    /// In this order: the proved versions' mixture; the best single version that meets deadline and
+    /// budget; the best one in time that is not suspect, and then any in time, budgets disregarded,
+    /// which happens when no version is proved; the fastest.
     fn fallback(
         &self,
         now: Time,
@@ -176,25 +197,26 @@
         input: &ChoiceInput<'_>,
         rng: &mut impl Rng,
     ) -> Option<usize> {
-        let fits = |way: &usize| self.fits(now, table, *way, input);
-        let proved = table.proved.map(|mixture| pick(&mixture, rng));
-        let in_time = |way: &usize| table.ways[*way].latency <= input.time_left;
-        let trusted = |way: &usize| {
-            let phase = self.phase(table.ids[table.ways[*way].first]);
+        let is_allowed = |strategy: &usize| self.is_allowed(now, table, *strategy, input);
+        let proved = table.proved_mixture.map(|mixture| draw_from(&mixture, rng));
+        let in_time = |strategy: &usize| table.strategies[*strategy].latency <= input.time_left;
+        let not_suspect = |strategy: &usize| {
+            let phase = self.phase(table.ids[table.strategies[*strategy].first]);
             phase != Some(Phase::Suspect)
         };
         let direct = || table.fallback.iter().copied();
         proved
-            .filter(fits)
-            .or_else(|| direct().find(fits))
-            .or_else(|| direct().find(|way| in_time(way) && trusted(way)))
+            .filter(is_allowed)
+            .or_else(|| direct().find(is_allowed))
+            .or_else(|| direct().find(|strategy| in_time(strategy) && not_suspect(strategy)))
             .or_else(|| direct().find(in_time))
-            .or_else(|| direct().min_by_key(|way| table.ways[*way].latency))
+            .or_else(|| direct().min_by_key(|strategy| table.strategies[*strategy].latency))
     }
 
-    /// The candidate itself, or the one that takes over from it.
-    fn taken_over(&self, now: Time, table: &Table, index: usize, rng: &mut impl Rng) -> usize {
-        let Some((to, share)) = table.takeover.get(&index).copied() else {
+    /// Index of the candidate itself, or of the one being rolled out in its place, drawn by the
+    /// rollout's share.
+    fn apply_rollout(&self, now: Time, table: &Table, index: usize, rng: &mut impl Rng) -> usize {
+        let Some((to, share)) = table.successors.get(&index).copied() else {
             return index;
         };
         if rng.random_bool(share.clamp(0.0, 1.0)) && self.within_budget(now, table.ids[to], true) {
@@ -205,7 +227,7 @@
     }
 }
 
-fn pick(mixture: &Mixture, rng: &mut impl Rng) -> usize {
+fn draw_from(mixture: &Mixture, rng: &mut impl Rng) -> usize {
     if rng.random_bool(mixture.strong_share.clamp(0.0, 1.0)) {
         mixture.strong
     } else {
@@ -213,7 +235,7 @@
     }
 }
 
-/// Tells apart offers and sets of candidates.
+/// Hash of the offer and the set of candidates that a table was built for.
 fn table_key(input: &ChoiceInput<'_>) -> u64 {
     let mut hash = Xxh3::new();
     hash.update(input.offer.name.as_str().as_bytes());
--- a/components/quality/src/quality/exchange.rs
+++ b/components/quality/src/quality/exchange.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other.
+//! Exchange of evidence and suspensions between daemons.
 
 use std::collections::BTreeMap;
 
@@ -6,31 +6,31 @@
 use types::prelude::*;
 
 use super::Quality;
-use crate::fact::{Cell, CellError, Evidence, Fact, decode, encode};
-use crate::rating::{Faded, Totals};
+use crate::fact::{EncodedFact, Evidence, Fact, FactError, decode, encode};
+use crate::rating::{DecayedTotals, Totals};
 use crate::stream::{Phase, Stream, StreamId};
 
-/// Most daemons whose counters are held, live or gone.
+/// Maximum number of daemons whose counters are kept, departed ones included. Bounds memory.
 const MAX_ORIGINS: usize = 2048;
-/// A daemon younger than this takes over older ones' views.
-const JOINING: Span = Span::from_secs(60);
-/// A daemon counts as older when it has run longer by more than this.
-const OLDER_BY: Span = Span::from_secs(2);
+/// Uptime below which a daemon adopts the view of daemons that have run longer.
+const JOINING_UPTIME: Span = Span::from_secs(60);
+/// How much longer another daemon must have run to count as older.
+const MIN_UPTIME_LEAD: Span = Span::from_secs(2);
 
-/// What was last heard of a daemon's counters.
+/// Last known counters of another daemon.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Origin {
     incarnation: Incarnation,
-    heard: BTreeMap<StreamId, Totals>,
-    /// When it was said to be gone.
+    totals: BTreeMap<StreamId, Totals>,
+    /// When the daemon was last reported as gone.
     gone_at: Option<Time>,
 }
 
 impl Quality {
-    /// Takes a fact of another daemon.
+    /// Merges a fact published by another daemon.
     ///
     /// # Errors
-    /// When it cannot be read or more is known than is kept; nothing is taken over then.
+    /// When the fact cannot be decoded or a limit on what is kept is reached; nothing changes then.
     pub fn merge(
         &mut self,
         now: Time,
@@ -38,133 +38,134 @@
         key: &[u8],
         value: &[u8],
         rng: &mut impl Rng,
-    ) -> Result<(), CellError> {
+    ) -> Result<(), FactError> {
         match decode(key, value)? {
-            Fact::Suspension(id, rounds) => {
+            Fact::Suspension(id, counters) => {
                 self.stream(now, id, rng)?;
-                self.suspensions.merge(origin, id, rounds);
-                self.settle(now, id, rng);
+                self.suspensions.merge(origin, id, counters);
+                self.update_phase(now, id, rng);
             }
             Fact::Evidence(id, evidence) => {
                 self.stream(now, id, rng)?;
                 self.merge_evidence(now, origin, id, &evidence);
-                self.settle(now, id, rng);
+                self.update_phase(now, id, rng);
             }
         }
         Ok(())
     }
 
-    fn merge_evidence(&mut self, now: Time, origin: &DaemonId, id: StreamId, told: &Evidence) {
-        self.make_room(origin);
-        let held = self.origins.entry(origin.clone()).or_default();
-        // Guards against a restart: the new process counts from nought, and what a late
-        // fact of the old one says is already in the evidence or lost with it.
-        if told.incarnation < held.incarnation {
+    fn merge_evidence(&mut self, now: Time, origin: &DaemonId, id: StreamId, evidence: &Evidence) {
+        self.evict_if_full(origin);
+        let state = self.origins.entry(origin.clone()).or_default();
+        // Guards against a restart: the new process counts from 0, and whatever a late fact of the
+        // old process says is either in the evidence already or lost with that process.
+        if evidence.incarnation < state.incarnation {
             return;
         }
-        if told.incarnation > held.incarnation {
-            *held = Origin {
-                incarnation: told.incarnation,
+        if evidence.incarnation > state.incarnation {
+            *state = Origin {
+                incarnation: evidence.incarnation,
                 ..Origin::default()
             };
         }
-        held.gone_at = None;
-        let first = !held.heard.contains_key(&id);
-        let heard = held.heard.entry(id).or_default();
-        let more = told.totals.beyond(heard);
-        *heard = heard.merged(&told.totals);
+        state.gone_at = None;
+        let first = !state.totals.contains_key(&id);
+        let known = state.totals.entry(id).or_default();
+        let new_ratings = evidence.totals.beyond(known);
+        *known = known.merged(&evidence.totals);
         let uptime = now.since(self.started);
-        let joining = uptime < JOINING && told.uptime > uptime + OLDER_BY;
+        let joining = uptime < JOINING_UPTIME && evidence.uptime > uptime + MIN_UPTIME_LEAD;
         let Some(stream) = self.streams.get_mut(&id) else {
             return;
         };
         if first && joining {
-            adopt(stream, told, &self.cfg);
+            adopt(stream, evidence, &self.cfg);
             self.generation += 1;
-        } else if !more.is_empty() {
-            stream.learn(&more, &self.cfg);
+        } else if !new_ratings.is_empty() {
+            stream.add_ratings(&new_ratings, &self.cfg);
         }
     }
 
-    /// Forgets the daemon that has been gone longest when the table is full.
-    fn make_room(&mut self, origin: &DaemonId) {
+    /// Drops the daemon that has been gone longest if the table is full and `origin` is not in it.
+    fn evict_if_full(&mut self, origin: &DaemonId) {
         if self.origins.len() < MAX_ORIGINS || self.origins.contains_key(origin) {
             return;
         }
-        let gone = self
+        let departed = self
             .origins
             .iter()
-            .filter_map(|(id, held)| Some((held.gone_at?, id)));
-        let oldest = gone.min().map(|(_, id)| id.clone());
-        let victim = oldest.or_else(|| self.origins.keys().next().cloned());
+            .filter_map(|(id, state)| Some((state.gone_at?, id)));
+        let longest_gone = departed.min().map(|(_, id)| id.clone());
+        let victim = longest_gone.or_else(|| self.origins.keys().next().cloned());
         if let Some(victim) = victim {
             self.origins.remove(&victim);
         }
     }
 
-    /// A daemon is gone. Its counters stay held, lest they count twice if it is not.
+    /// Notes that a daemon is gone. Its counters are kept, since they would count twice if it came
+    /// back.
     pub fn forget(&mut self, now: Time, origin: &DaemonId) {
         self.suspensions.forget(origin);
-        if let Some(held) = self.origins.get_mut(origin) {
-            held.gone_at = Some(now);
+        if let Some(state) = self.origins.get_mut(origin) {
+            state.gone_at = Some(now);
         }
     }
 
-    /// The facts to publish now, since they changed.
-    pub fn own_cells_changed(&mut self, now: Time, rng: &mut impl Rng) -> Vec<Cell> {
+    /// Facts that changed and are due to be published.
+    pub fn own_cells_changed(&mut self, now: Time, rng: &mut impl Rng) -> Vec<EncodedFact> {
         let uptime = now.since(self.started);
         let incarnation = self.incarnation;
-        let next = now + self.cfg.publish_every;
-        let mut cells = Vec::new();
+        let next_publication = now + self.cfg.publish_every;
+        let mut encoded = Vec::new();
         for (id, stream) in &mut self.streams {
             if stream.own == stream.published || !now.has_reached(stream.next_publication) {
                 continue;
             }
             stream.published = stream.own;
-            stream.next_publication = next;
+            stream.next_publication = next_publication;
             let evidence = Evidence {
                 incarnation,
                 uptime,
                 totals: stream.own,
-                view: rounded(&stream.faded),
+                view: rounded_totals(&stream.decayed),
                 reference: stream.reference,
                 phase: stream.phase,
             };
-            cells.push(encode(&Fact::Evidence(*id, evidence)));
+            encoded.push(encode(&Fact::Evidence(*id, evidence)));
         }
-        let rounds = self.suspensions.take_unpublished(self.fleet, rng);
-        let facts = rounds
+        let suspensions = self.suspensions.take_unpublished(self.fleet, rng);
+        let facts = suspensions
             .into_iter()
-            .map(|(id, rounds)| Fact::Suspension(id, rounds));
-        cells.extend(facts.map(|fact| encode(&fact)));
-        cells
+            .map(|(id, counters)| Fact::Suspension(id, counters));
+        encoded.extend(facts.map(|fact| encode(&fact)));
+        encoded
     }
 }
 
-/// Takes over an older daemon's view, if it rests on more than one's own.
-fn adopt(stream: &mut Stream, told: &Evidence, cfg: &crate::config::Config) {
-    let mut view = Faded::default();
-    view.add(&told.view, cfg.memory);
-    if view.sum() <= stream.faded.sum() {
+/// Replaces a stream's evidence by an older daemon's view if that rests on more ratings.
+fn adopt(stream: &mut Stream, evidence: &Evidence, cfg: &crate::config::Config) {
+    let mut view = DecayedTotals::default();
+    view.add(&evidence.view, cfg.memory);
+    if view.sum() <= stream.decayed.sum() {
         return;
     }
-    stream.faded = view;
-    stream.reference = told.reference;
-    stream.seen = stream.seen.max(stream.faded.sum());
-    stream.checked_at = if told.phase == Phase::Proved {
-        stream.seen
+    stream.decayed = view;
+    stream.reference = evidence.reference;
+    stream.ratings_seen = stream.ratings_seen.max(stream.decayed.sum());
+    stream.reference_learned_at = if evidence.phase == Phase::Proved {
+        stream.ratings_seen
     } else {
         0.0
     };
     stream.thresholds = None;
-    if told.phase == Phase::Proved && stream.phase == Phase::Unproved {
+    if evidence.phase == Phase::Proved && stream.phase == Phase::Unproved {
         stream.phase = Phase::Proved;
     }
 }
 
-fn rounded(faded: &Faded) -> Totals {
+fn rounded_totals(decayed: &DecayedTotals) -> Totals {
     let mut totals = Totals::default();
-    for (rounded, bin) in totals.0.iter_mut().zip(&faded.0) {
+    for (rounded, bin) in totals.0.iter_mut().zip(&decayed.0) {
         rounded.good = bin.good.round() as u32;
         rounded.bad = bin.bad.round() as u32;
     }
--- a/components/quality/src/rating.rs
+++ b/components/quality/src/rating.rs
@@ -1,48 +1,48 @@
-//! Counters of ratings, split by the confidence that the engine stated.
+//! Ratings of answers, and counters of them split by the confidence that the engine stated.
 
 use serde::Serialize;
 
-/// Bins of stated confidence: bin 0 holds answers without any.
+/// Number of confidence bins; bin 0 holds answers without a stated confidence.
 pub const BINS: usize = 9;
 
-const SIGNAL_BINS: usize = BINS - 1;
+const CONFIDENCE_BINS: usize = BINS - 1;
 
-/// How sure an engine says it is of its answer, from 0 to 1.
+/// Confidence that an engine states for its answer, from 0 to 1.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd, Serialize)]
 pub struct Confidence(f64);
 
 impl Confidence {
-    /// From a number; outside 0 to 1 it is cut off, not-a-number is no statement.
+    /// Clamps a number to 0 to 1; `None` for NaN.
     #[must_use]
     pub fn new(value: f64) -> Option<Self> {
         (!value.is_nan()).then(|| Self(value.clamp(0.0, 1.0)))
     }
 
-    /// The lowest confidence of a bin.
+    /// Lowest confidence of a bin.
     #[must_use]
     pub fn lowest_of(bin: usize) -> Self {
-        Self(bin.saturating_sub(1) as f64 / SIGNAL_BINS as f64)
+        Self(bin.saturating_sub(1) as f64 / CONFIDENCE_BINS as f64)
     }
 
     fn bin(self) -> usize {
-        let index = (self.0 * SIGNAL_BINS as f64) as usize;
-        index.min(SIGNAL_BINS - 1) + 1
+        let index = (self.0 * CONFIDENCE_BINS as f64) as usize;
+        index.min(CONFIDENCE_BINS - 1) + 1
     }
 }
 
-/// One answer's rating.
+/// Rating of one answer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Rating {
     /// Whether the answer was good enough.
     pub adequate: bool,
-    /// What the engine said of it.
+    /// Confidence that the engine stated.
     pub confidence: Option<Confidence>,
-    /// Whether another version's answer was discarded first.
+    /// Whether another version's answer was discarded before this one.
     pub escalated: bool,
 }
 
 impl Rating {
-    /// A rating of a direct answer without a stated confidence.
+    /// Creates a rating of a direct answer without a stated confidence.
     #[must_use]
     pub fn direct(adequate: bool) -> Self {
         Self {
@@ -57,14 +57,14 @@
     }
 }
 
-/// Ratings of one bin.
+/// Ratings in one confidence bin.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub(crate) struct Bin<T> {
     pub(crate) good: T,
     pub(crate) bad: T,
 }
 
-/// One daemon's ratings since its start: these only grow.
+/// One daemon's ratings since its start. The counters only grow.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(crate) struct Totals(pub(crate) [Bin<u32>; BINS]);
 
@@ -79,27 +79,27 @@
         *count = count.saturating_add(1);
     }
 
-    /// What `self` has more than `earlier`, bin by bin.
+    /// Ratings in `self` that are not in `earlier`, bin by bin.
     ///
-    /// Guards against repeats and overtaking: an older copy of the counters has
-    /// nothing more, so that it adds nothing.
+    /// Guards against repeated and reordered messages: an older copy of the counters has nothing
+    /// more, so it adds nothing.
     pub(crate) fn beyond(&self, earlier: &Self) -> Self {
-        let mut more = Self::default();
-        for (bin, (new, old)) in more.0.iter_mut().zip(self.0.iter().zip(&earlier.0)) {
+        let mut difference = Self::default();
+        for (bin, (new, old)) in difference.0.iter_mut().zip(self.0.iter().zip(&earlier.0)) {
             bin.good = new.good.saturating_sub(old.good);
             bin.bad = new.bad.saturating_sub(old.bad);
         }
-        more
+        difference
     }
 
-    /// The larger of both, bin by bin.
+    /// Larger value of both, bin by bin.
     pub(crate) fn merged(&self, other: &Self) -> Self {
-        let mut both = *self;
-        for (bin, other) in both.0.iter_mut().zip(&other.0) {
+        let mut merged_totals = *self;
+        for (bin, other) in merged_totals.0.iter_mut().zip(&other.0) {
             bin.good = bin.good.max(other.good);
             bin.bad = bin.bad.max(other.bad);
         }
-        both
+        merged_totals
     }
 
     pub(crate) fn good(&self) -> u64 {
@@ -115,16 +115,16 @@
     }
 }
 
-/// The fleet's ratings with older ones faded.
+/// Ratings of the whole fleet, older ones decayed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
-pub(crate) struct Faded(pub(crate) [Bin<f64>; BINS]);
-
-impl Faded {
-    /// Adds ratings and fades all so that at most `memory` remain.
-    pub(crate) fn add(&mut self, more: &Totals, memory: f64) {
-        for (bin, more) in self.0.iter_mut().zip(&more.0) {
-            bin.good += f64::from(more.good);
-            bin.bad += f64::from(more.bad);
+pub(crate) struct DecayedTotals(pub(crate) [Bin<f64>; BINS]);
+
+impl DecayedTotals {
+    /// Adds ratings, then scales all of them down so that at most `memory` remain.
+    pub(crate) fn add(&mut self, ratings: &Totals, memory: f64) {
+        for (bin, ratings) in self.0.iter_mut().zip(&ratings.0) {
+            bin.good += f64::from(ratings.good);
+            bin.bad += f64::from(ratings.bad);
         }
         let sum = self.sum();
         if sum > memory {
--- a/components/quality/src/sampling.rs
+++ b/components/quality/src/sampling.rs
@@ -1,43 +1,44 @@
-//! Which answers to have rated.
+//! Selection of the answers to have rated.
 //!
-//! The rater's rate is the fleet's; each daemon uses its equal part through a token bucket.
-//! Within it, every (class, version) has its share of answers rated, larger where the
-//! estimate is less sure. Versions on a budget have all of theirs rated, into debt.
+//! The rater's rate limit is for the whole fleet; each daemon uses an equal share of it through a
+//! token bucket. Within that, a share of each stream's answers is rated, a larger one where the
+//! estimate is less certain. All answers of versions on a budget are rated, for which the bucket
+//! may go into debt.
 
 use types::prelude::*;
 
 const BUCKET_SECONDS: f64 = 2.0;
-const SMALLEST_BUCKET: f64 = 2.0;
-const BISECTIONS: usize = 30;
+const MIN_BUCKET_TOKENS: f64 = 2.0;
+const BISECTION_STEPS: usize = 30;
 
-/// This daemon's part of the rater's rate.
+/// Token bucket with this daemon's share of the rater's rate.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Bucket {
+pub(crate) struct RatingBucket {
     tokens: f64,
     filled_at: Time,
     pub(crate) paused_until: Time,
 }
 
-impl Bucket {
+impl RatingBucket {
     pub(crate) fn new(now: Time) -> Self {
         Self {
-            tokens: SMALLEST_BUCKET,
+            tokens: MIN_BUCKET_TOKENS,
             filled_at: now,
             paused_until: Time::ZERO,
         }
     }
 
-    /// Takes a token, into debt when the rating is `urgent`; says whether there was one.
-    pub(crate) fn take(&mut self, now: Time, part: Rate, urgent: bool) -> bool {
-        let size = (part.0 * BUCKET_SECONDS).max(SMALLEST_BUCKET);
-        let gained = part.over(now.since(self.filled_at));
+    /// Takes a token, going into debt if the rating is `urgent`; returns whether there was one.
+    pub(crate) fn take(&mut self, now: Time, daemon_rate: Rate, urgent: bool) -> bool {
+        let size = (daemon_rate.0 * BUCKET_SECONDS).max(MIN_BUCKET_TOKENS);
+        let gained = daemon_rate.over(now.since(self.filled_at));
         self.tokens = (self.tokens + gained).min(size);
         self.filled_at = now;
         if !now.has_reached(self.paused_until) {
             return false;
         }
-        let least = if urgent { 1.0 - 2.0 * size } else { 1.0 };
-        let granted = self.tokens >= least;
+        let required = if urgent { 1.0 - 2.0 * size } else { 1.0 };
+        let granted = self.tokens >= required;
         if granted {
             self.tokens -= 1.0;
         }
@@ -45,38 +46,39 @@
     }
 }
 
-/// One stream's need.
+/// Request rate and sampling weight of one stream.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Need {
-    /// Answers a second.
+pub(crate) struct SamplingInput {
+    /// Answers per second.
     pub(crate) rate: f64,
-    /// How much a rating teaches, in any unit.
+    /// Weight of a rating of the stream, in any unit.
     pub(crate) weight: f64,
 }
 
-/// Shares of answers to rate, in proportion to weight, so that `budget` ratings a second are used.
-pub(crate) fn shares(needs: &[Need], budget: Rate) -> Vec<f64> {
-    let all: f64 = needs.iter().map(|need| need.rate).sum();
-    if all <= budget.0 {
-        return vec![1.0; needs.len()];
+/// Shares of each stream's answers to rate, in proportion to weight, such that `budget` ratings per
+/// second are used.
+pub(crate) fn sampling_shares(inputs: &[SamplingInput], budget: Rate) -> Vec<f64> {
+    let total_rate: f64 = inputs.iter().map(|input| input.rate).sum();
+    if total_rate <= budget.0 {
+        return vec![1.0; inputs.len()];
     }
-    let heaviest = needs
+    let heaviest = inputs
         .iter()
-        .map(|need| need.weight)
+        .map(|input| input.weight)
         .fold(f64::MIN_POSITIVE, f64::max);
-    let lightest = needs
+    let lightest = inputs
         .iter()
-        .map(|need| need.weight)
+        .map(|input| input.weight)
         .fold(heaviest, f64::min);
-    let share = |level: f64, need: &Need| (level * need.weight).min(1.0);
-    let used = |level: f64| {
-        needs
+    let share = |scale: f64, input: &SamplingInput| (scale * input.weight).min(1.0);
+    let used = |scale: f64| {
+        inputs
             .iter()
-            .map(|need| need.rate * share(level, need))
+            .map(|input| input.rate * share(scale, input))
             .sum::<f64>()
     };
     let (mut low, mut high) = (0.0, 1.0 / lightest.max(heaviest * 1e-6));
-    for _ in 0..BISECTIONS {
+    for _ in 0..BISECTION_STEPS {
         let middle = (low + high) / 2.0;
         if used(middle) < budget.0 {
             low = middle;
@@ -84,5 +86,5 @@
             high = middle;
         }
     }
-    needs.iter().map(|need| share(high, need)).collect()
+    inputs.iter().map(|input| share(high, input)).collect()
 }
--- a/components/quality/src/stream.rs
+++ b/components/quality/src/stream.rs
@@ -1,4 +1,4 @@
-//! All that is known of one version in one class of work.
+//! Streams: the evidence on one version in one class of work, and the phase that follows from it.
 
 use serde::Serialize;
 use types::prelude::*;
@@ -8,25 +8,26 @@
 use crate::config::Config;
 use crate::detector::{Detector, Thresholds};
 use crate::estimate::Estimate;
-use crate::rating::{BINS, Faded, Totals};
+use crate::rating::{BINS, DecayedTotals, Totals};
 
-/// How far above its target a version is still held to its claim.
-const HEADROOM: f64 = 0.03;
-const LOWEST_REFERENCE: f64 = 0.1;
-/// Deviations below the estimate at which a learned reference is set.
-const LEARNED_BELOW: f64 = 3.0;
-/// The reference moves only while the test is calmer than this.
-const CALM: f64 = 0.15;
-/// Deviations by which a version must clear the floor to be proved.
-const PROOF: f64 = 1.64;
-const DEFAULT_PRIOR: f64 = 0.8;
+/// Maximum by which the reference exceeds the offer's target, however high the version's claim.
+const MAX_REFERENCE_ABOVE_TARGET: f64 = 0.03;
+const MIN_REFERENCE: f64 = 0.1;
+/// Standard deviations below the estimate at which a learned reference is set.
+const REFERENCE_DEVIATIONS: f64 = 3.0;
+/// Level of the test above which the reference is not changed.
+const REFERENCE_MAX_LEVEL: f64 = 0.15;
+/// Standard deviations by which a version's estimate must exceed the minimum share for it to be
+/// proved.
+const PROOF_DEVIATIONS: f64 = 1.64;
+const MAX_DEFAULT_PRIOR: f64 = 0.8;
 
-/// Identifies a version in a class of work, and whether it answers after an escalation.
+/// Identifies a stream: a version in a class of work, direct and escalated answers apart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct StreamId(pub(crate) u64);
 
 impl StreamId {
-    /// Of a version's direct answers in a class.
+    /// Returns the id of the stream of a version's direct answers in a class.
     #[must_use]
     pub fn new(class: &ClassName, version: &VersionId) -> Self {
         Self::of(class, version, false)
@@ -47,22 +48,22 @@
     }
 }
 
-/// How far a version is trusted in a class.
+/// Trust in a version in a class.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// Too little is known: its answers are counted against a budget.
+    /// Too few ratings are known; a budget limits its answers.
     #[default]
     Unproved,
-    /// Serves freely.
+    /// Its quality is established; no budget limits it.
     Proved,
-    /// The test leans towards bad: its answers are counted against a budget.
+    /// The sequential test is near its alarm; a budget limits its answers.
     Suspect,
-    /// Takes nothing until an operator offers it again.
+    /// Gets no requests until an operator lifts the suspension.
     Suspended,
 }
 
-/// Who a stream is about.
+/// Class, version and kind of answers that a stream covers.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Name {
     pub(crate) class: ClassName,
@@ -70,52 +71,56 @@
     pub(crate) escalated: bool,
 }
 
-/// What the catalogue says of it.
+/// Values that the catalogue states for a version and the offer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Terms {
     pub(crate) claim: Option<f64>,
     pub(crate) target: f64,
-    /// From 0 to 1: how much the owner minds answers from versions not yet proved.
+    /// Weight that the offer's owner gives to avoiding answers from unproved versions, from 0 to 1.
     pub(crate) caution: f64,
 }
 
 impl Terms {
-    /// What the version is compared with: its claim, but not much more than is asked for.
+    /// Reference share that the version is compared with: its claim, but at most a little above the
+    /// target.
     fn reference(&self) -> f64 {
         let claim = self.claim.unwrap_or(self.target);
-        claim.min(self.target + HEADROOM).max(LOWEST_REFERENCE)
+        claim
+            .min(self.target + MAX_REFERENCE_ABOVE_TARGET)
+            .max(MIN_REFERENCE)
     }
 
     pub(crate) fn prior(&self) -> f64 {
-        self.claim.unwrap_or(DEFAULT_PRIOR.min(self.target))
+        self.claim.unwrap_or(MAX_DEFAULT_PRIOR.min(self.target))
     }
 }
 
-/// All that is known of one version in one class of work.
+/// Evidence, sequential test, phase and budget of one version in one class of work.
 #[derive(Debug, Clone)]
 pub(crate) struct Stream {
-    /// Nothing while only peers have spoken of it.
+    /// `None` while the stream is known from peers' facts only.
     pub(crate) name: Option<Name>,
     pub(crate) terms: Terms,
-    pub(crate) faded: Faded,
+    pub(crate) decayed: DecayedTotals,
     pub(crate) own: Totals,
     pub(crate) published: Totals,
     pub(crate) next_publication: Time,
-    /// Ratings of the whole fleet seen since start, never faded.
-    pub(crate) seen: f64,
+    /// Ratings of the whole fleet since the start, without decay.
+    pub(crate) ratings_seen: f64,
     pub(crate) reference: f64,
-    /// Ratings seen when the reference was last learnt; none while it is the claim.
-    pub(crate) checked_at: f64,
+    /// Value of `ratings_seen` when the reference was last learned; 0 while the reference is the
+    /// claim.
+    pub(crate) reference_learned_at: f64,
     pub(crate) thresholds: Option<Thresholds>,
     pub(crate) detector: Detector,
     pub(crate) phase: Phase,
     pub(crate) budget: Budget,
-    /// Requests given to it by this daemon, and those at the last refresh.
+    /// Requests that this daemon gave the version, and their number at the last refresh.
     pub(crate) served: u64,
-    pub(crate) served_before: u64,
-    /// Requests a second, smoothed.
+    pub(crate) served_at_refresh: u64,
+    /// Requests per second, smoothed.
     pub(crate) served_rate: f64,
-    /// Share of its answers to rate.
+    /// Share of its answers to have rated.
     pub(crate) sampling: f64,
 }
 
@@ -129,57 +134,57 @@
         Self {
             name: None,
             terms,
-            faded: Faded::default(),
+            decayed: DecayedTotals::default(),
             own: Totals::default(),
             published: Totals::default(),
             next_publication: Time::ZERO,
-            seen: 0.0,
+            ratings_seen: 0.0,
             reference: terms.reference(),
-            checked_at: 0.0,
+            reference_learned_at: 0.0,
             thresholds: None,
             detector: Detector::default(),
             phase: Phase::Unproved,
             budget,
             served: 0,
-            served_before: 0,
+            served_at_refresh: 0,
             served_rate: 0.0,
             sampling: 1.0,
         }
     }
 
-    /// Gives it its name and terms; new terms start from the catalogue's reference.
+    /// Sets name and terms; changed terms reset the reference to the catalogue's.
     pub(crate) fn describe(&mut self, name: Name, terms: Terms) {
         if self.name.is_none() || self.terms != terms {
             self.terms = terms;
             self.reference = terms.reference();
-            self.checked_at = 0.0;
+            self.reference_learned_at = 0.0;
             self.thresholds = None;
         }
         self.name = Some(name);
     }
 
     pub(crate) fn estimate(&self, cfg: &Config) -> Estimate {
-        let (good, bad) = (self.faded.good(), self.faded.bad());
+        let (good, bad) = (self.decayed.good(), self.decayed.bad());
         Estimate::new(self.terms.prior(), cfg.prior_ratings, good, bad)
     }
 
-    /// The estimate of one bin of confidence, drawn towards the version's own.
+    /// Estimate of one confidence bin, with the version's overall estimate as its prior.
     pub(crate) fn bin_estimate(&self, bin: usize, cfg: &Config) -> Estimate {
-        let counts = &self.faded.0[bin];
+        let counts = &self.decayed.0[bin];
         let mean = self.estimate(cfg).mean();
         Estimate::new(mean, 1.0, counts.good, counts.bad)
     }
 
-    /// Ratings that had a stated confidence.
-    pub(crate) fn signalled(&self) -> f64 {
-        let unsignalled = self.faded.0[0].good + self.faded.0[0].bad;
-        self.faded.sum() - unsignalled
+    /// Number of ratings with a stated confidence, after decay.
+    pub(crate) fn ratings_with_confidence(&self) -> f64 {
+        let without_confidence = self.decayed.0[0].good + self.decayed.0[0].bad;
+        self.decayed.sum() - without_confidence
     }
 
-    pub(crate) fn bin_weight(&self, bin: usize) -> f64 {
+    pub(crate) fn bin_share(&self, bin: usize) -> f64 {
         debug_assert!(bin < BINS);
-        let counts = &self.faded.0[bin];
-        (counts.good + counts.bad) / self.faded.sum().max(f64::MIN_POSITIVE)
+        let counts = &self.decayed.0[bin];
+        (counts.good + counts.bad) / self.decayed.sum().max(f64::MIN_POSITIVE)
     }
 
     pub(crate) fn level(&self) -> f64 {
@@ -190,143 +195,146 @@
 
     pub(crate) fn progress(&self) -> Progress {
         Progress {
-            seen: self.seen,
+            ratings_seen: self.ratings_seen,
             level: self.level(),
             caution: self.terms.caution,
         }
     }
 
-    /// Takes fresh ratings of the fleet.
-    pub(crate) fn learn(&mut self, more: &Totals, cfg: &Config) {
-        let (good, bad) = (more.good(), more.bad());
-        self.faded.add(more, cfg.memory);
-        self.seen += (good + bad) as f64;
+    /// Adds new ratings of the fleet to the evidence and to the test.
+    pub(crate) fn add_ratings(&mut self, ratings: &Totals, cfg: &Config) {
+        let (good, bad) = (ratings.good(), ratings.bad());
+        self.decayed.add(ratings, cfg.memory);
+        self.ratings_seen += (good + bad) as f64;
         if self.name.is_none() {
             return;
         }
-        let null = self.null(cfg);
+        let null_share = self.null_share(cfg);
         let thresholds = self
             .thresholds
-            .get_or_insert_with(|| Thresholds::new(null, cfg.false_alarm_requests));
+            .get_or_insert_with(|| Thresholds::new(null_share, cfg.false_alarm_requests));
         self.detector.add(thresholds, good, bad);
-        self.adjust_reference(cfg);
+        self.update_reference(cfg);
     }
 
-    /// The share below which the test calls the version bad.
+    /// Null share of the test: the version counts as bad when its share of adequate answers lies
+    /// below.
     ///
-    /// A claim may be off by more than a share that was learnt, and answers after an
-    /// escalation are to harder requests than the claim speaks of.
-    fn null(&self, cfg: &Config) -> f64 {
-        if self.checked_at > 0.0 {
+    /// A claim may be further off than a learned reference, so its tolerance is larger; and
+    /// escalated requests are harder than those that the claim is about.
+    fn null_share(&self, cfg: &Config) -> f64 {
+        if self.reference_learned_at > 0.0 {
             return self.reference - cfg.tolerance;
         }
-        self.reference - cfg.claim_tolerance - self.harder_by(cfg)
+        self.reference - cfg.claim_tolerance - self.escalation_allowance(cfg)
     }
 
-    fn harder_by(&self, cfg: &Config) -> f64 {
+    fn escalation_allowance(&self, cfg: &Config) -> f64 {
         let escalated = self.name.as_ref().is_some_and(|name| name.escalated);
         if escalated { cfg.slack } else { 0.0 }
     }
 
-    /// The lowest share at which it may serve in a mixture.
-    fn floor(&self, cfg: &Config) -> f64 {
-        let asked = self.terms.reference().min(self.terms.target);
-        asked - cfg.slack - self.harder_by(cfg)
+    /// Lowest share of adequate answers at which the version may serve in a mixture.
+    fn minimum_share(&self, cfg: &Config) -> f64 {
+        let required = self.terms.reference().min(self.terms.target);
+        required - cfg.slack - self.escalation_allowance(cfg)
     }
 
-    /// Learns what to compare the version with, whenever its ratings have doubled.
+    /// Learns the reference from the ratings, each time their number has doubled.
     ///
-    /// Guards against suspending a cheap version that was never as good as its claim but
-    /// serves well in a mixture. A drop must not move the reference after it, or it would
-    /// hide itself: so the reference stands while the test is not calm.
-    fn adjust_reference(&mut self, cfg: &Config) {
-        let due = (2.0 * self.checked_at).min(self.checked_at + cfg.memory);
-        if self.seen < due.max(cfg.proof_ratings) || self.phase != Phase::Proved {
+    /// Guards against suspending a cheap version that never was as good as its claim but serves
+    /// well in a mixture. A drop in quality must not lower the reference, since it would then go
+    /// undetected, so the reference is not changed while the level of the test is raised.
+    fn update_reference(&mut self, cfg: &Config) {
+        let due = (2.0 * self.reference_learned_at).min(self.reference_learned_at + cfg.memory);
+        if self.ratings_seen < due.max(cfg.proof_ratings) || self.phase != Phase::Proved {
             return;
         }
-        if self.level() > CALM {
+        if self.level() > REFERENCE_MAX_LEVEL {
             return;
         }
-        self.checked_at = self.seen;
-        let (good, bad) = (self.faded.good(), self.faded.bad());
-        let learned = Estimate::new(0.5, 2.0, good, bad).below(LEARNED_BELOW);
-        let learned = learned.clamp(self.floor(cfg).max(LOWEST_REFERENCE), 1.0);
+        self.reference_learned_at = self.ratings_seen;
+        let (good, bad) = (self.decayed.good(), self.decayed.bad());
+        let learned = Estimate::new(0.5, 2.0, good, bad).below(REFERENCE_DEVIATIONS);
+        let learned = learned.clamp(self.minimum_share(cfg).max(MIN_REFERENCE), 1.0);
         self.reference = learned.min(self.terms.reference());
         self.thresholds = None;
     }
 
-    /// The phase that the evidence asks for.
+    /// The phase that follows from the evidence.
     pub(crate) fn next_phase(&self, cfg: &Config) -> Phase {
         let level = self.level();
         match self.phase {
             Phase::Suspended => Phase::Suspended,
             _ if level >= 1.0 => Phase::Suspended,
-            Phase::Unproved if self.proves(level, cfg) => Phase::Proved,
+            Phase::Unproved if self.meets_proof(level, cfg) => Phase::Proved,
             Phase::Proved if level >= cfg.suspect_at => Phase::Suspect,
             Phase::Suspect if level < cfg.suspect_at / 2.0 => Phase::Proved,
-            same => same,
+            unchanged => unchanged,
         }
     }
 
-    fn proves(&self, level: f64, cfg: &Config) -> bool {
-        let enough = self.faded.sum() >= cfg.proof_ratings;
-        enough && level < cfg.suspect_at && self.estimate(cfg).below(PROOF) >= self.floor(cfg)
+    fn meets_proof(&self, level: f64, cfg: &Config) -> bool {
+        let enough = self.decayed.sum() >= cfg.proof_ratings;
+        enough
+            && level < cfg.suspect_at
+            && self.estimate(cfg).below(PROOF_DEVIATIONS) >= self.minimum_share(cfg)
     }
 
-    pub(crate) fn enter(&mut self, phase: Phase, budget: Budget) {
+    pub(crate) fn enter_phase(&mut self, phase: Phase, budget: Budget) {
         self.phase = phase;
         self.budget = budget;
     }
 
-    /// Forgets all evidence: the version starts again as unproved.
-    pub(crate) fn start_again(&mut self, budget: Budget) {
-        self.faded = Faded::default();
+    /// Forgets all evidence and returns to the unproved phase.
+    pub(crate) fn reset(&mut self, budget: Budget) {
+        self.decayed = DecayedTotals::default();
         self.detector = Detector::default();
         self.reference = self.terms.reference();
-        self.checked_at = 0.0;
+        self.reference_learned_at = 0.0;
         self.thresholds = None;
-        self.enter(Phase::Unproved, budget);
+        self.enter_phase(Phase::Unproved, budget);
     }
 }
 
-/// One stream as the dump shows it.
+/// State of one stream as shown in a dump.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct StreamDump {
     /// The class of work.
     pub class: ClassName,
     /// The version.
     pub version: VersionId,
-    /// Whether it answers after an escalation.
+    /// Whether the stream covers answers after an escalation.
     pub escalated: bool,
-    /// How far it is trusted.
+    /// Trust in the version.
     pub phase: Phase,
     /// Estimated share of adequate answers.
     pub quality: f64,
     /// Standard deviation of the estimate.
     pub deviation: f64,
-    /// Ratings remembered.
+    /// Ratings behind the estimate, after decay.
     pub ratings: f64,
-    /// What it is compared with.
+    /// Reference share that the test compares it with.
     pub reference: f64,
-    /// How near the test is to its alarm, 1 being there.
+    /// Level of the test: 0 is far from the alarm, 1 raises it.
     pub level: f64,
     /// Share of its answers that this daemon has rated.
     pub sampling: f64,
-    /// Requests that this daemon gave it.
+    /// Requests that this daemon gave the version.
     pub served: u64,
 }
 
-/// State of the decisions for people.
+/// Snapshot of the quality state for operators.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Dump {
-    /// Each version in each class.
+    /// State of each version in each class.
     pub streams: Vec<StreamDump>,
-    /// Daemons whose counters are held.
+    /// Number of daemons whose counters are kept.
     pub origins: usize,
-    /// Fleet size by which budgets are shared.
+    /// Fleet size by which the budgets are divided.
     pub fleet: usize,
-    /// Choices ready.
+    /// Number of tables kept.
     pub tables: usize,
-    /// When the rater is next asked, if it is paused.
+    /// When the rater is asked again, if it is paused.
     pub rater_paused_until: Option<Time>,
 }
--- a/components/quality/src/suspension.rs
+++ b/components/quality/src/suspension.rs
@@ -1,9 +1,10 @@
-//! Suspensions as facts that only grow.
+//! Suspensions as counters that only grow.
 //!
-//! Each (class, version) has rounds: it is suspended while more rounds were begun than lifted.
-//! Both numbers merge by the larger, so order, repeats and loss do not matter. A
-//! suspension ends by an operator's word only. Each daemon that learns of one may be asked to
-//! hold it too, since the daemon that found it may be replaced within the minute.
+//! Each stream has two counters: how often it was suspended and up to which of these suspensions it
+//! was lifted. It is suspended while the first is larger. Both merge by taking the larger, so the
+//! order, repetition and loss of messages do not matter. A suspension ends only at an operator's
+//! request. Several daemons publish each suspension, since the one that detected it may be replaced
+//! within a minute.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,17 +13,17 @@
 
 use crate::stream::StreamId;
 
-/// Daemons that publish a suspension at least.
-const HOLDERS: usize = 3;
+/// Minimum number of daemons that publish each suspension.
+const MIN_PUBLISHERS: usize = 3;
 
-/// Rounds of one stream's suspension.
+/// Counters of one stream's suspensions.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub(crate) struct Rounds {
+pub(crate) struct SuspensionCounters {
     pub(crate) suspended: u32,
     pub(crate) lifted: u32,
 }
 
-impl Rounds {
+impl SuspensionCounters {
     pub(crate) fn is_active(self) -> bool {
         self.suspended > self.lifted
     }
@@ -35,87 +36,90 @@
     }
 }
 
-/// One stream's rounds, and who is known to publish them.
+/// Suspension state of one stream, and the daemons known to publish it.
 #[derive(Debug, Clone, Default)]
-struct Held {
-    rounds: Rounds,
-    published: Option<Rounds>,
-    holders: BTreeSet<DaemonId>,
+struct State {
+    counters: SuspensionCounters,
+    published: Option<SuspensionCounters>,
+    publishers: BTreeSet<DaemonId>,
 }
 
-/// All suspensions that are or were.
+/// All suspensions, past ones included.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Suspensions {
-    held: BTreeMap<StreamId, Held>,
+    by_stream: BTreeMap<StreamId, State>,
 }
 
 impl Suspensions {
     pub(crate) fn is_active(&self, id: StreamId) -> bool {
-        self.held
+        self.by_stream
             .get(&id)
-            .is_some_and(|held| held.rounds.is_active())
+            .is_some_and(|state| state.counters.is_active())
     }
 
-    /// Begins a round unless one is open; it is to be published at once.
+    /// Begins a suspension unless one is active; it is due for publication at once.
     pub(crate) fn begin(&mut self, id: StreamId) {
-        let held = self.held.entry(id).or_default();
-        if !held.rounds.is_active() {
-            held.rounds.suspended = held.rounds.lifted + 1;
-            held.holders.clear();
+        let state = self.by_stream.entry(id).or_default();
+        if !state.counters.is_active() {
+            state.counters.suspended = state.counters.lifted + 1;
+            state.publishers.clear();
         }
     }
 
-    /// Ends the open round; says whether there was one.
+    /// Ends the active suspension; returns whether there was one.
     pub(crate) fn lift(&mut self, id: StreamId) -> bool {
-        let Some(held) = self.held.get_mut(&id) else {
+        let Some(state) = self.by_stream.get_mut(&id) else {
             return false;
         };
-        let open = held.rounds.is_active();
-        if open {
-            held.rounds.lifted = held.rounds.suspended;
-            held.holders.clear();
+        let was_active = state.counters.is_active();
+        if was_active {
+            state.counters.lifted = state.counters.suspended;
+            state.publishers.clear();
         }
-        open
+        was_active
     }
 
-    /// Takes a peer's rounds.
-    pub(crate) fn merge(&mut self, origin: &DaemonId, id: StreamId, rounds: Rounds) {
-        let held = self.held.entry(id).or_default();
-        let merged = held.rounds.merged(rounds);
-        if merged != held.rounds {
-            held.rounds = merged;
-            held.holders.clear();
+    /// Merges a peer's counters.
+    pub(crate) fn merge(&mut self, origin: &DaemonId, id: StreamId, counters: SuspensionCounters) {
+        let state = self.by_stream.entry(id).or_default();
+        let merged = state.counters.merged(counters);
+        if merged != state.counters {
+            state.counters = merged;
+            state.publishers.clear();
         }
-        if rounds == held.rounds && held.holders.len() < HOLDERS {
-            held.holders.insert(origin.clone());
+        if counters == state.counters && state.publishers.len() < MIN_PUBLISHERS {
+            state.publishers.insert(origin.clone());
         }
     }
 
-    /// A daemon is gone: what it published is too.
+    /// Forgets that a daemon publishes suspensions, after it is gone.
     pub(crate) fn forget(&mut self, origin: &DaemonId) {
-        for held in self.held.values_mut() {
-            held.holders.remove(origin);
+        for state in self.by_stream.values_mut() {
+            state.publishers.remove(origin);
         }
     }
 
-    /// Rounds that this daemon should publish now.
+    /// Returns the counters that this daemon should publish now.
     ///
-    /// Guards against losing a suspension with its finder: while fewer than [`HOLDERS`] others
-    /// publish it, each daemon joins with a chance that lets about that many join a tick.
+    /// Guards against losing a suspension together with the daemon that detected it: while fewer
+    /// than [`MIN_PUBLISHERS`] others publish it, each daemon joins with a probability at which
+    /// about that many join per tick.
     pub(crate) fn take_unpublished(
         &mut self,
         fleet: usize,
         rng: &mut impl Rng,
-    ) -> Vec<(StreamId, Rounds)> {
-        let chance = HOLDERS as f64 / fleet.max(1) as f64;
+    ) -> Vec<(StreamId, SuspensionCounters)> {
+        let probability = MIN_PUBLISHERS as f64 / fleet.max(1) as f64;
         let mut due = Vec::new();
-        for (id, held) in &mut self.held {
-            let stale = held.published != Some(held.rounds);
-            let lonely = held.holders.len() < HOLDERS;
-            let first = held.published.is_some() || held.holders.is_empty();
-            if stale && (first || (lonely && rng.random_bool(chance.min(1.0)))) {
-                held.published = Some(held.rounds);
-                due.push((*id, held.rounds));
+        for (id, state) in &mut self.by_stream {
+            let unpublished = state.published != Some(state.counters);
+            let too_few_publishers = state.publishers.len() < MIN_PUBLISHERS;
+            let unconditional = state.published.is_some() || state.publishers.is_empty();
+            if unpublished
+                && (unconditional || (too_few_publishers && rng.random_bool(probability.min(1.0))))
+            {
+                state.published = Some(state.counters);
+                due.push((*id, state.counters));
             }
         }
         due
--- a/components/quality/tests/evidence.rs
+++ b/components/quality/tests/evidence.rs
@@ -3,8 +3,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config as RunnerConfig, RngSeed};
 use quality::{
-    Alternative, Candidate, Cell, CellError, ChoiceInput, Config, OfferTerms, Phase, Quality,
-    Rating, cheapest_mixture, mean_run_length,
+    Alternative, Candidate, ChoiceInput, Config, EncodedFact, FactError, OfferTerms, Phase,
+    Quality, Rating, cheapest_mixture, mean_run_length,
 };
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -66,27 +66,27 @@
     }
 }
 
-fn started(number: u64) -> Quality {
+fn new_quality(number: u64) -> Quality {
     Quality::new(Config::default(), Incarnation(number), Time::ZERO)
 }
 
-/// Ratings of one daemon and the facts it published, one after each.
-fn publications(ratings: &[bool]) -> Vec<Cell> {
+/// Facts that one daemon publishes, one after each of its ratings.
+fn published_facts(ratings: &[bool]) -> Vec<EncodedFact> {
     let mut rng = StdRng::seed_from_u64(1);
-    let mut quality = started(1);
-    let mut cells = Vec::new();
+    let mut quality = new_quality(1);
+    let mut facts = Vec::new();
     for (n, adequate) in ratings.iter().enumerate() {
         let now = Time::ZERO + Span::from_secs(n as u64);
         let rating = Rating::direct(*adequate);
         quality
             .record_rating(now, &class(), &version("small@1"), rating, &mut rng)
             .expect("room");
-        cells.extend(quality.own_cells_changed(now, &mut rng));
+        facts.extend(quality.own_cells_changed(now, &mut rng));
     }
-    cells
+    facts
 }
 
-/// Makes a version known to a daemon that only peers told of it.
+/// Makes versions known by name to a daemon, which otherwise has only peers' facts on them.
 fn describe(quality: &mut Quality, candidates: &[Candidate]) {
     let offer = offer();
     let mut rng = StdRng::seed_from_u64(2);
@@ -96,9 +96,9 @@
 proptest! {
     #![proptest_config(runner())]
 
-    // A daemon's counts double or vanish, and versions look better or worse than they are:
-    // gossip delivers facts late, twice, in any order, or never, and only the last one of each
-    // daemon is sure to arrive.
+    // Guards against counters that are doubled or lost, so that versions look better or worse than
+    // they are: gossip delivers facts late, twice, in any order or not at all, and only the last
+    // fact of each daemon is sure to arrive.
     #[test]
     fn can_merge_in_any_order_with_loss(
         daemons in prop::collection::vec(prop::collection::vec(any::<bool>(), 1..20), 1..5),
@@ -107,22 +107,22 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let mut deliveries = Vec::new();
         for (n, ratings) in daemons.iter().enumerate() {
-            let cells = publications(ratings);
-            let last = cells.last().cloned().expect("a fact");
-            let kept = cells.into_iter().filter(|_| rng.random_bool(0.7));
-            deliveries.extend(kept.flat_map(|cell| [(n, cell.clone()), (n, cell)]));
+            let facts = published_facts(ratings);
+            let last = facts.last().cloned().expect("a fact");
+            let kept = facts.into_iter().filter(|_| rng.random_bool(0.7));
+            deliveries.extend(kept.flat_map(|fact| [(n, fact.clone()), (n, fact)]));
             deliveries.push((n, last));
         }
         for n in (1..deliveries.len()).rev() {
             deliveries.swap(n, rng.random_range(0..=n));
         }
-        let mut quality = started(9);
+        let mut quality = new_quality(9);
         let candidates = [candidate("small@1", 1, 0.9)];
         describe(&mut quality, &candidates);
-        let settled = Time::ZERO + Span::from_secs(600);
-        for (n, cell) in &deliveries {
+        let late = Time::ZERO + Span::from_secs(600);
+        for (n, fact) in &deliveries {
             quality
-                .merge(settled, &daemon(*n), &cell.key, &cell.value, &mut rng)
+                .merge(late, &daemon(*n), &fact.key, &fact.value, &mut rng)
                 .expect("a fact");
         }
         let standing = quality.standing(&class(), &version("small@1")).expect("known");
@@ -130,16 +130,19 @@
         prop_assert!((standing.ratings - expected as f64).abs() < 1e-9);
     }
 
+    // Guards against a panic of the daemon on a fact from a faulty peer or another release.
     #[test]
     fn errors_on_any_bytes_without_panic(
         key in prop::collection::vec(any::<u8>(), 0..80),
         value in prop::collection::vec(any::<u8>(), 0..300),
     ) {
         let mut rng = StdRng::seed_from_u64(3);
-        let mut quality = started(1);
+        let mut quality = new_quality(1);
         let _ = quality.merge(Time::ZERO, &daemon(1), &key, &value, &mut rng);
     }
 
+    // Guards against a mixture that is dearer than needed or misses the target: compares with a
+    // search over all pairs.
     #[test]
     fn can_find_the_cheapest_mixture(
         points in prop::collection::vec((1.0f64..100.0, 0.3f64..1.0), 1..8),
@@ -159,7 +162,7 @@
     }
 }
 
-/// Least cost over every pair that meets the target exactly, or every one that exceeds it.
+/// Lowest cost over all pairs that meet the target exactly and all alternatives that meet it alone.
 fn naive_cost(all: &[Alternative], target: f64) -> Option<f64> {
     let enough = all.iter().filter(|one| one.quality >= target);
     let mut best = enough.map(|one| one.cost).reduce(f64::min)?;
@@ -172,19 +175,21 @@
     Some(best)
 }
 
+// Guards against storing facts that another release or a faulty peer encoded differently.
 #[test]
-fn errors_on_facts_too_long_or_foreign() {
+fn errors_on_oversized_or_unknown_facts() {
     let mut rng = StdRng::seed_from_u64(3);
-    let mut quality = started(1);
+    let mut quality = new_quality(1);
     let mut merge =
         |key: &[u8], value: &[u8]| quality.merge(Time::ZERO, &daemon(1), key, value, &mut rng);
-    assert_eq!(merge(&[b'q'; 65], &[1]), Err(CellError::TooLong(65)));
-    assert_eq!(merge(b"x12345678", &[1]), Err(CellError::UnknownKey));
-    assert_eq!(merge(b"q12345678", &[1, 2]), Err(CellError::Malformed));
+    assert_eq!(merge(&[b'q'; 65], &[1]), Err(FactError::TooLong(65)));
+    assert_eq!(merge(b"x12345678", &[1]), Err(FactError::UnknownKey));
+    assert_eq!(merge(b"q12345678", &[1, 2]), Err(FactError::Malformed));
 }
 
+// Guards against a wrong rate of false alarms: compares the computed run length with a simulation.
 #[test]
-fn can_state_the_mean_run_length() {
+fn can_compute_the_mean_run_length() {
     let (null, alternative, threshold) = (0.9f64, 0.6f64, 3.0);
     let mut rng = StdRng::seed_from_u64(5);
     let good = (alternative / null).ln();
@@ -199,10 +204,10 @@
         }
     }
     let simulated = ratings as f64 / f64::from(runs);
-    let stated = mean_run_length(null, null, alternative, threshold);
+    let computed = mean_run_length(null, null, alternative, threshold);
     assert!(
-        (stated / simulated - 1.0).abs() < 0.08,
-        "{stated} {simulated}"
+        (computed / simulated - 1.0).abs() < 0.08,
+        "{computed} {simulated}"
     );
 }
 
@@ -220,13 +225,13 @@
     count
 }
 
-// Customers get wrong answers for hours: a version was fine for thousands of requests, then a
-// bad weight file is loaded and four answers in ten are wrong.
+// Guards against hours of wrong answers: a version was good for thousands of requests, then a bad
+// weight file is loaded and four answers in ten are wrong.
 #[test]
 fn can_suspend_a_version_that_turned_bad() {
     for seed in 0..20 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let mut quality = started(1);
+        let mut quality = new_quality(1);
         describe(&mut quality, &[candidate("small@1", 1, 0.95)]);
         assert_eq!(rate_many(&mut quality, 0, 10_000, 0.95, &mut rng), 10_000);
         let needed = rate_many(&mut quality, 10_000, 1000, 0.6, &mut rng);
@@ -234,12 +239,12 @@
     }
 }
 
-// A cheap version that was never as good as claimed is thrown out although it serves well in a
-// mixture: the test compared it with the claim for ever.
+// Guards against suspending a cheap version that serves well in a mixture but never was as good as
+// its claim. It happens if the test keeps comparing the version with its claim.
 #[test]
 fn can_learn_that_a_claim_was_too_high() {
     let mut rng = StdRng::seed_from_u64(7);
-    let mut quality = started(1);
+    let mut quality = new_quality(1);
     describe(&mut quality, &[candidate("small@1", 1, 0.95)]);
     assert_eq!(rate_many(&mut quality, 0, 20_000, 0.85, &mut rng), 20_000);
     let standing = quality
@@ -249,78 +254,79 @@
     assert!((standing.quality - 0.85).abs() < 0.02);
 }
 
-// A suspended version serves again after a host is replaced: the daemon that found it was gone
-// with its facts before a new daemon started, and no other published the suspension.
+// Guards against a suspended version serving again after a host is replaced. It happens if the
+// daemon that detected the fault is gone with its facts before a new daemon starts, and no other
+// daemon published the suspension.
 #[test]
 fn can_keep_a_suspension_whose_finder_is_gone() {
     let mut rng = StdRng::seed_from_u64(8);
     let candidates = [candidate("small@1", 1, 0.95)];
-    let (mut finder, mut witness) = (started(1), started(2));
-    describe(&mut finder, &candidates);
-    describe(&mut witness, &candidates);
-    finder
+    let (mut detecting, mut peer) = (new_quality(1), new_quality(2));
+    describe(&mut detecting, &candidates);
+    describe(&mut peer, &candidates);
+    detecting
         .suspend(Time::ZERO, &class(), &version("small@1"), &mut rng)
         .expect("room");
-    for cell in finder.own_cells_changed(Time::ZERO, &mut rng) {
-        witness
-            .merge(Time::ZERO, &daemon(1), &cell.key, &cell.value, &mut rng)
+    for fact in detecting.own_cells_changed(Time::ZERO, &mut rng) {
+        peer.merge(Time::ZERO, &daemon(1), &fact.key, &fact.value, &mut rng)
             .expect("a fact");
     }
-    witness.forget(Time::ZERO, &daemon(1));
-    let mut newcomer = started(3);
-    describe(&mut newcomer, &candidates);
-    for cell in witness.own_cells_changed(Time::ZERO, &mut rng) {
-        newcomer
-            .merge(Time::ZERO, &daemon(2), &cell.key, &cell.value, &mut rng)
+    peer.forget(Time::ZERO, &daemon(1));
+    let mut joining = new_quality(3);
+    describe(&mut joining, &candidates);
+    for fact in peer.own_cells_changed(Time::ZERO, &mut rng) {
+        joining
+            .merge(Time::ZERO, &daemon(2), &fact.key, &fact.value, &mut rng)
             .expect("a fact");
     }
-    assert!(newcomer.suspended(&version("small@1")));
-    let lifted = newcomer.lift(Time::ZERO, &version("small@1"), &[class()], &mut rng);
+    assert!(joining.suspended(&version("small@1")));
+    let lifted = joining.lift(Time::ZERO, &version("small@1"), &[class()], &mut rng);
     assert_eq!(lifted, 1);
-    assert!(!newcomer.suspended(&version("small@1")));
+    assert!(!joining.suspended(&version("small@1")));
 }
 
-// An operator offers a version again, and a late fact of the old suspension takes it out once more.
+// Guards against a late fact on an old suspension suspending a version again after an operator
+// lifted the suspension.
 #[test]
 fn can_outrank_an_old_suspension_by_an_operators_word() {
     let mut rng = StdRng::seed_from_u64(9);
     let candidates = [candidate("small@1", 1, 0.95)];
-    let (mut finder, mut other) = (started(1), started(2));
-    describe(&mut finder, &candidates);
+    let (mut detecting, mut other) = (new_quality(1), new_quality(2));
+    describe(&mut detecting, &candidates);
     describe(&mut other, &candidates);
-    finder
+    detecting
         .suspend(Time::ZERO, &class(), &version("small@1"), &mut rng)
         .expect("room");
-    let old = finder.own_cells_changed(Time::ZERO, &mut rng);
-    let tell = |other: &mut Quality, rng: &mut StdRng| {
-        for cell in &old {
+    let old = detecting.own_cells_changed(Time::ZERO, &mut rng);
+    let deliver = |other: &mut Quality, rng: &mut StdRng| {
+        for fact in &old {
             other
-                .merge(Time::ZERO, &daemon(1), &cell.key, &cell.value, rng)
+                .merge(Time::ZERO, &daemon(1), &fact.key, &fact.value, rng)
                 .expect("a fact");
         }
     };
-    tell(&mut other, &mut rng);
+    deliver(&mut other, &mut rng);
     assert!(other.suspended(&version("small@1")));
     other.lift(Time::ZERO, &version("small@1"), &[class()], &mut rng);
-    tell(&mut other, &mut rng);
+    deliver(&mut other, &mut rng);
     assert!(!other.suspended(&version("small@1")));
 }
 
-// A new daemon sends everything to the strongest version: all that the fleet had learnt was
-// learnt by daemons that have been replaced since.
+// Guards against a new daemon that sends every request to the strongest version, since all evidence
+// of the fleet came from daemons that have been replaced since.
 #[test]
 fn can_take_over_what_departed_daemons_learnt() {
     let mut rng = StdRng::seed_from_u64(10);
     let candidates = [candidate("small@1", 1, 0.95)];
-    let mut old = started(1);
+    let mut old = new_quality(1);
     describe(&mut old, &candidates);
     rate_many(&mut old, 0, 500, 0.95, &mut rng);
     let mut middle = Quality::new(Config::default(), Incarnation(2), Time::ZERO);
     describe(&mut middle, &candidates);
     let late = Time::ZERO + Span::from_secs(100);
-    for cell in old.own_cells_changed(late, &mut rng) {
+    for fact in old.own_cells_changed(late, &mut rng) {
         middle
-            .merge(Time::ZERO, &daemon(1), &cell.key, &cell.value, &mut rng)
+            .merge(Time::ZERO, &daemon(1), &fact.key, &fact.value, &mut rng)
             .expect("a fact");
     }
     let last = late + Span::from_secs(100);
@@ -328,14 +334,14 @@
     middle
         .record_rating(last, &class(), &version("small@1"), rating, &mut rng)
         .expect("room");
-    let mut newcomer = Quality::new(Config::default(), Incarnation(3), Time::ZERO);
-    describe(&mut newcomer, &candidates);
-    for cell in middle.own_cells_changed(last, &mut rng) {
-        newcomer
-            .merge(Time::ZERO, &daemon(2), &cell.key, &cell.value, &mut rng)
+    let mut joining = Quality::new(Config::default(), Incarnation(3), Time::ZERO);
+    describe(&mut joining, &candidates);
+    for fact in middle.own_cells_changed(last, &mut rng) {
+        joining
+            .merge(Time::ZERO, &daemon(2), &fact.key, &fact.value, &mut rng)
             .expect("a fact");
     }
-    let standing = newcomer
+    let standing = joining
         .standing(&class(), &version("small@1"))
         .expect("known");
     assert_eq!(standing.ratings, 501.0);
