--- a/components/quality/tests/choice.rs
+++ b/components/quality/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Choice: permissions, sessions, deadlines, budgets and mixtures.
+//! Choice of version: permissions, sessions, deadlines, budgets and mixtures.
 
 use std::collections::BTreeSet;
 
@@ -101,8 +101,8 @@
 proptest! {
     #![proptest_config(runner())]
 
-    // A customer is answered by a version that its contract excludes: an escalation, an
-    // exploration or a re-pin went to the offer's other versions.
+    // Guards against serving a customer from a version that its contract excludes. It happens if an
+    // escalation, an exploration or a re-pin goes to the offer's other versions.
     #[test]
     fn can_only_choose_what_is_permitted(
         seed in any::<u64>(),
@@ -120,27 +120,29 @@
         for (n, count, share) in ratings {
             fixture.rate(names[n], count, share);
         }
-        let some: Vec<Candidate> = permitted
+        let offered: Vec<Candidate> = permitted
             .iter()
             .map(|n| Candidate { takes_new: !draining.contains(n), ..all[*n].clone() })
             .collect();
-        let allowed: BTreeSet<VersionId> = some.iter().map(|one| one.version.clone()).collect();
+        let allowed: BTreeSet<VersionId> = offered.iter().map(|one| one.version.clone()).collect();
         let pin = pin.map(|n| version(names[n]));
         for _ in 0..50 {
-            let Some(plan) = fixture.choose(&some, pin.as_ref()) else { continue };
+            let Some(plan) = fixture.choose(&offered, pin.as_ref()) else { continue };
             prop_assert!(allowed.contains(&plan.first));
             prop_assert!(plan.escalation.iter().all(|step| allowed.contains(&step.to)));
             let standing = fixture.quality.standing(&fixture.offer.class, &plan.first);
             prop_assert!(standing.is_some_and(|s| s.phase != quality::Phase::Suspended));
             let pinned = pin.as_ref() == Some(&plan.first);
-            let new = some.iter().any(|one| one.version == plan.first && one.takes_new);
+            let new = offered.iter().any(|one| one.version == plan.first && one.takes_new);
             prop_assert!(pinned || new);
         }
     }
 }
 
+// Guards against paying for the strong version on every request when a part of them suffices to
+// meet the target on average.
 #[test]
-fn can_mix_to_the_target() {
+fn can_mix_versions_to_meet_the_target() {
     let mut fixture = Fixture::new(1);
     let both = [
         candidate("small@1", 10, 0.85),
@@ -153,6 +155,8 @@
     assert!((0.22..0.33).contains(&small), "{small}");
 }
 
+// Guards against a session that changes its version between requests, or that stays on a suspended
+// one.
 #[test]
 fn can_keep_a_session_on_its_version_until_it_is_suspended() {
     let mut fixture = Fixture::new(2);
@@ -172,6 +176,7 @@
     assert_eq!((plan.first, plan.repinned), (version("small@1"), true));
 }
 
+// Guards against missing a deadline by choosing the better but slower version.
 #[test]
 fn can_meet_a_deadline_with_the_faster_version() {
     let mut fixture = Fixture::new(3);
@@ -179,22 +184,23 @@
         candidate("small@1", 10, 0.5),
         candidate("large@1", 1000, 0.99),
     ];
-    let mut hurried = input(&fixture.offer, &both);
-    hurried.time_left = Span::from_millis(100);
+    let mut urgent = input(&fixture.offer, &both);
+    urgent.time_left = Span::from_millis(100);
     for _ in 0..100 {
         let plan = fixture
             .quality
-            .choose(Time::ZERO, &hurried, &mut fixture.rng);
+            .choose(Time::ZERO, &urgent, &mut fixture.rng);
         assert_eq!(plan.expect("a plan").first, version("small@1"));
     }
 }
 
-// A canary's bad answers reach hundreds of customers: the rater is down, or this daemon is cut off
-// from the others, so nothing is learnt, and each daemon went on with its share of traffic. The
-// cut-off daemon sees a fleet of one, yet may spend no more than its part of the whole.
+// Guards against a canary's bad answers reaching hundreds of customers. It happens when the rater
+// is down, or a daemon is cut off from the others, so that nothing is learnt while every daemon
+// keeps giving the canary its share of traffic. The cut-off daemon sees a fleet of one, yet may
+// spend no more than its share of the whole fleet's budget.
 #[test]
 fn can_bound_an_unproved_version_when_cut_off() {
-    let mut spent = 0;
+    let mut served = 0;
     let fleet = 8;
     for seed in 0..fleet {
         let mut fixture = Fixture::new(seed);
@@ -210,8 +216,8 @@
             .quality
             .tick(fixture.now, fleet as usize, &mut fixture.rng);
         fixture.quality.tick(fixture.now, 1, &mut fixture.rng);
-        spent += fixture.served(&both, 1000, "large@2");
+        served += fixture.served(&both, 1000, "large@2");
     }
     let base = Config::default().unproved_base as usize;
-    assert!(spent <= base + fleet as usize, "{spent}");
+    assert!(served <= base + fleet as usize, "{served}");
 }
