--- a/components/routing/src/configure.rs
+++ b/components/routing/src/configure.rs
@@ -5,7 +5,7 @@
 use types::prelude::*;
 
 use crate::demand::{Target, TargetIndex, UpstreamIndex};
-use crate::lists::{Candidates, Distance, Ranks};
+use crate::pool::{Candidates, Distance, Ranks};
 use crate::router::{Domain, Entry, Router};
 use crate::upstream::{Place, Upstream, UpstreamSpec};
 
--- a/components/routing/src/homes.rs
+++ b/components/routing/src/homes.rs
@@ -13,7 +13,7 @@
 
 use crate::affinity::key_of;
 use crate::demand::{Demand, UpstreamIndex};
-use crate::lists::HashOrder;
+use crate::pool::HashOrder;
 use crate::router::Router;
 
 /// Trust that what is cached is found at the first home, and at the second, which is used
--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -17,13 +17,13 @@
 
 mod affinity;
 mod configure;
+mod feedback;
 mod homes;
-mod learn;
-mod lists;
 mod pick;
 mod polls;
+mod pool;
+mod preemption;
 mod router;
-mod yielding;
 
 pub use demand::{
     Demand, LoadReport, NoUpstream, Outcome, PrefixHash, Target, TargetIndex, UpstreamIndex,
--- a/components/routing/src/pick.rs
+++ b/components/routing/src/pick.rs
@@ -5,7 +5,7 @@
 
 use crate::demand::{Demand, NoUpstream, UpstreamIndex};
 use crate::homes::{HOME_TRUST, Homes};
-use crate::lists::{Candidates, DISTANCES, Distance, HashOrder};
+use crate::pool::{Candidates, DISTANCES, Distance, HashOrder};
 use crate::router::{Entry, Router};
 
 /// Load at which the next distance is looked at too.
--- a/components/routing/src/router.rs
+++ b/components/routing/src/router.rs
@@ -7,8 +7,8 @@
 use crate::affinity::PrefixTable;
 use crate::demand::{Target, TargetIndex, UpstreamIndex};
 use crate::homes::Popularity;
-use crate::lists::{Candidates, Ranks};
 use crate::pick::Tuning;
+use crate::pool::{Candidates, Ranks};
 use crate::upstream::{Place, Upstream};
 
 /// Distinct upstreams in a row that must fail before their failure domain is suspected.
