--- a/components/quality/src/config.rs
+++ b/components/quality/src/config.rs
@@ -13,7 +13,8 @@
     pub false_alarm_requests: f64,
     /// How far below its reference a version's share of adequate answers must lie to count as bad.
     pub tolerance: f64,
-    /// The same while the reference is still the catalogue's claim.
+    /// How far below its reference the share must lie while the reference is still the catalogue's
+    /// claim.
     pub claim_tolerance: f64,
     /// How far below the target a version's quality may lie for it to serve in a mixture.
     pub slack: f64,
--- a/components/quality/src/quality.rs
+++ b/components/quality/src/quality.rs
@@ -108,6 +108,9 @@
     }
 
     /// Adds a rating of one of this daemon's answers.
+    ///
+    /// # Errors
+    /// When the maximum number of streams is reached.
     pub fn record_rating(
         &mut self,
         now: Time,
@@ -170,6 +173,9 @@
     }
 
     /// Suspends a version in a class at an operator's request.
+    ///
+    /// # Errors
+    /// When the maximum number of streams is reached.
     pub fn suspend(
         &mut self,
         now: Time,
--- a/components/quality/tests/choice.rs
+++ b/components/quality/tests/choice.rs
@@ -200,7 +200,7 @@
 // spend no more than its share of the whole fleet's budget.
 #[test]
 fn can_bound_an_unproved_version_when_cut_off() {
-    let mut served = 0;
+    let mut spent = 0;
     let fleet = 8;
     for seed in 0..fleet {
         let mut fixture = Fixture::new(seed);
@@ -216,8 +216,8 @@
             .quality
             .tick(fixture.now, fleet as usize, &mut fixture.rng);
         fixture.quality.tick(fixture.now, 1, &mut fixture.rng);
-        served += fixture.served(&both, 1000, "large@2");
+        spent += fixture.served(&both, 1000, "large@2");
     }
     let base = Config::default().unproved_base as usize;
-    assert!(served <= base + fleet as usize, "{served}");
+    assert!(spent <= base + fleet as usize, "{spent}");
 }
--- a/components/quality/tests/evidence.rs
+++ b/components/quality/tests/evidence.rs
@@ -204,10 +204,10 @@
         }
     }
     let simulated = ratings as f64 / f64::from(runs);
-    let computed = mean_run_length(null, null, alternative, threshold);
+    let stated = mean_run_length(null, null, alternative, threshold);
     assert!(
-        (computed / simulated - 1.0).abs() < 0.08,
-        "{computed} {simulated}"
+        (stated / simulated - 1.0).abs() < 0.08,
+        "{stated} {simulated}"
     );
 }
 
