--- a/components/routing/tests/choice.rs
+++ b/components/routing/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Choices of upstream: load, affinity, distance, ejection, leaving.
+//! Choice of upstream: load, affinity, distance, ejection, leaving.
 
 use std::collections::BTreeMap;
 
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Picks at a standstill: how often each was chosen of `count`.
+    /// Picks `count` times and cancels each request at once; returns how often each upstream was
+    /// chosen.
     fn chosen(&mut self, count: usize) -> BTreeMap<UpstreamIndex, usize> {
         let mut chosen = BTreeMap::new();
         for _ in 0..count {
@@ -90,7 +91,7 @@
         chosen
     }
 
-    fn wait(&mut self, secs: u64) {
+    fn advance(&mut self, secs: u64) {
         self.now = self.now + Span::from_secs(secs);
     }
 }
@@ -115,8 +116,9 @@
 const W0: UpstreamIndex = UpstreamIndex(0);
 const W1: UpstreamIndex = UpstreamIndex(1);
 
+// Guards against sending everything to one upstream while no upstream has reported its load.
 #[test]
-fn can_spread_by_own_work_without_any_report() {
+fn can_spread_load_without_reports() {
     let mut f = Fixture::new(&["a"; 8]);
     let mut most = 0;
     for _ in 0..32 {
@@ -126,8 +128,9 @@
     assert!(most <= 8, "one of 8 got {most} of 32");
 }
 
+// Guards against load reports being ignored in the choice.
 #[test]
-fn can_prefer_what_reports_say_is_idle() {
+fn can_prefer_an_upstream_reported_idle() {
     let mut f = Fixture::new(&["a", "a"]);
     f.router.report(f.now, W0, &report(7));
     f.router.report(f.now, W1, &report(0));
@@ -136,17 +139,17 @@
 }
 
 #[test]
-fn can_forget_a_report_as_it_ages() {
-    // A daemon that has not heard from an upstream for a minute still holds its last report,
-    // "idle". All daemons with such a report would send everything there. The report's
-    // weight fades toward the pool's mean, so that the stale one draws no more than others.
+fn can_discount_a_report_as_it_ages() {
+    // Guards against a stale "idle" report: all daemons that hold one would send everything to that
+    // upstream. The report's weight decays towards the pool's mean, so that a stale one attracts no
+    // more requests than others.
     let mut f = Fixture::new(&["a"; 4]);
     let polled = |f: &Fixture, running| LoadReport {
         loaded: Some(vec![f.target]),
         ..report(running)
     };
     f.router.report(f.now, W0, &polled(&f, 0));
-    f.wait(60);
+    f.advance(60);
     for _ in 0..200 {
         for (other, running) in [(1, 2), (2, 6), (3, 6)] {
             f.router
@@ -158,8 +161,9 @@
     assert!(chosen[&W1] > stale, "{chosen:?}");
 }
 
+// Guards against a needless re-prefill, and against a popular prefix overloading its one home.
 #[test]
-fn can_return_to_the_upstream_of_a_prefix_until_it_is_busy() {
+fn can_keep_cache_affinity_until_the_upstream_is_busy() {
     let mut f = Fixture::new(&["a"; 8]);
     let prefix = [PrefixHash(1), PrefixHash(2)];
     let home = f.pick(&prefix);
@@ -173,8 +177,9 @@
     assert!(at_home <= SLOTS as usize + 1, "{at_home} of 40 at one home");
 }
 
+// Guards against a session losing its cache when its next request comes through another daemon.
 #[test]
-fn can_agree_on_homes_between_daemons() {
+fn can_agree_on_home_upstreams_between_daemons() {
     let domains = ["a"; 16];
     let mut first = Fixture::new(&domains);
     let mut second = Fixture::new(&domains);
@@ -199,8 +204,9 @@
     assert!(agreed > 90, "{agreed} of 100");
 }
 
+// Guards against crossing regions without need, and against queueing while others are idle.
 #[test]
-fn can_stay_near_and_spill_when_near_is_full() {
+fn can_prefer_near_upstreams_until_they_are_full() {
     let mut f = Fixture::new(&["a", "a", "away", "away"]);
     let chosen: Vec<_> = (0..24).map(|_| f.pick(&[])).collect();
     assert!(chosen[..12].iter().all(|index| index.0 < 2), "{chosen:?}");
@@ -209,8 +215,9 @@
 
 #[test]
 fn can_give_nothing_to_a_leaving_upstream() {
-    // The host list lags, so an upstream that is going down says so first by refusing work or
-    // by closing connections. Whatever the sign, a request sent after it could be cut.
+    // Guards against cutting requests: the host list lags, so an upstream that is going down says
+    // so first by refusing work or by closing connections. A request sent after any such sign could
+    // be cut.
     use LeavingSign::*;
     for sign in [HostList, Refusal, ClosedConnection] {
         let mut f = Fixture::new(&["a"; 3]);
@@ -219,44 +226,47 @@
     }
 }
 
+// Guards against a lagging host list cancelling what the upstream itself announced.
 #[test]
 fn can_keep_own_signs_of_leaving_against_a_lagging_list() {
     let mut f = Fixture::new(&["a"; 3]);
     f.router.leaving(f.now, W0, LeavingSign::Refusal);
     f.router.listed_live(W0);
     assert!(!f.chosen(100).contains_key(&W0));
-    f.wait(31);
+    f.advance(31);
     assert!(f.chosen(100).contains_key(&W0));
 }
 
+// Guards against full load on an upstream right after its ejection, when it may still be failing.
 #[test]
-fn can_eject_a_failing_upstream_and_let_it_back_gradually() {
+fn can_eject_a_failing_upstream_and_readmit_it_gradually() {
     let mut f = Fixture::new(&["a"; 4]);
     f.fail_next(W0, 3);
     assert!(!f.chosen(200).contains_key(&W0));
-    f.wait(7);
+    f.advance(7);
     let early = f.chosen(400).get(&W0).copied().unwrap_or(0);
-    f.wait(20);
+    f.advance(20);
     let late = f.chosen(400)[&W0];
     assert!(early < 30 && late > 60, "early {early}, late {late}");
 }
 
 #[test]
 fn can_eject_again_after_one_failure_on_return() {
-    // A broken upstream comes back after its ejection. Without a memory of the ejection it
-    // would fail three callers at each return.
+    // Guards against a broken upstream that fails three callers each time its ejection ends, which
+    // happens if the ejection is not remembered.
     let mut f = Fixture::new(&["a"; 4]);
     f.fail_next(W0, 3);
-    f.wait(7);
+    f.advance(7);
     f.chosen(1);
     f.fail_next(W0, 1);
     assert!(f.router.upstream(W0).unwrap().health().is_ejected());
 }
 
 #[test]
-fn can_keep_half_of_a_pool_whatever_fails() {
-    // The daemon's own network fails for a moment: every upstream looks broken at once. If all
-    // were ejected, the daemon would refuse everything for seconds after its network is back.
+fn can_eject_at_most_half_of_a_pool() {
+    // Guards against ejecting every upstream when the daemon's own network fails for a moment and
+    // all of them look broken at once: the daemon would then refuse all requests for seconds after
+    // its network is back.
     let mut f = Fixture::new(&["a"; 6]);
     for number in 0..6 {
         f.fail_next(UpstreamIndex(number), 5);
@@ -265,6 +275,7 @@
     f.pick(&[]);
 }
 
+// Guards against keeping an upstream that answers without errors but far slower than its pool.
 #[test]
 fn can_eject_a_slow_upstream() {
     let mut f = Fixture::new(&["a"; 5]);
@@ -281,9 +292,9 @@
 }
 
 #[test]
-fn can_turn_from_a_lost_failure_domain() {
-    // A failure domain goes dark. Each of its upstreams would have to fail several callers
-    // before its own ejection; after four of them failed, the rest are avoided unasked.
+fn can_avoid_an_unreachable_failure_domain() {
+    // Guards against each upstream of an unreachable failure domain having to fail several callers
+    // before its own ejection: after four of them failed, the rest are avoided without an attempt.
     let mut f = Fixture::new(&["b", "b", "b", "b", "b", "b", "c", "c", "c", "c", "c", "c"]);
     for number in 0..4 {
         let index = UpstreamIndex(number);
@@ -300,8 +311,9 @@
 
 #[test]
 fn can_retry_in_another_failure_domain() {
-    // A failure domain has just gone dark and this daemon has not noticed. A request that
-    // could not reach its upstream is sent to the next one there, and the next, and is lost.
+    // Guards against a request being lost when a failure domain became unreachable a moment ago:
+    // after the first attempt there fails, it would be sent to the next upstream there, and the
+    // next.
     let domains = ["b", "b", "b", "b", "b", "b", "c", "c"];
     let mut f = Fixture::new(&domains);
     let tried = [W0];
@@ -312,6 +324,8 @@
     }
 }
 
+// Guards against repeated refusals by an upstream that unloaded the target, and against a malformed
+// report of loaded targets.
 #[test]
 fn can_stop_using_an_upstream_that_lacks_the_target() {
     let mut f = Fixture::new(&["a"; 2]);
@@ -325,6 +339,7 @@
     assert!(f.chosen(50).contains_key(&W0));
 }
 
+// Guards against sending a request again to an upstream at which it failed.
 #[test]
 fn errors_when_all_were_tried() {
     let mut f = Fixture::new(&["a"; 2]);
@@ -335,9 +350,10 @@
 }
 
 #[test]
-fn can_send_interactive_work_where_own_batch_work_gives_way() {
-    // A batch fills every slot. Sent anywhere, an interactive request waits until something
-    // ends there; where this daemon can cancel a batch request of its own it does not.
+fn can_route_interactive_work_where_own_batch_work_is_preemptible() {
+    // Guards against an interactive request waiting until a request ends while batch work fills
+    // every slot: at an upstream where this daemon can cancel a batch request of its own, it does
+    // not wait.
     let mut f = Fixture::new(&["a"; 8]);
     for number in 0..8 {
         f.router
@@ -358,9 +374,9 @@
 }
 
 #[test]
-fn can_keep_the_number_of_a_removed_upstream_until_its_work_ends() {
-    // An operator removes an upstream while a request runs on it. Were its number given to a
-    // new upstream at once, the old request's end would be counted against the new one.
+fn can_keep_the_index_of_a_removed_upstream_until_its_work_ends() {
+    // Guards against counting the end of an old request against a new upstream: an operator removes
+    // an upstream while a request runs on it, and its index is given to a new one at once.
     let mut f = Fixture::new(&["a"]);
     let index = f.pick(&[]);
     f.router.configure(vec![spec(7, "a", f.target)]);
@@ -371,13 +387,14 @@
     assert!(f.router.upstream(index).is_none());
 }
 
+// Guards against a poll load that grows with the fleet.
 #[test]
 fn can_poll_the_subset_often_and_the_rest_in_rotation() {
     let mut f = Fixture::new(&["a"; 100]);
     let interval = Span::from_secs(1);
     let mut asked = BTreeMap::<UpstreamIndex, usize>::new();
     for _ in 0..100 {
-        f.wait(1);
+        f.advance(1);
         for index in f.router.due_polls(f.now, interval, 200) {
             *asked.entry(index).or_default() += 1;
         }
@@ -387,8 +404,8 @@
     assert_eq!((often, seldom), (32, 68));
 }
 
-// Callers are told that there is no upstream while one stands idle. One of two was ejected
-// after failures, then the other began to leave. Cause: an ejection counted as a certainty.
+// Guards against refusing callers while an upstream is idle: one of two was ejected after failures,
+// then the other began to leave, and the ejection was treated as a certainty.
 #[test]
 fn can_use_an_ejected_upstream_when_the_others_left() {
     let mut fixture = Fixture::new(&["a", "a"]);
--- a/components/routing/tests/fuzz.rs
+++ b/components/routing/tests/fuzz.rs
@@ -1,6 +1,6 @@
-//! Stateful fuzzing of the tables against a plain list of what each upstream was told.
+//! Stateful fuzzing of the router against a plain list of what each upstream has loaded.
 //!
-//! More cases by hand: `BUCKTHORNCROSS_FUZZ_CASES=20000 cargo test -p routing --test fuzz`.
+//! To run more cases: `BUCKTHORNCROSS_FUZZ_CASES=20000 cargo test -p routing --test fuzz`.
 
 use std::collections::BTreeMap;
 
@@ -26,13 +26,13 @@
     Wait(u8),
 }
 
-/// What each upstream was last said to have loaded; absent once removed.
+/// Targets that each upstream last reported or was configured with; absent once removed.
 #[derive(Debug, Clone, Default)]
-struct Model {
+struct ExpectedState {
     loaded: BTreeMap<u8, Vec<u16>>,
 }
 
-impl ReferenceStateMachine for Model {
+impl ReferenceStateMachine for ExpectedState {
     type State = Self;
     type Transition = Step;
 
@@ -76,7 +76,7 @@
     }
 }
 
-struct Real {
+struct TestedRouter {
     router: Router,
     rng: SmallRng,
     now: Time,
@@ -101,7 +101,7 @@
     }
 }
 
-impl Real {
+impl TestedRouter {
     fn pick(&mut self, target: u16) {
         let demand = Demand {
             target: TargetIndex(target),
@@ -114,7 +114,7 @@
             return;
         };
         let upstream = self.router.upstream(index).unwrap();
-        // An ejected one only where nothing else has the target, a leaving one never.
+        // An ejected upstream is chosen only if no other has the target, a leaving one never.
         let nothing_else = self.router.eligible(demand.target) == 0;
         assert!(!upstream.health().is_leaving());
         assert!(upstream.health().is_eligible() || nothing_else);
@@ -186,17 +186,17 @@
 struct Fuzz;
 
 impl StateMachineTest for Fuzz {
-    type SystemUnderTest = Real;
-    type Reference = Model;
+    type SystemUnderTest = TestedRouter;
+    type Reference = ExpectedState;
 
-    fn init_test(_: &Model) -> Real {
+    fn init_test(_: &ExpectedState) -> TestedRouter {
         let place = spec(0).place;
         let mut router = Router::new(&"d0".parse().unwrap(), place, Tuning::default());
         for target in 0..TARGETS {
             let version = format!("m@{target}").parse().unwrap();
             router.add_target(&Target::Version(version)).unwrap();
         }
-        Real {
+        TestedRouter {
             router,
             rng: SmallRng::seed_from_u64(7),
             now: Time::ZERO,
@@ -204,31 +204,31 @@
         }
     }
 
-    fn apply(mut real: Real, _: &Model, step: Step) -> Real {
-        real.apply(step);
-        real
+    fn apply(mut tested: TestedRouter, _: &ExpectedState, step: Step) -> TestedRouter {
+        tested.apply(step);
+        tested
     }
 
-    fn check_invariants(real: &Real, model: &Model) {
-        let known: Vec<_> = real.router.upstreams().collect();
-        assert_eq!(known.len(), model.loaded.len());
+    fn check_invariants(tested: &TestedRouter, expected: &ExpectedState) {
+        let known: Vec<_> = tested.router.upstreams().collect();
+        assert_eq!(known.len(), expected.loaded.len());
         for target in (0..TARGETS).map(TargetIndex) {
             let fit = known.iter().filter(|(_, upstream)| {
                 upstream.health().is_eligible() && upstream.loaded().contains(&target)
             });
-            assert_eq!(fit.clone().count(), real.router.eligible(target));
+            assert_eq!(fit.clone().count(), tested.router.eligible(target));
             let slots: u64 = fit.map(|(_, upstream)| u64::from(upstream.slots())).sum();
-            assert_eq!(slots, real.router.slots(target));
+            assert_eq!(slots, tested.router.slots(target));
         }
-        for (name, loaded) in &model.loaded {
-            let index = real.router.index_of(&id(*name)).unwrap();
+        for (name, loaded) in &expected.loaded {
+            let index = tested.router.index_of(&id(*name)).unwrap();
             let mut loaded: Vec<_> = loaded.iter().copied().map(TargetIndex).collect();
             loaded.sort_unstable();
             loaded.dedup();
-            assert_eq!(real.router.upstream(index).unwrap().loaded(), loaded);
+            assert_eq!(tested.router.upstream(index).unwrap().loaded(), loaded);
         }
         let in_flight: u32 = known.iter().map(|(_, upstream)| upstream.in_flight()).sum();
-        assert!(in_flight as usize <= real.running.len());
+        assert!(in_flight as usize <= tested.running.len());
     }
 }
 
@@ -246,5 +246,5 @@
     })]
 
     #[test]
-    fn can_keep_the_lists_true(sequential 1..60 => Fuzz);
+    fn can_keep_the_pools_consistent(sequential 1..60 => Fuzz);
 }
