--- a/components/quality/src/config.rs
+++ b/components/quality/src/config.rs
@@ -18,7 +18,7 @@
     pub claim_tolerance: f64,
     /// How far below the target a version's quality may lie for it to serve in a mixture.
     pub slack: f64,
-    /// Number of ratings that the catalogue's expected quality weighs as much as.
+    /// Weight of the catalogue's expected quality as a prior, in ratings.
     pub prior_ratings: f64,
     /// Maximum number of ratings that count; older ones decay as new ones come.
     pub memory: f64,
--- a/components/quality/src/detector.rs
+++ b/components/quality/src/detector.rs
@@ -18,7 +18,7 @@
 const MAX_SWEEPS: usize = 2000;
 const CONVERGED_CHANGE: f64 = 1e-4;
 const THRESHOLD_PRECISION: f64 = 0.05;
-/// Null shares are rounded down to a multiple of 1 over this.
+/// Null shares are rounded down to a multiple of 1 / `NULL_SHARE_STEPS`.
 const NULL_SHARE_STEPS: f64 = 200.0;
 
 /// Amounts that a good and a bad rating add to one CUSUM.
--- a/components/quality/src/estimate.rs
+++ b/components/quality/src/estimate.rs
@@ -12,7 +12,8 @@
 }
 
 impl Estimate {
-    /// Creates an estimate from counts and a prior share that weighs as much as `prior_ratings`.
+    /// Creates an estimate from counts and a prior share with the weight of `prior_ratings`
+    /// ratings.
     #[must_use]
     pub fn new(prior: f64, prior_ratings: f64, good: f64, bad: f64) -> Self {
         Self {
--- a/components/quality/src/table.rs
+++ b/components/quality/src/table.rs
@@ -15,8 +15,7 @@
 
 /// Ratings with a stated confidence that a version needs before cascades from it are considered.
 const MIN_CONFIDENCE_RATINGS: f64 = 40.0;
-/// Number of ratings that the direct quality weighs as much as, as the prior of the quality after
-/// an escalation.
+/// Weight of the direct quality as the prior of the quality after an escalation, in ratings.
 const ESCALATED_PRIOR_RATINGS: f64 = 20.0;
 /// Requests of the whole fleet over which a past surplus or deficit of quality is made up for.
 const CORRECTION_WINDOW_REQUESTS: f64 = 2000.0;
