--- a/components/membership/src/config.rs
+++ b/components/membership/src/config.rs
@@ -1,52 +1,53 @@
-//! What a daemon is told about itself, and the protocol's times and bounds.
+//! Configuration of one daemon's membership: identity, protocol timing and bandwidth limits.
 
 use std::net::SocketAddr;
 
 use types::prelude::*;
 
-/// What a daemon is told about itself.
+/// Identity, seeds, timing and bandwidth limits of this daemon.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Its name.
+    /// This daemon's name.
     pub me: DaemonId,
-    /// Its restart.
+    /// Incarnation number; increases with each restart.
     pub incarnation: Incarnation,
-    /// Where other daemons reach it.
+    /// Address at which other daemons reach this one.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Failure domain of this daemon.
     pub failure_domain: FailureDomain,
-    /// Where that stands.
+    /// Region that contains the failure domain.
     pub region: Region,
-    /// Daemons to join by.
+    /// Addresses to which join requests are sent.
     pub seeds: Vec<SocketAddr>,
-    /// The protocol's times.
+    /// Intervals and timeouts of the protocol.
     pub timing: Timing,
-    /// What it may send.
+    /// Bandwidth and message size limits.
     pub budget: Budget,
 }
 
-/// The protocol's times.
+/// Intervals and timeouts of the protocol.
 #[derive(Debug, Clone)]
 pub struct Timing {
-    /// One probe each.
+    /// Interval between probes.
     pub probe: Span,
-    /// A direct acknowledgement is due within; then others are asked to probe.
+    /// Time allowed for a direct acknowledgement; after it, other daemons are asked to probe the
+    /// target.
     pub ack: Span,
-    /// Suspicion lasts this long in a fleet of ten; longer by the logarithm of its size.
+    /// Suspicion timeout in a fleet of ten; it grows with the logarithm of the fleet's size.
     pub suspicion: Span,
-    /// One push of news each.
+    /// Interval between pushes of gossip.
     pub push: Span,
-    /// One page of the digest each.
+    /// Interval between digest pages.
     pub repair: Span,
-    /// One page of the digest each while catching up after a join.
+    /// Interval between digest pages while catching up after a join.
     pub catch_up: Span,
-    /// One probe of a daemon that is down each.
+    /// Interval between attempts to reach a daemon that is down.
     pub heal: Span,
-    /// The dead are remembered for.
+    /// How long members that are down or have left are remembered.
     pub remember: Span,
-    /// Transient facts outlive their origin by.
+    /// How long transient facts are kept after their origin is gone.
     pub transient: Span,
-    /// A gap between ticks as long as this means that this process was paused.
+    /// A gap between ticks of at least this length means that this process was paused.
     pub pause: Span,
 }
 
@@ -67,23 +68,24 @@
     }
 }
 
-/// What a daemon may send for membership and facts.
+/// Bandwidth limits for membership messages and facts.
 #[derive(Debug, Clone)]
 pub struct Budget {
-    /// Bytes a second, without the envelopes' own.
+    /// Bytes per second, without the overhead of envelopes.
     pub rate: u64,
-    /// Bytes saved up at most while quiet: the records of some 300 daemons, told once and a half,
-    /// so that a fleet that starts at once meets within a few seconds.
+    /// Bytes that accumulate at most while idle. This holds the records of some 300 daemons, sent
+    /// one and a half times, so that the members of a fleet that starts all at once learn of each
+    /// other within a few seconds.
     pub burst: u64,
-    /// Bytes a second for digests, repairs and pages of members, which are few while
-    /// the fleet is at rest and many when it starts or a cut heals.
+    /// Bytes per second for digests, repairs and pages of members, which are few in a stable fleet
+    /// and many when it starts or a partition heals.
     pub repair_rate: u64,
-    /// Of these saved up at most while quiet.
+    /// Repair bytes that accumulate at most while idle.
     pub repair_burst: u64,
-    /// Bytes for short answers to those that join while the budget of repairs is used up; they
-    /// come back at the rate of repairs. Some 500 joins in a few seconds.
+    /// Bytes for short replies to joining daemons while the repair budget is used up; refilled at
+    /// the repair rate. Enough for some 500 joins within a few seconds.
     pub join_burst: u64,
-    /// Largest message in bytes.
+    /// Maximum size of a message in bytes.
     pub message: usize,
 }
 
@@ -100,7 +102,7 @@
     }
 }
 
-/// Bytes that may be sent now: fills at a rate up to a bound.
+/// Token bucket that limits the bytes sent.
 #[derive(Debug)]
 pub(crate) struct Allowance {
     rate: f64,
@@ -125,7 +127,7 @@
         self.filled_at = now;
     }
 
-    /// Whole bytes available; none while in debt.
+    /// Whole bytes available; zero while in debt.
     pub(crate) fn available(&self) -> usize {
         self.bytes.max(0.0) as usize
     }
--- a/components/membership/src/fact.rs
+++ b/components/membership/src/fact.rs
@@ -1,35 +1,35 @@
-//! Small typed values that every daemon shows to all others.
+//! Facts: small typed values that each daemon publishes to all others.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use types::prelude::*;
 
-/// Longest key of a fact, in bytes.
+/// Maximum length of a fact's key, in bytes.
 pub const MAX_KEY_BYTES: usize = 64;
-/// Longest value of a fact, in bytes.
+/// Maximum length of a fact's value, in bytes.
 pub const MAX_VALUE_BYTES: usize = 256;
-/// Facts of one origin, removal markers included.
+/// Maximum number of facts per origin, including retracted ones.
 pub(crate) const MAX_FACTS_PER_ORIGIN: usize = 128;
 
-/// What a fact is about.
+/// Subject of a fact.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Topic {
-    /// The catalogue's revision in force.
+    /// The catalogue revision in force.
     Progress,
-    /// Versions that are suspended.
+    /// Suspended versions.
     Suspension,
     /// Demand on customers' limits.
     Demand,
     /// Counts of ratings.
     Evidence,
-    /// Load and leaving of engines.
+    /// Load of engines, and engines that are leaving.
     Engines,
     /// Custody of bills.
     Bills,
 }
 
 impl Topic {
-    /// Every topic.
+    /// All topics.
     pub const ALL: [Self; 6] = [
         Self::Progress,
         Self::Suspension,
@@ -39,37 +39,37 @@
         Self::Bills,
     ];
 
-    /// Whether facts still count after their origin is gone.
+    /// Whether facts on this topic remain valid after their origin is gone.
     #[must_use]
     pub const fn is_cumulative(self) -> bool {
         matches!(self, Self::Evidence | Self::Suspension)
     }
 
-    /// Whether facts are sent at once and beyond the budget.
+    /// Whether facts on this topic are sent at once, even beyond the budget.
     #[must_use]
     pub const fn is_urgent(self) -> bool {
         matches!(self, Self::Suspension)
     }
 }
 
-/// Why a fact cannot be published.
+/// Reason why a fact cannot be published.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PublishError {
-    /// Longer than [`MAX_KEY_BYTES`].
+    /// The key is longer than [`MAX_KEY_BYTES`].
     #[error("a fact's key has {0} bytes, at most {MAX_KEY_BYTES} are allowed")]
     KeyTooLong(usize),
-    /// Longer than [`MAX_VALUE_BYTES`].
+    /// The value is longer than [`MAX_VALUE_BYTES`].
     #[error("a fact's value has {0} bytes, at most {MAX_VALUE_BYTES} are allowed")]
     ValueTooLong(usize),
-    /// This daemon publishes under too many keys.
+    /// This daemon already publishes the maximum number of facts.
     #[error("this daemon already publishes {0} facts; retract some first")]
     TooMany(usize),
 }
 
-/// Checks the sizes of a fact.
+/// Checks the length of a fact's key and value.
 ///
 /// # Errors
-/// Says which part is too long.
+/// Returns an error that names the part that is too long.
 pub(crate) fn check(key: &Bytes, value: &Bytes) -> Result<(), PublishError> {
     if key.len() > MAX_KEY_BYTES {
         return Err(PublishError::KeyTooLong(key.len()));
@@ -80,19 +80,19 @@
     Ok(())
 }
 
-/// A fact as this daemon knows it.
+/// A fact as known to this daemon.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fact {
-    /// Whose it is.
+    /// Daemon that published the fact.
     pub origin: DaemonId,
-    /// Which restart of its origin said it.
+    /// Incarnation of the daemon that published the fact.
     pub incarnation: Incarnation,
-    /// What it is about.
+    /// Subject of the fact.
     pub topic: Topic,
-    /// Which of the origin's facts on the topic.
+    /// Distinguishes the origin's facts on one topic.
     pub key: Bytes,
-    /// What it says.
+    /// Published value.
     pub value: Bytes,
-    /// When this daemon first heard this value.
+    /// Time at which this daemon first received this value.
     pub heard_at: Time,
 }
--- a/components/membership/src/lib.rs
+++ b/components/membership/src/lib.rs
@@ -1,19 +1,19 @@
-//! Membership of daemons and the facts they share.
+//! Fleet membership by gossip, and the facts that daemons share.
 //!
-//! No daemon is special. Each probes one other a second, by turns; one that answers
-//! neither directly nor through others is suspected, and down unless it refutes that
-//! in time. A daemon that was only paused refutes with its own incarnation; one that
-//! was restarted comes with a higher one. News travels on probes, acknowledgements and
-//! a few pushes a second, within a budget of bytes that does not grow with the fleet;
-//! a rotating digest repairs what was lost. A region that was cut off is found again
-//! because the dead are remembered for a while and probed now and then.
+//! All daemons are equal. Each probes one other per second in turn. A daemon that answers neither
+//! directly nor through others is suspected, and declared down unless it refutes the suspicion in
+//! time. A daemon that was only paused refutes with its current incarnation; a restarted one has a
+//! higher incarnation. Gossip travels on probes, acknowledgements and a few pushes per second,
+//! within a byte budget that does not grow with the fleet. A rotating digest repairs lost updates.
+//! After a partition heals, the two sides find each other again because members that are down are
+//! remembered for a while and probed now and then.
 //!
-//! On top of it daemons share facts: small values under a topic and a key, of which
-//! each daemon sees the latest of every other. When the fleet or the changes grow,
-//! facts come later; the bytes stay the same.
+//! Daemons also share facts: small values under a topic and a key. Each daemon sees the latest
+//! facts of every other daemon. When the fleet grows or facts change more often, facts arrive
+//! later, but the bandwidth stays the same.
 //!
-//! Nothing here reads a clock, a socket or a random source of its own: [`Membership`]
-//! is given the time and the random numbers and returns what to send.
+//! This crate reads no clock, socket or random source of its own: [`Membership`] is given the time
+//! and random numbers and returns the messages to send.
 
 mod config;
 mod fact;
--- a/components/membership/src/membership.rs
+++ b/components/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! The membership of one daemon: its tables, and what others may ask of them.
+//! Membership state of one daemon, and the queries on it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,106 +22,107 @@
 mod report;
 mod tick;
 
-/// Times that an urgent fact is told by each daemon: four rounds.
+/// Number of times each daemon sends an urgent fact: four rounds.
 const URGENT_TIMES: u8 = 16;
-/// Times that any other fact is told by each daemon.
+/// Number of times each daemon sends any other fact.
 const FACT_TIMES: u8 = 3;
 
-/// What happened.
+/// A change that the caller may act on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// A daemon is there: new, restarted, or back from the dead.
+    /// A daemon is present: it is new, restarted, or was down before.
     MemberUp {
-        /// Which.
+        /// Name of the daemon.
         id: DaemonId,
-        /// Its restart.
+        /// Its incarnation.
         incarnation: Incarnation,
     },
     /// A daemon does not answer.
     MemberSuspect {
-        /// Which.
+        /// Name of the daemon.
         id: DaemonId,
     },
-    /// A daemon is gone.
+    /// A daemon is down or left.
     MemberDown {
-        /// Which.
+        /// Name of the daemon.
         id: DaemonId,
-        /// Whether it said so itself.
+        /// Whether the daemon itself announced that it leaves.
         left: bool,
     },
     /// A fact is new or has a new value.
     FactChanged {
-        /// Whose.
+        /// Daemon that published the fact.
         origin: DaemonId,
-        /// On what.
+        /// Topic of the fact.
         topic: Topic,
-        /// Which.
+        /// Key of the fact.
         key: Bytes,
     },
-    /// A message came with an attachment.
+    /// A message carried an attachment.
     Attachment {
-        /// From whom.
+        /// Sender of the message.
         from: DaemonId,
-        /// What.
+        /// Content of the attachment.
         bytes: Bytes,
     },
-    /// Another process goes by this daemon's name; one of the two must stop.
+    /// Another process uses this daemon's name; one of the two must be stopped.
     DuplicateName {
-        /// Where the other is reached.
+        /// Address of the other process.
         address: SocketAddr,
     },
-    /// An earlier run had a higher incarnation; this daemon goes on with a higher one yet.
+    /// An earlier run had a higher incarnation; this daemon continues with this one, which is
+    /// higher still.
     IncarnationRaised(Incarnation),
 }
 
-/// What to send and what happened.
+/// Result of a call: messages to send and events.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Outcome {
-    /// What to send.
+    /// Messages to send.
     pub send: Vec<Envelope>,
-    /// What happened.
+    /// Events in the order in which they occurred.
     pub events: Vec<Event>,
 }
 
-/// Counts since the start.
+/// Counters since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Counters {
-    /// Messages with a part over its bounds.
+    /// Messages rejected because a part exceeds its limits.
     pub malformed: u64,
     /// Messages from an earlier run of a daemon.
     pub stale: u64,
-    /// Members for whom there was no room.
+    /// Members not added because the table was full.
     pub members_refused: u64,
-    /// Facts of unknown origins, or without room.
+    /// Facts rejected: unknown origin, no room, or older than the stored value.
     pub facts_refused: u64,
-    /// Facts that were new.
+    /// New facts received.
     pub facts_new: u64,
-    /// Facts that were known.
+    /// Facts received that were already known.
     pub facts_repeated: u64,
-    /// Own deaths refuted.
+    /// Number of times this daemon refuted reports that it is suspect or gone.
     pub refutations: u64,
-    /// Pauses of this process noticed.
+    /// Pauses of this process that were detected.
     pub pauses: u64,
-    /// Bytes of messages made, without envelopes.
+    /// Bytes of messages sent, without envelopes.
     pub bytes_sent: u64,
-    /// Messages made.
+    /// Messages sent.
     pub messages_sent: u64,
 }
 
-/// How full the tables are.
+/// Number of entries in the tables.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize)]
 pub struct Fill {
-    /// Members, the dead included.
+    /// Members, including those that are gone.
     pub members: usize,
-    /// Origins of facts, the retired included.
+    /// Origins of facts, including retired ones.
     pub origins: usize,
-    /// Facts.
+    /// Facts of all origins.
     pub facts: usize,
-    /// Changes still to be told.
+    /// Updates waiting to be sent.
     pub rumors: usize,
 }
 
-/// Moments of the next periodic actions.
+/// Times of the next periodic actions.
 #[derive(Debug, Default)]
 struct Schedule {
     push_at: Time,
@@ -132,7 +133,7 @@
     join_tries: u32,
 }
 
-/// Membership and facts as one daemon sees them.
+/// Membership and shared facts as seen by one daemon.
 #[derive(Debug)]
 pub struct Membership {
     cfg: Config,
@@ -153,7 +154,7 @@
 }
 
 impl Membership {
-    /// A daemon that knows nobody yet.
+    /// Creates a membership that knows no other daemon yet.
     #[must_use]
     pub fn new(cfg: Config) -> Self {
         let me = MemberRecord {
@@ -195,40 +196,40 @@
         &self.me
     }
 
-    /// All other daemons known, the dead included.
+    /// All other known daemons, including those that are gone.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.iter()
     }
 
-    /// Another daemon.
+    /// Looks up another daemon.
     #[must_use]
     pub fn member(&self, id: &DaemonId) -> Option<&Member> {
         self.members.get(id)
     }
 
-    /// Daemons in the fleet, this one included.
+    /// Number of present daemons, including this one.
     #[must_use]
     pub fn fleet_size(&self) -> usize {
         self.members.present() + 1
     }
 
-    /// Daemons in reach, this one included, judged by its last probes.
+    /// Estimated number of reachable daemons, including this one, based on the last probes.
     ///
-    /// A daemon that is cut off alone probes one other a second and so needs minutes to
-    /// hold hundreds for dead; that hardly any probe is answered shows after seconds.
+    /// An isolated daemon probes one other per second, so it needs minutes to declare hundreds
+    /// down. That hardly any probe is answered shows after seconds.
     #[must_use]
     pub fn reachable(&self) -> usize {
         let others = self.members.present() as f64;
         (others * self.prober.answered_share()).round() as usize + 1
     }
 
-    /// Counts since the start.
+    /// Counters since the start.
     #[must_use]
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// How full the tables are.
+    /// Number of entries in the tables.
     #[must_use]
     pub fn fill(&self) -> Fill {
         Fill {
@@ -239,15 +240,15 @@
         }
     }
 
-    /// Replaces the addresses to join by, such as with the store's list.
+    /// Replaces the seed addresses, for example with the store's list.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.cfg.seeds = seeds;
     }
 
-    /// Puts bytes on every message from now on, at most [`MAX_ATTACHMENT_BYTES`].
+    /// Sets bytes to attach to every message from now on, at most [`MAX_ATTACHMENT_BYTES`].
     ///
     /// # Errors
-    /// When they are too long.
+    /// Returns an error if the attachment is too long.
     pub fn set_attachment(&mut self, bytes: Bytes) -> Result<(), PublishError> {
         if bytes.len() > MAX_ATTACHMENT_BYTES {
             return Err(PublishError::ValueTooLong(bytes.len()));
@@ -256,14 +257,14 @@
         Ok(())
     }
 
-    /// Facts on a topic by every origin, this daemon's own included.
+    /// Facts on a topic from every origin, including this daemon.
     ///
-    /// A daemon that restarted shows the cumulative facts of its earlier runs too.
+    /// For a daemon that restarted, this includes the cumulative facts of its earlier runs.
     pub fn facts(&self, topic: Topic) -> impl Iterator<Item = Fact> {
         self.origins.facts(topic)
     }
 
-    /// Sends what is urgent now instead of at the next tick.
+    /// Sends urgent updates now instead of at the next tick.
     pub fn flush(&mut self, now: Time, rng: &mut impl Rng) -> Outcome {
         let mut outcome = Outcome::default();
         if self.rumors.has_urgent() {
@@ -272,7 +273,7 @@
         outcome
     }
 
-    /// Says goodbye: others need not suspect this daemon first.
+    /// Announces that this daemon leaves, so that others need not suspect it first.
     pub fn leave(&mut self, now: Time, rng: &mut impl Rng) -> Outcome {
         self.me.state = State::Left;
         let mut outcome = Outcome::default();
@@ -292,7 +293,7 @@
         }
     }
 
-    /// The record of an origin if that is the present run of a daemon.
+    /// Record of an origin if it is the current run of its daemon.
     pub(crate) fn record_of(&self, id: &OriginId) -> Option<&MemberRecord> {
         let record = if id.daemon == self.me.id {
             &self.me
@@ -306,7 +307,7 @@
         self.cfg.budget.message
     }
 
-    /// Members by failure domain, this daemon included, as far as they are present.
+    /// Present members grouped by failure domain, including this daemon.
     #[must_use]
     pub fn by_failure_domain(&self) -> BTreeMap<FailureDomain, Vec<DaemonId>> {
         let mut domains = BTreeMap::<_, Vec<_>>::new();
