--- a/components/membership/src/member.rs
+++ b/components/membership/src/member.rs
@@ -1,4 +1,4 @@
-//! The member table: what is known of each daemon, and which of two reports is newer.
+//! Member table: what is known of each daemon, and which of two reports is newer.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,35 +9,36 @@
 use crate::message::MemberRecord;
 use crate::origin::OriginId;
 
-/// Daemons in the table at most, the dead included.
+/// Maximum number of daemons in the table, including those that are gone.
 pub(crate) const MAX_MEMBERS: usize = 2_048;
 
-/// Every daemon probes a suspect itself in the last moments before it buries it.
+/// A suspect is probed directly by every daemon during this time before its suspicion expires.
 const LAST_KNOCKS: Span = Span::from_millis(3_200);
-/// Between two such probes.
+/// Interval between these direct probes of a suspect.
 const KNOCK: Span = Span::from_secs(1);
 
-/// How new a report of a member is.
+/// Version of a report about a member.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Stamp {
-    /// Raised by a restart.
+    /// Increased by a restart.
     pub incarnation: Incarnation,
-    /// Raised by the member itself when it hears that it is suspected or down.
+    /// Increased by the member itself when it learns that it is reported suspect or down.
     pub refutation: u32,
 }
 
-/// What is said of a member; of two with the same stamp the later listed holds.
+/// Reported state of a member. Of two reports with the same stamp, the later variant takes
+/// precedence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum State {
-    /// Answers.
+    /// Answers probes.
     Alive,
-    /// Did not answer.
+    /// Did not answer a probe.
     Suspect,
     /// Did not refute its suspicion in time.
     Down,
-    /// Went of its own accord; no refutation of the same restart undoes it.
+    /// Left voluntarily; a refutation of the same incarnation does not undo it.
     Left,
 }
 
@@ -49,23 +50,23 @@
     }
 }
 
-/// A member as this daemon knows it.
+/// A member as known to this daemon.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// What would be told of it.
+    /// Record that is sent to other daemons.
     pub record: MemberRecord,
-    /// When this daemon last had a message from it itself.
+    /// Time of the last message received directly from the member.
     pub heard_at: Option<Time>,
-    /// When its state last changed.
+    /// Time of the last state change, or at which a suspicion was restarted.
     pub since: Time,
-    /// A suspicion ends in death, and the memory of the dead, at this moment.
+    /// Time at which a suspect is declared down, or at which a member that is gone is forgotten.
     pub deadline: Time,
-    /// A suspect is probed by this daemon itself at this moment.
+    /// Time at which this daemon probes a suspect directly.
     pub knock_at: Time,
 }
 
 impl Member {
-    /// Which restart it is.
+    /// The member's name and incarnation.
     #[must_use]
     pub fn origin(&self) -> OriginId {
         OriginId {
@@ -75,30 +76,30 @@
     }
 }
 
-/// Of two reports, the one with the larger rank holds.
+/// Precedence of a report; of two reports the one with the higher value holds.
 fn rank(stamp: Stamp, state: State) -> (Incarnation, bool, u32, State) {
     let left = state == State::Left;
     (stamp.incarnation, left, stamp.refutation, state)
 }
 
-/// What a report changed.
+/// Effect of a report on the member table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Change {
-    /// Nothing: as old as what is held or older.
+    /// The report is not newer than the stored record.
     None,
-    /// It is present and was not, or it is another restart.
+    /// The member was absent and is now present, or it restarted.
     Up,
-    /// Its refutation counted, it was and is present.
+    /// The member was present and remains so; its refutation is newer.
     Refreshed,
-    /// It is suspected.
+    /// The member is now suspected.
     Suspect,
-    /// It is gone.
+    /// The member is down or left.
     Gone,
-    /// There is no room for it.
+    /// The table has no room for the member.
     Full,
 }
 
-/// Every other daemon known.
+/// All other daemons known.
 #[derive(Debug, Default)]
 pub(crate) struct MemberTable {
     members: BTreeMap<DaemonId, Member>,
@@ -114,7 +115,7 @@
         self.members.len()
     }
 
-    /// Members that are alive or suspected.
+    /// Number of members that are alive or suspected.
     pub(crate) fn present(&self) -> usize {
         self.present
     }
@@ -123,7 +124,7 @@
         self.members.values()
     }
 
-    /// Members named after `after`, in order.
+    /// Members whose name sorts after `after`, in order.
     pub(crate) fn after(&self, after: Option<&DaemonId>) -> impl Iterator<Item = &Member> {
         use std::ops::Bound::{Excluded, Unbounded};
         let from = after.map_or(Unbounded, Excluded);
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Lets a suspicion begin, or begin anew.
+    /// Starts or restarts the suspicion of a member.
     pub(crate) fn suspect(&mut self, now: Time, id: &DaemonId, span: Span) {
         if let Some(member) = self.members.get_mut(id) {
             member.since = now;
@@ -152,7 +153,8 @@
         }
     }
 
-    /// Suspects to probe now; each is due again a second later.
+    /// Returns the suspects that are due a direct probe, and schedules the next one a second
+    /// later.
     pub(crate) fn due_knocks(&mut self, now: Time) -> Vec<DaemonId> {
         let members = self.members.values_mut();
         let due =
@@ -164,7 +166,7 @@
         due.collect()
     }
 
-    /// Puts off the deadlines of suspicions.
+    /// Extends the deadlines of all suspicions.
     pub(crate) fn put_off_suspicions(&mut self, by: Span) {
         let suspects = self.members.values_mut();
         for member in suspects.filter(|member| member.record.state == State::Suspect) {
@@ -173,7 +175,7 @@
         }
     }
 
-    /// Takes a report if it is newer than what is held.
+    /// Applies a report if it is newer than the stored record.
     pub(crate) fn merge(&mut self, now: Time, record: &MemberRecord) -> Change {
         if !self.members.contains_key(&record.id) {
             return self.insert(now, record);
@@ -202,7 +204,7 @@
         change
     }
 
-    /// Adds a daemon not known so far. Those already gone are not worth a place.
+    /// Adds an unknown daemon. Daemons that are already gone are not added.
     fn insert(&mut self, now: Time, record: &MemberRecord) -> Change {
         if !record.state.is_present() {
             return Change::None;
@@ -222,7 +224,7 @@
         Change::Up
     }
 
-    /// Makes room by forgetting who has been gone longest; says whether it could.
+    /// Evicts the member that has been gone longest; returns false if no member is gone.
     fn evict(&mut self) -> bool {
         let gone = self.iter().filter(|m| !m.record.state.is_present());
         let oldest = gone.min_by_key(|member| member.since);
@@ -233,7 +235,7 @@
         true
     }
 
-    /// Suspects whose time is up.
+    /// Suspects whose timeout has passed.
     pub(crate) fn overdue_suspects(&self, now: Time) -> Vec<&Member> {
         let overdue = self.iter().filter(|member| {
             member.record.state == State::Suspect && now.has_reached(member.deadline)
@@ -241,13 +243,13 @@
         overdue.collect()
     }
 
-    /// Forgets the dead whose time is up.
+    /// Removes members that are gone and whose retention time has passed.
     pub(crate) fn forget(&mut self, now: Time) {
         self.members
             .retain(|_, m| m.record.state.is_present() || !now.has_reached(m.deadline));
     }
 
-    /// Whether a present member is reached there.
+    /// Whether a present member has this address.
     pub(crate) fn has_present_at(&self, address: SocketAddr) -> bool {
         let mut present = self.iter().filter(|m| m.record.state.is_present());
         present.any(|member| member.record.address == address)
--- a/components/membership/src/message.rs
+++ b/components/membership/src/message.rs
@@ -1,7 +1,7 @@
-//! What daemons send each other, and how long it is on the wire.
+//! Messages between daemons, and their maximum encoded length.
 //!
-//! Lengths are those of bincode with variable-length integers, rounded up; a test
-//! compares them with the real encoding.
+//! Lengths are upper bounds for bincode with variable-length integers; a test compares them with
+//! the actual encoding.
 
 use std::net::SocketAddr;
 
@@ -13,83 +13,83 @@
 use crate::member::{Stamp, State};
 use crate::origin::{OriginId, OriginTag};
 
-/// Longest attachment, in bytes.
+/// Maximum length of an attachment, in bytes.
 pub const MAX_ATTACHMENT_BYTES: usize = 32;
 
-/// Who sent a message, as its envelope proved.
+/// Sender of a message, as authenticated by its envelope.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Sender {
-    /// Its name.
+    /// Name of the sender.
     pub id: DaemonId,
-    /// Its restart.
+    /// Incarnation of the sender.
     pub incarnation: Incarnation,
-    /// Where it is reached.
+    /// Address at which the sender is reached.
     pub address: SocketAddr,
 }
 
-/// A message and where to send it.
+/// A message and its destination.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Envelope {
-    /// The receiver's address.
+    /// Address of the receiver.
     pub to: SocketAddr,
-    /// What to send.
+    /// Message to send.
     pub message: Message,
 }
 
-/// What daemons send each other.
+/// A message between daemons.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Are you there?
+    /// Asks the receiver to acknowledge that it is alive.
     Probe {
-        /// Comes back in the acknowledgement.
+        /// Sequence number, returned in the acknowledgement.
         seq: u32,
-        /// News on the way.
+        /// Piggybacked gossip.
         news: News,
     },
-    /// I am here, or the daemon that you asked me to probe is.
+    /// Confirms that the sender is alive, or that the target of an indirect probe is.
     Ack {
-        /// The probe's.
+        /// Sequence number of the probe.
         seq: u32,
-        /// News on the way.
+        /// Piggybacked gossip.
         news: News,
     },
-    /// Probe another for me.
+    /// Asks the receiver to probe another daemon on the sender's behalf.
     ProbeFor {
-        /// Comes back in the acknowledgement.
+        /// Sequence number, returned in the acknowledgement.
         seq: u32,
-        /// Whom.
+        /// Daemon to probe.
         target: DaemonId,
     },
-    /// News only.
+    /// Gossip only.
     Push(News),
-    /// I am new; send me the members.
+    /// Announces a new daemon and asks for the members.
     Join(MemberRecord),
-    /// Send me the members after this one.
+    /// Asks for the members whose name sorts after this one.
     PageRequest(DaemonId),
-    /// Some members in order of their names.
+    /// A page of members in order of their names.
     Page {
-        /// The members.
+        /// Members on this page.
         members: Vec<MemberRecord>,
-        /// Ask for what follows this one; nothing at the end.
+        /// Name after which the next page starts; none on the last page.
         next: Option<DaemonId>,
     },
-    /// What I hold of a range of origins, in short.
+    /// Summary of what the sender knows of a range of origins.
     Digest(Digest),
-    /// What you lack in that range, and what I lack.
+    /// Reply to a digest: what the receiver lacks, and what the sender asks for.
     Repair {
-        /// Members.
+        /// Members that the receiver lacks or knows differently.
         members: Vec<MemberRecord>,
-        /// Facts.
+        /// Facts that the receiver lacks or knows differently.
         origins: Vec<OriginFacts>,
-        /// Origins of which the receiver knows more.
+        /// Origins of which the receiver knows more than the sender.
         wanted: Vec<OriginTag>,
     },
 }
 
-/// News that travels on messages.
+/// Gossip carried on messages.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct News {
-    /// What the sender attaches to every message.
+    /// Bytes that the sender attaches to every message.
     pub attachment: Bytes,
     /// Changes of members.
     pub members: Vec<MemberNews>,
@@ -100,98 +100,98 @@
 /// A change of a member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberNews {
-    /// A member that the receiver may not know.
+    /// Full record, for a member that the receiver may not know.
     Full(MemberRecord),
-    /// A restart that the receiver knows, or else ignores.
+    /// Short form; ignored unless the receiver knows this incarnation of the member.
     Brief {
-        /// Which restart of which daemon.
+        /// Tag of the member's name and incarnation.
         origin: OriginTag,
-        /// How often it refuted its death.
+        /// Number of refutations by this incarnation.
         refutation: u32,
-        /// What is said of it.
+        /// Reported state.
         state: State,
     },
 }
 
-/// All there is to know of a member.
+/// Full record of a member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// Its name.
+    /// Name of the member.
     pub id: DaemonId,
-    /// How new this is.
+    /// Version of this record.
     pub stamp: Stamp,
-    /// What is said of it.
+    /// Reported state.
     pub state: State,
-    /// Where it is reached.
+    /// Address at which the member is reached.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Failure domain of the member.
     pub failure_domain: FailureDomain,
-    /// Where that stands.
+    /// Region that contains the failure domain.
     pub region: Region,
 }
 
-/// One value and the origins that say it.
+/// A fact value and all origins that publish it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FactGroup {
-    /// What it is about.
+    /// Topic of the fact.
     pub topic: Topic,
-    /// Which fact.
+    /// Key of the fact.
     pub key: Bytes,
-    /// What it says.
+    /// Value of the fact.
     pub value: Bytes,
-    /// Who says it, each with the fact's sequence number.
+    /// Origins that publish this value, each with the fact's sequence number.
     pub origins: Vec<(OriginTag, u64)>,
 }
 
-/// What a daemon holds of a range of origins, in short.
+/// Summary of what a daemon knows of a range of origins.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// The range begins after this one, or at the first.
+    /// The range starts after this origin; at the first if none.
     pub after: Option<OriginId>,
-    /// The range ends with this one, or at the last.
+    /// The range ends with this origin, inclusive; at the last if none.
     pub until: Option<OriginId>,
-    /// The origins in the range.
+    /// Origins in the range.
     pub entries: Vec<DigestEntry>,
 }
 
-/// What a daemon holds of one origin, in short.
+/// Summary of what a daemon knows of one origin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DigestEntry {
-    /// Which.
+    /// Tag of the origin.
     pub origin: OriginTag,
-    /// Refutations and state, where the origin is a member.
+    /// Refutation count and state, if the origin is the current run of a member.
     pub member: Option<(u32, State)>,
-    /// Hash over the facts that still count, 0 for none.
+    /// Hash of the facts that are still valid; 0 if there are none.
     pub facts: u32,
 }
 
 /// Facts of one origin.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OriginFacts {
-    /// Whose.
+    /// Daemon and incarnation that published the facts.
     pub origin: OriginId,
-    /// What they say.
+    /// Facts with their sequence numbers.
     pub facts: Vec<SharedFact>,
 }
 
-/// One fact on the wire.
+/// One fact in its encoded form.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SharedFact {
-    /// What it is about.
+    /// Topic of the fact.
     pub topic: Topic,
-    /// Which fact.
+    /// Key of the fact.
     pub key: Bytes,
-    /// How new.
+    /// Sequence number; higher is newer.
     pub seq: u64,
-    /// What it says.
+    /// Value of the fact.
     pub value: Bytes,
 }
 
-/// Longest encoding of a small integer (below 2^32), a variant or a length.
+/// Maximum encoded length of a small integer (below 2^32), a variant or a length, in bytes.
 const SMALL: usize = 5;
-/// Longest encoding of a 64-bit integer.
+/// Maximum encoded length of a 64-bit integer, in bytes.
 const LARGE: usize = 9;
-/// Longest encoding of an address.
+/// Maximum encoded length of a socket address, in bytes.
 const ADDRESS: usize = 1 + 16 + 3;
 
 fn text(len: usize) -> usize {
@@ -199,7 +199,7 @@
 }
 
 impl MemberRecord {
-    /// Length on the wire at most, in bytes.
+    /// Maximum encoded length in bytes.
     #[must_use]
     pub fn wire_len(&self) -> usize {
         let texts = text(self.id.as_str().len())
@@ -210,7 +210,7 @@
 }
 
 impl MemberNews {
-    /// Length on the wire at most, in bytes.
+    /// Maximum encoded length in bytes.
     #[must_use]
     pub fn wire_len(&self) -> usize {
         match self {
@@ -220,11 +220,12 @@
     }
 }
 
-/// Length of an origin in a [`FactGroup`] at most, in bytes, for sequence numbers below 2^16.
+/// Maximum encoded length of an origin in a [`FactGroup`], in bytes, for sequence numbers below
+/// 2^16.
 pub(crate) const GROUP_ORIGIN: usize = SMALL + 3;
 
 impl FactGroup {
-    /// Length on the wire at most, in bytes.
+    /// Maximum encoded length in bytes, for sequence numbers below 2^16.
     #[must_use]
     pub fn wire_len(&self) -> usize {
         Self::head_len(&self.key, &self.value) + self.origins.len() * GROUP_ORIGIN
@@ -236,7 +237,7 @@
 }
 
 impl SharedFact {
-    /// Length on the wire at most, in bytes.
+    /// Maximum encoded length in bytes.
     #[must_use]
     pub fn wire_len(&self) -> usize {
         1 + text(self.key.len()) + LARGE + text(self.value.len())
@@ -244,7 +245,7 @@
 }
 
 impl OriginFacts {
-    /// Length on the wire at most, in bytes.
+    /// Maximum encoded length in bytes.
     #[must_use]
     pub fn wire_len(&self) -> usize {
         let facts = self.facts.iter().map(SharedFact::wire_len).sum::<usize>();
@@ -253,7 +254,7 @@
 }
 
 impl OriginId {
-    /// Length on the wire at most, in bytes.
+    /// Maximum encoded length in bytes.
     #[must_use]
     pub fn wire_len(&self) -> usize {
         text(self.daemon.as_str().len()) + LARGE
@@ -261,7 +262,7 @@
 }
 
 impl News {
-    /// Length on the wire at most, in bytes.
+    /// Maximum encoded length in bytes.
     #[must_use]
     pub fn wire_len(&self) -> usize {
         let members = self.members.iter().map(MemberNews::wire_len).sum::<usize>();
@@ -275,11 +276,11 @@
     }
 }
 
-/// Length of a [`DigestEntry`] on the wire at most, in bytes.
+/// Maximum encoded length of a [`DigestEntry`], in bytes.
 const DIGEST_ENTRY: usize = SMALL + 1 + 3 + 1 + SMALL;
 
 impl Message {
-    /// Length on the wire at most, in bytes.
+    /// Maximum encoded length in bytes.
     #[must_use]
     pub fn wire_len(&self) -> usize {
         1 + match self {
@@ -306,7 +307,7 @@
         }
     }
 
-    /// Whether every part keeps its bounds.
+    /// Whether all attachments, keys and values are within their maximum lengths.
     #[must_use]
     pub fn is_well_formed(&self) -> bool {
         match self {
--- a/components/membership/src/origin.rs
+++ b/components/membership/src/origin.rs
@@ -1,8 +1,8 @@
-//! The table of facts, by the restart of the daemon that said them.
+//! Table of facts, grouped by origin: one run of a daemon that published them.
 //!
-//! Of one origin, topic and key the highest sequence number wins, so that order,
-//! repeats and loss do not matter. On the wire an origin is a tag of four bytes; two
-//! origins with the same tag are both left to the digest, which names them in full.
+//! For each origin, topic and key the highest sequence number wins, so reordering, duplicates and
+//! loss do not matter. In messages an origin is a tag of four bytes. Facts of two origins with the
+//! same tag spread only by the digest, which names origins in full.
 
 use std::collections::BTreeMap;
 
@@ -14,15 +14,15 @@
 use crate::fact::{Fact, MAX_FACTS_PER_ORIGIN, Topic};
 use crate::message::{OriginFacts, SharedFact};
 
-/// Origins that are gone but whose facts still count, at most.
+/// Maximum number of origins that are gone but whose facts remain valid.
 pub(crate) const MAX_RETIRED: usize = 512;
 
-/// One restart of a daemon.
+/// One run of a daemon, identified by name and incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OriginId {
-    /// The daemon.
+    /// Name of the daemon.
     pub daemon: DaemonId,
-    /// Its restart.
+    /// Incarnation of the daemon.
     pub incarnation: Incarnation,
 }
 
@@ -31,7 +31,7 @@
 pub struct OriginTag(pub u32);
 
 impl OriginId {
-    /// Its short hash.
+    /// Short hash used in messages.
     #[must_use]
     pub fn tag(&self) -> OriginTag {
         let mut hasher = Xxh3::new();
@@ -44,7 +44,7 @@
 /// Topic and key of a fact.
 pub(crate) type FactKey = (Topic, Bytes);
 
-/// The latest of one key.
+/// Latest value stored for one key.
 #[derive(Debug, Clone)]
 pub(crate) struct Held {
     pub(crate) seq: u64,
@@ -52,16 +52,17 @@
     pub(crate) heard_at: Time,
 }
 
-/// What one restart of a daemon said.
+/// Facts published by one run of a daemon.
 #[derive(Debug, Default)]
 pub(crate) struct Origin {
     pub(crate) facts: BTreeMap<FactKey, Held>,
-    /// Transient facts are dropped at this moment.
+    /// Time at which transient facts are dropped; set once the origin is gone.
     drop_at: Option<Time>,
 }
 
 impl Origin {
-    /// Hash over the facts that count, whatever order they came in; 0 for none.
+    /// Hash of the valid facts, independent of the order in which they arrived; 0 if there are
+    /// none.
     fn hash(&self, cumulative_only: bool) -> u32 {
         let counting = self.counting(cumulative_only);
         let hashes = counting.map(|((topic, key), held)| {
@@ -84,33 +85,33 @@
     }
 }
 
-/// What a fact changed.
+/// Effect of a received fact on the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Taken {
-    /// It is new.
+    /// The fact is newer than the stored one.
     New,
-    /// Just as held.
+    /// The fact is already stored.
     Same,
-    /// Older than what is held, or there is no room.
+    /// The fact is older than the stored one, its origin is unknown, or there is no room.
     Refused,
 }
 
-/// Every origin's facts.
+/// Facts of all origins.
 #[derive(Debug, Default)]
 pub(crate) struct OriginTable {
     origins: BTreeMap<OriginId, Origin>,
-    /// Nothing where two origins share a tag.
+    /// None if two origins share the tag.
     tags: BTreeMap<OriginTag, Option<OriginId>>,
 }
 
 impl OriginTable {
-    /// Makes a place for an origin.
+    /// Adds an origin without facts.
     pub(crate) fn add(&mut self, id: OriginId) {
         if self.origins.contains_key(&id) {
             return;
         }
         let slot = self.tags.entry(id.tag());
-        // Two origins with one tag: a fact of one must never count as the other's.
+        // If two origins share a tag, a fact of one must never be attributed to the other.
         slot.and_modify(|held| *held = None)
             .or_insert_with(|| Some(id.clone()));
         self.origins.insert(id, Origin::default());
@@ -147,7 +148,7 @@
         self.origins.len()
     }
 
-    /// Takes a fact of a known origin if it is newer than what is held.
+    /// Stores a fact of a known origin if it is newer than the stored one.
     pub(crate) fn take(&mut self, now: Time, id: &OriginId, fact: &SharedFact) -> Taken {
         let Some(origin) = self.origins.get_mut(id) else {
             return Taken::Refused;
@@ -168,21 +169,21 @@
         Taken::New
     }
 
-    /// Notes that an origin is gone: its transient facts go at `drop_at`.
+    /// Marks an origin as gone; its transient facts are dropped at `drop_at`.
     pub(crate) fn retire(&mut self, id: &OriginId, drop_at: Time) {
         if let Some(origin) = self.origins.get_mut(id) {
             origin.drop_at.get_or_insert(drop_at);
         }
     }
 
-    /// Notes that an origin is not gone after all.
+    /// Marks an origin as present again.
     pub(crate) fn revive(&mut self, id: &OriginId) {
         if let Some(origin) = self.origins.get_mut(id) {
             origin.drop_at = None;
         }
     }
 
-    /// Drops transient facts whose time is up, and retired origins beyond the bound.
+    /// Drops expired transient facts, and retired origins beyond the limit.
     pub(crate) fn tidy(&mut self, now: Time, is_member: impl Fn(&OriginId) -> bool) {
         let mut empty = Vec::new();
         for (id, origin) in &mut self.origins {
@@ -202,10 +203,10 @@
         }
     }
 
-    /// Retired origins beyond [`MAX_RETIRED`], those first started first.
+    /// Retired origins beyond [`MAX_RETIRED`], those with the lowest incarnations.
     ///
-    /// Which ones go depends on the origins alone and not on when they were heard of:
-    /// otherwise daemons would bring back to each other what each has dropped.
+    /// The choice depends on the origins alone and not on when they were received. Otherwise
+    /// daemons would give back to each other what each has dropped.
     fn beyond_bound(&self) -> Vec<OriginId> {
         let retired = self.origins.iter().filter(|(_, o)| o.drop_at.is_some());
         let mut retired = retired.map(|(id, _)| id).collect::<Vec<_>>();
@@ -213,7 +214,7 @@
         retired.into_iter().skip(MAX_RETIRED).cloned().collect()
     }
 
-    /// Origins after one, in order, each with the hash of its facts that count.
+    /// Origins after `after`, in order.
     pub(crate) fn range(&self, after: Option<&OriginId>) -> impl Iterator<Item = &OriginId> {
         use std::ops::Bound::{Excluded, Unbounded};
         let from = after.map_or(Unbounded, Excluded);
@@ -221,13 +222,13 @@
         range.map(|(id, _)| id)
     }
 
-    /// Hash over the facts of an origin, only the cumulative ones once it is gone.
+    /// Hash of an origin's facts; only of the cumulative ones once it is gone.
     pub(crate) fn hash(&self, id: &OriginId) -> u32 {
         let origin = self.origins.get(id);
         origin.map_or(0, |origin| origin.hash(origin.drop_at.is_some()))
     }
 
-    /// The facts of an origin for the wire, only the cumulative ones once it is gone.
+    /// Facts of an origin for sending; only the cumulative ones once it is gone.
     pub(crate) fn share(&self, id: &OriginId) -> Option<OriginFacts> {
         let origin = self.origins.get(id)?;
         let facts = origin.counting(origin.drop_at.is_some());
@@ -243,7 +244,7 @@
         })
     }
 
-    /// Facts on a topic; retracted ones are left out.
+    /// Facts on a topic, without retracted ones.
     pub(crate) fn facts(&self, topic: Topic) -> impl Iterator<Item = Fact> {
         self.origins.iter().flat_map(move |(id, origin)| {
             let from = (topic, Bytes::new());
