--- a/components/membership/src/probe.rs
+++ b/components/membership/src/probe.rs
@@ -1,7 +1,7 @@
-//! Who is probed when.
+//! Schedules probes and tracks their outcomes.
 //!
-//! Members are probed by turns in a shuffled order, so that each is probed within a
-//! bounded time, and newcomers join the order at a random place.
+//! Members are probed in turn in a shuffled order, so that each is probed within a bounded time.
+//! New members are inserted at a random position.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -10,11 +10,11 @@
 use rand::{Rng, RngExt};
 use types::prelude::*;
 
-/// Probes whose outcome tells how much of the fleet is in reach.
+/// Number of recent probes from which the reachable part of the fleet is estimated.
 const OUTCOMES: usize = 10;
-/// Fewer outcomes than this tell nothing.
+/// Minimum number of outcomes for this estimate.
 const MIN_OUTCOMES: usize = 3;
-/// Probes under way for other daemons, at most.
+/// Maximum number of outstanding probes on behalf of other daemons.
 const MAX_RELAYS: usize = 64;
 
 /// A probe that waits for its acknowledgement.
@@ -22,13 +22,13 @@
 pub(crate) struct Pending {
     pub(crate) target: DaemonId,
     pub(crate) seq: u32,
-    /// Others are asked to probe at this moment, unless they were.
+    /// Time at which others are asked to probe; none once they were asked.
     pub(crate) ask_at: Option<Time>,
-    /// The target is suspected at this moment.
+    /// Time at which the target is suspected.
     pub(crate) ends_at: Time,
 }
 
-/// A probe made for another daemon.
+/// An outstanding probe on behalf of another daemon.
 #[derive(Debug)]
 struct Relay {
     seq: u32,
@@ -37,7 +37,7 @@
     ends_at: Time,
 }
 
-/// Who is probed when.
+/// Probe schedule and outstanding probes.
 #[derive(Debug, Default)]
 pub(crate) struct Prober {
     order: Vec<DaemonId>,
@@ -46,18 +46,18 @@
     pub(crate) next_at: Time,
     pub(crate) pending: Option<Pending>,
     relays: Vec<Relay>,
-    /// Whether each of the last probes was answered.
+    /// Whether each of the last probes was answered, oldest first.
     outcomes: VecDeque<bool>,
 }
 
 impl Prober {
-    /// Numbers a probe.
+    /// Returns the sequence number for a new probe.
     pub(crate) fn seq(&mut self) -> u32 {
         self.next_seq = self.next_seq.wrapping_add(1);
         self.next_seq
     }
 
-    /// Puts a newcomer in the order.
+    /// Adds a member at a random position.
     pub(crate) fn add(&mut self, id: DaemonId, rng: &mut impl Rng) {
         if self.order.contains(&id) {
             return;
@@ -66,7 +66,7 @@
         self.order.insert(place, id);
     }
 
-    /// The next in the order who is present; those gone are left out from now on.
+    /// The next present member. Members that are gone are removed before each new round.
     pub(crate) fn next_target(
         &mut self,
         is_present: impl Fn(&DaemonId) -> bool,
@@ -86,7 +86,8 @@
         None
     }
 
-    /// Takes an acknowledgement; gives whom else to tell, and their number for it.
+    /// Handles an acknowledgement. For an indirect probe, returns the requester's address and its
+    /// sequence number.
     pub(crate) fn acknowledged(&mut self, seq: u32) -> Option<(SocketAddr, u32)> {
         if self.pending.as_ref().is_some_and(|p| p.seq == seq) {
             self.pending = None;
@@ -97,7 +98,7 @@
         Some((relay.asker, relay.asker_seq))
     }
 
-    /// Notes whether a probe was answered.
+    /// Records whether a probe was answered.
     pub(crate) fn note(&mut self, answered: bool) {
         if self.outcomes.len() >= OUTCOMES {
             self.outcomes.pop_front();
@@ -105,13 +106,13 @@
         self.outcomes.push_back(answered);
     }
 
-    /// Forgets past outcomes.
+    /// Forgets the outstanding probe and past outcomes.
     pub(crate) fn begin_anew(&mut self) {
         self.pending = None;
         self.outcomes.clear();
     }
 
-    /// Share of the last probes that were answered.
+    /// Share of the last probes that were answered, from 0 to 1; 1 if too few are known.
     pub(crate) fn answered_share(&self) -> f64 {
         if self.outcomes.len() < MIN_OUTCOMES {
             return 1.0;
@@ -120,7 +121,8 @@
         answered as f64 / self.outcomes.len() as f64
     }
 
-    /// Remembers for whom a probe is made; gives its number unless too many wait.
+    /// Registers a probe on behalf of another daemon. Returns its sequence number, or none if too
+    /// many are outstanding.
     pub(crate) fn relay(
         &mut self,
         now: Time,
--- a/components/membership/src/repair.rs
+++ b/components/membership/src/repair.rs
@@ -1,4 +1,4 @@
-//! Repair of what was lost: daemons compare what they hold, a range at a time.
+//! Anti-entropy repair: daemons compare digests of what they know, one range at a time.
 
 use std::collections::BTreeMap;
 
@@ -7,24 +7,25 @@
 use crate::message::{Digest, DigestEntry, MemberRecord, Message, OriginFacts, Sender};
 use crate::origin::{OriginId, OriginTag};
 
-/// Origins in one digest.
+/// Maximum number of origins in one digest.
 const PAGE: usize = 48;
-/// Own origins compared with one digest; a peer that knows far fewer gets the rest later.
+/// Maximum number of own origins compared with one digest; a peer that knows far fewer receives
+/// the rest later.
 const MAX_COMPARED: usize = 4 * PAGE;
 
-/// Rounds of the digest that must bring no unknown member before it slows down.
+/// Full rounds of the digest without an unknown member before it slows down.
 const HURRY_ROUNDS: u32 = 4;
 
-/// Where the next digest begins.
+/// Position of the next digest, and whether to send digests faster.
 #[derive(Debug)]
 pub(crate) struct Cursor {
     after: Option<OriginId>,
-    /// Rounds left in a hurry.
+    /// Full rounds left at the catch-up interval.
     hurry: u32,
 }
 
 impl Cursor {
-    /// At the first origin, in a hurry until a few rounds bring no member that was unknown.
+    /// Starts at the first origin, in catch-up mode until a few rounds bring no unknown member.
     pub(crate) fn catching_up() -> Self {
         Self {
             after: None,
@@ -32,12 +33,13 @@
         }
     }
 
-    /// Notes that a repair brought members: others may lack them too, so hurry.
+    /// Restarts catch-up mode after a repair brought unknown members, since others may lack them
+    /// too.
     pub(crate) fn note_newcomers(&mut self) {
         self.hurry = HURRY_ROUNDS;
     }
 
-    /// Goes on after an origin, or from the first.
+    /// Continues after an origin; none starts a new round.
     fn advance(&mut self, until: Option<OriginId>) {
         if until.is_none() {
             self.hurry = self.hurry.saturating_sub(1);
@@ -50,7 +52,7 @@
     }
 }
 
-/// What goes into a repair, as much as there is room for.
+/// Content of a repair message, collected up to the maximum size.
 #[derive(Default)]
 struct Parts {
     members: Vec<MemberRecord>,
@@ -85,14 +87,14 @@
     }
 }
 
-/// Whether an origin is worth telling to one who does not know it.
+/// Whether an origin is worth sending to a peer that does not know it.
 fn counts(entry: &DigestEntry) -> bool {
     let present = entry.member.is_some_and(|(_, state)| state.is_present());
     present || entry.facts != 0
 }
 
 impl Membership {
-    /// The next range of the digest; after the last it begins anew.
+    /// Digest of the next range of origins; starts again after the last.
     pub(crate) fn next_digest(&mut self) -> Digest {
         let after = self.cursor.after.take();
         let ids = self.origins.range(after.as_ref()).take(PAGE + 1);
@@ -118,7 +120,8 @@
         }
     }
 
-    /// Answers a digest with what its sender lacks and what it seems to know better.
+    /// Answers a digest with what its sender lacks, and asks for what the sender seems to know
+    /// better.
     pub(crate) fn on_digest(&mut self, from: &Sender, digest: &Digest, outcome: &mut Outcome) {
         if !self.may_repair() {
             return;
@@ -172,7 +175,7 @@
         parts.add_facts(self.origins.share(id));
     }
 
-    /// Sends what the other side of a comparison asked for.
+    /// Sends the origins that the other side of a comparison asked for.
     pub(crate) fn send_wanted(
         &mut self,
         from: &Sender,
--- a/components/membership/src/rumor.rs
+++ b/components/membership/src/rumor.rs
@@ -1,7 +1,8 @@
-//! What is still to be told, and how often.
+//! Queue of updates to gossip, and how often each is still to be sent.
 //!
-//! Each change is sent a few times and then left to the digest. What was told least is
-//! told first. A peer that tells us what we know takes one off, since others know too.
+//! Each update is sent a few times; after that the digest covers it. Updates that were sent least
+//! often are sent first. Receiving a known update from a peer reduces its remaining sends by one,
+//! since others know it too.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,26 +10,26 @@
 
 use crate::origin::{FactKey, OriginId};
 
-/// Changes waiting to be told, at most; beyond it the digest has to do.
+/// Maximum number of queued updates; those beyond it spread by the digest only.
 pub(crate) const MAX_RUMORS: usize = 16_384;
 
-/// What a rumor is about; its content is looked up when it is told.
+/// What a rumor is about; its content is looked up when it is sent.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Subject {
-    /// A member.
+    /// The record of a member.
     Member(DaemonId),
-    /// A fact.
+    /// A fact of an origin.
     Fact(OriginId, FactKey),
 }
 
-/// Which rumors are told first.
+/// Priority of a rumor, highest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Urgency {
-    /// At once.
+    /// Sent at once.
     Urgent,
     /// Changes of members.
     Member,
-    /// All other.
+    /// All others.
     Normal,
 }
 
@@ -42,7 +43,7 @@
 
 type Place = (Urgency, u8, u64, Subject);
 
-/// The changes still to be told.
+/// Updates that are still to be sent.
 #[derive(Debug, Default)]
 pub(crate) struct Rumors {
     rumors: BTreeMap<Subject, Rumor>,
@@ -55,7 +56,7 @@
         self.rumors.len()
     }
 
-    /// Tells a change so many times, whatever was left of an earlier one.
+    /// Queues an update to be sent `times` times, replacing any remaining sends of an earlier one.
     pub(crate) fn add(&mut self, subject: Subject, urgency: Urgency, times: u8) {
         self.remove(&subject);
         if self.rumors.len() >= MAX_RUMORS {
@@ -91,11 +92,12 @@
         }
     }
 
-    /// Somebody else told it: one time less to tell, unless it is urgent.
+    /// Notes that a peer sent an update that is already known: it is sent one time less, unless it
+    /// is urgent.
     ///
-    /// What is urgent comes to each daemon several times within milliseconds, so all would
-    /// fall silent at once, and now and then a daemon is left that nobody told: it would
-    /// learn of a suspension from the digest only, a minute late.
+    /// An urgent update reaches each daemon several times within milliseconds, so all daemons
+    /// would stop sending it at once. Now and then a daemon would be missed and learn of a
+    /// suspension from the digest only, a minute late.
     pub(crate) fn heard_again(&mut self, subject: &Subject) {
         let rumor = self.rumors.get_mut(subject);
         let rumor = rumor.filter(|rumor| rumor.urgency != Urgency::Urgent);
@@ -107,19 +109,19 @@
         }
     }
 
-    /// Whether anything urgent waits.
+    /// Whether an urgent update is queued.
     pub(crate) fn has_urgent(&self) -> bool {
         let first = self.queue.first();
         first.is_some_and(|(urgency, ..)| *urgency == Urgency::Urgent)
     }
 
-    /// Those to tell next, in order.
+    /// Queued updates in the order in which they are sent.
     pub(crate) fn waiting(&self) -> impl Iterator<Item = (Urgency, &Subject)> {
         let queue = self.queue.iter();
         queue.map(|(urgency, _, _, subject)| (*urgency, subject))
     }
 
-    /// Notes that it was told once.
+    /// Notes that an update was sent once.
     pub(crate) fn told(&mut self, subject: &Subject) {
         let Some(mut rumor) = self.rumors.get(subject).copied() else {
             return;
