--- a/components/membership/src/membership/news.rs
+++ b/components/membership/src/membership/news.rs
@@ -1,4 +1,4 @@
-//! Choosing what to tell, and putting messages on the way.
+//! Selects the updates to gossip and queues outgoing messages.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,16 +15,16 @@
 use crate::origin::{FactKey, OriginId, OriginTag};
 use crate::rumor::{Subject, Urgency};
 
-/// Peers that hear what is urgent in one round.
+/// Peers to which urgent updates are sent in one round.
 const URGENT_FANOUT: usize = 4;
-/// Room for urgent news whatever the budget says, in bytes.
+/// Bytes reserved in each message for urgent updates, regardless of the budget.
 const URGENT_ROOM: usize = 1_024;
-/// Rumors looked at for one message.
+/// Maximum number of rumors considered for one message.
 const MAX_LOOKED_AT: usize = 512;
 
 type Groups = BTreeMap<(Topic, Bytes, Bytes), Vec<(OriginTag, u64)>>;
 
-/// News being gathered for one receiver.
+/// Builds the gossip for one receiver within its byte limits.
 struct Draft {
     members: Vec<MemberNews>,
     groups: Groups,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Takes bytes from the room if there are so many.
+    /// Reserves bytes; returns false if too few remain.
     fn reserve(&mut self, bytes: usize, urgency: Urgency) -> bool {
         if bytes <= self.room {
             self.room -= bytes;
@@ -65,7 +65,8 @@
 }
 
 impl Membership {
-    /// News for a receiver: first what is said of itself, so that it can refute.
+    /// Gossip for a receiver. A report that the receiver itself is suspect or gone comes first, so
+    /// that it can refute it.
     pub(super) fn news(&mut self, to: Option<&DaemonId>) -> News {
         let room = self.allowance.available().min(self.cfg.budget.message);
         let mut draft = Draft::new(room);
@@ -137,13 +138,13 @@
         }
     }
 
-    /// Puts a message on the way and takes it from the budget.
+    /// Queues a message and charges it to the gossip budget.
     pub(crate) fn send(&mut self, to: SocketAddr, message: Message, outcome: &mut Outcome) {
         self.allowance.spend(message.wire_len());
         self.put(to, message, outcome);
     }
 
-    /// Puts a message on the way and takes it from the budget of repairs.
+    /// Queues a message and charges it to the repair budget.
     pub(crate) fn send_repair(&mut self, to: SocketAddr, message: Message, outcome: &mut Outcome) {
         self.repairs.spend(message.wire_len());
         self.put(to, message, outcome);
@@ -156,13 +157,13 @@
         outcome.send.push(Envelope { to, message });
     }
 
-    /// Tells one peer what waits.
+    /// Pushes pending updates to one peer.
     pub(super) fn push(&mut self, to: &MemberRecord, outcome: &mut Outcome) {
         let news = self.news(Some(&to.id));
         self.send(to.address, Message::Push(news), outcome);
     }
 
-    /// Tells a few peers what is urgent, and what else there is room for.
+    /// Pushes urgent updates to a few peers, with other updates as far as they fit.
     pub(super) fn push_urgent(
         &mut self,
         now: Time,
@@ -179,7 +180,7 @@
         }
     }
 
-    /// Some members that are present, each once.
+    /// Up to `count` distinct random members that are present.
     pub(super) fn random_peers(
         &self,
         count: usize,
@@ -205,7 +206,8 @@
     groups.collect()
 }
 
-/// In full for a daemon that is new; others are known, or repaired by the digest.
+/// A full record for a new daemon. Otherwise a brief update: the receiver knows the daemon, or the
+/// digest repairs it.
 fn news_of(record: &MemberRecord) -> MemberNews {
     if record.state == State::Alive && record.stamp.refutation == 0 {
         MemberNews::Full(record.clone())
--- a/components/membership/src/membership/publish.rs
+++ b/components/membership/src/membership/publish.rs
@@ -1,4 +1,4 @@
-//! What this daemon itself says.
+//! Publishes this daemon's own facts.
 
 use bytes::Bytes;
 use types::prelude::*;
@@ -10,14 +10,14 @@
 use crate::rumor::{Subject, Urgency};
 
 impl Membership {
-    /// Says a fact. An empty value retracts it.
+    /// Publishes a fact. An empty value retracts it.
     ///
-    /// Urgent topics go out with the next [`Membership::flush`] or tick; others as the
-    /// budget allows, always with the latest value: when facts change faster than the
-    /// budget carries them, values in between are left out.
+    /// Urgent topics are sent with the next [`Membership::flush`] or tick. Others are sent as the
+    /// budget allows, always with the latest value: when facts change faster than the budget can
+    /// carry, intermediate values are skipped.
     ///
     /// # Errors
-    /// When a part is too long or there are too many keys.
+    /// Returns an error if the key or value is too long, or if there are too many keys.
     pub fn publish(
         &mut self,
         now: Time,
@@ -49,13 +49,13 @@
         Ok(())
     }
 
-    /// Queues an own fact for telling.
+    /// Queues one of this daemon's facts for sending.
     fn announce(&mut self, id: OriginId, key: FactKey) {
         let (urgency, times) = urgency_of(key.0);
         self.rumors.add(Subject::Fact(id, key), urgency, times);
     }
 
-    /// Queues every own fact for telling, after others may have dropped them.
+    /// Queues all facts of this daemon for sending, since others may have dropped them.
     pub(super) fn announce_all(&mut self) {
         let id = self.my_origin();
         let own = self.origins.get(&id);
@@ -66,7 +66,7 @@
     }
 }
 
-/// How soon and how often facts on a topic are told.
+/// Urgency of facts on a topic, and how often they are sent.
 pub(super) fn urgency_of(topic: Topic) -> (Urgency, u8) {
     match topic.is_urgent() {
         true => (Urgency::Urgent, URGENT_TIMES),
--- a/components/membership/src/membership/receive.rs
+++ b/components/membership/src/membership/receive.rs
@@ -1,4 +1,4 @@
-//! Messages that arrive.
+//! Handles received messages.
 
 use rand::Rng;
 use types::prelude::*;
@@ -7,11 +7,11 @@
 use crate::member::State;
 use crate::message::{MemberRecord, Message, News, Sender};
 
-/// Members that one that joins is told of when there is no budget for more.
+/// Random members sent to a joining daemon when the repair budget is used up.
 const FEW_MEMBERS: usize = 6;
 
 impl Membership {
-    /// Takes a message from an authenticated sender.
+    /// Handles a message from an authenticated sender.
     pub fn receive(
         &mut self,
         now: Time,
@@ -36,7 +36,7 @@
         outcome
     }
 
-    /// Whether a message is taken at all.
+    /// Whether a message is processed; counts rejected ones.
     fn admit(
         &mut self,
         now: Time,
@@ -57,7 +57,7 @@
         }
         let held = self.members.get(&from.id).map(|m| m.record.stamp);
         let is_join = matches!(message, Message::Join(_));
-        // A run that was paused while its successor took over: its news is of the past.
+        // The sender was paused while a later run took over its name, so its news is outdated.
         if !is_join && held.is_some_and(|held| held.incarnation > from.incarnation) {
             self.counters.stale += 1;
             self.tell_successor(from, outcome);
@@ -139,10 +139,10 @@
         }
     }
 
-    /// Tells a sender that is held for suspect or dead, so that it refutes.
+    /// Tells a sender that is recorded as suspect or gone about this, so that it refutes it.
     ///
-    /// Without it a daemon that was cut off would speak to others for long without
-    /// learning that they count it as dead.
+    /// Otherwise a daemon that was partitioned could talk to others for long without learning that
+    /// they consider it down.
     fn refer(&mut self, from: &Sender, was_told: bool, outcome: &mut Outcome) {
         let held = self.members.get(&from.id).map(|member| &member.record);
         let accused = held.filter(|record| record.state != State::Alive);
@@ -201,10 +201,11 @@
         }
     }
 
-    /// Sends a few members to one that joins, when there is no budget for all of them.
+    /// Sends a few members to a joining daemon when the budget does not allow a full page.
     ///
-    /// Guards against a fleet that starts at once: the first to join use up the seeds' pages, and
-    /// the others would know nobody. Who knows a few soon hears of the rest.
+    /// When a whole fleet starts at once, the first daemons to join use up the seeds' repair
+    /// budget, and the others would know nobody. A daemon that knows a few members soon learns of
+    /// the rest.
     fn send_few(&mut self, from: &Sender, rng: &mut impl Rng, outcome: &mut Outcome) {
         if self.joins.available() == 0 {
             return;
@@ -218,7 +219,7 @@
         self.put(from.address, page, outcome);
     }
 
-    /// Sends members after one, as many as fit a message.
+    /// Sends the members after `after`, as many as fit into a message.
     fn send_page(&mut self, from: &Sender, after: Option<&DaemonId>, outcome: &mut Outcome) {
         if !self.may_repair() {
             return;
@@ -245,7 +246,7 @@
         self.send_repair(from.address, Message::Page { members, next }, outcome);
     }
 
-    /// Tells a sender of the later run of its name, so that it stops or outbids it.
+    /// Tells a sender of the later run of its name, so that it stops or raises its incarnation.
     fn tell_successor(&mut self, from: &Sender, outcome: &mut Outcome) {
         let members = self.successor_of(from).into_iter().collect();
         let page = Message::Page {
@@ -257,16 +258,16 @@
         }
     }
 
-    /// The later run of the sender's name that this daemon remembers.
+    /// The later run of the sender's name that this daemon knows of.
     fn successor_of(&self, from: &Sender) -> Option<MemberRecord> {
         let record = &self.members.get(&from.id)?.record;
         (record.stamp.incarnation > from.incarnation).then(|| record.clone())
     }
 
-    /// Whether pages and repairs are answered now.
+    /// Whether the budget allows answering with pages and repairs now.
     ///
-    /// Many daemons that join at once, or one that asks without end, must not draw more
-    /// than the budget of repairs; they try again.
+    /// Many daemons that join at once, or one that sends requests without end, must not use more
+    /// than the repair budget; they retry.
     pub(crate) fn may_repair(&self) -> bool {
         self.repairs.available() > 0
     }
--- a/components/membership/src/membership/report.rs
+++ b/components/membership/src/membership/report.rs
@@ -1,4 +1,4 @@
-//! Taking in reports about members, this daemon among them, and about facts.
+//! Applies received reports about members, including this daemon, and about facts.
 
 use rand::Rng;
 use types::prelude::*;
@@ -10,9 +10,9 @@
 use crate::origin::{OriginId, Taken};
 use crate::rumor::{Subject, Urgency};
 
-/// Times that a newcomer is told.
+/// Number of times a newly joined member is gossiped.
 const MEMBER_TIMES: u32 = 3;
-/// Suspicion is as configured in a fleet of this size.
+/// Fleet size for which the configured suspicion timeout holds.
 const SUSPICION_FLEET: f64 = 10.0;
 
 impl Membership {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Takes a report about a member.
+    /// Applies a received report about a member.
     pub(crate) fn take_record(
         &mut self,
         now: Time,
@@ -73,7 +73,7 @@
         self.apply(now, record, rng, outcome);
     }
 
-    /// Takes a report just as it is.
+    /// Applies a record as it is, without downgrading reports of a death.
     pub(super) fn apply(
         &mut self,
         now: Time,
@@ -103,12 +103,12 @@
         self.tell_member(record.id);
     }
 
-    /// Takes another daemon's word of a death as a suspicion only; each buries by its own
-    /// clock.
+    /// Downgrades another daemon's report that a member is down to a suspicion; each daemon
+    /// declares members down by its own timeout.
     ///
-    /// After a region was cut off, each side holds the other for dead. When they meet,
-    /// those reports would kill every daemon on its own side too, until it had refuted
-    /// its death; as a suspicion it is refuted before it comes to that.
+    /// After a partition, each side considers the other down. When they meet again, applying these
+    /// reports directly would make the daemons of each side declare members of their own side down
+    /// until those refuted it. A suspicion is refuted before it expires.
     fn soften(&self, record: &MemberRecord) -> MemberRecord {
         let mut record = record.clone();
         let held = self.members.get(&record.id).map(|member| &member.record);
@@ -168,17 +168,18 @@
         });
     }
 
-    /// How long a suspect has to refute: news needs longer to cross a larger fleet.
+    /// Suspicion timeout; gossip needs longer to spread in a larger fleet.
     pub(super) fn suspicion(&self) -> Span {
         let size = self.fleet_size() as f64;
         let factor = size.log(SUSPICION_FLEET).max(1.0);
         Span::from_secs_f64(self.cfg.timing.suspicion.as_secs_f64() * factor)
     }
 
-    /// Queues what is known of a member for telling.
+    /// Queues a member's record for gossip.
     ///
-    /// Deaths and refutations are short and race a suspicion's end, so they are told more
-    /// often than newcomers, whose records are long and whom the digest brings too.
+    /// Deaths and refutations are short and must arrive before a suspicion expires, so they are
+    /// sent more often than newly joined members, whose records are long and also spread by the
+    /// digest.
     pub(super) fn tell_member(&mut self, id: DaemonId) {
         let held = self.members.get(&id).map_or(&self.me, |m| &m.record);
         let is_new = held.state == State::Alive && held.stamp.refutation == 0;
@@ -187,7 +188,7 @@
         self.rumors.add(Subject::Member(id), Urgency::Member, times);
     }
 
-    /// Takes a report about this daemon itself, and refutes it where it is wrong.
+    /// Applies a report about this daemon itself, and refutes it if it is wrong.
     fn take_own_record(&mut self, record: &MemberRecord, outcome: &mut Outcome) {
         let mine = self.me.stamp;
         if record.stamp.incarnation > mine.incarnation {
@@ -204,11 +205,11 @@
         }
     }
 
-    /// Takes a report about a later run of this daemon's name.
+    /// Handles a report about a later incarnation of this daemon's name.
     ///
-    /// At this address, or gone, it is one from before, by a clock that was ahead. Alive
-    /// at another address it is a second process: if both raised their incarnation they
-    /// would outbid each other without end.
+    /// If it has this daemon's address or is gone, it is from an earlier run whose clock was
+    /// ahead. If it is alive at another address, it is a second process with the same name: if
+    /// both raised their incarnation, they would outbid each other without end.
     fn take_successor(&mut self, record: &MemberRecord, outcome: &mut Outcome) {
         let address = record.address;
         if address == self.me.address || !record.state.is_present() {
@@ -218,10 +219,10 @@
         }
     }
 
-    /// Goes on as a later run than any that others remember.
+    /// Continues with a higher incarnation than any that others remember.
     ///
-    /// A replaced host whose clock is behind would come with a lower incarnation than
-    /// its predecessor of the same name, and be ignored as a message from the past.
+    /// A replacement host whose clock is behind would start with a lower incarnation than its
+    /// predecessor of the same name, and its messages would be ignored as outdated.
     fn raise_incarnation(&mut self, incarnation: Incarnation, outcome: &mut Outcome) {
         let old = self.my_origin();
         let own = self.origins.share(&old);
@@ -255,7 +256,8 @@
         }
     }
 
-    /// Takes a fact, and tells it on unless it came by the digest.
+    /// Applies a fact and, unless it came from a digest repair, gossips it further. Urgent facts
+    /// are always gossiped further.
     fn take_fact(
         &mut self,
         now: Time,
@@ -290,7 +292,7 @@
         }
     }
 
-    /// Takes an origin's facts as repaired by the digest.
+    /// Applies an origin's facts received in a digest repair.
     pub(crate) fn take_origin(&mut self, now: Time, theirs: &OriginFacts, outcome: &mut Outcome) {
         let id = &theirs.origin;
         let is_current = self.record_of(id).is_some();
@@ -304,7 +306,7 @@
         }
     }
 
-    /// Makes a place for an origin that is gone but whose facts still count.
+    /// Adds an origin that is gone but whose cumulative facts remain valid.
     fn add_retired(&mut self, now: Time, theirs: &OriginFacts) -> bool {
         let id = &theirs.origin;
         let held = self.members.get(&id.daemon);
--- a/components/membership/src/membership/tick.rs
+++ b/components/membership/src/membership/tick.rs
@@ -1,4 +1,4 @@
-//! What a daemon does from time to time.
+//! Periodic work: probes, suspicion timeouts, pushes, repair, joins and cleanup.
 
 use rand::{Rng, RngExt};
 use types::prelude::*;
@@ -8,23 +8,24 @@
 use crate::message::Message;
 use crate::probe::Pending;
 
-/// Others asked to probe one that did not answer.
+/// Daemons asked to probe a target that did not answer.
 const INDIRECT_PROBES: usize = 3;
-/// More rumors than one message holds: a fleet starts, or a cut healed, and they are told
-/// at each tick as far as the budget lasts.
+/// With more rumors than this, one message cannot hold them all, as when a fleet starts or a
+/// partition healed. They are then pushed at each tick, as far as the budget allows.
 const MANY_RUMORS: usize = 48;
-/// Joining is tried again after this long, longer each time: hosts that come back together are some
+/// Delay before the first join retry, doubled each time. Hosts that come back together start some
 /// tenths of a second apart.
 const JOIN_RETRY: Span = Span::from_millis(100);
-/// Joining is tried at least this often.
+/// Maximum delay between join retries.
 const JOIN_RETRY_MAX: Span = Span::from_secs(10);
-/// Joins made whoever is known.
+/// Join requests sent at the start, even if members are already known.
 const FIRST_JOINS: u32 = 3;
-/// Tables are tidied this often.
+/// Interval between cleanups of the tables.
 const TIDY: Span = Span::from_secs(1);
 
 impl Membership {
-    /// Does what is due. To be called a few times a second; nothing is due more often.
+    /// Does the work that is due. Must be called a few times per second; no action is due more
+    /// often.
     pub fn tick(&mut self, now: Time, rng: &mut impl Rng) -> Outcome {
         let mut outcome = Outcome::default();
         self.allowance.fill(now);
@@ -42,11 +43,11 @@
         outcome
     }
 
-    /// Drops conclusions that this process would draw from its own pause.
+    /// Discards conclusions that would only stem from a pause of this process.
     ///
-    /// After a pause every probe under way looks unanswered and every suspicion
-    /// unrefuted, though the answers wait in the queues: the paused daemon would
-    /// declare others dead. So probes start anew and suspicions get their time back.
+    /// After a pause every probe in flight looks unanswered and every suspicion unrefuted, though
+    /// the answers wait in the socket queues. The paused daemon would declare others down. So
+    /// probes are reset and suspicions are extended by the length of the pause.
     fn notice_pause(&mut self, now: Time) {
         let gap = self.ticked_at.map_or(Span::ZERO, |at| now.since(at));
         self.ticked_at = Some(now);
@@ -59,10 +60,10 @@
         self.members.put_off_suspicions(gap);
     }
 
-    /// Declares those dead who did not refute their suspicion in time.
+    /// Declares suspects down that did not refute in time.
     ///
-    /// One that spoke to this daemon since it was suspected lives, even though its
-    /// refutation was lost on the way: it gets as much time again.
+    /// A suspect that sent this daemon a message since the suspicion began is alive, though its
+    /// refutation was lost: its suspicion is restarted.
     fn bury(&mut self, now: Time, rng: &mut impl Rng, outcome: &mut Outcome) {
         let overdue = self.members.overdue_suspects(now).into_iter();
         let overdue = overdue.map(|member| {
@@ -80,10 +81,10 @@
         }
     }
 
-    /// Probes suspects once more before they are buried.
+    /// Probes suspects directly before their suspicion expires.
     ///
-    /// A refutation may miss a daemon by chance; in a large fleet it then would be the
-    /// only one to hold a living daemon for dead.
+    /// A refutation may fail to reach a daemon by chance. In a large fleet that daemon would then
+    /// be the only one to consider a living member down.
     fn knock(&mut self, now: Time, outcome: &mut Outcome) {
         for id in self.members.due_knocks(now) {
             let seq = self.prober.seq();
@@ -125,7 +126,8 @@
         self.send(to, Message::Probe { seq, news }, outcome);
     }
 
-    /// Asks others to probe one that did not answer: the path may be at fault.
+    /// Asks others to probe a target that did not answer, since only the path to it may have
+    /// failed.
     fn ask_others(&mut self, now: Time, rng: &mut impl Rng, outcome: &mut Outcome) {
         let Some(pending) = &mut self.prober.pending else {
             return;
@@ -193,10 +195,10 @@
         }
     }
 
-    /// Knocks at one of the dead, or at a seed that nobody is known to have taken.
+    /// Contacts a member that is down, or a seed address without a present member.
     ///
-    /// Without it two sides of a region's cut that both hold the other for dead would
-    /// never speak again.
+    /// Otherwise the two sides of a region partition, each of which considers the other down,
+    /// would never contact each other again.
     fn heal(&mut self, now: Time, rng: &mut impl Rng, outcome: &mut Outcome) {
         if !now.has_reached(self.schedule.heal_at) {
             return;
@@ -234,10 +236,11 @@
             .collect()
     }
 
-    /// Asks a seed for the members while none is known, and at first in any case.
+    /// Sends a join request to a seed while no member is known, and a few times after the start in
+    /// any case.
     ///
-    /// Daemons that start together would otherwise form an island around each seed: the
-    /// seeds themselves know somebody already and would not ask each other.
+    /// Otherwise daemons that start together would form an island around each seed: the seeds
+    /// already know some members and would not contact each other.
     fn join(&mut self, now: Time, rng: &mut impl Rng, outcome: &mut Outcome) {
         let is_lonely = self.members.present() == 0;
         let is_new = self.schedule.join_tries < FIRST_JOINS;
