--- a/components/membership/tests/facts.rs
+++ b/components/membership/tests/facts.rs
@@ -1,4 +1,4 @@
-//! Facts in fleets of daemons: spread, order, loss, deaths, bounds, bytes.
+//! Facts in simulated fleets: spread, ordering, loss, failed daemons, limits, bandwidth.
 
 #[path = "support/fleet.rs"]
 #[allow(dead_code, unreachable_pub)]
@@ -31,13 +31,13 @@
     facts.map(|fact| fact.value).collect()
 }
 
-/// Whether every running daemon holds just this of an origin.
+/// Whether every running daemon has exactly these values of an origin.
 fn all_hold(fleet: &Fleet, topic: Topic, origin: usize, value: &[&str]) -> bool {
     let mut running = fleet.nodes.values().filter(|node| node.runs);
     running.all(|node| values(&node.membership, topic, origin) == value)
 }
 
-/// Whether no other daemon holds anything of an origin.
+/// Whether no other daemon has any fact of an origin on a topic.
 fn all_without(fleet: &Fleet, origin: usize, topic: Topic) -> bool {
     let me = config(origin, 1).me;
     let mut others = fleet.nodes.values().map(|node| &node.membership);
@@ -65,8 +65,8 @@
     assert!(took.is_some());
 }
 
-// A version turns bad and one daemon suspends it. Until the others know they go on
-// sending it work. With a third of the messages lost 128 daemons must know in a second.
+// Guards against slow suspension of a bad version: daemons that do not know of it yet keep sending
+// it work. With a third of the messages lost, 128 daemons must know within a second.
 #[test]
 fn can_spread_urgent_facts_in_a_second() {
     for seed in 1..=3 {
@@ -80,8 +80,8 @@
     }
 }
 
-// Counts of ratings still count when the daemon that made them is gone, and reach a
-// daemon that starts later. Its demand does not count any more.
+// Counts of ratings must remain valid after their daemon is gone and reach a daemon that starts
+// later, while the demand of the failed daemon must be dropped.
 #[test]
 fn can_keep_cumulative_facts_of_the_dead() {
     let mut fleet = Fleet::new(8, 2);
@@ -99,8 +99,8 @@
     assert!(took.is_some());
 }
 
-// A daemon is restarted: what its earlier run counted still counts beside what the new
-// run says, and the earlier run's demand goes at once.
+// After a restart, the counts of the earlier run must remain valid beside those of the new run,
+// while the demand of the earlier run must be dropped at once.
 #[test]
 fn can_tell_runs_apart() {
     let mut fleet = Fleet::new(8, 3);
@@ -117,8 +117,8 @@
     assert!(all_hold(&fleet, Topic::Demand, 3, &["late"]));
 }
 
-// A daemon is cut off for fifteen seconds and taken for dead. Its demand is kept meanwhile:
-// a false death must not reset the others' shares.
+// A daemon is partitioned for fifteen seconds and declared down. Its demand must be kept: a false
+// failure detection must not reset the others' shares.
 #[test]
 fn can_bear_a_false_death() {
     let mut fleet = Fleet::new(8, 4);
@@ -137,8 +137,8 @@
     assert!(all_hold(&fleet, Topic::Demand, 3, &["much"]));
 }
 
-// A daemon is cut off for minutes; its demand is dropped, then it is back. The others
-// must see its demand again at once, not when the digest comes round to it.
+// A daemon is partitioned for minutes, its demand is dropped, then it returns. The others must see
+// its demand again at once, not only when the digest reaches it.
 #[test]
 fn can_bring_facts_back_after_a_long_cut() {
     let mut fleet = Fleet::new(48, 9);
@@ -155,8 +155,8 @@
     assert!(took.is_some());
 }
 
-// A run of a daemon that was paused wakes after its successor took over its name. What
-// it still has to say is of the past: it must not pass for the successor's.
+// An earlier run that was paused resumes after its successor took over its name. Its outdated
+// messages must not be taken for the successor's.
 #[test]
 fn errors_on_messages_of_an_earlier_run() {
     let mut fleet = Fleet::new(4, 8);
@@ -181,7 +181,7 @@
     assert_eq!(membership.counters().stale, 1);
 }
 
-// The same fact comes again, late and out of order, by several ways.
+// The same fact arrives repeatedly, late and out of order; the highest sequence number must win.
 #[test]
 fn can_take_facts_in_any_order() {
     let mut fleet = Fleet::new(2, 5);
@@ -252,8 +252,8 @@
     assert_eq!(membership.counters().malformed, 1);
 }
 
-// Every daemon says something new every second, far more than the budget carries. The
-// bytes must stay within the budget and later values must still come through.
+// Every daemon publishes a new value each second, far more than the budget allows. The bandwidth
+// must stay within the budget, and later values must still arrive.
 #[test]
 fn can_keep_the_budget_under_a_flood() {
     let mut fleet = Fleet::new(32, 7);
@@ -264,7 +264,7 @@
     };
     fleet.run_for(secs(10));
     let mut before = 0;
-    // The budgets' savings are used up before it counts.
+    // The accumulated budgets are used up before the bytes are counted.
     for round in 0..60 {
         if round == 40 {
             before = fleet.nodes.values().map(|node| node.bytes).sum::<u64>();
--- a/components/membership/tests/membership.rs
+++ b/components/membership/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership in fleets of daemons: joins, deaths, pauses, restarts, cuts.
+//! Membership in simulated fleets: joins, failures, pauses, restarts, partitions.
 
 #[path = "support/fleet.rs"]
 #[allow(dead_code, unreachable_pub)]
@@ -53,9 +53,9 @@
     assert_eq!(fleet.count(now, is_down), 28);
 }
 
-// A fifth of the messages is lost. Users would see daemons dropped and taken back all
-// the time if a lost acknowledgement were a death, or if a lost refutation were: others
-// are asked, and each daemon knocks itself before it buries.
+// A fifth of the messages is lost. Guards against members that are declared down and taken back
+// all the time: a lost acknowledgement is covered by indirect probes, a lost refutation by the
+// direct probes before a suspicion expires.
 #[test]
 fn can_bear_loss() {
     let mut fleet = Fleet::new(32, 3);
@@ -67,9 +67,9 @@
     assert_eq!(fleet.count(start, is_down), 0);
 }
 
-// A daemon stops for 30 s and goes on. Meanwhile it is declared dead. When it wakes its
-// probe looks unanswered and its suspicions unrefuted; it must not declare others dead,
-// and must be back with the same incarnation, as no restart.
+// A daemon is paused for 30 s and declared down. When it resumes, its probe looks unanswered and
+// its suspicions unrefuted: it must not declare others down, and must return with the same
+// incarnation, since it did not restart.
 #[test]
 fn can_tell_pause_from_restart() {
     let mut fleet = Fleet::new(16, 4);
@@ -98,13 +98,13 @@
     assert_eq!(back, 15);
 }
 
-// A daemon wakes after a pause in the middle of its own probe and suspicion: without
-// the guard it declares whom it was just suspecting dead at once, though it lives.
+// A daemon resumes after a pause during its own probe and suspicion. Without pause detection it
+// would at once declare down the members that it suspected, though they are alive.
 #[test]
 fn can_wake_without_accusing() {
     let mut fleet = Fleet::new(8, 5);
     fleet.run_for(secs(20));
-    // Daemon 2 hears nobody for a while, and so suspects some.
+    // Daemon 2 receives nothing for a while and so suspects some members.
     fleet.node(2).side = 1;
     fleet.run_for(secs(3));
     fleet.node(2).runs = false;
@@ -117,8 +117,9 @@
     assert_eq!(fleet.count(woke, is_down), 0);
 }
 
-// One daemon of many is cut off alone. It must soon know that it reaches few, long before
-// it has held each for dead: what it does past its freshness limit hangs on that.
+// A single daemon is partitioned from the fleet. It must soon know that it reaches few others,
+// long before it has declared each of them down: its behavior past its freshness limit depends on
+// this.
 #[test]
 fn can_notice_being_cut_off() {
     let mut fleet = Fleet::new(64, 10);
@@ -148,9 +149,9 @@
     assert_eq!(seen, 7);
 }
 
-// A host is replaced by one whose clock is behind, under the same name. The others
-// remember a higher incarnation; without raising its own the newcomer would be ignored
-// as a message from the past for as long as they remember.
+// A host is replaced under the same name by one whose clock is behind. The others remember a
+// higher incarnation: unless the new daemon raises its own, its messages are ignored as outdated
+// for as long as they remember.
 #[test]
 fn can_restart_with_a_clock_that_is_behind() {
     let mut fleet = Fleet::new(8, 7);
@@ -164,8 +165,8 @@
     assert_eq!(fleet.count(Time::ZERO, raised), 1);
 }
 
-// Two hosts are given the same name by mistake. They must not outbid each other without
-// end, flooding the fleet with news; the operator is told of both.
+// Two hosts are given the same name by mistake. They must not outbid each other's incarnation
+// without end and flood the fleet with updates; the operator is told of both.
 #[test]
 fn can_bear_two_of_the_same_name() {
     let mut fleet = Fleet::new(8, 11);
@@ -180,8 +181,8 @@
     assert!(fleet.count(Time::ZERO, told) > 0);
 }
 
-// Such a name is taken from a host whose clock was ahead to one whose clock is behind,
-// at another address. It must be in once the old host is dead.
+// A name moves from a host whose clock was ahead to one at another address whose clock is behind.
+// The new daemon must be accepted once the old host is down.
 #[test]
 fn can_replace_a_host_whose_clock_was_ahead() {
     let mut fleet = Fleet::new(8, 12);
@@ -195,9 +196,9 @@
     assert!(took.is_some());
 }
 
-// Two regions lose each other for two minutes. Each side buries the other and goes on.
-// When the cut heals both find each other again through the dead that are remembered,
-// and nobody is declared dead on the way.
+// Two regions are partitioned for two minutes, and each side declares the other down. When the
+// partition heals, they must find each other through the remembered members that are down, without
+// declaring any daemon down on the way.
 #[test]
 fn can_heal_a_cut_quietly() {
     let mut fleet = Fleet::new(48, 8);
@@ -246,9 +247,9 @@
     assert_eq!(alive.record.state, State::Alive);
 }
 
-// All hosts of a large fleet lose power and come back at one moment. Daemons that know few
-// others each take themselves for the first of the fleet, and tell, ask and watch as such.
-// Each must know nearly all within some seconds, though the seeds answer a few joins each.
+// All hosts of a large fleet restart at the same moment. A daemon that knows few others takes
+// itself for the first of the fleet and sends, requests and watches as such. Each must know nearly
+// all others within seconds, though each seed answers only a few joins.
 #[test]
 fn can_meet_a_large_fleet_that_starts_at_once() {
     let size = 295;
@@ -268,9 +269,10 @@
     );
 }
 
-// All hosts of a large fleet come back at one moment and join by the same few seeds, whose
-// budget of pages is used up by the first of them. The others got no answer and knew nobody for
-// over a second, so that each took itself for alone and asked the store for everything.
+// All hosts of a large fleet restart at the same moment and join through the same few seeds, whose
+// repair budget is used up by the first of them. Guards against leaving the others unanswered:
+// they knew nobody for over a second, took themselves for alone and requested everything from the
+// store.
 #[test]
 fn can_answer_each_of_many_that_join_at_once() {
     let mut fleet = Fleet::new(295, 23);
@@ -285,9 +287,9 @@
     assert_eq!(lonely(&fleet), 0, "daemons that know nobody");
 }
 
-// All hosts of a fleet come back at one moment, the seeds a tenth of a second after the others.
-// Who had tried to join just before waited half a second for the next try, knew nobody whom
-// it could ask for a configuration, and refused its callers meanwhile.
+// All hosts of a fleet restart at the same moment, the seeds a tenth of a second after the others.
+// Guards against a join retry half a second later: such a daemon knew nobody from whom to request
+// a configuration, and refused its callers meanwhile.
 #[test]
 fn can_join_seeds_that_start_a_moment_later() {
     let mut fleet = Fleet::new(0, 22);
--- a/components/membership/tests/support/fleet.rs
+++ b/components/membership/tests/support/fleet.rs
@@ -1,5 +1,5 @@
-//! Daemons' memberships in one loop: messages take a few milliseconds, may be lost, and
-//! daemons may be paused, stopped or cut off from each other.
+//! Simulated fleet in one loop: messages take a few milliseconds and may be lost, and daemons may
+//! be paused, stopped or partitioned from each other.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 use rand::{RngExt, SeedableRng};
 use types::prelude::*;
 
-/// Between two ticks of a daemon.
+/// Interval between ticks of a daemon.
 pub const TICK: Span = Span::from_millis(200);
 
 /// One daemon of the fleet.
@@ -19,19 +19,19 @@
     pub bytes: u64,
     pub messages: u64,
     pub runs: bool,
-    /// Sees only daemons of the same side.
+    /// Partition that the daemon is in; it reaches only daemons with the same value.
     pub side: u8,
-    /// Tells its ticks from those of an earlier run at the same address.
+    /// Distinguishes its ticks from those of an earlier run at the same address.
     run: u64,
 }
 
-/// What happens next.
+/// A scheduled action.
 enum Due {
     Tick(SocketAddr, u64),
     Message(Sender, SocketAddr, Message),
 }
 
-/// Daemons and the messages between them.
+/// Simulated daemons and the messages between them.
 pub struct Fleet {
     pub nodes: BTreeMap<SocketAddr, Node>,
     pub now: Time,
@@ -76,7 +76,7 @@
         fleet
     }
 
-    /// Starts a daemon, in place of one at the same address.
+    /// Starts a daemon, replacing any at the same address.
     pub fn start(&mut self, cfg: Config) {
         let phase = Span::from_micros(self.rng.random_range(0..TICK.as_micros()));
         let run = self.schedule(self.now + phase, |run| Due::Tick(cfg.address, run));
@@ -102,7 +102,7 @@
         self.scheduled
     }
 
-    /// Runs until a moment.
+    /// Advances the simulation to a point in time.
     pub fn run_until(&mut self, end: Time) {
         while let Some(first) = self.due.first_entry() {
             if first.key().0 > end {
@@ -122,7 +122,7 @@
         self.run_until(self.now + span);
     }
 
-    /// Runs until a condition holds; how long that took, if it did within `limit`.
+    /// Runs until `wait` returns false; returns how long that took, or none after `limit`.
     pub fn run_while(&mut self, limit: Span, wait: impl Fn(&Self) -> bool) -> Option<Span> {
         let start = self.now;
         while wait(self) {
@@ -163,7 +163,7 @@
         self.take(to, outcome);
     }
 
-    /// Puts what a daemon wants to send on its way.
+    /// Records a daemon's events and schedules delivery of its messages.
     pub fn take(&mut self, at: SocketAddr, outcome: Outcome) {
         let now = self.now;
         let Some(node) = self.nodes.get_mut(&at) else {
@@ -197,7 +197,7 @@
         self.take(address(index), outcome);
     }
 
-    /// Whether every running daemon counts just the running ones of its side as present.
+    /// Whether every running daemon sees exactly the running daemons on its side as present.
     pub fn agrees(&self) -> bool {
         let running = || self.nodes.values().filter(|node| node.runs);
         let count = |side: u8| running().filter(|node| node.side == side).count();
@@ -216,7 +216,7 @@
         })
     }
 
-    /// Events of all daemons since a moment that a filter takes.
+    /// Number of matching events at all daemons since a point in time.
     pub fn count(&self, since: Time, wanted: impl Fn(&Event) -> bool) -> usize {
         let events = self.nodes.values().flat_map(|node| &node.events);
         let events = events.filter(|(at, event)| *at >= since && wanted(event));
