--- a/components/membership/src/config.rs
+++ b/components/membership/src/config.rs
@@ -104,27 +104,27 @@
 
 /// Token bucket that limits the bytes sent.
 #[derive(Debug)]
-pub(crate) struct Allowance {
+pub(crate) struct TokenBucket {
     rate: f64,
     burst: f64,
-    filled_at: Time,
+    refilled_at: Time,
     bytes: f64,
 }
 
-impl Allowance {
+impl TokenBucket {
     pub(crate) fn new(rate: f64, burst: f64) -> Self {
         Self {
             rate,
             burst,
-            filled_at: Time::ZERO,
+            refilled_at: Time::ZERO,
             bytes: burst,
         }
     }
 
-    pub(crate) fn fill(&mut self, now: Time) {
-        let gained = self.rate * now.since(self.filled_at).as_secs_f64();
+    pub(crate) fn refill(&mut self, now: Time) {
+        let gained = self.rate * now.since(self.refilled_at).as_secs_f64();
         self.bytes = (self.bytes + gained).min(self.burst);
-        self.filled_at = now;
+        self.refilled_at = now;
     }
 
     /// Whole bytes available; zero while in debt.
--- a/components/membership/src/fact.rs
+++ b/components/membership/src/fact.rs
@@ -70,7 +70,7 @@
 ///
 /// # Errors
 /// Returns an error that names the part that is too long.
-pub(crate) fn check(key: &Bytes, value: &Bytes) -> Result<(), PublishError> {
+pub(crate) fn check_sizes(key: &Bytes, value: &Bytes) -> Result<(), PublishError> {
     if key.len() > MAX_KEY_BYTES {
         return Err(PublishError::KeyTooLong(key.len()));
     }
--- a/components/membership/src/member.rs
+++ b/components/membership/src/member.rs
@@ -13,9 +13,9 @@
 pub(crate) const MAX_MEMBERS: usize = 2_048;
 
 /// A suspect is probed directly by every daemon during this time before its suspicion expires.
-const LAST_KNOCKS: Span = Span::from_millis(3_200);
+const DIRECT_PROBE_WINDOW: Span = Span::from_millis(3_200);
 /// Interval between these direct probes of a suspect.
-const KNOCK: Span = Span::from_secs(1);
+const DIRECT_PROBE_INTERVAL: Span = Span::from_secs(1);
 
 /// Version of a report about a member.
 #[derive(
@@ -77,7 +77,7 @@
 }
 
 /// Precedence of a report; of two reports the one with the higher value holds.
-fn rank(stamp: Stamp, state: State) -> (Incarnation, bool, u32, State) {
+fn precedence(stamp: Stamp, state: State) -> (Incarnation, bool, u32, State) {
     let left = state == State::Left;
     (stamp.incarnation, left, stamp.refutation, state)
 }
@@ -90,7 +90,7 @@
     /// The member was absent and is now present, or it restarted.
     Up,
     /// The member was present and remains so; its refutation is newer.
-    Refreshed,
+    Refuted,
     /// The member is now suspected.
     Suspect,
     /// The member is down or left.
@@ -132,7 +132,7 @@
         range.map(|(_, member)| member)
     }
 
-    pub(crate) fn heard(&mut self, id: &DaemonId, now: Time) {
+    pub(crate) fn record_contact(&mut self, id: &DaemonId, now: Time) {
         if let Some(member) = self.members.get_mut(id) {
             member.heard_at = Some(now);
         }
@@ -145,29 +145,29 @@
     }
 
     /// Starts or restarts the suspicion of a member.
-    pub(crate) fn suspect(&mut self, now: Time, id: &DaemonId, span: Span) {
+    pub(crate) fn start_suspicion(&mut self, now: Time, id: &DaemonId, span: Span) {
         if let Some(member) = self.members.get_mut(id) {
             member.since = now;
             member.deadline = now + span;
-            member.knock_at = member.deadline - LAST_KNOCKS;
+            member.knock_at = member.deadline - DIRECT_PROBE_WINDOW;
         }
     }
 
     /// Returns the suspects that are due a direct probe, and schedules the next one a second
     /// later.
-    pub(crate) fn due_knocks(&mut self, now: Time) -> Vec<DaemonId> {
+    pub(crate) fn due_direct_probes(&mut self, now: Time) -> Vec<DaemonId> {
         let members = self.members.values_mut();
         let due =
             members.filter(|m| m.record.state == State::Suspect && now.has_reached(m.knock_at));
         let due = due.map(|member| {
-            member.knock_at = now + KNOCK;
+            member.knock_at = now + DIRECT_PROBE_INTERVAL;
             member.record.id.clone()
         });
         due.collect()
     }
 
     /// Extends the deadlines of all suspicions.
-    pub(crate) fn put_off_suspicions(&mut self, by: Span) {
+    pub(crate) fn extend_suspicions(&mut self, by: Span) {
         let suspects = self.members.values_mut();
         for member in suspects.filter(|member| member.record.state == State::Suspect) {
             member.deadline = member.deadline + by;
@@ -180,25 +180,25 @@
         if !self.members.contains_key(&record.id) {
             return self.insert(now, record);
         }
-        let Some(held) = self.members.get_mut(&record.id) else {
+        let Some(stored) = self.members.get_mut(&record.id) else {
             return Change::None;
         };
-        let (old, new) = (&held.record, record);
-        if rank(new.stamp, new.state) <= rank(old.stamp, old.state) {
+        let (old, new) = (&stored.record, record);
+        if precedence(new.stamp, new.state) <= precedence(old.stamp, old.state) {
             return Change::None;
         }
         let restarted = new.stamp.incarnation != old.stamp.incarnation;
         let was_present = old.state.is_present();
         let change = match new.state {
             State::Alive | State::Suspect if restarted || !was_present => Change::Up,
-            State::Alive => Change::Refreshed,
+            State::Alive => Change::Refuted,
             State::Suspect => Change::Suspect,
             State::Down | State::Left => Change::Gone,
         };
-        held.record = record.clone();
-        held.since = now;
-        held.deadline = Time::NEVER;
-        held.knock_at = Time::NEVER;
+        stored.record = record.clone();
+        stored.since = now;
+        stored.deadline = Time::NEVER;
+        stored.knock_at = Time::NEVER;
         self.present -= usize::from(was_present);
         self.present += usize::from(record.state.is_present());
         change
@@ -244,7 +244,7 @@
     }
 
     /// Removes members that are gone and whose retention time has passed.
-    pub(crate) fn forget(&mut self, now: Time) {
+    pub(crate) fn remove_expired(&mut self, now: Time) {
         self.members
             .retain(|_, m| m.record.state.is_present() || !now.has_reached(m.deadline));
     }
--- a/components/membership/src/membership.rs
+++ b/components/membership/src/membership.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 use types::prelude::*;
 
-use crate::config::{Allowance, Config};
+use crate::config::{Config, TokenBucket};
 use crate::fact::{Fact, PublishError, Topic};
 use crate::member::{Member, MemberTable, Stamp, State};
 use crate::message::{Envelope, MAX_ATTACHMENT_BYTES, MemberRecord};
@@ -23,9 +23,9 @@
 mod tick;
 
 /// Number of times each daemon sends an urgent fact: four rounds.
-const URGENT_TIMES: u8 = 16;
+const URGENT_TRANSMISSIONS: u8 = 16;
 /// Number of times each daemon sends any other fact.
-const FACT_TIMES: u8 = 3;
+const FACT_TRANSMISSIONS: u8 = 3;
 
 /// A change that the caller may act on.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -129,8 +129,8 @@
     repair_at: Time,
     heal_at: Time,
     join_at: Time,
-    tidy_at: Time,
-    join_tries: u32,
+    cleanup_at: Time,
+    join_attempts: u32,
 }
 
 /// Membership and shared facts as seen by one daemon.
@@ -144,12 +144,12 @@
     prober: Prober,
     schedule: Schedule,
     pub(crate) cursor: Cursor,
-    allowance: Allowance,
-    repairs: Allowance,
-    joins: Allowance,
+    gossip_budget: TokenBucket,
+    repair_budget: TokenBucket,
+    join_budget: TokenBucket,
     own_seq: u64,
     attachment: Bytes,
-    ticked_at: Option<Time>,
+    last_tick_at: Option<Time>,
     counters: Counters,
 }
 
@@ -170,9 +170,9 @@
         };
         let budget = &cfg.budget;
         let mut membership = Self {
-            allowance: Allowance::new(budget.rate as f64, budget.burst as f64),
-            repairs: Allowance::new(budget.repair_rate as f64, budget.repair_burst as f64),
-            joins: Allowance::new(budget.repair_rate as f64, budget.join_burst as f64),
+            gossip_budget: TokenBucket::new(budget.rate as f64, budget.burst as f64),
+            repair_budget: TokenBucket::new(budget.repair_rate as f64, budget.repair_burst as f64),
+            join_budget: TokenBucket::new(budget.repair_rate as f64, budget.join_burst as f64),
             me,
             cfg,
             members: MemberTable::default(),
@@ -183,10 +183,10 @@
             cursor: Cursor::catching_up(),
             own_seq: 0,
             attachment: Bytes::new(),
-            ticked_at: None,
+            last_tick_at: None,
             counters: Counters::default(),
         };
-        membership.origins.add(membership.my_origin());
+        membership.origins.add(membership.own_origin());
         membership
     }
 
@@ -220,7 +220,7 @@
     #[must_use]
     pub fn reachable(&self) -> usize {
         let others = self.members.present() as f64;
-        (others * self.prober.answered_share()).round() as usize + 1
+        (others * self.prober.answered_ratio()).round() as usize + 1
     }
 
     /// Counters since the start.
@@ -280,13 +280,13 @@
         self.rumors.add(
             Subject::Member(self.me.id.clone()),
             Urgency::Urgent,
-            URGENT_TIMES,
+            URGENT_TRANSMISSIONS,
         );
         self.push_urgent(now, None, rng, &mut outcome);
         outcome
     }
 
-    pub(crate) fn my_origin(&self) -> OriginId {
+    pub(crate) fn own_origin(&self) -> OriginId {
         OriginId {
             daemon: self.me.id.clone(),
             incarnation: self.me.stamp.incarnation,
@@ -294,7 +294,7 @@
     }
 
     /// Record of an origin if it is the current run of its daemon.
-    pub(crate) fn record_of(&self, id: &OriginId) -> Option<&MemberRecord> {
+    pub(crate) fn current_record(&self, id: &OriginId) -> Option<&MemberRecord> {
         let record = if id.daemon == self.me.id {
             &self.me
         } else {
@@ -303,7 +303,7 @@
         (record.stamp.incarnation == id.incarnation).then_some(record)
     }
 
-    pub(crate) fn message_bytes(&self) -> usize {
+    pub(crate) fn max_message_bytes(&self) -> usize {
         self.cfg.budget.message
     }
 
--- a/components/membership/src/membership/news.rs
+++ b/components/membership/src/membership/news.rs
@@ -11,146 +11,166 @@
 use super::{Membership, Outcome};
 use crate::fact::Topic;
 use crate::member::State;
-use crate::message::{Envelope, FactGroup, GROUP_ORIGIN, MemberNews, MemberRecord, Message, News};
+use crate::message::{
+    Envelope, FactGroup, GROUP_ORIGIN_BYTES, MemberNews, MemberRecord, Message, News,
+};
 use crate::origin::{FactKey, OriginId, OriginTag};
 use crate::rumor::{Subject, Urgency};
 
 /// Peers to which urgent updates are sent in one round.
 const URGENT_FANOUT: usize = 4;
 /// Bytes reserved in each message for urgent updates, regardless of the budget.
-const URGENT_ROOM: usize = 1_024;
+const URGENT_RESERVE: usize = 1_024;
 /// Maximum number of rumors considered for one message.
-const MAX_LOOKED_AT: usize = 512;
+const MAX_RUMORS_SCANNED: usize = 512;
 
 type Groups = BTreeMap<(Topic, Bytes, Bytes), Vec<(OriginTag, u64)>>;
 
 /// Builds the gossip for one receiver within its byte limits.
-struct Draft {
+struct NewsBuilder {
     members: Vec<MemberNews>,
     groups: Groups,
-    room: usize,
-    urgent_room: usize,
-    told: Vec<Subject>,
-    outdated: Vec<Subject>,
+    remaining: usize,
+    urgent_reserve: usize,
+    sent: Vec<Subject>,
+    obsolete: Vec<Subject>,
 }
 
-impl Draft {
-    fn new(room: usize) -> Self {
+impl NewsBuilder {
+    fn new(remaining: usize) -> Self {
         Self {
             members: Vec::new(),
             groups: BTreeMap::new(),
-            room,
-            urgent_room: URGENT_ROOM,
-            told: Vec::new(),
-            outdated: Vec::new(),
+            remaining,
+            urgent_reserve: URGENT_RESERVE,
+            sent: Vec::new(),
+            obsolete: Vec::new(),
         }
     }
 
     /// Reserves bytes; returns false if too few remain.
     fn reserve(&mut self, bytes: usize, urgency: Urgency) -> bool {
-        if bytes <= self.room {
-            self.room -= bytes;
+        if bytes <= self.remaining {
+            self.remaining -= bytes;
             return true;
         }
-        if urgency == Urgency::Urgent && bytes <= self.urgent_room {
-            self.urgent_room -= bytes;
+        if urgency == Urgency::Urgent && bytes <= self.urgent_reserve {
+            self.urgent_reserve -= bytes;
             return true;
         }
         false
     }
 
     fn is_full(&self) -> bool {
-        self.room < GROUP_ORIGIN
+        self.remaining < GROUP_ORIGIN_BYTES
     }
 }
 
 impl Membership {
     /// Gossip for a receiver. A report that the receiver itself is suspect or gone comes first, so
     /// that it can refute it.
-    pub(super) fn news(&mut self, to: Option<&DaemonId>) -> News {
-        let room = self.allowance.available().min(self.cfg.budget.message);
-        let mut draft = Draft::new(room);
-        let accused = to.and_then(|id| self.members.get(id));
-        if let Some(member) = accused.filter(|m| m.record.state != State::Alive) {
-            draft.members.push(brief(&member.record));
+    pub(super) fn build_news(&mut self, to: Option<&DaemonId>) -> News {
+        let remaining = self.gossip_budget.available().min(self.cfg.budget.message);
+        let mut builder = NewsBuilder::new(remaining);
+        let receiver = to.and_then(|id| self.members.get(id));
+        if let Some(member) = receiver.filter(|m| m.record.state != State::Alive) {
+            builder.members.push(brief_news(&member.record));
         }
-        let waiting = self.rumors.waiting().take(MAX_LOOKED_AT);
-        for (urgency, subject) in waiting {
-            self.draft(&mut draft, urgency, subject, to);
-            if draft.is_full() && urgency != Urgency::Urgent {
+        let queued = self.rumors.queued().take(MAX_RUMORS_SCANNED);
+        for (urgency, subject) in queued {
+            self.add_rumor(&mut builder, urgency, subject, to);
+            if builder.is_full() && urgency != Urgency::Urgent {
                 break;
             }
         }
-        for subject in &draft.outdated {
+        for subject in &builder.obsolete {
             self.rumors.remove(subject);
         }
-        for subject in &draft.told {
-            self.rumors.told(subject);
+        for subject in &builder.sent {
+            self.rumors.mark_sent(subject);
         }
         News {
             attachment: self.attachment.clone(),
-            members: draft.members,
-            facts: into_groups(draft.groups),
+            members: builder.members,
+            facts: fact_groups(builder.groups),
         }
     }
 
-    fn draft(&self, draft: &mut Draft, urgency: Urgency, subject: &Subject, to: Option<&DaemonId>) {
+    fn add_rumor(
+        &self,
+        builder: &mut NewsBuilder,
+        urgency: Urgency,
+        subject: &Subject,
+        to: Option<&DaemonId>,
+    ) {
         match subject {
             Subject::Member(id) if Some(id) == to => {}
-            Subject::Member(id) => self.draft_member(draft, urgency, subject, id),
+            Subject::Member(id) => self.add_member_rumor(builder, urgency, subject, id),
             Subject::Fact(id, _) if Some(&id.daemon) == to => {}
-            Subject::Fact(id, key) => self.draft_fact(draft, urgency, id, key),
+            Subject::Fact(id, key) => self.add_fact_rumor(builder, urgency, id, key),
         }
     }
 
-    fn draft_member(&self, draft: &mut Draft, urgency: Urgency, subject: &Subject, id: &DaemonId) {
+    fn add_member_rumor(
+        &self,
+        builder: &mut NewsBuilder,
+        urgency: Urgency,
+        subject: &Subject,
+        id: &DaemonId,
+    ) {
         let record = if *id == self.me.id {
             Some(&self.me)
         } else {
             self.members.get(id).map(|member| &member.record)
         };
         let Some(record) = record else {
-            draft.outdated.push(subject.clone());
+            builder.obsolete.push(subject.clone());
             return;
         };
-        let news = news_of(record);
-        if draft.reserve(news.wire_len(), urgency) {
-            draft.members.push(news);
-            draft.told.push(subject.clone());
+        let news = member_news(record);
+        if builder.reserve(news.wire_len(), urgency) {
+            builder.members.push(news);
+            builder.sent.push(subject.clone());
         }
     }
 
-    fn draft_fact(&self, draft: &mut Draft, urgency: Urgency, id: &OriginId, key: &FactKey) {
+    fn add_fact_rumor(
+        &self,
+        builder: &mut NewsBuilder,
+        urgency: Urgency,
+        id: &OriginId,
+        key: &FactKey,
+    ) {
         let subject = || Subject::Fact(id.clone(), key.clone());
-        let Some(held) = self.origins.held(id, key) else {
-            draft.outdated.push(subject());
+        let Some(stored) = self.origins.stored(id, key) else {
+            builder.obsolete.push(subject());
             return;
         };
-        let group = (key.0, key.1.clone(), held.value.clone());
-        let head = match draft.groups.contains_key(&group) {
+        let group = (key.0, key.1.clone(), stored.value.clone());
+        let head = match builder.groups.contains_key(&group) {
             true => 0,
-            false => FactGroup::head_len(&key.1, &held.value),
+            false => FactGroup::header_len(&key.1, &stored.value),
         };
-        if draft.reserve(head + GROUP_ORIGIN, urgency) {
-            let origins = draft.groups.entry(group).or_default();
-            origins.push((id.tag(), held.seq));
-            draft.told.push(subject());
+        if builder.reserve(head + GROUP_ORIGIN_BYTES, urgency) {
+            let origins = builder.groups.entry(group).or_default();
+            origins.push((id.tag(), stored.seq));
+            builder.sent.push(subject());
         }
     }
 
     /// Queues a message and charges it to the gossip budget.
     pub(crate) fn send(&mut self, to: SocketAddr, message: Message, outcome: &mut Outcome) {
-        self.allowance.spend(message.wire_len());
-        self.put(to, message, outcome);
+        self.gossip_budget.spend(message.wire_len());
+        self.enqueue(to, message, outcome);
     }
 
     /// Queues a message and charges it to the repair budget.
     pub(crate) fn send_repair(&mut self, to: SocketAddr, message: Message, outcome: &mut Outcome) {
-        self.repairs.spend(message.wire_len());
-        self.put(to, message, outcome);
+        self.repair_budget.spend(message.wire_len());
+        self.enqueue(to, message, outcome);
     }
 
-    pub(super) fn put(&mut self, to: SocketAddr, message: Message, outcome: &mut Outcome) {
+    pub(super) fn enqueue(&mut self, to: SocketAddr, message: Message, outcome: &mut Outcome) {
         let bytes = message.wire_len();
         self.counters.bytes_sent += bytes as u64;
         self.counters.messages_sent += 1;
@@ -158,8 +178,8 @@
     }
 
     /// Pushes pending updates to one peer.
-    pub(super) fn push(&mut self, to: &MemberRecord, outcome: &mut Outcome) {
-        let news = self.news(Some(&to.id));
+    pub(super) fn push_news(&mut self, to: &MemberRecord, outcome: &mut Outcome) {
+        let news = self.build_news(Some(&to.id));
         self.send(to.address, Message::Push(news), outcome);
     }
 
@@ -171,12 +191,12 @@
         rng: &mut impl Rng,
         outcome: &mut Outcome,
     ) {
-        self.allowance.fill(now);
+        self.gossip_budget.refill(now);
         for peer in self.random_peers(URGENT_FANOUT, except, rng) {
             if !self.rumors.has_urgent() {
                 return;
             }
-            self.push(&peer, outcome);
+            self.push_news(&peer, outcome);
         }
     }
 
@@ -195,7 +215,7 @@
     }
 }
 
-fn into_groups(groups: Groups) -> Vec<FactGroup> {
+fn fact_groups(groups: Groups) -> Vec<FactGroup> {
     let groups = groups.into_iter();
     let groups = groups.map(|((topic, key, value), origins)| FactGroup {
         topic,
@@ -208,15 +228,15 @@
 
 /// A full record for a new daemon. Otherwise a brief update: the receiver knows the daemon, or the
 /// digest repairs it.
-fn news_of(record: &MemberRecord) -> MemberNews {
+fn member_news(record: &MemberRecord) -> MemberNews {
     if record.state == State::Alive && record.stamp.refutation == 0 {
         MemberNews::Full(record.clone())
     } else {
-        brief(record)
+        brief_news(record)
     }
 }
 
-fn brief(record: &MemberRecord) -> MemberNews {
+fn brief_news(record: &MemberRecord) -> MemberNews {
     let origin = OriginId {
         daemon: record.id.clone(),
         incarnation: record.stamp.incarnation,
--- a/components/membership/src/membership/publish.rs
+++ b/components/membership/src/membership/publish.rs
@@ -3,8 +3,8 @@
 use bytes::Bytes;
 use types::prelude::*;
 
-use super::{FACT_TIMES, Membership, URGENT_TIMES};
-use crate::fact::{MAX_FACTS_PER_ORIGIN, PublishError, Topic, check};
+use super::{FACT_TRANSMISSIONS, Membership, URGENT_TRANSMISSIONS};
+use crate::fact::{MAX_FACTS_PER_ORIGIN, PublishError, Topic, check_sizes};
 use crate::message::SharedFact;
 use crate::origin::{FactKey, OriginId};
 use crate::rumor::{Subject, Urgency};
@@ -25,15 +25,15 @@
         key: Bytes,
         value: Bytes,
     ) -> Result<(), PublishError> {
-        check(&key, &value)?;
-        let id = self.my_origin();
+        check_sizes(&key, &value)?;
+        let id = self.own_origin();
         let fact_key = (topic, key.clone());
-        let held = self.origins.held(&id, &fact_key);
-        if held.is_some_and(|held| held.value == value) {
+        let stored = self.origins.stored(&id, &fact_key);
+        if stored.is_some_and(|stored| stored.value == value) {
             return Ok(());
         }
         let count = self.origins.get(&id).map_or(0, |own| own.facts.len());
-        if held.is_none() && count >= MAX_FACTS_PER_ORIGIN {
+        if stored.is_none() && count >= MAX_FACTS_PER_ORIGIN {
             return Err(PublishError::TooMany(count));
         }
         self.own_seq += 1;
@@ -44,24 +44,24 @@
             seq,
             value,
         };
-        self.origins.take(now, &id, &fact);
-        self.announce(id, fact_key);
+        self.origins.merge(now, &id, &fact);
+        self.queue_fact(id, fact_key);
         Ok(())
     }
 
     /// Queues one of this daemon's facts for sending.
-    fn announce(&mut self, id: OriginId, key: FactKey) {
+    fn queue_fact(&mut self, id: OriginId, key: FactKey) {
         let (urgency, times) = urgency_of(key.0);
         self.rumors.add(Subject::Fact(id, key), urgency, times);
     }
 
     /// Queues all facts of this daemon for sending, since others may have dropped them.
-    pub(super) fn announce_all(&mut self) {
-        let id = self.my_origin();
+    pub(super) fn queue_all_facts(&mut self) {
+        let id = self.own_origin();
         let own = self.origins.get(&id);
         let keys = own.into_iter().flat_map(|own| own.facts.keys().cloned());
         for key in keys.collect::<Vec<_>>() {
-            self.announce(id.clone(), key);
+            self.queue_fact(id.clone(), key);
         }
     }
 }
@@ -69,7 +69,7 @@
 /// Urgency of facts on a topic, and how often they are sent.
 pub(super) fn urgency_of(topic: Topic) -> (Urgency, u8) {
     match topic.is_urgent() {
-        true => (Urgency::Urgent, URGENT_TIMES),
-        false => (Urgency::Normal, FACT_TIMES),
+        true => (Urgency::Urgent, URGENT_TRANSMISSIONS),
+        false => (Urgency::Normal, FACT_TRANSMISSIONS),
     }
 }
--- a/components/membership/src/membership/receive.rs
+++ b/components/membership/src/membership/receive.rs
@@ -8,7 +8,7 @@
 use crate::message::{MemberRecord, Message, News, Sender};
 
 /// Random members sent to a joining daemon when the repair budget is used up.
-const FEW_MEMBERS: usize = 6;
+const SHORT_PAGE_MEMBERS: usize = 6;
 
 impl Membership {
     /// Handles a message from an authenticated sender.
@@ -20,16 +20,16 @@
         rng: &mut impl Rng,
     ) -> Outcome {
         let mut outcome = Outcome::default();
-        if !self.admit(now, from, &message, &mut outcome) {
+        if !self.accept(now, from, &message, &mut outcome) {
             return outcome;
         }
-        self.allowance.fill(now);
-        self.repairs.fill(now);
-        self.joins.fill(now);
+        self.gossip_budget.refill(now);
+        self.repair_budget.refill(now);
+        self.join_budget.refill(now);
         let had_urgent = self.rumors.has_urgent();
-        let replies = matches!(message, Message::Probe { .. });
+        let gets_reply = matches!(message, Message::Probe { .. });
         self.dispatch(now, from, message, rng, &mut outcome);
-        self.refer(from, replies, &mut outcome);
+        self.notify_suspected(from, gets_reply, &mut outcome);
         if !had_urgent && self.rumors.has_urgent() {
             self.push_urgent(now, Some(&from.id), rng, &mut outcome);
         }
@@ -37,7 +37,7 @@
     }
 
     /// Whether a message is processed; counts rejected ones.
-    fn admit(
+    fn accept(
         &mut self,
         now: Time,
         from: &Sender,
@@ -55,16 +55,16 @@
             }
             return false;
         }
-        let held = self.members.get(&from.id).map(|m| m.record.stamp);
+        let known = self.members.get(&from.id).map(|m| m.record.stamp);
         let is_join = matches!(message, Message::Join(_));
         // The sender was paused while a later run took over its name, so its news is outdated.
-        if !is_join && held.is_some_and(|held| held.incarnation > from.incarnation) {
+        if !is_join && known.is_some_and(|known| known.incarnation > from.incarnation) {
             self.counters.stale += 1;
-            self.tell_successor(from, outcome);
+            self.send_successor(from, outcome);
             return false;
         }
-        if held.is_some_and(|held| held.incarnation == from.incarnation) {
-            self.members.heard(&from.id, now);
+        if known.is_some_and(|known| known.incarnation == from.incarnation) {
+            self.members.record_contact(&from.id, now);
         }
         true
     }
@@ -79,23 +79,23 @@
     ) {
         match message {
             Message::Probe { seq, news } => {
-                self.take_all(now, from, news, rng, outcome);
-                let news = self.news(Some(&from.id));
+                self.handle_news(now, from, news, rng, outcome);
+                let news = self.build_news(Some(&from.id));
                 self.send(from.address, Message::Ack { seq, news }, outcome);
             }
             Message::Ack { seq, news } => {
-                self.take_all(now, from, news, rng, outcome);
+                self.handle_news(now, from, news, rng, outcome);
                 self.on_ack(seq, outcome);
             }
             Message::ProbeFor { seq, target } => {
                 self.on_probe_for(now, from, seq, &target, outcome)
             }
-            Message::Push(news) => self.take_all(now, from, news, rng, outcome),
+            Message::Push(news) => self.handle_news(now, from, news, rng, outcome),
             Message::Join(record) => self.on_join(now, from, record, rng, outcome),
             Message::PageRequest(after) => self.send_page(from, Some(&after), outcome),
             Message::Page { members, next } => {
                 for record in &members {
-                    self.take_record(now, record, rng, outcome);
+                    self.apply_report(now, record, rng, outcome);
                 }
                 if let Some(next) = next {
                     self.send(from.address, Message::PageRequest(next), outcome);
@@ -109,20 +109,20 @@
             } => {
                 let known = self.members.present();
                 for record in &members {
-                    self.take_record(now, record, rng, outcome);
+                    self.apply_report(now, record, rng, outcome);
                 }
                 if self.members.present() > known {
-                    self.cursor.note_newcomers();
+                    self.cursor.restart_catch_up();
                 }
                 for theirs in &origins {
-                    self.take_origin(now, theirs, outcome);
+                    self.apply_origin_facts(now, theirs, outcome);
                 }
                 self.send_wanted(from, &wanted, outcome);
             }
         }
     }
 
-    fn take_all(
+    fn handle_news(
         &mut self,
         now: Time,
         from: &Sender,
@@ -130,7 +130,7 @@
         rng: &mut impl Rng,
         outcome: &mut Outcome,
     ) {
-        self.take_news(now, &news, rng, outcome);
+        self.apply_news(now, &news, rng, outcome);
         if !news.attachment.is_empty() {
             outcome.events.push(Event::Attachment {
                 from: from.id.clone(),
@@ -143,18 +143,18 @@
     ///
     /// Otherwise a daemon that was partitioned could talk to others for long without learning that
     /// they consider it down.
-    fn refer(&mut self, from: &Sender, was_told: bool, outcome: &mut Outcome) {
-        let held = self.members.get(&from.id).map(|member| &member.record);
-        let accused = held.filter(|record| record.state != State::Alive);
-        if let Some(record) = accused.filter(|_| !was_told).cloned() {
-            self.push(&record, outcome);
+    fn notify_suspected(&mut self, from: &Sender, gets_reply: bool, outcome: &mut Outcome) {
+        let known = self.members.get(&from.id).map(|member| &member.record);
+        let suspected = known.filter(|record| record.state != State::Alive);
+        if let Some(record) = suspected.filter(|_| !gets_reply).cloned() {
+            self.push_news(&record, outcome);
         }
     }
 
     fn on_ack(&mut self, seq: u32, outcome: &mut Outcome) {
-        if let Some((asker, seq)) = self.prober.acknowledged(seq) {
+        if let Some((requester, seq)) = self.prober.acknowledge(seq) {
             let news = News::default();
-            self.send(asker, Message::Ack { seq, news }, outcome);
+            self.send(requester, Message::Ack { seq, news }, outcome);
         }
     }
 
@@ -162,7 +162,7 @@
         &mut self,
         now: Time,
         from: &Sender,
-        asker_seq: u32,
+        requester_seq: u32,
         target: &DaemonId,
         outcome: &mut Outcome,
     ) {
@@ -170,9 +170,11 @@
             return;
         };
         let ends_at = now + self.cfg.timing.probe;
-        let relay = self.prober.relay(now, from.address, asker_seq, ends_at);
+        let relay = self
+            .prober
+            .add_relay(now, from.address, requester_seq, ends_at);
         if let Some(seq) = relay {
-            let news = self.news(Some(target));
+            let news = self.build_news(Some(target));
             self.send(to, Message::Probe { seq, news }, outcome);
         }
     }
@@ -193,11 +195,11 @@
             self.counters.malformed += 1;
             return;
         }
-        self.take_record(now, &record, rng, outcome);
-        self.members.heard(&from.id, now);
-        match self.may_repair() {
+        self.apply_report(now, &record, rng, outcome);
+        self.members.record_contact(&from.id, now);
+        match self.has_repair_budget() {
             true => self.send_page(from, None, outcome),
-            false => self.send_few(from, rng, outcome),
+            false => self.send_short_page(from, rng, outcome),
         }
     }
 
@@ -206,22 +208,22 @@
     /// When a whole fleet starts at once, the first daemons to join use up the seeds' repair
     /// budget, and the others would know nobody. A daemon that knows a few members soon learns of
     /// the rest.
-    fn send_few(&mut self, from: &Sender, rng: &mut impl Rng, outcome: &mut Outcome) {
-        if self.joins.available() == 0 {
+    fn send_short_page(&mut self, from: &Sender, rng: &mut impl Rng, outcome: &mut Outcome) {
+        if self.join_budget.available() == 0 {
             return;
         }
         let mut members = vec![self.me.clone()];
         members.extend(self.successor_of(from));
-        members.extend(self.random_peers(FEW_MEMBERS, Some(&from.id), rng));
+        members.extend(self.random_peers(SHORT_PAGE_MEMBERS, Some(&from.id), rng));
         let next = None;
         let page = Message::Page { members, next };
-        self.joins.spend(page.wire_len());
-        self.put(from.address, page, outcome);
+        self.join_budget.spend(page.wire_len());
+        self.enqueue(from.address, page, outcome);
     }
 
     /// Sends the members after `after`, as many as fit into a message.
     fn send_page(&mut self, from: &Sender, after: Option<&DaemonId>, outcome: &mut Outcome) {
-        if !self.may_repair() {
+        if !self.has_repair_budget() {
             return;
         }
         let mut members = Vec::new();
@@ -229,31 +231,31 @@
             members.push(self.me.clone());
             members.extend(self.successor_of(from));
         }
-        let mut room = self.cfg.budget.message;
+        let mut remaining = self.cfg.budget.message;
         let mut next = None;
         for record in self.members.after(after).map(|member| &member.record) {
             if !record.state.is_present() || record.id == from.id {
                 continue;
             }
             let bytes = record.wire_len();
-            if bytes > room {
+            if bytes > remaining {
                 next = members.last().map(|last: &MemberRecord| last.id.clone());
                 break;
             }
-            room -= bytes;
+            remaining -= bytes;
             members.push(record.clone());
         }
         self.send_repair(from.address, Message::Page { members, next }, outcome);
     }
 
     /// Tells a sender of the later run of its name, so that it stops or raises its incarnation.
-    fn tell_successor(&mut self, from: &Sender, outcome: &mut Outcome) {
+    fn send_successor(&mut self, from: &Sender, outcome: &mut Outcome) {
         let members = self.successor_of(from).into_iter().collect();
         let page = Message::Page {
             members,
             next: None,
         };
-        if self.may_repair() {
+        if self.has_repair_budget() {
             self.send_repair(from.address, page, outcome);
         }
     }
@@ -268,7 +270,7 @@
     ///
     /// Many daemons that join at once, or one that sends requests without end, must not use more
     /// than the repair budget; they retry.
-    pub(crate) fn may_repair(&self) -> bool {
-        self.repairs.available() > 0
+    pub(crate) fn has_repair_budget(&self) -> bool {
+        self.repair_budget.available() > 0
     }
 }
--- a/components/membership/src/membership/report.rs
+++ b/components/membership/src/membership/report.rs
@@ -7,16 +7,16 @@
 use super::{Event, Membership, Outcome};
 use crate::member::{Change, State};
 use crate::message::{FactGroup, MemberNews, MemberRecord, News, OriginFacts, SharedFact};
-use crate::origin::{OriginId, Taken};
+use crate::origin::{FactUpdate, OriginId};
 use crate::rumor::{Subject, Urgency};
 
 /// Number of times a newly joined member is gossiped.
-const MEMBER_TIMES: u32 = 3;
+const MEMBER_TRANSMISSIONS: u32 = 3;
 /// Fleet size for which the configured suspicion timeout holds.
-const SUSPICION_FLEET: f64 = 10.0;
+const SUSPICION_BASE_FLEET: f64 = 10.0;
 
 impl Membership {
-    pub(super) fn take_news(
+    pub(super) fn apply_news(
         &mut self,
         now: Time,
         news: &News,
@@ -24,14 +24,14 @@
         outcome: &mut Outcome,
     ) {
         for member in &news.members {
-            self.take_member_news(now, member, rng, outcome);
+            self.apply_member_news(now, member, rng, outcome);
         }
         for group in &news.facts {
-            self.take_group(now, group, outcome);
+            self.apply_fact_group(now, group, outcome);
         }
     }
 
-    fn take_member_news(
+    fn apply_member_news(
         &mut self,
         now: Time,
         news: &MemberNews,
@@ -39,26 +39,26 @@
         outcome: &mut Outcome,
     ) {
         match news {
-            MemberNews::Full(record) => self.take_record(now, record, rng, outcome),
+            MemberNews::Full(record) => self.apply_report(now, record, rng, outcome),
             MemberNews::Brief {
                 origin,
                 refutation,
                 state,
             } => {
                 let id = self.origins.by_tag(*origin);
-                let known = id.and_then(|id| self.record_of(id));
+                let known = id.and_then(|id| self.current_record(id));
                 let Some(mut record) = known.cloned() else {
                     return;
                 };
                 record.stamp.refutation = *refutation;
                 record.state = *state;
-                self.take_record(now, &record, rng, outcome);
+                self.apply_report(now, &record, rng, outcome);
             }
         }
     }
 
     /// Applies a received report about a member.
-    pub(crate) fn take_record(
+    pub(crate) fn apply_report(
         &mut self,
         now: Time,
         record: &MemberRecord,
@@ -66,15 +66,15 @@
         outcome: &mut Outcome,
     ) {
         if record.id == self.me.id {
-            self.take_own_record(record, outcome);
+            self.apply_own_report(record, outcome);
             return;
         }
-        let record = self.soften(record);
-        self.apply(now, record, rng, outcome);
+        let record = self.downgrade_down_report(record);
+        self.apply_record(now, record, rng, outcome);
     }
 
     /// Applies a record as it is, without downgrading reports of a death.
-    pub(super) fn apply(
+    pub(super) fn apply_record(
         &mut self,
         now: Time,
         record: MemberRecord,
@@ -87,7 +87,7 @@
                 if before.is_some()
                     && self.members.get(&record.id).map(|m| &m.record) == Some(&record)
                 {
-                    self.rumors.heard_again(&Subject::Member(record.id));
+                    self.rumors.note_duplicate(&Subject::Member(record.id));
                 }
                 return;
             }
@@ -96,11 +96,11 @@
                 return;
             }
             Change::Up => self.on_up(now, &record, before, rng, outcome),
-            Change::Refreshed => {}
+            Change::Refuted => {}
             Change::Suspect => self.on_suspect(now, &record, outcome),
             Change::Gone => self.on_gone(now, &record, outcome),
         }
-        self.tell_member(record.id);
+        self.queue_member(record.id);
     }
 
     /// Downgrades another daemon's report that a member is down to a suspicion; each daemon
@@ -109,10 +109,10 @@
     /// After a partition, each side considers the other down. When they meet again, applying these
     /// reports directly would make the daemons of each side declare members of their own side down
     /// until those refuted it. A suspicion is refuted before it expires.
-    fn soften(&self, record: &MemberRecord) -> MemberRecord {
+    fn downgrade_down_report(&self, record: &MemberRecord) -> MemberRecord {
         let mut record = record.clone();
-        let held = self.members.get(&record.id).map(|member| &member.record);
-        let is_present = held.is_some_and(|held| held.state.is_present());
+        let known = self.members.get(&record.id).map(|member| &member.record);
+        let is_present = known.is_some_and(|known| known.state.is_present());
         if record.state == State::Down && is_present {
             record.state = State::Suspect;
         }
@@ -135,11 +135,11 @@
             self.origins.retire(&before, now);
         }
         self.origins.add(origin.clone());
-        self.origins.revive(&origin);
+        self.origins.restore(&origin);
         self.prober.add(record.id.clone(), rng);
         if record.state == State::Suspect {
-            let span = self.suspicion();
-            self.members.suspect(now, &record.id, span);
+            let span = self.suspicion_timeout();
+            self.members.start_suspicion(now, &record.id, span);
         }
         outcome.events.push(Event::MemberUp {
             id: record.id.clone(),
@@ -148,8 +148,8 @@
     }
 
     fn on_suspect(&mut self, now: Time, record: &MemberRecord, outcome: &mut Outcome) {
-        let span = self.suspicion();
-        self.members.suspect(now, &record.id, span);
+        let span = self.suspicion_timeout();
+        self.members.start_suspicion(now, &record.id, span);
         let id = record.id.clone();
         outcome.events.push(Event::MemberSuspect { id });
     }
@@ -169,9 +169,9 @@
     }
 
     /// Suspicion timeout; gossip needs longer to spread in a larger fleet.
-    pub(super) fn suspicion(&self) -> Span {
+    pub(super) fn suspicion_timeout(&self) -> Span {
         let size = self.fleet_size() as f64;
-        let factor = size.log(SUSPICION_FLEET).max(1.0);
+        let factor = size.log(SUSPICION_BASE_FLEET).max(1.0);
         Span::from_secs_f64(self.cfg.timing.suspicion.as_secs_f64() * factor)
     }
 
@@ -180,28 +180,28 @@
     /// Deaths and refutations are short and must arrive before a suspicion expires, so they are
     /// sent more often than newly joined members, whose records are long and also spread by the
     /// digest.
-    pub(super) fn tell_member(&mut self, id: DaemonId) {
-        let held = self.members.get(&id).map_or(&self.me, |m| &m.record);
-        let is_new = held.state == State::Alive && held.stamp.refutation == 0;
+    pub(super) fn queue_member(&mut self, id: DaemonId) {
+        let known = self.members.get(&id).map_or(&self.me, |m| &m.record);
+        let is_new = known.state == State::Alive && known.stamp.refutation == 0;
         let more = if is_new { 0 } else { self.fleet_size().ilog2() };
-        let times = u8::try_from(MEMBER_TIMES + more).unwrap_or(u8::MAX);
+        let times = u8::try_from(MEMBER_TRANSMISSIONS + more).unwrap_or(u8::MAX);
         self.rumors.add(Subject::Member(id), Urgency::Member, times);
     }
 
     /// Applies a report about this daemon itself, and refutes it if it is wrong.
-    fn take_own_record(&mut self, record: &MemberRecord, outcome: &mut Outcome) {
+    fn apply_own_report(&mut self, record: &MemberRecord, outcome: &mut Outcome) {
         let mine = self.me.stamp;
         if record.stamp.incarnation > mine.incarnation {
-            self.take_successor(record, outcome);
+            self.handle_later_incarnation(record, outcome);
             return;
         }
         let same_run = record.stamp.incarnation == mine.incarnation;
-        let accused = record.state != State::Alive && self.me.state == State::Alive;
-        if same_run && accused && record.stamp.refutation >= mine.refutation {
+        let is_wrong = record.state != State::Alive && self.me.state == State::Alive;
+        if same_run && is_wrong && record.stamp.refutation >= mine.refutation {
             self.me.stamp.refutation = record.stamp.refutation + 1;
             self.counters.refutations += 1;
-            self.tell_member(self.me.id.clone());
-            self.announce_all();
+            self.queue_member(self.me.id.clone());
+            self.queue_all_facts();
         }
     }
 
@@ -210,7 +210,7 @@
     /// If it has this daemon's address or is gone, it is from an earlier run whose clock was
     /// ahead. If it is alive at another address, it is a second process with the same name: if
     /// both raised their incarnation, they would outbid each other without end.
-    fn take_successor(&mut self, record: &MemberRecord, outcome: &mut Outcome) {
+    fn handle_later_incarnation(&mut self, record: &MemberRecord, outcome: &mut Outcome) {
         let address = record.address;
         if address == self.me.address || !record.state.is_present() {
             self.raise_incarnation(record.stamp.incarnation.next(), outcome);
@@ -224,23 +224,23 @@
     /// A replacement host whose clock is behind would start with a lower incarnation than its
     /// predecessor of the same name, and its messages would be ignored as outdated.
     fn raise_incarnation(&mut self, incarnation: Incarnation, outcome: &mut Outcome) {
-        let old = self.my_origin();
-        let own = self.origins.share(&old);
+        let old = self.own_origin();
+        let own = self.origins.export(&old);
         self.me.stamp.incarnation = incarnation;
         self.me.stamp.refutation = 0;
-        let new = self.my_origin();
+        let new = self.own_origin();
         self.origins.add(new.clone());
         for fact in own.into_iter().flat_map(|own| own.facts) {
-            self.origins.take(Time::ZERO, &new, &fact);
+            self.origins.merge(Time::ZERO, &new, &fact);
         }
         self.origins.remove(&old);
-        self.tell_member(self.me.id.clone());
-        self.announce_all();
+        self.queue_member(self.me.id.clone());
+        self.queue_all_facts();
         let raised = Event::IncarnationRaised(incarnation);
         outcome.events.push(raised);
     }
 
-    fn take_group(&mut self, now: Time, group: &FactGroup, outcome: &mut Outcome) {
+    fn apply_fact_group(&mut self, now: Time, group: &FactGroup, outcome: &mut Outcome) {
         for (tag, seq) in &group.origins {
             let Some(id) = self.origins.by_tag(*tag).cloned() else {
                 self.counters.facts_refused += 1;
@@ -252,30 +252,30 @@
                 seq: *seq,
                 value: group.value.clone(),
             };
-            self.take_fact(now, &id, &fact, true, outcome);
+            self.apply_fact(now, &id, &fact, true, outcome);
         }
     }
 
     /// Applies a fact and, unless it came from a digest repair, gossips it further. Urgent facts
     /// are always gossiped further.
-    fn take_fact(
+    fn apply_fact(
         &mut self,
         now: Time,
         id: &OriginId,
         fact: &SharedFact,
-        tell: bool,
+        gossip: bool,
         outcome: &mut Outcome,
     ) {
-        if *id == self.my_origin() {
+        if *id == self.own_origin() {
             self.own_seq = self.own_seq.max(fact.seq);
             return;
         }
         let subject = || Subject::Fact(id.clone(), (fact.topic, fact.key.clone()));
-        match self.origins.take(now, id, fact) {
-            Taken::New => {
+        match self.origins.merge(now, id, fact) {
+            FactUpdate::New => {
                 self.counters.facts_new += 1;
                 let (urgency, times) = urgency_of(fact.topic);
-                if tell || fact.topic.is_urgent() {
+                if gossip || fact.topic.is_urgent() {
                     self.rumors.add(subject(), urgency, times);
                 }
                 outcome.events.push(Event::FactChanged {
@@ -284,35 +284,40 @@
                     key: fact.key.clone(),
                 });
             }
-            Taken::Same => {
+            FactUpdate::Duplicate => {
                 self.counters.facts_repeated += 1;
-                self.rumors.heard_again(&subject());
+                self.rumors.note_duplicate(&subject());
             }
-            Taken::Refused => self.counters.facts_refused += 1,
+            FactUpdate::Rejected => self.counters.facts_refused += 1,
         }
     }
 
     /// Applies an origin's facts received in a digest repair.
-    pub(crate) fn take_origin(&mut self, now: Time, theirs: &OriginFacts, outcome: &mut Outcome) {
+    pub(crate) fn apply_origin_facts(
+        &mut self,
+        now: Time,
+        theirs: &OriginFacts,
+        outcome: &mut Outcome,
+    ) {
         let id = &theirs.origin;
-        let is_current = self.record_of(id).is_some();
-        if !self.origins.contains(id) && !self.add_retired(now, theirs) {
+        let is_current = self.current_record(id).is_some();
+        if !self.origins.contains(id) && !self.add_retired_origin(now, theirs) {
             return;
         }
-        let counting = theirs.facts.iter();
-        let counting = counting.filter(|fact| is_current || fact.topic.is_cumulative());
-        for fact in counting {
-            self.take_fact(now, id, fact, false, outcome);
+        let valid = theirs.facts.iter();
+        let valid = valid.filter(|fact| is_current || fact.topic.is_cumulative());
+        for fact in valid {
+            self.apply_fact(now, id, fact, false, outcome);
         }
     }
 
     /// Adds an origin that is gone but whose cumulative facts remain valid.
-    fn add_retired(&mut self, now: Time, theirs: &OriginFacts) -> bool {
+    fn add_retired_origin(&mut self, now: Time, theirs: &OriginFacts) -> bool {
         let id = &theirs.origin;
-        let held = self.members.get(&id.daemon);
-        let may_come_up = held.is_some_and(|m| m.record.stamp.incarnation < id.incarnation);
-        let counts = theirs.facts.iter().any(|fact| fact.topic.is_cumulative());
-        if may_come_up || !counts {
+        let known = self.members.get(&id.daemon);
+        let may_come_up = known.is_some_and(|m| m.record.stamp.incarnation < id.incarnation);
+        let has_cumulative = theirs.facts.iter().any(|fact| fact.topic.is_cumulative());
+        if may_come_up || !has_cumulative {
             return false;
         }
         self.origins.add(id.clone());
--- a/components/membership/src/membership/tick.rs
+++ b/components/membership/src/membership/tick.rs
@@ -6,40 +6,40 @@
 use super::{Membership, Outcome};
 use crate::member::State;
 use crate::message::Message;
-use crate::probe::Pending;
+use crate::probe::PendingProbe;
 
 /// Daemons asked to probe a target that did not answer.
 const INDIRECT_PROBES: usize = 3;
 /// With more rumors than this, one message cannot hold them all, as when a fleet starts or a
 /// partition healed. They are then pushed at each tick, as far as the budget allows.
-const MANY_RUMORS: usize = 48;
+const RUMOR_BACKLOG: usize = 48;
 /// Delay before the first join retry, doubled each time. Hosts that come back together start some
 /// tenths of a second apart.
-const JOIN_RETRY: Span = Span::from_millis(100);
+const JOIN_RETRY_MIN: Span = Span::from_millis(100);
 /// Maximum delay between join retries.
 const JOIN_RETRY_MAX: Span = Span::from_secs(10);
 /// Join requests sent at the start, even if members are already known.
-const FIRST_JOINS: u32 = 3;
+const INITIAL_JOINS: u32 = 3;
 /// Interval between cleanups of the tables.
-const TIDY: Span = Span::from_secs(1);
+const CLEANUP_INTERVAL: Span = Span::from_secs(1);
 
 impl Membership {
     /// Does the work that is due. Must be called a few times per second; no action is due more
     /// often.
     pub fn tick(&mut self, now: Time, rng: &mut impl Rng) -> Outcome {
         let mut outcome = Outcome::default();
-        self.allowance.fill(now);
-        self.repairs.fill(now);
-        self.notice_pause(now);
-        self.knock(now, &mut outcome);
-        self.bury(now, rng, &mut outcome);
+        self.gossip_budget.refill(now);
+        self.repair_budget.refill(now);
+        self.detect_pause(now);
+        self.probe_expiring_suspects(now, &mut outcome);
+        self.expire_suspects(now, rng, &mut outcome);
         self.probe(now, rng, &mut outcome);
         self.push_urgent(now, None, rng, &mut outcome);
-        self.push_some(now, rng, &mut outcome);
+        self.push_pending(now, rng, &mut outcome);
         self.repair(now, rng, &mut outcome);
-        self.heal(now, rng, &mut outcome);
+        self.heal_partition(now, rng, &mut outcome);
         self.join(now, rng, &mut outcome);
-        self.tidy(now);
+        self.clean_up(now);
         outcome
     }
 
@@ -48,36 +48,36 @@
     /// After a pause every probe in flight looks unanswered and every suspicion unrefuted, though
     /// the answers wait in the socket queues. The paused daemon would declare others down. So
     /// probes are reset and suspicions are extended by the length of the pause.
-    fn notice_pause(&mut self, now: Time) {
-        let gap = self.ticked_at.map_or(Span::ZERO, |at| now.since(at));
-        self.ticked_at = Some(now);
+    fn detect_pause(&mut self, now: Time) {
+        let gap = self.last_tick_at.map_or(Span::ZERO, |at| now.since(at));
+        self.last_tick_at = Some(now);
         if gap < self.cfg.timing.pause {
             return;
         }
         self.counters.pauses += 1;
-        self.prober.begin_anew();
+        self.prober.reset();
         self.prober.next_at = now + self.cfg.timing.probe;
-        self.members.put_off_suspicions(gap);
+        self.members.extend_suspicions(gap);
     }
 
     /// Declares suspects down that did not refute in time.
     ///
     /// A suspect that sent this daemon a message since the suspicion began is alive, though its
     /// refutation was lost: its suspicion is restarted.
-    fn bury(&mut self, now: Time, rng: &mut impl Rng, outcome: &mut Outcome) {
+    fn expire_suspects(&mut self, now: Time, rng: &mut impl Rng, outcome: &mut Outcome) {
         let overdue = self.members.overdue_suspects(now).into_iter();
         let overdue = overdue.map(|member| {
-            let spoke = member.heard_at.is_some_and(|at| at > member.since);
-            (member.record.clone(), spoke)
+            let heard_since = member.heard_at.is_some_and(|at| at > member.since);
+            (member.record.clone(), heard_since)
         });
-        for (mut record, spoke) in overdue.collect::<Vec<_>>() {
-            if spoke {
-                let span = self.suspicion();
-                self.members.suspect(now, &record.id, span);
+        for (mut record, heard_since) in overdue.collect::<Vec<_>>() {
+            if heard_since {
+                let span = self.suspicion_timeout();
+                self.members.start_suspicion(now, &record.id, span);
                 continue;
             }
             record.state = State::Down;
-            self.apply(now, record, rng, outcome);
+            self.apply_record(now, record, rng, outcome);
         }
     }
 
@@ -85,16 +85,16 @@
     ///
     /// A refutation may fail to reach a daemon by chance. In a large fleet that daemon would then
     /// be the only one to consider a living member down.
-    fn knock(&mut self, now: Time, outcome: &mut Outcome) {
-        for id in self.members.due_knocks(now) {
-            let seq = self.prober.seq();
+    fn probe_expiring_suspects(&mut self, now: Time, outcome: &mut Outcome) {
+        for id in self.members.due_direct_probes(now) {
+            let seq = self.prober.next_seq();
             self.send_probe(&id, seq, outcome);
         }
     }
 
     fn probe(&mut self, now: Time, rng: &mut impl Rng, outcome: &mut Outcome) {
-        self.ask_others(now, rng, outcome);
-        self.suspect_silent(now, rng, outcome);
+        self.request_indirect_probes(now, rng, outcome);
+        self.suspect_unresponsive(now, rng, outcome);
         if now.has_reached(self.prober.next_at) && self.prober.pending.is_none() {
             self.prober.next_at = now + self.cfg.timing.probe;
             self.start_probe(now, rng, outcome);
@@ -108,11 +108,11 @@
         let Some(target) = self.prober.next_target(is_present, rng) else {
             return;
         };
-        let seq = self.prober.seq();
-        self.prober.pending = Some(Pending {
+        let seq = self.prober.next_seq();
+        self.prober.pending = Some(PendingProbe {
             target: target.clone(),
             seq,
-            ask_at: Some(now + self.cfg.timing.ack),
+            indirect_at: Some(now + self.cfg.timing.ack),
             ends_at: now + self.cfg.timing.probe,
         });
         self.send_probe(&target, seq, outcome);
@@ -122,20 +122,20 @@
         let Some(to) = self.members.get(target).map(|m| m.record.address) else {
             return;
         };
-        let news = self.news(Some(target));
+        let news = self.build_news(Some(target));
         self.send(to, Message::Probe { seq, news }, outcome);
     }
 
     /// Asks others to probe a target that did not answer, since only the path to it may have
     /// failed.
-    fn ask_others(&mut self, now: Time, rng: &mut impl Rng, outcome: &mut Outcome) {
+    fn request_indirect_probes(&mut self, now: Time, rng: &mut impl Rng, outcome: &mut Outcome) {
         let Some(pending) = &mut self.prober.pending else {
             return;
         };
-        if !pending.ask_at.is_some_and(|at| now.has_reached(at)) {
+        if !pending.indirect_at.is_some_and(|at| now.has_reached(at)) {
             return;
         }
-        pending.ask_at = None;
+        pending.indirect_at = None;
         let (seq, target) = (pending.seq, pending.target.clone());
         for peer in self.random_peers(INDIRECT_PROBES, Some(&target), rng) {
             let target = target.clone();
@@ -143,7 +143,7 @@
         }
     }
 
-    fn suspect_silent(&mut self, now: Time, rng: &mut impl Rng, outcome: &mut Outcome) {
+    fn suspect_unresponsive(&mut self, now: Time, rng: &mut impl Rng, outcome: &mut Outcome) {
         let pending = self.prober.pending.as_ref();
         if !pending.is_some_and(|pending| now.has_reached(pending.ends_at)) {
             return;
@@ -151,31 +151,31 @@
         let Some(pending) = self.prober.pending.take() else {
             return;
         };
-        self.prober.note(false);
+        self.prober.record_outcome(false);
         let Some(member) = self.members.get(&pending.target) else {
             return;
         };
         let mut record = member.record.clone();
         if record.state == State::Alive {
             record.state = State::Suspect;
-            self.take_record(now, &record, rng, outcome);
-            self.push(&record, outcome);
+            self.apply_report(now, &record, rng, outcome);
+            self.push_news(&record, outcome);
         }
     }
 
-    fn push_some(&mut self, now: Time, rng: &mut impl Rng, outcome: &mut Outcome) {
+    fn push_pending(&mut self, now: Time, rng: &mut impl Rng, outcome: &mut Outcome) {
         if !now.has_reached(self.schedule.push_at) {
             return;
         }
-        let is_behind = self.rumors.len() > MANY_RUMORS;
+        let is_behind = self.rumors.len() > RUMOR_BACKLOG;
         if !is_behind {
             self.schedule.push_at = now + self.cfg.timing.push;
         }
-        if self.rumors.len() == 0 || self.allowance.available() == 0 {
+        if self.rumors.len() == 0 || self.gossip_budget.available() == 0 {
             return;
         }
         for peer in self.random_peers(1, None, rng) {
-            self.push(&peer, outcome);
+            self.push_news(&peer, outcome);
         }
     }
 
@@ -184,11 +184,11 @@
             return;
         }
         let timing = &self.cfg.timing;
-        let pause = match self.cursor.is_catching_up() {
+        let delay = match self.cursor.is_catching_up() {
             true => timing.catch_up,
             false => timing.repair,
         };
-        self.schedule.repair_at = now + pause;
+        self.schedule.repair_at = now + delay;
         for peer in self.random_peers(1, None, rng) {
             let digest = self.next_digest();
             self.send_repair(peer.address, Message::Digest(digest), outcome);
@@ -199,7 +199,7 @@
     ///
     /// Otherwise the two sides of a region partition, each of which considers the other down,
     /// would never contact each other again.
-    fn heal(&mut self, now: Time, rng: &mut impl Rng, outcome: &mut Outcome) {
+    fn heal_partition(&mut self, now: Time, rng: &mut impl Rng, outcome: &mut Outcome) {
         if !now.has_reached(self.schedule.heal_at) {
             return;
         }
@@ -211,14 +211,14 @@
         let down = self.members.iter().map(|member| &member.record);
         let down = down.filter(|record| record.state == State::Down);
         let down = down.map(|record| record.id.clone()).collect::<Vec<_>>();
-        let seeds = self.missing_seeds();
+        let seeds = self.seeds_without_member();
         let chosen = match down.len() + seeds.len() {
             0 => return,
             count => rng.random_range(0..count),
         };
         match down.get(chosen) {
             Some(id) => {
-                let seq = self.prober.seq();
+                let seq = self.prober.next_seq();
                 self.send_probe(id, seq, outcome);
             }
             None => {
@@ -228,7 +228,7 @@
         }
     }
 
-    fn missing_seeds(&self) -> Vec<std::net::SocketAddr> {
+    fn seeds_without_member(&self) -> Vec<std::net::SocketAddr> {
         let seeds = self.cfg.seeds.iter().copied();
         let others = seeds.filter(|seed| *seed != self.me.address);
         others
@@ -242,16 +242,16 @@
     /// Otherwise daemons that start together would form an island around each seed: the seeds
     /// already know some members and would not contact each other.
     fn join(&mut self, now: Time, rng: &mut impl Rng, outcome: &mut Outcome) {
-        let is_lonely = self.members.present() == 0;
-        let is_new = self.schedule.join_tries < FIRST_JOINS;
-        if !(is_lonely || is_new) || !now.has_reached(self.schedule.join_at) {
+        let is_alone = self.members.present() == 0;
+        let is_new = self.schedule.join_attempts < INITIAL_JOINS;
+        if !(is_alone || is_new) || !now.has_reached(self.schedule.join_at) {
             return;
         }
-        let tries = self.schedule.join_tries.min(16);
-        self.schedule.join_tries += 1;
-        let pause = JOIN_RETRY.times(1 << tries).min(JOIN_RETRY_MAX);
-        self.schedule.join_at = now + pause;
-        let seeds = self.missing_seeds();
+        let attempts = self.schedule.join_attempts.min(16);
+        self.schedule.join_attempts += 1;
+        let delay = JOIN_RETRY_MIN.times(1 << attempts).min(JOIN_RETRY_MAX);
+        self.schedule.join_at = now + delay;
+        let seeds = self.seeds_without_member();
         if !seeds.is_empty() {
             let seed = seeds[rng.random_range(0..seeds.len())];
             let join = Message::Join(self.me.clone());
@@ -259,17 +259,17 @@
         }
     }
 
-    fn tidy(&mut self, now: Time) {
-        if !now.has_reached(self.schedule.tidy_at) {
+    fn clean_up(&mut self, now: Time) {
+        if !now.has_reached(self.schedule.cleanup_at) {
             return;
         }
-        self.schedule.tidy_at = now + TIDY;
-        self.members.forget(now);
+        self.schedule.cleanup_at = now + CLEANUP_INTERVAL;
+        self.members.remove_expired(now);
         let members = &self.members;
         let me = &self.me.id;
-        self.origins.tidy(now, |id| {
-            let held = members.get(&id.daemon).map(|m| m.record.stamp.incarnation);
-            id.daemon == *me || held == Some(id.incarnation)
+        self.origins.remove_expired(now, |id| {
+            let known = members.get(&id.daemon).map(|m| m.record.stamp.incarnation);
+            id.daemon == *me || known == Some(id.incarnation)
         });
     }
 }
--- a/components/membership/src/message.rs
+++ b/components/membership/src/message.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use types::prelude::*;
 
-use crate::fact::{Topic, check};
+use crate::fact::{Topic, check_sizes};
 use crate::member::{Stamp, State};
 use crate::origin::{OriginId, OriginTag};
 
@@ -188,13 +188,13 @@
 }
 
 /// Maximum encoded length of a small integer (below 2^32), a variant or a length, in bytes.
-const SMALL: usize = 5;
+const SMALL_INT_BYTES: usize = 5;
 /// Maximum encoded length of a 64-bit integer, in bytes.
-const LARGE: usize = 9;
+const U64_BYTES: usize = 9;
 /// Maximum encoded length of a socket address, in bytes.
-const ADDRESS: usize = 1 + 16 + 3;
+const ADDRESS_BYTES: usize = 1 + 16 + 3;
 
-fn text(len: usize) -> usize {
+fn text_len(len: usize) -> usize {
     3 + len
 }
 
@@ -202,10 +202,10 @@
     /// Maximum encoded length in bytes.
     #[must_use]
     pub fn wire_len(&self) -> usize {
-        let texts = text(self.id.as_str().len())
-            + text(self.failure_domain.as_str().len())
-            + text(self.region.as_str().len());
-        texts + LARGE + SMALL + 1 + ADDRESS
+        let texts = text_len(self.id.as_str().len())
+            + text_len(self.failure_domain.as_str().len())
+            + text_len(self.region.as_str().len());
+        texts + U64_BYTES + SMALL_INT_BYTES + 1 + ADDRESS_BYTES
     }
 }
 
@@ -215,24 +215,24 @@
     pub fn wire_len(&self) -> usize {
         match self {
             Self::Full(record) => 1 + record.wire_len(),
-            Self::Brief { .. } => 1 + SMALL + 3 + 1,
+            Self::Brief { .. } => 1 + SMALL_INT_BYTES + 3 + 1,
         }
     }
 }
 
 /// Maximum encoded length of an origin in a [`FactGroup`], in bytes, for sequence numbers below
 /// 2^16.
-pub(crate) const GROUP_ORIGIN: usize = SMALL + 3;
+pub(crate) const GROUP_ORIGIN_BYTES: usize = SMALL_INT_BYTES + 3;
 
 impl FactGroup {
     /// Maximum encoded length in bytes, for sequence numbers below 2^16.
     #[must_use]
     pub fn wire_len(&self) -> usize {
-        Self::head_len(&self.key, &self.value) + self.origins.len() * GROUP_ORIGIN
+        Self::header_len(&self.key, &self.value) + self.origins.len() * GROUP_ORIGIN_BYTES
     }
 
-    pub(crate) fn head_len(key: &Bytes, value: &Bytes) -> usize {
-        1 + text(key.len()) + text(value.len()) + 3
+    pub(crate) fn header_len(key: &Bytes, value: &Bytes) -> usize {
+        1 + text_len(key.len()) + text_len(value.len()) + 3
     }
 }
 
@@ -240,7 +240,7 @@
     /// Maximum encoded length in bytes.
     #[must_use]
     pub fn wire_len(&self) -> usize {
-        1 + text(self.key.len()) + LARGE + text(self.value.len())
+        1 + text_len(self.key.len()) + U64_BYTES + text_len(self.value.len())
     }
 }
 
@@ -257,7 +257,7 @@
     /// Maximum encoded length in bytes.
     #[must_use]
     pub fn wire_len(&self) -> usize {
-        text(self.daemon.as_str().len()) + LARGE
+        text_len(self.daemon.as_str().len()) + U64_BYTES
     }
 }
 
@@ -267,30 +267,34 @@
     pub fn wire_len(&self) -> usize {
         let members = self.members.iter().map(MemberNews::wire_len).sum::<usize>();
         let facts = self.facts.iter().map(FactGroup::wire_len).sum::<usize>();
-        text(self.attachment.len()) + 3 + members + 3 + facts
+        text_len(self.attachment.len()) + 3 + members + 3 + facts
     }
 
     fn is_well_formed(&self) -> bool {
-        let facts = || self.facts.iter().all(|f| check(&f.key, &f.value).is_ok());
+        let facts = || {
+            self.facts
+                .iter()
+                .all(|f| check_sizes(&f.key, &f.value).is_ok())
+        };
         self.attachment.len() <= MAX_ATTACHMENT_BYTES && facts()
     }
 }
 
 /// Maximum encoded length of a [`DigestEntry`], in bytes.
-const DIGEST_ENTRY: usize = SMALL + 1 + 3 + 1 + SMALL;
+const DIGEST_ENTRY_BYTES: usize = SMALL_INT_BYTES + 1 + 3 + 1 + SMALL_INT_BYTES;
 
 impl Message {
     /// Maximum encoded length in bytes.
     #[must_use]
     pub fn wire_len(&self) -> usize {
         1 + match self {
-            Self::Probe { news, .. } | Self::Ack { news, .. } => SMALL + news.wire_len(),
-            Self::ProbeFor { target, .. } => SMALL + text(target.as_str().len()),
+            Self::Probe { news, .. } | Self::Ack { news, .. } => SMALL_INT_BYTES + news.wire_len(),
+            Self::ProbeFor { target, .. } => SMALL_INT_BYTES + text_len(target.as_str().len()),
             Self::Push(news) => news.wire_len(),
             Self::Join(record) => record.wire_len(),
-            Self::PageRequest(after) => text(after.as_str().len()),
+            Self::PageRequest(after) => text_len(after.as_str().len()),
             Self::Page { members, next } => {
-                let next = next.as_ref().map_or(0, |id| text(id.as_str().len()));
+                let next = next.as_ref().map_or(0, |id| text_len(id.as_str().len()));
                 let members = members.iter().map(MemberRecord::wire_len).sum::<usize>();
                 members + 3 + 1 + next
             }
@@ -302,7 +306,7 @@
             } => {
                 let members = members.iter().map(MemberRecord::wire_len).sum::<usize>();
                 let origins = origins.iter().map(OriginFacts::wire_len).sum::<usize>();
-                members + origins + wanted.len() * SMALL + 9
+                members + origins + wanted.len() * SMALL_INT_BYTES + 9
             }
         }
     }
@@ -316,7 +320,7 @@
             }
             Self::Repair { origins, .. } => {
                 let mut facts = origins.iter().flat_map(|origin| &origin.facts);
-                facts.all(|fact| check(&fact.key, &fact.value).is_ok())
+                facts.all(|fact| check_sizes(&fact.key, &fact.value).is_ok())
             }
             _ => true,
         }
@@ -325,7 +329,7 @@
 
 impl Digest {
     fn wire_len(&self) -> usize {
-        let edge = |edge: &Option<OriginId>| 1 + edge.as_ref().map_or(0, OriginId::wire_len);
-        edge(&self.after) + edge(&self.until) + 3 + self.entries.len() * DIGEST_ENTRY
+        let bound = |bound: &Option<OriginId>| 1 + bound.as_ref().map_or(0, OriginId::wire_len);
+        bound(&self.after) + bound(&self.until) + 3 + self.entries.len() * DIGEST_ENTRY_BYTES
     }
 }
--- a/components/membership/src/origin.rs
+++ b/components/membership/src/origin.rs
@@ -46,7 +46,7 @@
 
 /// Latest value stored for one key.
 #[derive(Debug, Clone)]
-pub(crate) struct Held {
+pub(crate) struct StoredFact {
     pub(crate) seq: u64,
     pub(crate) value: Bytes,
     pub(crate) heard_at: Time,
@@ -55,7 +55,7 @@
 /// Facts published by one run of a daemon.
 #[derive(Debug, Default)]
 pub(crate) struct Origin {
-    pub(crate) facts: BTreeMap<FactKey, Held>,
+    pub(crate) facts: BTreeMap<FactKey, StoredFact>,
     /// Time at which transient facts are dropped; set once the origin is gone.
     drop_at: Option<Time>,
 }
@@ -64,11 +64,11 @@
     /// Hash of the valid facts, independent of the order in which they arrived; 0 if there are
     /// none.
     fn hash(&self, cumulative_only: bool) -> u32 {
-        let counting = self.counting(cumulative_only);
-        let hashes = counting.map(|((topic, key), held)| {
+        let valid = self.valid(cumulative_only);
+        let hashes = valid.map(|((topic, key), stored)| {
             let mut hasher = Xxh3::new();
             hasher.update(&[*topic as u8]);
-            hasher.update(&held.seq.to_le_bytes());
+            hasher.update(&stored.seq.to_le_bytes());
             hasher.update(key);
             hasher.digest()
         });
@@ -79,7 +79,7 @@
         (xxh3_64(&sum.to_le_bytes()) as u32).max(1)
     }
 
-    fn counting(&self, cumulative_only: bool) -> impl Iterator<Item = (&FactKey, &Held)> {
+    fn valid(&self, cumulative_only: bool) -> impl Iterator<Item = (&FactKey, &StoredFact)> {
         let all = self.facts.iter();
         all.filter(move |((topic, _), _)| topic.is_cumulative() || !cumulative_only)
     }
@@ -87,13 +87,13 @@
 
 /// Effect of a received fact on the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Taken {
+pub(crate) enum FactUpdate {
     /// The fact is newer than the stored one.
     New,
     /// The fact is already stored.
-    Same,
+    Duplicate,
     /// The fact is older than the stored one, its origin is unknown, or there is no room.
-    Refused,
+    Rejected,
 }
 
 /// Facts of all origins.
@@ -112,7 +112,7 @@
         }
         let slot = self.tags.entry(id.tag());
         // If two origins share a tag, a fact of one must never be attributed to the other.
-        slot.and_modify(|held| *held = None)
+        slot.and_modify(|owner| *owner = None)
             .or_insert_with(|| Some(id.clone()));
         self.origins.insert(id, Origin::default());
     }
@@ -136,7 +136,7 @@
         self.origins.get(id)
     }
 
-    pub(crate) fn held(&self, id: &OriginId, key: &FactKey) -> Option<&Held> {
+    pub(crate) fn stored(&self, id: &OriginId, key: &FactKey) -> Option<&StoredFact> {
         self.origins.get(id)?.facts.get(key)
     }
 
@@ -149,24 +149,24 @@
     }
 
     /// Stores a fact of a known origin if it is newer than the stored one.
-    pub(crate) fn take(&mut self, now: Time, id: &OriginId, fact: &SharedFact) -> Taken {
+    pub(crate) fn merge(&mut self, now: Time, id: &OriginId, fact: &SharedFact) -> FactUpdate {
         let Some(origin) = self.origins.get_mut(id) else {
-            return Taken::Refused;
+            return FactUpdate::Rejected;
         };
         let key = (fact.topic, fact.key.clone());
-        match origin.facts.get(&key).map(|held| held.seq) {
-            Some(seq) if seq == fact.seq => return Taken::Same,
-            Some(seq) if seq > fact.seq => return Taken::Refused,
-            None if origin.facts.len() >= MAX_FACTS_PER_ORIGIN => return Taken::Refused,
+        match origin.facts.get(&key).map(|stored| stored.seq) {
+            Some(seq) if seq == fact.seq => return FactUpdate::Duplicate,
+            Some(seq) if seq > fact.seq => return FactUpdate::Rejected,
+            None if origin.facts.len() >= MAX_FACTS_PER_ORIGIN => return FactUpdate::Rejected,
             _ => {}
         }
-        let held = Held {
+        let stored = StoredFact {
             seq: fact.seq,
             value: fact.value.clone(),
             heard_at: now,
         };
-        origin.facts.insert(key, held);
-        Taken::New
+        origin.facts.insert(key, stored);
+        FactUpdate::New
     }
 
     /// Marks an origin as gone; its transient facts are dropped at `drop_at`.
@@ -177,14 +177,14 @@
     }
 
     /// Marks an origin as present again.
-    pub(crate) fn revive(&mut self, id: &OriginId) {
+    pub(crate) fn restore(&mut self, id: &OriginId) {
         if let Some(origin) = self.origins.get_mut(id) {
             origin.drop_at = None;
         }
     }
 
     /// Drops expired transient facts, and retired origins beyond the limit.
-    pub(crate) fn tidy(&mut self, now: Time, is_member: impl Fn(&OriginId) -> bool) {
+    pub(crate) fn remove_expired(&mut self, now: Time, is_member: impl Fn(&OriginId) -> bool) {
         let mut empty = Vec::new();
         for (id, origin) in &mut self.origins {
             if !origin.drop_at.is_some_and(|at| now.has_reached(at)) {
@@ -198,7 +198,7 @@
         for id in empty {
             self.remove(&id);
         }
-        for id in self.beyond_bound() {
+        for id in self.excess_retired() {
             self.remove(&id);
         }
     }
@@ -207,7 +207,7 @@
     ///
     /// The choice depends on the origins alone and not on when they were received. Otherwise
     /// daemons would give back to each other what each has dropped.
-    fn beyond_bound(&self) -> Vec<OriginId> {
+    fn excess_retired(&self) -> Vec<OriginId> {
         let retired = self.origins.iter().filter(|(_, o)| o.drop_at.is_some());
         let mut retired = retired.map(|(id, _)| id).collect::<Vec<_>>();
         retired.sort_by_key(|id| (std::cmp::Reverse(id.incarnation), id.daemon.clone()));
@@ -229,14 +229,14 @@
     }
 
     /// Facts of an origin for sending; only the cumulative ones once it is gone.
-    pub(crate) fn share(&self, id: &OriginId) -> Option<OriginFacts> {
+    pub(crate) fn export(&self, id: &OriginId) -> Option<OriginFacts> {
         let origin = self.origins.get(id)?;
-        let facts = origin.counting(origin.drop_at.is_some());
-        let facts = facts.map(|((topic, key), held)| SharedFact {
+        let facts = origin.valid(origin.drop_at.is_some());
+        let facts = facts.map(|((topic, key), stored)| SharedFact {
             topic: *topic,
             key: key.clone(),
-            seq: held.seq,
-            value: held.value.clone(),
+            seq: stored.seq,
+            value: stored.value.clone(),
         });
         Some(OriginFacts {
             origin: id.clone(),
@@ -249,15 +249,15 @@
         self.origins.iter().flat_map(move |(id, origin)| {
             let from = (topic, Bytes::new());
             let range = origin.facts.range(from..);
-            let range = range.take_while(move |((held, _), _)| *held == topic);
-            let present = range.filter(|(_, held)| !held.value.is_empty());
-            present.map(|((topic, key), held)| Fact {
+            let range = range.take_while(move |((fact_topic, _), _)| *fact_topic == topic);
+            let present = range.filter(|(_, stored)| !stored.value.is_empty());
+            present.map(|((topic, key), stored)| Fact {
                 origin: id.daemon.clone(),
                 incarnation: id.incarnation,
                 topic: *topic,
                 key: key.clone(),
-                value: held.value.clone(),
-                heard_at: held.heard_at,
+                value: stored.value.clone(),
+                heard_at: stored.heard_at,
             })
         })
     }
--- a/components/membership/src/probe.rs
+++ b/components/membership/src/probe.rs
@@ -11,7 +11,7 @@
 use types::prelude::*;
 
 /// Number of recent probes from which the reachable part of the fleet is estimated.
-const OUTCOMES: usize = 10;
+const RECENT_OUTCOMES: usize = 10;
 /// Minimum number of outcomes for this estimate.
 const MIN_OUTCOMES: usize = 3;
 /// Maximum number of outstanding probes on behalf of other daemons.
@@ -19,21 +19,21 @@
 
 /// A probe that waits for its acknowledgement.
 #[derive(Debug, Clone)]
-pub(crate) struct Pending {
+pub(crate) struct PendingProbe {
     pub(crate) target: DaemonId,
     pub(crate) seq: u32,
     /// Time at which others are asked to probe; none once they were asked.
-    pub(crate) ask_at: Option<Time>,
+    pub(crate) indirect_at: Option<Time>,
     /// Time at which the target is suspected.
     pub(crate) ends_at: Time,
 }
 
 /// An outstanding probe on behalf of another daemon.
 #[derive(Debug)]
-struct Relay {
+struct RelayedProbe {
     seq: u32,
-    asker: SocketAddr,
-    asker_seq: u32,
+    requester: SocketAddr,
+    requester_seq: u32,
     ends_at: Time,
 }
 
@@ -42,19 +42,19 @@
 pub(crate) struct Prober {
     order: Vec<DaemonId>,
     next: usize,
-    next_seq: u32,
+    last_seq: u32,
     pub(crate) next_at: Time,
-    pub(crate) pending: Option<Pending>,
-    relays: Vec<Relay>,
+    pub(crate) pending: Option<PendingProbe>,
+    relays: Vec<RelayedProbe>,
     /// Whether each of the last probes was answered, oldest first.
     outcomes: VecDeque<bool>,
 }
 
 impl Prober {
     /// Returns the sequence number for a new probe.
-    pub(crate) fn seq(&mut self) -> u32 {
-        self.next_seq = self.next_seq.wrapping_add(1);
-        self.next_seq
+    pub(crate) fn next_seq(&mut self) -> u32 {
+        self.last_seq = self.last_seq.wrapping_add(1);
+        self.last_seq
     }
 
     /// Adds a member at a random position.
@@ -62,8 +62,8 @@
         if self.order.contains(&id) {
             return;
         }
-        let place = rng.random_range(0..=self.order.len());
-        self.order.insert(place, id);
+        let index = rng.random_range(0..=self.order.len());
+        self.order.insert(index, id);
     }
 
     /// The next present member. Members that are gone are removed before each new round.
@@ -88,32 +88,32 @@
 
     /// Handles an acknowledgement. For an indirect probe, returns the requester's address and its
     /// sequence number.
-    pub(crate) fn acknowledged(&mut self, seq: u32) -> Option<(SocketAddr, u32)> {
+    pub(crate) fn acknowledge(&mut self, seq: u32) -> Option<(SocketAddr, u32)> {
         if self.pending.as_ref().is_some_and(|p| p.seq == seq) {
             self.pending = None;
-            self.note(true);
+            self.record_outcome(true);
         }
-        let place = self.relays.iter().position(|relay| relay.seq == seq)?;
-        let relay = self.relays.swap_remove(place);
-        Some((relay.asker, relay.asker_seq))
+        let index = self.relays.iter().position(|relay| relay.seq == seq)?;
+        let relay = self.relays.swap_remove(index);
+        Some((relay.requester, relay.requester_seq))
     }
 
     /// Records whether a probe was answered.
-    pub(crate) fn note(&mut self, answered: bool) {
-        if self.outcomes.len() >= OUTCOMES {
+    pub(crate) fn record_outcome(&mut self, answered: bool) {
+        if self.outcomes.len() >= RECENT_OUTCOMES {
             self.outcomes.pop_front();
         }
         self.outcomes.push_back(answered);
     }
 
     /// Forgets the outstanding probe and past outcomes.
-    pub(crate) fn begin_anew(&mut self) {
+    pub(crate) fn reset(&mut self) {
         self.pending = None;
         self.outcomes.clear();
     }
 
     /// Share of the last probes that were answered, from 0 to 1; 1 if too few are known.
-    pub(crate) fn answered_share(&self) -> f64 {
+    pub(crate) fn answered_ratio(&self) -> f64 {
         if self.outcomes.len() < MIN_OUTCOMES {
             return 1.0;
         }
@@ -123,22 +123,22 @@
 
     /// Registers a probe on behalf of another daemon. Returns its sequence number, or none if too
     /// many are outstanding.
-    pub(crate) fn relay(
+    pub(crate) fn add_relay(
         &mut self,
         now: Time,
-        asker: SocketAddr,
-        asker_seq: u32,
+        requester: SocketAddr,
+        requester_seq: u32,
         ends_at: Time,
     ) -> Option<u32> {
         self.relays.retain(|relay| !now.has_reached(relay.ends_at));
         if self.relays.len() >= MAX_RELAYS {
             return None;
         }
-        let seq = self.seq();
-        self.relays.push(Relay {
+        let seq = self.next_seq();
+        self.relays.push(RelayedProbe {
             seq,
-            asker,
-            asker_seq,
+            requester,
+            requester_seq,
             ends_at,
         });
         Some(seq)
--- a/components/membership/src/repair.rs
+++ b/components/membership/src/repair.rs
@@ -8,20 +8,20 @@
 use crate::origin::{OriginId, OriginTag};
 
 /// Maximum number of origins in one digest.
-const PAGE: usize = 48;
+const ORIGINS_PER_DIGEST: usize = 48;
 /// Maximum number of own origins compared with one digest; a peer that knows far fewer receives
 /// the rest later.
-const MAX_COMPARED: usize = 4 * PAGE;
+const MAX_ORIGINS_COMPARED: usize = 4 * ORIGINS_PER_DIGEST;
 
 /// Full rounds of the digest without an unknown member before it slows down.
-const HURRY_ROUNDS: u32 = 4;
+const CATCH_UP_ROUNDS: u32 = 4;
 
 /// Position of the next digest, and whether to send digests faster.
 #[derive(Debug)]
 pub(crate) struct Cursor {
     after: Option<OriginId>,
     /// Full rounds left at the catch-up interval.
-    hurry: u32,
+    catch_up_rounds: u32,
 }
 
 impl Cursor {
@@ -29,39 +29,39 @@
     pub(crate) fn catching_up() -> Self {
         Self {
             after: None,
-            hurry: HURRY_ROUNDS,
+            catch_up_rounds: CATCH_UP_ROUNDS,
         }
     }
 
     /// Restarts catch-up mode after a repair brought unknown members, since others may lack them
     /// too.
-    pub(crate) fn note_newcomers(&mut self) {
-        self.hurry = HURRY_ROUNDS;
+    pub(crate) fn restart_catch_up(&mut self) {
+        self.catch_up_rounds = CATCH_UP_ROUNDS;
     }
 
     /// Continues after an origin; none starts a new round.
     fn advance(&mut self, until: Option<OriginId>) {
         if until.is_none() {
-            self.hurry = self.hurry.saturating_sub(1);
+            self.catch_up_rounds = self.catch_up_rounds.saturating_sub(1);
         }
         self.after = until;
     }
 
     pub(crate) fn is_catching_up(&self) -> bool {
-        self.hurry > 0
+        self.catch_up_rounds > 0
     }
 }
 
 /// Content of a repair message, collected up to the maximum size.
 #[derive(Default)]
-struct Parts {
+struct RepairBuilder {
     members: Vec<MemberRecord>,
     origins: Vec<OriginFacts>,
     wanted: Vec<OriginTag>,
     bytes: usize,
 }
 
-impl Parts {
+impl RepairBuilder {
     fn add_member(&mut self, record: &MemberRecord) {
         self.bytes += record.wire_len();
         self.members.push(record.clone());
@@ -88,7 +88,7 @@
 }
 
 /// Whether an origin is worth sending to a peer that does not know it.
-fn counts(entry: &DigestEntry) -> bool {
+fn is_worth_sending(entry: &DigestEntry) -> bool {
     let present = entry.member.is_some_and(|(_, state)| state.is_present());
     present || entry.facts != 0
 }
@@ -97,10 +97,13 @@
     /// Digest of the next range of origins; starts again after the last.
     pub(crate) fn next_digest(&mut self) -> Digest {
         let after = self.cursor.after.take();
-        let ids = self.origins.range(after.as_ref()).take(PAGE + 1);
+        let ids = self
+            .origins
+            .range(after.as_ref())
+            .take(ORIGINS_PER_DIGEST + 1);
         let mut ids = ids.cloned().collect::<Vec<_>>();
-        let more = ids.len() > PAGE;
-        ids.truncate(PAGE);
+        let more = ids.len() > ORIGINS_PER_DIGEST;
+        ids.truncate(ORIGINS_PER_DIGEST);
         let until = if more { ids.last().cloned() } else { None };
         self.cursor.advance(until.clone());
         let entries = ids.iter().map(|id| self.digest_entry(id)).collect();
@@ -112,7 +115,7 @@
     }
 
     fn digest_entry(&self, id: &OriginId) -> DigestEntry {
-        let record = self.record_of(id);
+        let record = self.current_record(id);
         DigestEntry {
             origin: id.tag(),
             member: record.map(|record| (record.stamp.refutation, record.state)),
@@ -123,32 +126,32 @@
     /// Answers a digest with what its sender lacks, and asks for what the sender seems to know
     /// better.
     pub(crate) fn on_digest(&mut self, from: &Sender, digest: &Digest, outcome: &mut Outcome) {
-        if !self.may_repair() {
+        if !self.has_repair_budget() {
             return;
         }
         let entries = digest.entries.iter().map(|entry| (entry.origin, *entry));
         let mut theirs = entries.collect::<BTreeMap<_, _>>();
-        let mut parts = Parts::default();
+        let mut repair = RepairBuilder::default();
         let range = self.origins.range(digest.after.as_ref());
         let range = range.take_while(|id| digest.until.as_ref().is_none_or(|until| *id <= until));
-        for id in range.take(MAX_COMPARED) {
+        for id in range.take(MAX_ORIGINS_COMPARED) {
             let entry = theirs.remove(&id.tag());
-            if parts.bytes < self.message_bytes() {
-                self.compare(id, entry, &mut parts);
+            if repair.bytes < self.max_message_bytes() {
+                self.compare(id, entry, &mut repair);
             }
         }
-        let unknown = theirs.values().filter(|entry| counts(entry));
-        parts.wanted.extend(unknown.map(|entry| entry.origin));
-        if !parts.is_empty() {
-            self.send_repair(from.address, parts.into_message(), outcome);
+        let unknown = theirs.values().filter(|entry| is_worth_sending(entry));
+        repair.wanted.extend(unknown.map(|entry| entry.origin));
+        if !repair.is_empty() {
+            self.send_repair(from.address, repair.into_message(), outcome);
         }
     }
 
-    fn compare(&self, id: &OriginId, theirs: Option<DigestEntry>, parts: &mut Parts) {
+    fn compare(&self, id: &OriginId, theirs: Option<DigestEntry>, repair: &mut RepairBuilder) {
         let mine = self.digest_entry(id);
         let Some(theirs) = theirs else {
-            if counts(&mine) {
-                self.add(id, parts);
+            if is_worth_sending(&mine) {
+                self.add_origin(id, repair);
             }
             return;
         };
@@ -156,23 +159,23 @@
             (Some(mine), Some(theirs)) => mine != theirs,
             (mine, _) => mine.is_some_and(|(_, state)| state.is_present()),
         };
-        if let Some(record) = self.record_of(id).filter(|_| members_differ) {
-            parts.add_member(record);
+        if let Some(record) = self.current_record(id).filter(|_| members_differ) {
+            repair.add_member(record);
         }
         if mine.facts != theirs.facts {
-            parts.add_facts(self.origins.share(id));
+            repair.add_facts(self.origins.export(id));
         }
         if members_differ || (mine.facts != theirs.facts && theirs.facts != 0) {
-            parts.wanted.push(mine.origin);
+            repair.wanted.push(mine.origin);
         }
     }
 
-    fn add(&self, id: &OriginId, parts: &mut Parts) {
-        let record = self.record_of(id);
+    fn add_origin(&self, id: &OriginId, repair: &mut RepairBuilder) {
+        let record = self.current_record(id);
         if let Some(record) = record.filter(|record| record.state != State::Left) {
-            parts.add_member(record);
+            repair.add_member(record);
         }
-        parts.add_facts(self.origins.share(id));
+        repair.add_facts(self.origins.export(id));
     }
 
     /// Sends the origins that the other side of a comparison asked for.
@@ -182,15 +185,15 @@
         wanted: &[OriginTag],
         outcome: &mut Outcome,
     ) {
-        let mut parts = Parts::default();
+        let mut repair = RepairBuilder::default();
         for id in wanted.iter().filter_map(|tag| self.origins.by_tag(*tag)) {
-            if parts.bytes >= self.message_bytes() {
+            if repair.bytes >= self.max_message_bytes() {
                 break;
             }
-            self.add(id, &mut parts);
+            self.add_origin(id, &mut repair);
         }
-        if !parts.is_empty() {
-            self.send_repair(from.address, parts.into_message(), outcome);
+        if !repair.is_empty() {
+            self.send_repair(from.address, repair.into_message(), outcome);
         }
     }
 }
--- a/components/membership/src/rumor.rs
+++ b/components/membership/src/rumor.rs
@@ -36,18 +36,18 @@
 #[derive(Debug, Clone, Copy)]
 struct Rumor {
     urgency: Urgency,
-    told: u8,
-    left: u8,
+    sent: u8,
+    remaining: u8,
     order: u64,
 }
 
-type Place = (Urgency, u8, u64, Subject);
+type QueueKey = (Urgency, u8, u64, Subject);
 
 /// Updates that are still to be sent.
 #[derive(Debug, Default)]
 pub(crate) struct Rumors {
     rumors: BTreeMap<Subject, Rumor>,
-    queue: BTreeSet<Place>,
+    queue: BTreeSet<QueueKey>,
     next_order: u64,
 }
 
@@ -60,21 +60,21 @@
     pub(crate) fn add(&mut self, subject: Subject, urgency: Urgency, times: u8) {
         self.remove(&subject);
         if self.rumors.len() >= MAX_RUMORS {
-            self.drop_last();
+            self.evict_last();
         }
         self.next_order += 1;
         let rumor = Rumor {
             urgency,
-            told: 0,
-            left: times,
+            sent: 0,
+            remaining: times,
             order: self.next_order,
         };
-        self.put(subject, rumor);
+        self.insert(subject, rumor);
     }
 
-    fn put(&mut self, subject: Subject, rumor: Rumor) {
-        let place = (rumor.urgency, rumor.told, rumor.order, subject.clone());
-        self.queue.insert(place);
+    fn insert(&mut self, subject: Subject, rumor: Rumor) {
+        let key = (rumor.urgency, rumor.sent, rumor.order, subject.clone());
+        self.queue.insert(key);
         self.rumors.insert(subject, rumor);
     }
 
@@ -82,11 +82,11 @@
         let Some(rumor) = self.rumors.remove(subject) else {
             return false;
         };
-        let place = (rumor.urgency, rumor.told, rumor.order, subject.clone());
-        self.queue.remove(&place)
+        let key = (rumor.urgency, rumor.sent, rumor.order, subject.clone());
+        self.queue.remove(&key)
     }
 
-    fn drop_last(&mut self) {
+    fn evict_last(&mut self) {
         if let Some((.., subject)) = self.queue.pop_last() {
             self.rumors.remove(&subject);
         }
@@ -98,12 +98,12 @@
     /// An urgent update reaches each daemon several times within milliseconds, so all daemons
     /// would stop sending it at once. Now and then a daemon would be missed and learn of a
     /// suspension from the digest only, a minute late.
-    pub(crate) fn heard_again(&mut self, subject: &Subject) {
+    pub(crate) fn note_duplicate(&mut self, subject: &Subject) {
         let rumor = self.rumors.get_mut(subject);
         let rumor = rumor.filter(|rumor| rumor.urgency != Urgency::Urgent);
         if let Some(rumor) = rumor {
-            rumor.left = rumor.left.saturating_sub(1);
-            if rumor.left == 0 {
+            rumor.remaining = rumor.remaining.saturating_sub(1);
+            if rumor.remaining == 0 {
                 self.remove(subject);
             }
         }
@@ -116,21 +116,21 @@
     }
 
     /// Queued updates in the order in which they are sent.
-    pub(crate) fn waiting(&self) -> impl Iterator<Item = (Urgency, &Subject)> {
+    pub(crate) fn queued(&self) -> impl Iterator<Item = (Urgency, &Subject)> {
         let queue = self.queue.iter();
         queue.map(|(urgency, _, _, subject)| (*urgency, subject))
     }
 
     /// Notes that an update was sent once.
-    pub(crate) fn told(&mut self, subject: &Subject) {
+    pub(crate) fn mark_sent(&mut self, subject: &Subject) {
         let Some(mut rumor) = self.rumors.get(subject).copied() else {
             return;
         };
         self.remove(subject);
-        rumor.told += 1;
-        rumor.left -= 1;
-        if rumor.left > 0 {
-            self.put(subject.clone(), rumor);
+        rumor.sent += 1;
+        rumor.remaining -= 1;
+        if rumor.remaining > 0 {
+            self.insert(subject.clone(), rumor);
         }
     }
 }
