--- a/components/membership/tests/facts.rs
+++ b/components/membership/tests/facts.rs
@@ -33,12 +33,12 @@
 
 /// Whether every running daemon has exactly these values of an origin.
 fn all_hold(fleet: &Fleet, topic: Topic, origin: usize, value: &[&str]) -> bool {
-    let mut running = fleet.nodes.values().filter(|node| node.runs);
+    let mut running = fleet.nodes.values().filter(|node| node.is_running);
     running.all(|node| values(&node.membership, topic, origin) == value)
 }
 
 /// Whether no other daemon has any fact of an origin on a topic.
-fn all_without(fleet: &Fleet, origin: usize, topic: Topic) -> bool {
+fn none_hold(fleet: &Fleet, origin: usize, topic: Topic) -> bool {
     let me = config(origin, 1).me;
     let mut others = fleet.nodes.values().map(|node| &node.membership);
     others.all(|other| other.me().id == me || values(other, topic, origin).is_empty())
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn can_spread_facts_with_loss() {
+fn can_spread_facts_despite_message_loss() {
     let mut fleet = Fleet::new(32, 1);
     fleet.run_for(secs(20));
     fleet.loss = 0.2;
@@ -83,14 +83,14 @@
 // Counts of ratings must remain valid after their daemon is gone and reach a daemon that starts
 // later, while the demand of the failed daemon must be dropped.
 #[test]
-fn can_keep_cumulative_facts_of_the_dead() {
+fn can_keep_cumulative_facts_of_failed_daemons() {
     let mut fleet = Fleet::new(8, 2);
     fleet.run_for(secs(10));
     publish(&mut fleet, 3, Topic::Evidence, "counts");
     publish(&mut fleet, 3, Topic::Demand, "much");
     fleet.run_for(secs(10));
     assert!(all_hold(&fleet, Topic::Demand, 3, &["much"]));
-    fleet.node(3).runs = false;
+    fleet.node(3).is_running = false;
     fleet.run_for(secs(60));
     assert!(all_hold(&fleet, Topic::Evidence, 3, &["counts"]));
     assert!(all_hold(&fleet, Topic::Demand, 3, &[]));
@@ -102,7 +102,7 @@
 // After a restart, the counts of the earlier run must remain valid beside those of the new run,
 // while the demand of the earlier run must be dropped at once.
 #[test]
-fn can_tell_runs_apart() {
+fn can_separate_facts_of_successive_runs() {
     let mut fleet = Fleet::new(8, 3);
     fleet.run_for(secs(10));
     publish(&mut fleet, 3, Topic::Evidence, "early");
@@ -120,18 +120,18 @@
 // A daemon is partitioned for fifteen seconds and declared down. Its demand must be kept: a false
 // failure detection must not reset the others' shares.
 #[test]
-fn can_bear_a_false_death() {
+fn can_tolerate_a_false_failure_detection() {
     let mut fleet = Fleet::new(8, 4);
     fleet.run_for(secs(10));
     publish(&mut fleet, 3, Topic::Demand, "much");
     fleet.run_for(secs(10));
-    fleet.node(3).side = 1;
+    fleet.node(3).partition = 1;
     fleet.run_for(secs(15));
     let third = config(3, 1).me;
     let seen = fleet.node(0).membership.member(&third).unwrap();
     assert_eq!(seen.record.state, State::Down);
     assert!(all_hold(&fleet, Topic::Demand, 3, &["much"]));
-    fleet.node(3).side = 0;
+    fleet.node(3).partition = 0;
     let took = fleet.run_while(secs(30), |fleet| !fleet.agrees());
     assert!(took.is_some());
     assert!(all_hold(&fleet, Topic::Demand, 3, &["much"]));
@@ -140,15 +140,15 @@
 // A daemon is partitioned for minutes, its demand is dropped, then it returns. The others must see
 // its demand again at once, not only when the digest reaches it.
 #[test]
-fn can_bring_facts_back_after_a_long_cut() {
+fn can_restore_facts_after_a_long_partition() {
     let mut fleet = Fleet::new(48, 9);
     fleet.run_for(secs(20));
     publish(&mut fleet, 3, Topic::Demand, "much");
     fleet.run_for(secs(10));
-    fleet.node(3).side = 1;
+    fleet.node(3).partition = 1;
     fleet.run_for(secs(120));
-    assert!(all_without(&fleet, 3, Topic::Demand));
-    fleet.node(3).side = 0;
+    assert!(none_hold(&fleet, 3, Topic::Demand));
+    fleet.node(3).partition = 0;
     let back = |fleet: &Fleet| !fleet.agrees();
     assert!(fleet.run_while(secs(60), back).is_some());
     let took = fleet.run_while(secs(6), |f| !all_hold(f, Topic::Demand, 3, &["much"]));
@@ -183,7 +183,7 @@
 
 // The same fact arrives repeatedly, late and out of order; the highest sequence number must win.
 #[test]
-fn can_take_facts_in_any_order() {
+fn can_merge_facts_in_any_order() {
     let mut fleet = Fleet::new(2, 5);
     fleet.run_for(secs(5));
     let me = fleet.node(1).membership.me().clone();
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn errors_on_facts_over_their_bounds() {
+fn errors_on_facts_over_their_limits() {
     let mut fleet = Fleet::new(2, 6);
     let membership = &mut fleet.node(0).membership;
     let long = Bytes::from(vec![0; 300]);
@@ -255,7 +255,7 @@
 // Every daemon publishes a new value each second, far more than the budget allows. The bandwidth
 // must stay within the budget, and later values must still arrive.
 #[test]
-fn can_keep_the_budget_under_a_flood() {
+fn can_stay_within_the_budget_under_load() {
     let mut fleet = Fleet::new(32, 7);
     fleet.measure = |message| {
         let length = encoded(message);
--- a/components/membership/tests/membership.rs
+++ b/components/membership/tests/membership.rs
@@ -19,16 +19,16 @@
 }
 
 #[test]
-fn can_join_and_stay_quiet() {
+fn can_join_without_later_events() {
     for size in [2, 8, 64] {
         let mut fleet = Fleet::new(size, 1);
         let took = fleet.run_while(secs(30), |fleet| !fleet.agrees());
         assert!(took.is_some(), "{size} daemons never agreed");
-        let quiet = fleet.now;
+        let settled = fleet.now;
         fleet.run_for(secs(60));
         assert!(fleet.agrees());
         assert_eq!(
-            fleet.count(quiet, |_| true),
+            fleet.count(settled, |_| true),
             0,
             "{size} daemons are not quiet"
         );
@@ -36,15 +36,15 @@
 }
 
 #[test]
-fn can_notice_a_death_and_a_leave() {
+fn can_detect_a_failure_and_a_leave() {
     let mut fleet = Fleet::new(16, 2);
     fleet.run_for(secs(20));
-    fleet.node(5).runs = false;
+    fleet.node(5).is_running = false;
     let now = fleet.now;
     let mut rng = StdRng::seed_from_u64(2);
     let goodbye = fleet.node(6).membership.leave(now, &mut rng);
-    fleet.take(address(6), goodbye);
-    fleet.node(6).runs = false;
+    fleet.handle_outcome(address(6), goodbye);
+    fleet.node(6).is_running = false;
     let took = fleet.run_while(secs(30), |fleet| !fleet.agrees());
     assert!(took.is_some());
     let left = |event: &Event| matches!(event, Event::MemberDown { left: true, .. });
@@ -57,7 +57,7 @@
 // all the time: a lost acknowledgement is covered by indirect probes, a lost refutation by the
 // direct probes before a suspicion expires.
 #[test]
-fn can_bear_loss() {
+fn can_tolerate_message_loss() {
     let mut fleet = Fleet::new(32, 3);
     let took = fleet.run_while(secs(30), |fleet| !fleet.agrees());
     assert!(took.is_some());
@@ -75,23 +75,23 @@
     let mut fleet = Fleet::new(16, 4);
     fleet.run_for(secs(20));
     let paused = fleet.now;
-    fleet.node(3).runs = false;
-    fleet.node(7).runs = false;
+    fleet.node(3).is_running = false;
+    fleet.node(7).is_running = false;
     fleet.run_for(secs(2));
-    fleet.node(7).runs = true;
+    fleet.node(7).is_running = true;
     fleet.run_for(secs(28));
-    fleet.node(3).runs = true;
-    let woke = fleet.now;
+    fleet.node(3).is_running = true;
+    let resumed = fleet.now;
     let took = fleet.run_while(secs(60), |fleet| !fleet.agrees());
     assert!(took.is_some());
-    assert_eq!(fleet.count(woke, is_down), 0);
+    assert_eq!(fleet.count(resumed, is_down), 0);
     let third = config(3, 1);
     let other_deaths = fleet.count(
         paused,
         |event| matches!(event, Event::MemberDown { id, .. } if *id != third.me),
     );
     assert_eq!(other_deaths, 0);
-    let back = fleet.count(woke, |event| {
+    let back = fleet.count(resumed, |event| {
         matches!(event, Event::MemberUp { id, incarnation }
             if *id == third.me && *incarnation == third.incarnation)
     });
@@ -101,31 +101,31 @@
 // A daemon resumes after a pause during its own probe and suspicion. Without pause detection it
 // would at once declare down the members that it suspected, though they are alive.
 #[test]
-fn can_wake_without_accusing() {
+fn can_resume_without_declaring_others_down() {
     let mut fleet = Fleet::new(8, 5);
     fleet.run_for(secs(20));
     // Daemon 2 receives nothing for a while and so suspects some members.
-    fleet.node(2).side = 1;
+    fleet.node(2).partition = 1;
     fleet.run_for(secs(3));
-    fleet.node(2).runs = false;
-    fleet.node(2).side = 0;
+    fleet.node(2).is_running = false;
+    fleet.node(2).partition = 0;
     fleet.run_for(secs(60));
-    let woke = fleet.now;
-    fleet.node(2).runs = true;
+    let resumed = fleet.now;
+    fleet.node(2).is_running = true;
     fleet.run_for(secs(60));
     assert!(fleet.agrees());
-    assert_eq!(fleet.count(woke, is_down), 0);
+    assert_eq!(fleet.count(resumed, is_down), 0);
 }
 
 // A single daemon is partitioned from the fleet. It must soon know that it reaches few others,
 // long before it has declared each of them down: its behavior past its freshness limit depends on
 // this.
 #[test]
-fn can_notice_being_cut_off() {
+fn can_detect_own_isolation() {
     let mut fleet = Fleet::new(64, 10);
     fleet.run_for(secs(30));
     assert_eq!(fleet.node(2).membership.reachable(), 64);
-    fleet.node(2).side = 1;
+    fleet.node(2).partition = 1;
     fleet.run_for(secs(8));
     assert!(fleet.node(2).membership.fleet_size() > 32);
     assert!(fleet.node(2).membership.reachable() < 32);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn can_take_back_a_restarted_daemon() {
+fn can_readmit_a_restarted_daemon() {
     let mut fleet = Fleet::new(8, 6);
     fleet.run_for(secs(20));
     let restart = fleet.now;
@@ -168,7 +168,7 @@
 // Two hosts are given the same name by mistake. They must not outbid each other's incarnation
 // without end and flood the fleet with updates; the operator is told of both.
 #[test]
-fn can_bear_two_of_the_same_name() {
+fn can_tolerate_duplicate_names() {
     let mut fleet = Fleet::new(8, 11);
     fleet.run_for(secs(20));
     let mut second = config(4, 2);
@@ -177,8 +177,8 @@
     fleet.run_for(secs(60));
     let raised = |event: &Event| matches!(event, Event::IncarnationRaised(_));
     assert_eq!(fleet.count(Time::ZERO, raised), 0);
-    let told = |event: &Event| matches!(event, Event::DuplicateName { .. });
-    assert!(fleet.count(Time::ZERO, told) > 0);
+    let reported = |event: &Event| matches!(event, Event::DuplicateName { .. });
+    assert!(fleet.count(Time::ZERO, reported) > 0);
 }
 
 // A name moves from a host whose clock was ahead to one at another address whose clock is behind.
@@ -187,7 +187,7 @@
 fn can_replace_a_host_whose_clock_was_ahead() {
     let mut fleet = Fleet::new(8, 12);
     fleet.run_for(secs(20));
-    fleet.node(4).runs = false;
+    fleet.node(4).is_running = false;
     let mut behind = config(4, 0);
     behind.incarnation = Incarnation(5);
     behind.address = address(20);
@@ -200,16 +200,16 @@
 // partition heals, they must find each other through the remembered members that are down, without
 // declaring any daemon down on the way.
 #[test]
-fn can_heal_a_cut_quietly() {
+fn can_heal_a_partition_without_false_failures() {
     let mut fleet = Fleet::new(48, 8);
     fleet.run_for(secs(40));
     for index in 0..24 {
-        fleet.node(index).side = 1;
+        fleet.node(index).partition = 1;
     }
     fleet.run_for(secs(120));
     assert!(fleet.agrees());
     for index in 0..24 {
-        fleet.node(index).side = 0;
+        fleet.node(index).partition = 0;
     }
     let healed = fleet.now;
     let took = fleet.run_while(secs(90), |fleet| !fleet.agrees());
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn can_bound_the_table() {
+fn can_limit_the_member_table() {
     let mut fleet = Fleet::new(2, 9);
     fleet.run_for(secs(5));
     let sender = fleet.node(1).membership.me().clone();
@@ -251,7 +251,7 @@
 // itself for the first of the fleet and sends, requests and watches as such. Each must know nearly
 // all others within seconds, though each seed answers only a few joins.
 #[test]
-fn can_meet_a_large_fleet_that_starts_at_once() {
+fn can_discover_a_large_fleet_that_starts_at_once() {
     let size = 295;
     let mut fleet = Fleet::new(size, 21);
     let met = |fleet: &Fleet| {
@@ -274,9 +274,9 @@
 // they knew nobody for over a second, took themselves for alone and requested everything from the
 // store.
 #[test]
-fn can_answer_each_of_many_that_join_at_once() {
+fn can_answer_all_simultaneous_joins() {
     let mut fleet = Fleet::new(295, 23);
-    let lonely = |fleet: &Fleet| {
+    let count_alone = |fleet: &Fleet| {
         let sizes = fleet
             .nodes
             .values()
@@ -284,7 +284,7 @@
         sizes.filter(|size| *size == 1).count()
     };
     fleet.run_for(Span::from_millis(500));
-    assert_eq!(lonely(&fleet), 0, "daemons that know nobody");
+    assert_eq!(count_alone(&fleet), 0, "daemons that know nobody");
 }
 
 // All hosts of a fleet restart at the same moment, the seeds a tenth of a second after the others.
@@ -300,13 +300,13 @@
     for seed in 0..2 {
         fleet.start(config(seed, 1));
     }
-    let is_lonely = |fleet: &Fleet| {
+    let is_alone = |fleet: &Fleet| {
         let sizes = fleet
             .nodes
             .values()
             .map(|node| node.membership.fleet_size());
         sizes.min() == Some(1)
     };
-    let took = fleet.run_while(secs(10), is_lonely).expect("they meet");
+    let took = fleet.run_while(secs(10), is_alone).expect("they meet");
     assert!(took <= Span::from_millis(400), "one knew nobody for {took}");
 }
--- a/components/membership/tests/support/fleet.rs
+++ b/components/membership/tests/support/fleet.rs
@@ -18,15 +18,15 @@
     pub events: Vec<(Time, Event)>,
     pub bytes: u64,
     pub messages: u64,
-    pub runs: bool,
+    pub is_running: bool,
     /// Partition that the daemon is in; it reaches only daemons with the same value.
-    pub side: u8,
+    pub partition: u8,
     /// Distinguishes its ticks from those of an earlier run at the same address.
-    run: u64,
+    run_id: u64,
 }
 
 /// A scheduled action.
-enum Due {
+enum Action {
     Tick(SocketAddr, u64),
     Message(Sender, SocketAddr, Message),
 }
@@ -38,8 +38,8 @@
     pub loss: f64,
     pub rng: StdRng,
     pub measure: fn(&Message) -> usize,
-    due: BTreeMap<(Time, u64), Due>,
-    scheduled: u64,
+    due: BTreeMap<(Time, u64), Action>,
+    last_action: u64,
 }
 
 pub fn address(index: usize) -> SocketAddr {
@@ -68,7 +68,7 @@
             rng: StdRng::seed_from_u64(seed),
             measure: Message::wire_len,
             due: BTreeMap::new(),
-            scheduled: 0,
+            last_action: 0,
         };
         for index in 0..size {
             fleet.start(config(index, 1));
@@ -79,15 +79,15 @@
     /// Starts a daemon, replacing any at the same address.
     pub fn start(&mut self, cfg: Config) {
         let phase = Span::from_micros(self.rng.random_range(0..TICK.as_micros()));
-        let run = self.schedule(self.now + phase, |run| Due::Tick(cfg.address, run));
+        let run_id = self.schedule(self.now + phase, |run_id| Action::Tick(cfg.address, run_id));
         let node = Node {
-            run,
+            run_id,
             membership: Membership::new(cfg.clone()),
             events: Vec::new(),
             bytes: 0,
             messages: 0,
-            runs: true,
-            side: 0,
+            is_running: true,
+            partition: 0,
         };
         self.nodes.insert(cfg.address, node);
     }
@@ -96,10 +96,11 @@
         self.nodes.get_mut(&address(index)).unwrap()
     }
 
-    fn schedule(&mut self, at: Time, due: impl FnOnce(u64) -> Due) -> u64 {
-        self.scheduled += 1;
-        self.due.insert((at, self.scheduled), due(self.scheduled));
-        self.scheduled
+    fn schedule(&mut self, at: Time, action: impl FnOnce(u64) -> Action) -> u64 {
+        self.last_action += 1;
+        self.due
+            .insert((at, self.last_action), action(self.last_action));
+        self.last_action
     }
 
     /// Advances the simulation to a point in time.
@@ -108,11 +109,11 @@
             if first.key().0 > end {
                 break;
             }
-            let ((at, _), due) = first.remove_entry();
+            let ((at, _), action) = first.remove_entry();
             self.now = at;
-            match due {
-                Due::Tick(at, run) => self.tick(at, run),
-                Due::Message(from, to, message) => self.deliver(&from, to, message),
+            match action {
+                Action::Tick(at, run_id) => self.tick(at, run_id),
+                Action::Message(from, to, message) => self.deliver(&from, to, message),
             }
         }
         self.now = end;
@@ -134,37 +135,40 @@
         Some(self.now.since(start))
     }
 
-    fn tick(&mut self, at: SocketAddr, run: u64) {
+    fn tick(&mut self, at: SocketAddr, run_id: u64) {
         let now = self.now;
         let mut rng = StdRng::seed_from_u64(self.rng.random());
-        let node = self.nodes.get_mut(&at).filter(|node| node.run == run);
+        let node = self.nodes.get_mut(&at).filter(|node| node.run_id == run_id);
         let Some(node) = node else {
             return;
         };
-        let outcome = node.runs.then(|| node.membership.tick(now, &mut rng));
-        self.schedule(now + TICK, |_| Due::Tick(at, run));
-        self.take(at, outcome.unwrap_or_default());
+        let outcome = node.is_running.then(|| node.membership.tick(now, &mut rng));
+        self.schedule(now + TICK, |_| Action::Tick(at, run_id));
+        self.handle_outcome(at, outcome.unwrap_or_default());
     }
 
     fn deliver(&mut self, from: &Sender, to: SocketAddr, message: Message) {
-        let side = self.nodes.get(&from.address).map_or(0, |node| node.side);
+        let partition = self
+            .nodes
+            .get(&from.address)
+            .map_or(0, |node| node.partition);
         let now = self.now;
         let mut rng = StdRng::seed_from_u64(self.rng.random());
         let bytes = (self.measure)(&message) as u64;
         let Some(node) = self.nodes.get_mut(&to) else {
             return;
         };
-        if !node.runs || node.side != side {
+        if !node.is_running || node.partition != partition {
             return;
         }
         node.bytes += bytes;
         node.messages += 1;
         let outcome = node.membership.receive(now, from, message, &mut rng);
-        self.take(to, outcome);
+        self.handle_outcome(to, outcome);
     }
 
     /// Records a daemon's events and schedules delivery of its messages.
-    pub fn take(&mut self, at: SocketAddr, outcome: Outcome) {
+    pub fn handle_outcome(&mut self, at: SocketAddr, outcome: Outcome) {
         let now = self.now;
         let Some(node) = self.nodes.get_mut(&at) else {
             return;
@@ -184,9 +188,9 @@
                 continue;
             }
             let delay = Span::from_micros(self.rng.random_range(500..5_000));
-            let due = Due::Message(from.clone(), envelope.to, envelope.message);
-            self.scheduled += 1;
-            self.due.insert((now + delay, self.scheduled), due);
+            let action = Action::Message(from.clone(), envelope.to, envelope.message);
+            self.last_action += 1;
+            self.due.insert((now + delay, self.last_action), action);
         }
     }
 
@@ -194,19 +198,20 @@
         let now = self.now;
         let mut rng = StdRng::seed_from_u64(self.rng.random());
         let outcome = self.node(index).membership.flush(now, &mut rng);
-        self.take(address(index), outcome);
+        self.handle_outcome(address(index), outcome);
     }
 
     /// Whether every running daemon sees exactly the running daemons on its side as present.
     pub fn agrees(&self) -> bool {
-        let running = || self.nodes.values().filter(|node| node.runs);
-        let count = |side: u8| running().filter(|node| node.side == side).count();
+        let running = || self.nodes.values().filter(|node| node.is_running);
+        let count = |partition: u8| running().filter(|node| node.partition == partition).count();
         let counts = [count(0), count(1)];
-        if running().any(|node| node.membership.fleet_size() != counts[usize::from(node.side)]) {
+        if running().any(|node| node.membership.fleet_size() != counts[usize::from(node.partition)])
+        {
             return false;
         }
         running().all(|node| {
-            let expected = running().filter(|other| other.side == node.side);
+            let expected = running().filter(|other| other.partition == node.partition);
             let expected = expected.map(|other| &other.membership.me().id);
             let present = node.membership.members();
             let present = present.filter(|m| m.record.state.is_present());
