--- a/components/limits/src/admission.rs
+++ b/components/limits/src/admission.rs
@@ -1,4 +1,4 @@
-//! What starts, waits or is refused.
+//! Decides which requests start, wait or are refused.
 
 use rand::{Rng, RngExt};
 use types::prelude::*;
@@ -9,15 +9,16 @@
 use crate::pool::{Lane, Pool};
 use crate::queue::Waiting;
 
-/// Shortest time after which a refused request should come again.
+/// Minimum delay before a refused request should be retried.
 const MIN_RETRY: Span = Span::from_secs(1);
-/// Longest time over which returns are spread.
+/// Maximum time in seconds over which retries are spread.
 const MAX_SPREAD_SECONDS: f64 = 60.0;
-/// Seconds of refusals whose return is reckoned with.
+/// Refusals of this many seconds are assumed to be retried.
 const STORM_SECONDS: f64 = 10.0;
 
 impl Limiter {
-    /// Decides on a request. A refusal comes at once: nothing of the request was run.
+    /// Decides whether a request starts, waits or is refused. A refusal is returned at once:
+    /// nothing of the request was run.
     pub fn admit(&mut self, now: Time, ask: Ask, rng: &mut impl Rng) -> Admission {
         let customer = customer(&mut self.customers, &ask.customer);
         let offer = offer(&mut self.offers, &ask.offer);
@@ -49,9 +50,9 @@
         Admission::Wait(self.enqueue(now, ask, weight, rng))
     }
 
-    /// Turns a running request into a waiting one, when it was cancelled to give its slot to
-    /// interactive work. It goes on before its customer's others, or is refused by
-    /// [`Limiter::pump`] when its deadline passes first.
+    /// Turns a running request that was preempted by interactive work back into a waiting one. It
+    /// starts before the customer's other requests, or is refused by [`Limiter::pump`] if its
+    /// deadline passes first.
     pub fn give_way(&mut self, grant: Grant) -> Ticket {
         self.last_ticket += 1;
         let ticket = Ticket(self.last_ticket);
@@ -103,8 +104,8 @@
         self.verdicts.push((ticket, verdict));
     }
 
-    /// Ends the waits that can be ended: starts what there is room for, refuses what has no
-    /// time left. To be called after each release and each tick.
+    /// Starts waiting requests for which there is room, and refuses those whose deadline has
+    /// passed. Must be called after each release and each tick.
     pub fn pump(&mut self, now: Time, rng: &mut impl Rng) -> Vec<(Ticket, Verdict)> {
         let names: Vec<_> = self.pools.keys().cloned().collect();
         for name in names {
@@ -162,8 +163,8 @@
     }
 }
 
-/// Whether a request may start at once, before any that waits: those are held by limits of
-/// their own, or there would be no room.
+/// Whether a request may start at once, ahead of the queue. Any request that waits then is held
+/// back by limits of its own, or there would be no room.
 fn may_start_first(
     now: Time,
     ask: &Ask,
@@ -198,7 +199,7 @@
     }
 }
 
-/// Why a request should not even wait, and how long the cause will last.
+/// Reason why a request should not even wait, with the time that the reason is expected to last.
 fn refusal(
     now: Time,
     ask: &Ask,
@@ -227,9 +228,9 @@
     full.then_some((Code::QueueFull, wait))
 }
 
-/// Spreads the return of what was refused over the time in which it can be served.
+/// Refuses a request, and spreads the retries over the time in which they can be served.
 ///
-/// Without it, all that were refused in one bad moment come back in one later moment and are
+/// Otherwise all requests refused during one overload would be retried at the same moment and
 /// refused again.
 fn spread(now: Time, why: (Code, Span), lane: &mut Lane, rng: &mut impl Rng) -> Refusal {
     let (code, wait) = why;
--- a/components/limits/src/ask.rs
+++ b/components/limits/src/ask.rs
@@ -1,42 +1,43 @@
-//! What is asked of the limiter, and its answers.
+//! Requests to the limiter and its answers.
 
 use std::fmt;
 
 use types::prelude::*;
 
-/// Upper bounds for the fleet; what is absent is not bounded.
+/// Upper limits for the whole fleet; none means unlimited.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Bounds {
-    /// Requests started.
+    /// Requests started per second.
     pub requests: Option<Rate>,
-    /// Tokens, input and output.
+    /// Input and output tokens per second.
     pub tokens: Option<Rate>,
-    /// Requests in flight.
+    /// Maximum number of requests in flight.
     pub concurrent: Option<u32>,
 }
 
-/// A request that wants to start.
+/// A request that asks to be admitted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Ask {
-    /// Who asks.
+    /// Customer that sends the request.
     pub customer: CustomerId,
-    /// For which offer or plain service.
+    /// Requested offer or plain service.
     pub offer: EntryName,
-    /// The service whose upstreams would run it.
+    /// Service whose upstreams would run the request.
     pub pool: EntryName,
-    /// What goes first.
+    /// Priority of the request.
     pub priority: Priority,
-    /// Tokens that it is expected to use.
+    /// Estimated number of tokens that the request uses.
     pub tokens: Tokens,
-    /// An answer is of no use later.
+    /// Time after which an answer is of no use.
     pub deadline: Time,
 }
 
-/// Names a waiting request.
+/// Identifies a waiting request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// Leave to start; given back by [`crate::Limiter::release`] when the request has ended.
+/// Permission to start a request; returned with [`crate::Limiter::release`] when the request has
+/// ended.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use = "a grant holds a slot until it is released"]
 pub struct Grant {
@@ -50,7 +51,7 @@
 }
 
 impl Grant {
-    /// When it was given.
+    /// Time at which the request started.
     #[must_use]
     pub fn started(&self) -> Time {
         self.started
@@ -70,21 +71,21 @@
     }
 }
 
-/// What refused a request.
+/// Reason for refusing a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Code {
-    /// The customer's own limit.
+    /// The customer's limit is reached.
     CustomerLimit,
-    /// The offer's limit.
+    /// The offer's limit is reached.
     OfferLimit,
-    /// It could not be answered before its deadline.
+    /// The request could not be answered before its deadline.
     Overloaded,
-    /// Too many wait.
+    /// Too many requests are waiting.
     QueueFull,
 }
 
 impl Code {
-    /// Short name, for callers and metrics.
+    /// Short identifier for callers and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -107,32 +108,32 @@
     }
 }
 
-/// A refusal before anything was sent: the request was not run.
+/// Refusal of a request that was not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("{code}; try again in {retry_after}")]
 pub struct Refusal {
-    /// What refused it.
+    /// Reason for the refusal.
     pub code: Code,
-    /// When to try again. Spread, so that those refused together do not return together.
+    /// Delay before a retry, spread so that requests refused together are not retried together.
     pub retry_after: Span,
 }
 
-/// The answer to an [`Ask`].
+/// Answer to an [`Ask`].
 #[derive(Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// Start now.
+    /// The request may start now.
     Start(Grant),
-    /// Wait for a [`Verdict`] from [`crate::Limiter::pump`].
+    /// The request waits for a [`Verdict`] from [`crate::Limiter::pump`].
     Wait(Ticket),
-    /// Not now.
+    /// The request is refused and was not run.
     Refuse(Refusal),
 }
 
-/// The end of a wait.
+/// Result of a wait.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Start now.
+    /// The request may start now.
     Start(Grant),
-    /// Not run.
+    /// The request is refused and was not run.
     Refuse(Refusal),
 }
--- a/components/limits/src/lib.rs
+++ b/components/limits/src/lib.rs
@@ -1,10 +1,11 @@
-//! Customers' limits, queues and overload.
+//! Rate limits, admission queues and overload protection.
 //!
 //! A [`Limiter`] decides for one daemon whether a request starts, waits or is refused, without
-//! asking anybody. Limits and capacity hold for the fleet: each daemon says now and then how
-//! much it is asked for ([`DemandFact`]), and takes the part of every limit that its demand is
-//! of all demand ([`Shares`]). Within its part, interactive work goes before batch, customers
-//! share by weight, and what cannot be done in time is refused at once as not run.
+//! asking other daemons. Limits and capacity apply to the whole fleet: each daemon publishes its
+//! demand from time to time ([`DemandFact`]) and takes a share of each limit in proportion to its
+//! part of the total demand ([`Shares`]). Within this share interactive work takes precedence over
+//! batch work, and customers share by weight. A request that cannot be completed in time is
+//! refused at once, without being run.
 
 pub mod ask;
 pub mod bucket;
--- a/components/limits/src/limiter.rs
+++ b/components/limits/src/limiter.rs
@@ -1,4 +1,4 @@
-//! The tables of accounts, pools and waiting requests.
+//! Tables of accounts, pools and waiting requests.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,24 +10,24 @@
 use crate::pool::Pool;
 use crate::shares::{Reach, Shares};
 
-/// Customers and offers, at most, each.
+/// Maximum number of customers, and of offers.
 pub(crate) const MAX_ACCOUNTS: usize = 4_096;
-/// Pools, at most.
+/// Maximum number of pools.
 pub(crate) const MAX_POOLS: usize = 1_024;
 
-/// Numbers that trade headroom against use.
+/// Settings that balance spare capacity against utilization.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Config {
-    /// Part of all slots that batch work leaves free. Below zero, batch work in excess of
-    /// the slots: it waits at the upstreams, where interactive work goes before it, so that
-    /// a slot that comes free is used at once.
+    /// Fraction of all slots that batch work leaves free. If negative, batch work may exceed the
+    /// slots by this fraction: the excess waits at the upstreams, behind interactive work, so that
+    /// a freed slot is used at once.
     pub reserve: f64,
-    /// Part of the free slots that one daemon's interactive work may take at once.
+    /// Fraction of the free slots that one daemon's interactive work may take at once.
     pub borrow: f64,
-    /// Longest wait for the own limit; a request that would wait longer is refused.
+    /// Maximum wait for a rate limit; requests that would wait longer are refused.
     pub limit_wait: Span,
-    /// Requests waiting, at which batch work is refused: each may hold a thread that
-    /// interactive work needs.
+    /// Number of waiting requests at which batch work is refused, since each may hold a thread
+    /// that interactive work needs.
     pub max_batch_waiting: usize,
 }
 
@@ -42,22 +42,22 @@
     }
 }
 
-/// How full the tables are.
+/// Number of entries in the tables.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize)]
 pub struct Fill {
-    /// Customers known.
+    /// Known customers.
     pub customers: usize,
-    /// Offers known.
+    /// Known offers.
     pub offers: usize,
-    /// Pools known.
+    /// Known pools.
     pub pools: usize,
-    /// Requests waiting.
+    /// Waiting requests.
     pub waiting: usize,
     /// Other daemons whose demand is known.
     pub peers: usize,
 }
 
-/// Where a waiting request waits.
+/// Queue position of a waiting request.
 #[derive(Debug, Clone)]
 pub(crate) struct Position {
     pub(crate) pool: EntryName,
@@ -65,7 +65,7 @@
     pub(crate) customer: CustomerId,
 }
 
-/// Decides for one daemon what starts, waits or is refused.
+/// Admission control of one daemon.
 #[derive(Debug)]
 pub struct Limiter {
     pub(crate) config: Config,
@@ -79,7 +79,7 @@
 }
 
 impl Limiter {
-    /// Empty tables for a daemon.
+    /// Creates a limiter without accounts or pools.
     #[must_use]
     pub fn new(me: DaemonId, config: Config) -> Self {
         Self {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Sets a customer's bounds and weight.
+    /// Sets the limits and weight of a customer.
     pub fn set_customer(&mut self, now: Time, id: &CustomerId, bounds: Bounds, weight: u32) {
         if let Some(account) = customer(&mut self.customers, id) {
             account.configure(bounds, weight);
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Sets an offer's or plain service's bounds.
+    /// Sets the limits of an offer or plain service.
     pub fn set_offer(&mut self, now: Time, name: &EntryName, bounds: Bounds) {
         if let Some(account) = offer(&mut self.offers, name) {
             account.configure(bounds, 1);
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Takes all bounds away; to be followed by those that stand.
+    /// Removes all limits; the caller then sets those in force.
     pub fn clear_bounds(&mut self) {
         for account in self.customers.values_mut() {
             account.configure(Bounds::default(), 1);
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Sets the slots of all upstreams of a pool that are fit for work.
+    /// Sets the number of slots of all healthy upstreams of a pool.
     pub fn set_slots(&mut self, now: Time, name: &EntryName, slots: u32) {
         let pool = pool(&mut self.pools, name);
         if let Some(pool) = pool.filter(|pool| pool.slots != slots) {
@@ -129,18 +129,18 @@
         }
     }
 
-    /// Takes over who is live and how much of the fleet is in reach.
+    /// Updates which daemons are live and how much of the fleet is reachable.
     pub fn fleet(&mut self, now: Time, live: &BTreeSet<DaemonId>, reach: Reach) {
         self.shares.fleet(now, live, reach);
     }
 
-    /// Takes another daemon's demand.
+    /// Updates the demand of another daemon.
     pub fn peer_fact(&mut self, daemon: &DaemonId, fact: DemandFact) {
         self.shares.peer_fact(daemon, fact);
     }
 
-    /// Shares anew, drops what is late; to be called several times a second. Returns the
-    /// demand to tell the other daemons, when it has changed enough.
+    /// Recalculates this daemon's shares and drops idle accounts. Must be called several times per
+    /// second. Returns the demand to publish if it has changed enough.
     pub fn tick(&mut self, now: Time) -> Option<DemandFact> {
         for account in self.customers.values_mut().chain(self.offers.values_mut()) {
             account.share(now, &self.shares);
@@ -162,13 +162,13 @@
         accounts.chain(lanes).collect()
     }
 
-    /// Accounts without bounds come with their first request and go when idle.
+    /// Drops idle accounts without limits, which were created by their first request.
     fn forget_idle(&mut self, now: Time) {
         self.customers.retain(|_, account| !account.is_idle(now));
         self.offers.retain(|_, account| !account.is_idle(now));
     }
 
-    /// Takes a waiting request out, when its caller has gone; says whether it waited.
+    /// Removes a waiting request whose caller has gone; returns whether it was waiting.
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
         let Some(at) = self.waiting.remove(&ticket) else {
             return false;
@@ -177,7 +177,7 @@
         lane.is_some_and(|lane| lane.queue.remove(&at.customer, ticket).is_some())
     }
 
-    /// Gives a grant back after its request has ended, with the tokens that it used.
+    /// Returns a grant after its request has ended, with the number of tokens used.
     pub fn release(&mut self, now: Time, grant: Grant, used: Tokens) {
         if let Some(account) = self.customers.get_mut(&grant.customer) {
             account.settle(grant.tokens, used);
@@ -192,13 +192,13 @@
         }
     }
 
-    /// The parts of limits.
+    /// This daemon's shares of the limits.
     #[must_use]
     pub fn shares(&self) -> &Shares {
         &self.shares
     }
 
-    /// How full the tables are.
+    /// Number of entries in the tables.
     #[must_use]
     pub fn fill(&self) -> Fill {
         Fill {
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Requests running and waiting of a pool by priority, and the slots allowed to each.
+    /// Running and waiting requests of a pool by priority, and the slots allowed to them.
     #[must_use]
     pub fn lane(&self, pool: &EntryName, priority: Priority) -> Option<LaneFill> {
         let pool = self.pools.get(pool)?;
@@ -226,14 +226,14 @@
     }
 }
 
-/// Work of one priority in a pool.
+/// Requests of one priority in a pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize)]
 pub struct LaneFill {
     /// Requests with a grant.
     pub running: u32,
     /// Requests waiting.
     pub waiting: usize,
-    /// Grants allowed to this daemon at present.
+    /// Maximum number of grants at this daemon at present.
     pub allowance: u32,
 }
 
