--- a/components/limits/src/account.rs
+++ b/components/limits/src/account.rs
@@ -1,4 +1,4 @@
-//! What one customer or offer may take at this daemon.
+//! Use and limits of one customer or offer at this daemon.
 
 use types::prelude::*;
 
@@ -7,7 +7,7 @@
 use crate::demand::KeyId;
 use crate::shares::Shares;
 
-/// A customer's or an offer's use and bounds.
+/// Use and limits of a customer or an offer.
 #[derive(Debug, Clone)]
 pub(crate) struct Account {
     pub(crate) key: KeyId,
@@ -39,7 +39,7 @@
         self.weight = f64::from(weight.max(1));
     }
 
-    /// Takes this daemon's part of the bounds.
+    /// Applies this daemon's share of the limits.
     pub(crate) fn share(&mut self, now: Time, shares: &Shares) {
         let part = shares.part(now, self.key);
         let concurrent = self.bounds.concurrent.map(f64::from);
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Takes back a request that will start again.
+    /// Takes back the reservation of a request that will start again.
     pub(crate) fn refund(&mut self, tokens: Tokens) {
         self.settle(tokens, Tokens(0));
         if let Some(bucket) = &mut self.requests {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Time until its buckets let pass what waits and one more.
+    /// Time until the token buckets allow all waiting requests and one more.
     pub(crate) fn wait(&self, waiting: usize, tokens: Tokens) -> Span {
         let count = waiting as f64 + 1.0;
         let requests = self.requests.map_or(Span::ZERO, |b| b.wait_for(count));
@@ -100,7 +100,7 @@
     }
 }
 
-/// Requests a second below which an account may be forgotten.
+/// Demand in requests per second below which an account may be dropped.
 const IDLE_RATE: f64 = 1e-3;
 
 fn set_rate(bucket: &mut Option<Bucket>, now: Time, limit: Option<Rate>, part: f64) {
--- a/components/limits/src/demand.rs
+++ b/components/limits/src/demand.rs
@@ -1,40 +1,41 @@
-//! What a daemon tells the others of the demand that it meets.
+//! Demand that a daemon reports to the others.
 
 use std::collections::BTreeMap;
 
 use types::prelude::*;
 
-/// Bytes of one entry: four of the key, two of the value.
+/// Encoded length of an entry in bytes: four for the key, two for the value.
 const ENTRY_BYTES: usize = 6;
-/// Largest encoded fact, in bytes.
+/// Maximum encoded length of a fact, in bytes.
 pub const MAX_FACT_BYTES: usize = 252;
-/// Entries of a fact; the smallest demands are left out beyond it.
+/// Maximum number of entries in a fact; beyond it the smallest demands are left out.
 pub const MAX_ENTRIES: usize = MAX_FACT_BYTES / ENTRY_BYTES;
 
-/// Names something limited: a hash of its kind and name, the same in every daemon.
+/// Identifies a limited resource by a hash of its kind and name, which is the same in every
+/// daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyId(pub u32);
 
 impl KeyId {
-    /// A customer's requests a second.
+    /// Key of a customer's requests per second.
     #[must_use]
     pub fn customer(id: &CustomerId) -> Self {
         Self::new("customer", id.as_str())
     }
 
-    /// An offer's requests a second.
+    /// Key of an offer's requests per second.
     #[must_use]
     pub fn offer(name: &EntryName) -> Self {
         Self::new("offer", name.as_str())
     }
 
-    /// A pool's interactive work, running and waiting.
+    /// Key of a pool's interactive work, running and waiting.
     #[must_use]
     pub fn interactive(pool: &EntryName) -> Self {
         Self::new("interactive", pool.as_str())
     }
 
-    /// A pool's batch work, running and waiting.
+    /// Key of a pool's batch work, running and waiting.
     #[must_use]
     pub fn batch(pool: &EntryName) -> Self {
         Self::new("batch", pool.as_str())
@@ -46,19 +47,19 @@
     }
 }
 
-/// A fact that is not in the form of a [`DemandFact`].
+/// Error for bytes that are not an encoded [`DemandFact`].
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("a demand fact of {0} bytes; at most {MAX_FACT_BYTES} and a multiple of {ENTRY_BYTES}")]
 pub struct BadFact(usize);
 
-/// One daemon's demand by key.
+/// Demand at one daemon by key.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct DemandFact {
     entries: BTreeMap<KeyId, f32>,
 }
 
 impl DemandFact {
-    /// Keeps the largest demands, as precise as they are sent.
+    /// Keeps the largest demands, rounded to the precision of the encoding.
     #[must_use]
     pub fn new(demands: impl IntoIterator<Item = (KeyId, f64)>) -> Self {
         let positive = demands.into_iter().filter(|(_, demand)| *demand > 0.0);
@@ -73,20 +74,20 @@
         }
     }
 
-    /// The demand of a key.
+    /// Demand for a key; 0 if absent.
     #[must_use]
     pub fn get(&self, key: KeyId) -> f64 {
         self.entries.get(&key).copied().map_or(0.0, f64::from)
     }
 
-    /// Keys and demands.
+    /// All keys and their demands.
     pub fn iter(&self) -> impl Iterator<Item = (KeyId, f64)> {
         self.entries
             .iter()
             .map(|(key, demand)| (*key, f64::from(*demand)))
     }
 
-    /// For sending.
+    /// Encodes the fact for sending.
     #[must_use]
     pub fn to_bytes(&self) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(self.entries.len() * ENTRY_BYTES);
@@ -97,10 +98,10 @@
         bytes
     }
 
-    /// From another daemon. Numbers that are no demand are left out.
+    /// Decodes a fact from another daemon. Values that are not finite and positive are left out.
     ///
     /// # Errors
-    /// When the length is wrong.
+    /// Returns an error if the length is wrong.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, BadFact> {
         let (entries, rest) = bytes.as_chunks::<ENTRY_BYTES>();
         if bytes.len() > MAX_FACT_BYTES || !rest.is_empty() {
@@ -119,7 +120,7 @@
     }
 }
 
-/// To the 16 bits that are sent (three significant digits or so).
+/// Rounds to the 16 bits that are sent (about three significant digits).
 fn round(demand: f64) -> f32 {
     let [high, low, ..] = (demand as f32).to_be_bytes();
     f32::from_be_bytes([high, low, 0, 0])
--- a/components/limits/src/shares.rs
+++ b/components/limits/src/shares.rs
@@ -1,8 +1,8 @@
-//! This daemon's part of what is limited for the fleet.
+//! This daemon's share of each limit of the fleet.
 //!
-//! Every daemon computes the parts from the same published demands, its own included, so that
-//! the parts add up to the whole up to the time that a fact takes to spread. A small part of
-//! every limit is split evenly, for daemons that have not published yet.
+//! Every daemon calculates all shares from the same published demands, including its own, so the
+//! shares add up to the whole limit, except while a fact is still spreading. A small part of each
+//! limit is divided evenly, for daemons that have not published a demand yet.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,40 +10,43 @@
 
 use crate::demand::{DemandFact, KeyId};
 
-/// Part of every limit that is split evenly.
+/// Fraction of each limit that is divided evenly.
 const EVEN_PART: f64 = 0.1;
-/// Daemons remembered, at most.
+/// Maximum number of other daemons remembered.
 const MAX_PEERS: usize = 2_048;
-/// A daemon that is gone keeps its part this long: a false death then costs nothing.
+/// A daemon that is gone keeps its share for this time, so that a false failure detection has no
+/// effect.
 const GONE_HOLD: Span = Span::from_secs(3);
-/// The own part rises only after the others had time to hear of it.
+/// This daemon's share increases only after the others had time to receive its new demand.
 const RISE_DELAY: Span = Span::from_secs(1);
-/// Time in which a cut-off daemon's part moves most of the way to its even part.
+/// Time constant at which the share of an isolated daemon approaches an even share.
 const CUT_DECAY: Span = Span::from_secs(10);
-/// Shortest time between two facts.
+/// Minimum interval between published facts.
 const MIN_INTERVAL: Span = Span::from_millis(500);
-/// The same for each daemon of the fleet, so that facts a second stay bounded as it grows.
+/// Minimum interval per live daemon, so that the number of facts per second stays bounded as the
+/// fleet grows.
 const INTERVAL_PER_DAEMON: Span = Span::from_millis(50);
-/// A change that is published: this part of the last demand ...
+/// A change of demand is published if it exceeds this fraction of the last demand plus
+/// [`CHANGED_BY`].
 const CHANGED_PART: f64 = 0.1;
-/// ... and this much besides, so that single requests make no message.
+/// Absolute part of that threshold, so that single requests cause no message.
 const CHANGED_BY: f64 = 0.5;
 
-/// Another daemon's demand.
+/// Demand of another daemon.
 #[derive(Debug, Clone, Default)]
 struct Peer {
     demand: DemandFact,
     gone_at: Option<Time>,
 }
 
-/// A part that was in force when the daemon was cut off.
+/// Shares that were in force when the daemon became isolated.
 #[derive(Debug, Clone)]
 struct Cut {
     at: Time,
     parts: BTreeMap<KeyId, f64>,
 }
 
-/// This daemon's part of what is limited for the fleet.
+/// This daemon's share of each limit of the fleet.
 #[derive(Debug, Clone)]
 pub struct Shares {
     me: DaemonId,
@@ -57,17 +60,17 @@
     cut: Option<Cut>,
 }
 
-/// How much of the fleet is in reach, this daemon included.
+/// Reachable part of the fleet, including this daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Reach {
-    /// Daemons in reach.
+    /// Number of reachable daemons.
     pub reached: usize,
-    /// Daemons that the fleet is known to have.
+    /// Number of daemons that the fleet is known to have.
     pub known: usize,
 }
 
 impl Shares {
-    /// For a daemon that knows of no other.
+    /// Creates the shares of a daemon that knows no other daemon.
     #[must_use]
     pub fn new(me: DaemonId) -> Self {
         Self {
@@ -86,7 +89,7 @@
         }
     }
 
-    /// Takes over who is live and how much of the fleet is in reach.
+    /// Updates which daemons are live and how much of the fleet is reachable.
     pub fn fleet(&mut self, now: Time, live: &BTreeSet<DaemonId>, reach: Reach) {
         for (id, peer) in &mut self.peers {
             peer.gone_at = match live.contains(id) {
@@ -104,8 +107,8 @@
         self.sum();
     }
 
-    /// Whether most of the fleet is out of reach. Whether the others died or this daemon
-    /// is cut off cannot be told, so it must not take their parts.
+    /// Whether at least half of the fleet is unreachable. The daemon cannot tell whether the
+    /// others failed or it is isolated itself, so it must not take over their shares.
     #[must_use]
     pub fn is_cut_off(&self) -> bool {
         self.reach.reached * 2 <= self.reach.known
@@ -131,7 +134,7 @@
         });
     }
 
-    /// Takes another daemon's fact.
+    /// Updates the demand of another daemon.
     pub fn peer_fact(&mut self, daemon: &DaemonId, demand: DemandFact) {
         let is_new = !self.peers.contains_key(daemon);
         if *daemon == self.me || (is_new && self.peers.len() >= MAX_PEERS) {
@@ -147,7 +150,7 @@
         peer.demand = demand;
     }
 
-    /// Sums anew, which also ends what rounding has left.
+    /// Recalculates the totals, which also removes accumulated rounding errors.
     fn sum(&mut self) {
         self.totals.clear();
         for peer in self.peers.values() {
@@ -160,7 +163,7 @@
         }
     }
 
-    /// The fact to publish, when demand has changed enough since the last one.
+    /// Returns the fact to publish if demand has changed enough since the last one.
     pub fn publish(
         &mut self,
         now: Time,
@@ -190,7 +193,7 @@
         })
     }
 
-    /// Own demand as the others know it; a rise counts once they can have heard of it.
+    /// Own demand as known to the others; an increase counts once they had time to receive it.
     fn own(&self, now: Time, key: KeyId) -> f64 {
         let new = self.published.get(key);
         let heard = self
@@ -203,13 +206,13 @@
         }
     }
 
-    /// Demand of the other daemons.
+    /// Total demand of the other daemons.
     #[must_use]
     pub fn others(&self, key: KeyId) -> f64 {
         self.totals.get(&key).copied().unwrap_or(0.0).max(0.0)
     }
 
-    /// This daemon's part of a limit, from 0 to 1.
+    /// This daemon's share of a limit, from 0 to 1.
     #[must_use]
     pub fn part(&self, now: Time, key: KeyId) -> f64 {
         let part = self.raw_part(now, key);
@@ -233,11 +236,11 @@
         EVEN_PART * even + (1.0 - EVEN_PART) * own / total
     }
 
-    /// This daemon's part of a limit in whole units.
+    /// This daemon's share of a limit in whole units.
     ///
-    /// The fractions of all daemons' parts make whole units too: they go to the daemons of
-    /// the largest fractions, which all compute alike. Otherwise a limit of 10 would be 0 for
-    /// each of 64 daemons.
+    /// The fractional parts of all shares also add up to whole units, which go to the daemons with
+    /// the largest fractions; every daemon calculates the same order. Otherwise a limit of 10
+    /// would be 0 for each of 64 daemons.
     #[must_use]
     pub fn allotment(&self, now: Time, key: KeyId, limit: f64) -> u32 {
         let own = self.part(now, key) * limit;
@@ -263,19 +266,19 @@
         own as u32 + u32::from(extra)
     }
 
-    /// Breaks ties between equal fractions, differently for each key.
+    /// Breaks ties between equal fractions, in a different order for each key.
     fn rank(&self, id: &DaemonId, key: KeyId) -> u64 {
         xxhash_rust::xxh3::xxh3_64_with_seed(id.as_str().as_bytes(), u64::from(key.0))
     }
 
-    /// Other daemons remembered.
+    /// Number of other daemons remembered.
     #[must_use]
     pub fn peers(&self) -> usize {
         self.peers.len()
     }
 }
 
-/// Demand below which a key's coming or going makes no message.
+/// Demand below which the appearance or disappearance of a key is not published.
 const MIN_DEMAND: f64 = 0.05;
-/// Tolerance of sums of parts.
+/// Tolerance for rounding errors in sums of shares.
 const ROUNDING: f64 = 1e-6;
