--- a/components/limits/src/bucket.rs
+++ b/components/limits/src/bucket.rs
@@ -1,16 +1,16 @@
-//! Token buckets and decayed meters.
+//! Token buckets and decaying averages.
 
 use types::prelude::*;
 
-/// Seconds of its rate that a bucket holds.
+/// Capacity of a bucket, in seconds of its rate.
 const BURST_SECONDS: f64 = 1.0;
-/// A bucket holds at least one request.
+/// Minimum capacity of a bucket: one request.
 const MIN_BURST: f64 = 1.0;
 
-/// Lets through so many a second on average.
+/// Token bucket that limits an average rate.
 ///
-/// A reservation may leave it in debt, when one request is larger than the whole bucket or
-/// used more than was reserved; nothing passes until the debt is paid, so the mean holds.
+/// A reservation may leave the bucket in debt if a request is larger than the capacity or uses
+/// more than was reserved. Nothing passes until the debt is repaid, so the average rate holds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bucket {
     rate: f64,
@@ -19,7 +19,7 @@
 }
 
 impl Bucket {
-    /// A bucket with a second's worth in it.
+    /// Creates a bucket that holds one second of its rate.
     #[must_use]
     pub fn new(now: Time, rate: f64) -> Self {
         Self {
@@ -29,30 +29,30 @@
         }
     }
 
-    /// Sets what flows in from now on, a second.
+    /// Sets the refill rate per second.
     pub fn set_rate(&mut self, now: Time, rate: f64) {
         self.refill(now);
         self.rate = rate;
         self.level = self.level.min(self.burst());
     }
 
-    /// Whether something may pass now.
+    /// Whether an amount may pass now.
     pub fn is_open(&mut self, now: Time, amount: f64) -> bool {
         self.refill(now);
         self.level >= amount.min(self.burst())
     }
 
-    /// Takes an amount, into debt if need be.
+    /// Takes an amount, possibly into debt.
     pub fn take(&mut self, amount: f64) {
         self.level -= amount;
     }
 
-    /// Gives back what was reserved and not used, or takes what was used beyond.
+    /// Returns what was reserved and not used, or takes what was used beyond the reservation.
     pub fn settle(&mut self, reserved: f64, used: f64) {
         self.level = (self.level + reserved - used).min(self.burst());
     }
 
-    /// How long until an amount has passed, if nothing else does.
+    /// Time until the bucket has refilled enough for an amount, if nothing else is taken.
     #[must_use]
     pub fn wait_for(&self, amount: f64) -> Span {
         let missing = amount - self.level;
@@ -73,40 +73,40 @@
     }
 }
 
-/// Longest wait that is told.
+/// Maximum wait that is reported, in seconds.
 const MAX_WAIT_SECONDS: f64 = 3600.0;
 
-/// A rate, or a mean of a level, in which the past counts less and less.
+/// A rate of events, or an average of a level, in which older values count exponentially less.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Meter {
     value: f64,
     at: Time,
 }
 
-/// Time in which a meter forgets most of the past.
+/// Time constant of the exponential decay of a meter.
 const METER_DECAY: Span = Span::from_secs(3);
 
 impl Meter {
-    /// Counts events.
+    /// Counts events of the given total amount.
     pub fn count(&mut self, now: Time, amount: f64) {
         self.value = self.rate(now) + amount / METER_DECAY.as_secs_f64();
         self.at = now;
     }
 
-    /// Events a second.
+    /// Current rate per second.
     #[must_use]
     pub fn rate(&self, now: Time) -> f64 {
         self.value * self.fade(now)
     }
 
-    /// Moves toward a level that holds since the last call.
+    /// Moves the average toward a level that has held since the last call.
     pub fn follow(&mut self, now: Time, level: f64) {
         let fade = self.fade(now);
         self.value = self.value * fade + level * (1.0 - fade);
         self.at = now;
     }
 
-    /// The mean level.
+    /// Average level as of the last update.
     #[must_use]
     pub fn level(&self) -> f64 {
         self.value
--- a/components/limits/src/pool.rs
+++ b/components/limits/src/pool.rs
@@ -1,4 +1,4 @@
-//! Slots of one service's upstreams, and what waits for them.
+//! Slots of one service's upstreams, and the requests that wait for them.
 
 use types::prelude::*;
 
@@ -8,10 +8,10 @@
 use crate::queue::FairQueue;
 use crate::shares::Shares;
 
-/// Weight of the newest request in the mean time that a slot is held.
+/// Weight of the newest request in the moving average of the hold time.
 const HELD_WEIGHT: f64 = 0.05;
 
-/// Work of one priority.
+/// Requests of one priority.
 #[derive(Debug, Clone)]
 pub(crate) struct Lane {
     pub(crate) key: KeyId,
@@ -40,8 +40,8 @@
         self.running < self.allowance
     }
 
-    /// Slots in use, and those that would be if there were room. What waits for its
-    /// customer's limit wants none.
+    /// Slots in use, and those that waiting requests would use if there were room. Requests held
+    /// back by their customer's limit need no slot yet.
     fn wanted_slots(&self) -> f64 {
         let waiting = if self.has_room() { 0 } else { self.queue.len() };
         f64::from(self.running) + waiting as f64
@@ -57,12 +57,12 @@
         self.held = Span::from_secs_f64(old + weight * (held.as_secs_f64() - old));
     }
 
-    /// Mean time that a slot is held.
+    /// Average time that a request holds a slot.
     pub(crate) fn held(&self) -> Span {
         self.held
     }
 
-    /// Requests that end in a second when all of the lane's slots are in use.
+    /// Requests that end per second when all slots of the lane are in use.
     pub(crate) fn drain_rate(&self) -> f64 {
         let slots = f64::from(self.allowance.max(self.running)).max(1.0);
         slots / self.held.as_secs_f64().max(MIN_HELD_SECONDS)
@@ -77,19 +77,19 @@
     }
 }
 
-/// Least time that a slot is reckoned to be held.
+/// Lower bound of the hold time used in estimates.
 const MIN_HELD_SECONDS: f64 = 0.001;
 
-/// Slots of one service's upstreams, and what waits for them.
+/// Slots of one service's upstreams, and the requests that wait for them.
 #[derive(Debug, Clone)]
 pub(crate) struct Pool {
     pub(crate) interactive: Lane,
     pub(crate) batch: Lane,
-    /// Slots of all healthy upstreams, for the fleet.
+    /// Slots of all healthy upstreams, for the whole fleet.
     pub(crate) slots: u32,
-    /// Interactive requests running when the parts were last reckoned.
+    /// Interactive requests that were running at the last recalculation of the shares.
     shared_at: u32,
-    /// Slots that interactive work of other daemons leaves to this one's work of any kind.
+    /// Slots for all of this daemon's work that interactive work of other daemons leaves free.
     ceiling: u32,
 }
 
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Whether the priority's next request may start, limits of its customer aside.
+    /// Whether the next request of a priority may start, apart from its customer's limits.
     pub(crate) fn has_room(&self, priority: Priority) -> bool {
         match priority {
             Priority::Interactive => self.interactive.has_room(),
@@ -119,17 +119,17 @@
         }
     }
 
-    /// Interactive work begun or ended since the parts were reckoned counts at once.
+    /// Interactive requests that started or ended since the last recalculation count at once.
     fn has_room_for_batch(&self) -> bool {
         let in_use = self.batch.running + self.interactive.running;
         in_use < self.ceiling.min(self.batch.allowance + self.shared_at)
     }
 
-    /// Takes this daemon's part of the slots.
+    /// Applies this daemon's share of the slots.
     ///
-    /// Interactive work may take whatever interactive work of other daemons leaves; only when
-    /// all of it together does not fit, each daemon keeps to its part. Batch work gets its
-    /// part of what interactive work leaves, less the reserve.
+    /// Interactive work may use all slots that interactive work of other daemons leaves free. Only
+    /// if all interactive work together does not fit, each daemon is limited to its share. Batch
+    /// work gets a share of what interactive work leaves free, less the reserve.
     pub(crate) fn share(&mut self, now: Time, shares: &Shares, config: &Config) {
         for lane in [&mut self.interactive, &mut self.batch] {
             let wanted = lane.wanted_slots();
--- a/components/limits/src/queue.rs
+++ b/components/limits/src/queue.rs
@@ -1,8 +1,9 @@
-//! A bounded queue that is fair between customers.
+//! Bounded queue that is fair between customers.
 //!
-//! Start-time fair queueing: a flow of requests for each customer, and a virtual time that
-//! moves with the work done. The next request is that of the flow that has had the least for
-//! its weight, so a customer with thousands waiting delays another's first request by one.
+//! Implements start-time fair queueing: each customer has a flow of requests, and a virtual time
+//! advances with the work done. The next request is taken from the flow that has received the
+//! least service for its weight, so a customer with thousands of waiting requests delays the first
+//! request of another by only one.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,14 +11,14 @@
 
 use crate::ask::{Ask, Ticket};
 
-/// Requests waiting of one customer, at most.
+/// Maximum number of waiting requests per customer.
 pub(crate) const MAX_FLOW: usize = 256;
-/// Requests waiting in one queue, at most.
+/// Maximum number of waiting requests in one queue.
 pub(crate) const MAX_QUEUE: usize = 1_024;
-/// Flows remembered, at most.
+/// Maximum number of flows in one queue.
 const MAX_FLOWS: usize = 1_024;
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Debug, Clone)]
 pub(crate) struct Waiting {
     pub(crate) ticket: Ticket,
@@ -31,7 +32,7 @@
     finish: f64,
 }
 
-/// Requests waiting for one kind of slot.
+/// Requests that wait for slots of one lane.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct FairQueue {
     flows: BTreeMap<CustomerId, Flow>,
@@ -48,14 +49,15 @@
         self.flows.get(customer).map_or(0, |flow| flow.items.len())
     }
 
-    /// Sum of the weights of the customers that wait, and of one more.
+    /// Sum of the weights of all customers with waiting requests and of one more.
     pub(crate) fn weight_with(&self, customer: &CustomerId, weight: f64) -> f64 {
         let others = self.flows.iter();
         let others = others.filter(|(id, flow)| *id != customer && !flow.items.is_empty());
         weight + others.map(|(_, flow)| flow.weight).sum::<f64>()
     }
 
-    /// Whether one more of a customer fits, perhaps in place of another customer's last.
+    /// Whether one more request of a customer fits, possibly in place of another customer's last
+    /// one.
     pub(crate) fn has_room(&self, customer: &CustomerId) -> bool {
         let own = self.flow_len(customer);
         let known = self.flows.contains_key(customer);
@@ -64,8 +66,8 @@
             && (self.len < MAX_QUEUE || self.longest().is_some_and(|(_, len)| len > own + 1))
     }
 
-    /// Adds a request. In a full queue the last request of the longest flow gives way, and
-    /// is returned: a customer that fills the queue cannot keep others out.
+    /// Adds a request. If the queue is full, the last request of the longest flow is evicted and
+    /// returned, so that a customer that fills the queue cannot keep others out.
     pub(crate) fn push(&mut self, waiting: Waiting, weight: f64) -> Option<Waiting> {
         let evicted = match self.len >= MAX_QUEUE {
             true => self.evict(),
@@ -78,8 +80,8 @@
         evicted
     }
 
-    /// Puts a request that had begun before all others of its customer. Nothing gives way:
-    /// there are no more of these than there were slots.
+    /// Puts a preempted request before all others of its customer. Nothing is evicted: there are
+    /// no more such requests than there were slots.
     pub(crate) fn push_front(&mut self, waiting: Waiting, weight: f64) {
         let flow = self.flows.entry(waiting.ask.customer.clone()).or_default();
         flow.weight = weight.max(f64::MIN_POSITIVE);
@@ -100,7 +102,7 @@
         Some(waiting)
     }
 
-    /// Takes the fairest request that may start.
+    /// Removes the request next in fair order among those that may start.
     pub(crate) fn pop(&mut self, mut may_start: impl FnMut(&Ask) -> bool) -> Option<Waiting> {
         let mut best: Option<(f64, CustomerId)> = None;
         for (id, flow) in &self.flows {
@@ -128,7 +130,7 @@
         Some(waiting)
     }
 
-    /// Drops empty flows that have no more than their due behind them.
+    /// Drops empty flows that have received no more than their share of service.
     fn forget_flows(&mut self) {
         let now = self.virtual_time;
         let idle = self.len == 0;
@@ -136,7 +138,7 @@
             .retain(|_, flow| !flow.items.is_empty() || (!idle && flow.finish > now));
     }
 
-    /// Takes out a request.
+    /// Removes a request.
     pub(crate) fn remove(&mut self, customer: &CustomerId, ticket: Ticket) -> Option<Waiting> {
         let items = &mut self.flows.get_mut(customer)?.items;
         let place = items.iter().position(|waiting| waiting.ticket == ticket)?;
@@ -145,7 +147,7 @@
         waiting
     }
 
-    /// Takes out what has no time left.
+    /// Removes all requests whose deadline has passed.
     pub(crate) fn expire(&mut self, is_late: impl Fn(&Ask) -> bool) -> Vec<Waiting> {
         let mut late = Vec::new();
         for flow in self.flows.values_mut() {
