--- a/components/limits/tests/fuzz.rs
+++ b/components/limits/tests/fuzz.rs
@@ -1,6 +1,6 @@
-//! Stateful fuzzing: every request gets one answer, and counts of slots stay true.
+//! Stateful fuzzing: every request is answered exactly once, and slot counts stay correct.
 //!
-//! More cases by hand: `BUCKTHORNCROSS_FUZZ_CASES=20000 cargo test -p limits --test fuzz`.
+//! To run more cases by hand: `BUCKTHORNCROSS_FUZZ_CASES=20000 cargo test -p limits --test fuzz`.
 
 use std::collections::BTreeSet;
 
@@ -23,7 +23,7 @@
     Wait(u16),
 }
 
-/// Nothing: what must hold is told by the answers alone.
+/// Empty reference model: the invariants are checked on the answers alone.
 #[derive(Debug, Clone)]
 struct Model;
 
@@ -72,7 +72,7 @@
 }
 
 impl Real {
-    /// Interactive and batch requests with a grant.
+    /// Number of interactive and batch requests with a grant.
     fn running(&self) -> (u32, u32) {
         let lane = |priority| self.limiter.lane(&pool(), priority);
         let running = |priority| lane(priority).map_or(0, |lane| lane.running);
--- a/components/limits/tests/limits.rs
+++ b/components/limits/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Admission: priorities, fairness, limits of the fleet, early refusals.
+//! Admission control: priorities, fairness, limits of the fleet, early refusals.
 
 use std::collections::BTreeSet;
 
@@ -64,7 +64,7 @@
         self.limiter.pump(self.now, &mut self.rng)
     }
 
-    /// Releases a grant after some work and says who starts in its place.
+    /// Releases a grant and returns the verdicts on requests that start in its place.
     fn release(&mut self, grant: Grant, used: u64) -> Vec<(Ticket, Verdict)> {
         self.limiter.release(self.now, grant, Tokens(used));
         self.pump()
@@ -108,8 +108,8 @@
 
 #[test]
 fn can_keep_slots_free_of_batch_for_the_next_interactive_request() {
-    // A partner sends ten times what the pool can run. Were all slots given to it, the next
-    // person's request would wait until a batch answer ends.
+    // Guards against batch work that fills all slots: a partner sends ten times what the pool can
+    // run, and the next interactive request would wait until a batch answer ends.
     let mut f = Fixture::new(20);
     let config = Config {
         reserve: 0.05,
@@ -167,8 +167,8 @@
 
 #[test]
 fn can_refuse_at_once_what_cannot_be_answered_in_time() {
-    // A caller with two seconds left joins a queue of ten seconds. Held until its deadline it
-    // would learn of the refusal too late to go elsewhere.
+    // Guards against a late refusal: a caller with two seconds left joins a queue of ten seconds.
+    // If it were held until its deadline, it would be refused too late to go elsewhere.
     let mut f = Fixture::new(1);
     let first = f.start("x", Interactive);
     f.pass(Span::from_secs(1));
@@ -186,8 +186,8 @@
 
 #[test]
 fn can_spread_the_return_of_what_was_refused_together() {
-    // A thousand callers are refused in one second and told to come again "in a second":
-    // they do, together, and are refused together again.
+    // Guards against synchronized retries: a thousand callers that are refused in one second and
+    // told to retry after the same delay would be refused together again.
     let mut f = Fixture::new(1);
     let first = f.start("x", Interactive);
     f.pass(Span::from_secs(1));
@@ -232,9 +232,9 @@
 
 #[test]
 fn can_go_on_before_others_after_giving_way() {
-    // A batch answer is half done when an interactive request takes its slot. Sent to the end
-    // of its customer's thousand waiting requests it would pass its deadline there, and the
-    // half would be lost.
+    // Guards against lost work: a batch request is half done when an interactive request preempts
+    // it. At the end of its customer's queue of a thousand requests its deadline would pass and
+    // the half would be lost.
     let mut f = Fixture::new(1);
     let grant = f.start("b", Batch);
     let later = f.wait("b", Batch);
@@ -250,8 +250,8 @@
 
 #[test]
 fn can_count_no_demand_for_slots_held_back_by_a_limit() {
-    // A customer sends three times its limit. Its waiting requests need no slot yet; counted
-    // as demand they kept batch work off slots that stood idle.
+    // A customer sends three times its limit. Guards against counting its waiting requests as
+    // demand, though they need no slot yet: this kept batch work off idle slots.
     let mut f = Fixture::new(10);
     f.limiter
         .set_customer(f.now, &"x".parse().unwrap(), bounds(1.0), 1);
@@ -282,7 +282,7 @@
     let _ = f.start("x", Interactive);
 }
 
-/// Daemons that hear of each other's facts a second late.
+/// Daemons that receive each other's facts almost a second late.
 struct Fleet {
     shares: Vec<Shares>,
     late: Vec<(Time, usize, DemandFact)>,
@@ -363,8 +363,9 @@
 
 #[test]
 fn can_rise_only_after_the_others_have_heard() {
-    // One daemon's demand grows tenfold. If it took its larger part at once, the others would
-    // still use theirs until the fact arrives, and the customer would run over its limit.
+    // The demand at one daemon grows tenfold. Guards against taking the larger share at once: the
+    // others would still use theirs until the fact arrives, and the customer would exceed its
+    // limit.
     let mut fleet = Fleet::new(4);
     fleet.run(6, |_| 10.0);
     for _ in 0..50 {
@@ -395,8 +396,8 @@
 
 #[test]
 fn can_keep_no_more_than_the_last_part_when_cut_off() {
-    // A daemon loses sight of all others. They are alive and use the whole limit; if it took
-    // their silence for death it would use the whole limit too, and the customer get double.
+    // A daemon loses contact with all others, which are alive and use the whole limit. Guards
+    // against taking over their shares, which would give the customer twice its limit.
     let mut fleet = Fleet::new(8);
     fleet.run(5, |number| if number == 0 { 70.0 } else { 10.0 });
     let last = fleet.part(0);
