--- a/components/limits/src/account.rs
+++ b/components/limits/src/account.rs
@@ -40,16 +40,16 @@
     }
 
     /// Applies this daemon's share of the limits.
-    pub(crate) fn share(&mut self, now: Time, shares: &Shares) {
-        let part = shares.part(now, self.key);
+    pub(crate) fn apply_shares(&mut self, now: Time, shares: &Shares) {
+        let share = shares.share(now, self.key);
         let concurrent = self.bounds.concurrent.map(f64::from);
-        self.concurrent = concurrent.map(|limit| shares.allotment(now, self.key, limit));
-        set_rate(&mut self.requests, now, self.bounds.requests, part);
-        set_rate(&mut self.tokens, now, self.bounds.tokens, part);
+        self.concurrent = concurrent.map(|limit| shares.share_units(now, self.key, limit));
+        set_rate(&mut self.requests, now, self.bounds.requests, share);
+        set_rate(&mut self.tokens, now, self.bounds.tokens, share);
     }
 
     /// Whether a request may start now.
-    pub(crate) fn is_open(&mut self, now: Time, tokens: Tokens) -> bool {
+    pub(crate) fn allows(&mut self, now: Time, tokens: Tokens) -> bool {
         let concurrent = self.concurrent.is_none_or(|limit| self.in_flight < limit);
         let tokens = tokens.0 as f64;
         concurrent
@@ -57,7 +57,7 @@
             && self.tokens.as_mut().is_none_or(|b| b.is_open(now, tokens))
     }
 
-    pub(crate) fn take(&mut self, tokens: Tokens) {
+    pub(crate) fn reserve(&mut self, tokens: Tokens) {
         self.in_flight += 1;
         if let Some(bucket) = &mut self.requests {
             bucket.take(1.0);
@@ -83,7 +83,7 @@
     }
 
     /// Time until the token buckets allow all waiting requests and one more.
-    pub(crate) fn wait(&self, waiting: usize, tokens: Tokens) -> Span {
+    pub(crate) fn estimated_wait(&self, waiting: usize, tokens: Tokens) -> Span {
         let count = waiting as f64 + 1.0;
         let requests = self.requests.map_or(Span::ZERO, |b| b.wait_for(count));
         let amount = count * tokens.0 as f64;
@@ -91,24 +91,24 @@
         requests.max(tokens)
     }
 
-    pub(crate) fn is_bounded(&self) -> bool {
+    pub(crate) fn has_limits(&self) -> bool {
         self.bounds != Bounds::default()
     }
 
     pub(crate) fn is_idle(&self, now: Time) -> bool {
-        !self.is_bounded() && self.in_flight == 0 && self.demand.rate(now) < IDLE_RATE
+        !self.has_limits() && self.in_flight == 0 && self.demand.rate(now) < IDLE_RATE
     }
 }
 
 /// Demand in requests per second below which an account may be dropped.
 const IDLE_RATE: f64 = 1e-3;
 
-fn set_rate(bucket: &mut Option<Bucket>, now: Time, limit: Option<Rate>, part: f64) {
+fn set_rate(bucket: &mut Option<Bucket>, now: Time, limit: Option<Rate>, share: f64) {
     let Some(limit) = limit else {
         *bucket = None;
         return;
     };
-    let rate = limit.0 * part;
+    let rate = limit.0 * share;
     match bucket {
         Some(bucket) => bucket.set_rate(now, rate),
         None => *bucket = Some(Bucket::new(now, rate)),
--- a/components/limits/src/admission.rs
+++ b/components/limits/src/admission.rs
@@ -5,46 +5,48 @@
 
 use crate::account::Account;
 use crate::ask::{Admission, Ask, Code, Grant, Refusal, Ticket, Verdict};
-use crate::limiter::{Limiter, Position, customer, offer, pool};
+use crate::limiter::{Limiter, QueuePosition, customer_account, offer_account, pool_entry};
 use crate::pool::{Lane, Pool};
-use crate::queue::Waiting;
+use crate::queue::QueuedRequest;
 
 /// Minimum delay before a refused request should be retried.
-const MIN_RETRY: Span = Span::from_secs(1);
+const MIN_RETRY_DELAY: Span = Span::from_secs(1);
 /// Maximum time in seconds over which retries are spread.
 const MAX_SPREAD_SECONDS: f64 = 60.0;
 /// Refusals of this many seconds are assumed to be retried.
-const STORM_SECONDS: f64 = 10.0;
+const RETRY_WINDOW_SECONDS: f64 = 10.0;
 
 impl Limiter {
     /// Decides whether a request starts, waits or is refused. A refusal is returned at once:
     /// nothing of the request was run.
     pub fn admit(&mut self, now: Time, ask: Ask, rng: &mut impl Rng) -> Admission {
-        let customer = customer(&mut self.customers, &ask.customer);
-        let offer = offer(&mut self.offers, &ask.offer);
-        let pool = pool(&mut self.pools, &ask.pool);
+        let customer = customer_account(&mut self.customers, &ask.customer);
+        let offer = offer_account(&mut self.offers, &ask.offer);
+        let pool = pool_entry(&mut self.pools, &ask.pool);
         let (Some(customer), Some(offer), Some(pool)) = (customer, offer, pool) else {
             return Admission::Refuse(Refusal {
                 code: Code::QueueFull,
-                retry_after: MIN_RETRY,
+                retry_after: MIN_RETRY_DELAY,
             });
         };
         customer.demand.count(now, 1.0);
         offer.demand.count(now, 1.0);
-        if may_start_first(now, &ask, customer, offer, pool) {
+        if may_start_now(now, &ask, customer, offer, pool) {
             return Admission::Start(start(now, ask, customer, offer, pool));
         }
         let no_upstream = pool.slots == 0;
         let lane = pool.lane(ask.priority);
         if no_upstream {
-            return Admission::Refuse(spread(now, (Code::Overloaded, MIN_RETRY), lane, rng));
+            return Admission::Refuse(refuse(now, (Code::Overloaded, MIN_RETRY_DELAY), lane, rng));
         }
         let is_crowded = self.waiting.len() >= self.config.max_batch_waiting;
         if is_crowded && ask.priority == Priority::Batch {
-            return Admission::Refuse(spread(now, (Code::QueueFull, MIN_RETRY), lane, rng));
+            return Admission::Refuse(refuse(now, (Code::QueueFull, MIN_RETRY_DELAY), lane, rng));
         }
-        if let Some(refusal) = refusal(now, &ask, customer, offer, lane, self.config.limit_wait) {
-            return Admission::Refuse(spread(now, refusal, lane, rng));
+        if let Some(refusal) =
+            refusal_reason(now, &ask, customer, offer, lane, self.config.limit_wait)
+        {
+            return Admission::Refuse(refuse(now, refusal, lane, rng));
         }
         let weight = customer.weight;
         Admission::Wait(self.enqueue(now, ask, weight, rng))
@@ -64,7 +66,7 @@
         if let Some(account) = self.offers.get_mut(&grant.offer) {
             account.refund(grant.tokens);
         }
-        let position = Position {
+        let position = QueuePosition {
             pool: grant.pool.clone(),
             priority: grant.priority,
             customer: grant.customer.clone(),
@@ -74,7 +76,7 @@
             let lane = pool.lane(grant.priority);
             lane.running = lane.running.saturating_sub(1);
             let ask = grant.into_ask();
-            lane.queue.push_front(Waiting { ticket, ask }, weight);
+            lane.queue.push_front(QueuedRequest { ticket, ask }, weight);
         }
         ticket
     }
@@ -82,7 +84,7 @@
     fn enqueue(&mut self, now: Time, ask: Ask, weight: f64, rng: &mut impl Rng) -> Ticket {
         self.last_ticket += 1;
         let ticket = Ticket(self.last_ticket);
-        let position = Position {
+        let position = QueuePosition {
             pool: ask.pool.clone(),
             priority: ask.priority,
             customer: ask.customer.clone(),
@@ -90,16 +92,16 @@
         self.waiting.insert(ticket, position);
         if let Some(pool) = self.pools.get_mut(&ask.pool) {
             let lane = pool.lane(ask.priority);
-            let evicted = lane.queue.push(Waiting { ticket, ask }, weight);
+            let evicted = lane.queue.push(QueuedRequest { ticket, ask }, weight);
             if let Some(evicted) = evicted {
-                let refusal = spread(now, (Code::QueueFull, MIN_RETRY), lane, rng);
-                self.settle(evicted.ticket, Verdict::Refuse(refusal));
+                let refusal = refuse(now, (Code::QueueFull, MIN_RETRY_DELAY), lane, rng);
+                self.resolve(evicted.ticket, Verdict::Refuse(refusal));
             }
         }
         ticket
     }
 
-    fn settle(&mut self, ticket: Ticket, verdict: Verdict) {
+    fn resolve(&mut self, ticket: Ticket, verdict: Verdict) {
         self.waiting.remove(&ticket);
         self.verdicts.push((ticket, verdict));
     }
@@ -109,33 +111,35 @@
     pub fn pump(&mut self, now: Time, rng: &mut impl Rng) -> Vec<(Ticket, Verdict)> {
         let names: Vec<_> = self.pools.keys().cloned().collect();
         for name in names {
-            self.expire(now, &name, rng);
+            self.refuse_expired(now, &name, rng);
             self.start_waiting(now, &name, Priority::Interactive);
             self.start_waiting(now, &name, Priority::Batch);
         }
         std::mem::take(&mut self.verdicts)
     }
 
-    fn expire(&mut self, now: Time, name: &EntryName, rng: &mut impl Rng) {
+    fn refuse_expired(&mut self, now: Time, name: &EntryName, rng: &mut impl Rng) {
         let Some(pool) = self.pools.get_mut(name) else {
             return;
         };
         let mut refused = Vec::new();
         for lane in [&mut pool.interactive, &mut pool.batch] {
-            let late = lane.queue.expire(|ask| now.has_reached(ask.deadline));
-            for waiting in late {
-                let refusal = spread(now, (Code::Overloaded, MIN_RETRY), lane, rng);
+            let expired = lane
+                .queue
+                .remove_expired(|ask| now.has_reached(ask.deadline));
+            for waiting in expired {
+                let refusal = refuse(now, (Code::Overloaded, MIN_RETRY_DELAY), lane, rng);
                 refused.push((waiting.ticket, refusal));
             }
         }
         for (ticket, refusal) in refused {
-            self.settle(ticket, Verdict::Refuse(refusal));
+            self.resolve(ticket, Verdict::Refuse(refusal));
         }
     }
 
     fn start_waiting(&mut self, now: Time, name: &EntryName, priority: Priority) {
         while let Some((ticket, grant)) = self.start_next(now, name, priority) {
-            self.settle(ticket, Verdict::Start(grant));
+            self.resolve(ticket, Verdict::Start(grant));
         }
     }
 
@@ -153,11 +157,11 @@
         let waiting = pool.lane(priority).queue.pop(|ask| {
             let customer = customers.get_mut(&ask.customer);
             let offer = offers.get_mut(&ask.offer);
-            customer.is_none_or(|account| account.is_open(now, ask.tokens))
-                && offer.is_none_or(|account| account.is_open(now, ask.tokens))
+            customer.is_none_or(|account| account.allows(now, ask.tokens))
+                && offer.is_none_or(|account| account.allows(now, ask.tokens))
         })?;
-        let customer = customer(customers, &waiting.ask.customer)?;
-        let offer = offer(offers, &waiting.ask.offer)?;
+        let customer = customer_account(customers, &waiting.ask.customer)?;
+        let offer = offer_account(offers, &waiting.ask.offer)?;
         let grant = start(now, waiting.ask, customer, offer, pool);
         Some((waiting.ticket, grant))
     }
@@ -165,7 +169,7 @@
 
 /// Whether a request may start at once, ahead of the queue. Any request that waits then is held
 /// back by limits of its own, or there would be no room.
-fn may_start_first(
+fn may_start_now(
     now: Time,
     ask: &Ask,
     customer: &mut Account,
@@ -174,8 +178,8 @@
 ) -> bool {
     pool.has_room(ask.priority)
         && pool.lane(ask.priority).queue.flow_len(&ask.customer) == 0
-        && customer.is_open(now, ask.tokens)
-        && offer.is_open(now, ask.tokens)
+        && customer.allows(now, ask.tokens)
+        && offer.allows(now, ask.tokens)
 }
 
 fn start(
@@ -185,8 +189,8 @@
     offer: &mut Account,
     pool: &mut Pool,
 ) -> Grant {
-    customer.take(ask.tokens);
-    offer.take(ask.tokens);
+    customer.reserve(ask.tokens);
+    offer.reserve(ask.tokens);
     pool.lane(ask.priority).running += 1;
     Grant {
         customer: ask.customer,
@@ -200,7 +204,7 @@
 }
 
 /// Reason why a request should not even wait, with the time that the reason is expected to last.
-fn refusal(
+fn refusal_reason(
     now: Time,
     ask: &Ask,
     customer: &Account,
@@ -208,38 +212,44 @@
     lane: &Lane,
     limit_wait: Span,
 ) -> Option<(Code, Span)> {
-    let left = now.until(ask.deadline);
+    let remaining = now.until(ask.deadline);
     let waiting = lane.queue.flow_len(&ask.customer);
     let limits = [
-        (Code::CustomerLimit, customer.wait(waiting, ask.tokens)),
-        (Code::OfferLimit, offer.wait(lane.queue.len(), ask.tokens)),
+        (
+            Code::CustomerLimit,
+            customer.estimated_wait(waiting, ask.tokens),
+        ),
+        (
+            Code::OfferLimit,
+            offer.estimated_wait(lane.queue.len(), ask.tokens),
+        ),
     ];
-    let over = limits
+    let exceeded = limits
         .into_iter()
-        .find(|(_, wait)| *wait > limit_wait.min(left));
-    if over.is_some() {
-        return over;
+        .find(|(_, wait)| *wait > limit_wait.min(remaining));
+    if exceeded.is_some() {
+        return exceeded;
     }
-    let wait = lane.wait(&ask.customer, customer.weight);
-    if wait + lane.held() > left {
+    let wait = lane.estimated_wait(&ask.customer, customer.weight);
+    if wait + lane.hold_time() > remaining {
         return Some((Code::Overloaded, wait));
     }
-    let full = !lane.queue.has_room(&ask.customer);
-    full.then_some((Code::QueueFull, wait))
+    let is_full = !lane.queue.has_room(&ask.customer);
+    is_full.then_some((Code::QueueFull, wait))
 }
 
 /// Refuses a request, and spreads the retries over the time in which they can be served.
 ///
 /// Otherwise all requests refused during one overload would be retried at the same moment and
 /// refused again.
-fn spread(now: Time, why: (Code, Span), lane: &mut Lane, rng: &mut impl Rng) -> Refusal {
+fn refuse(now: Time, why: (Code, Span), lane: &mut Lane, rng: &mut impl Rng) -> Refusal {
     let (code, wait) = why;
-    lane.refused.count(now, 1.0);
-    let storm = lane.refused.rate(now) * STORM_SECONDS;
-    let spread = (storm / lane.drain_rate()).min(MAX_SPREAD_SECONDS);
-    let jitter = Span::from_secs_f64(spread * rng.random::<f64>());
+    lane.refusals.count(now, 1.0);
+    let expected_retries = lane.refusals.rate(now) * RETRY_WINDOW_SECONDS;
+    let spread_seconds = (expected_retries / lane.drain_rate()).min(MAX_SPREAD_SECONDS);
+    let jitter = Span::from_secs_f64(spread_seconds * rng.random::<f64>());
     Refusal {
         code,
-        retry_after: wait.max(MIN_RETRY) + jitter,
+        retry_after: wait.max(MIN_RETRY_DELAY) + jitter,
     }
 }
--- a/components/limits/src/bucket.rs
+++ b/components/limits/src/bucket.rs
@@ -96,13 +96,13 @@
     /// Current rate per second.
     #[must_use]
     pub fn rate(&self, now: Time) -> f64 {
-        self.value * self.fade(now)
+        self.value * self.decay(now)
     }
 
     /// Moves the average toward a level that has held since the last call.
     pub fn follow(&mut self, now: Time, level: f64) {
-        let fade = self.fade(now);
-        self.value = self.value * fade + level * (1.0 - fade);
+        let decay = self.decay(now);
+        self.value = self.value * decay + level * (1.0 - decay);
         self.at = now;
     }
 
@@ -112,7 +112,7 @@
         self.value
     }
 
-    fn fade(&self, now: Time) -> f64 {
+    fn decay(&self, now: Time) -> f64 {
         (-now.since(self.at).as_secs_f64() / METER_DECAY.as_secs_f64()).exp()
     }
 }
--- a/components/limits/src/demand.rs
+++ b/components/limits/src/demand.rs
@@ -50,7 +50,7 @@
 /// Error for bytes that are not an encoded [`DemandFact`].
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("a demand fact of {0} bytes; at most {MAX_FACT_BYTES} and a multiple of {ENTRY_BYTES}")]
-pub struct BadFact(usize);
+pub struct InvalidDemandFact(usize);
 
 /// Demand at one daemon by key.
 #[derive(Debug, Clone, Default, PartialEq)]
@@ -68,7 +68,7 @@
         demands.truncate(MAX_ENTRIES);
         let rounded = demands
             .into_iter()
-            .map(|(key, demand)| (key, round(demand)));
+            .map(|(key, demand)| (key, round_to_encoding(demand)));
         Self {
             entries: rounded.collect(),
         }
@@ -102,10 +102,10 @@
     ///
     /// # Errors
     /// Returns an error if the length is wrong.
-    pub fn from_bytes(bytes: &[u8]) -> Result<Self, BadFact> {
+    pub fn from_bytes(bytes: &[u8]) -> Result<Self, InvalidDemandFact> {
         let (entries, rest) = bytes.as_chunks::<ENTRY_BYTES>();
         if bytes.len() > MAX_FACT_BYTES || !rest.is_empty() {
-            return Err(BadFact(bytes.len()));
+            return Err(InvalidDemandFact(bytes.len()));
         }
         let parse = |entry: &[u8; ENTRY_BYTES]| {
             let [a, b, c, d, high, low] = *entry;
@@ -121,7 +121,7 @@
 }
 
 /// Rounds to the 16 bits that are sent (about three significant digits).
-fn round(demand: f64) -> f32 {
+fn round_to_encoding(demand: f64) -> f32 {
     let [high, low, ..] = (demand as f32).to_be_bytes();
     f32::from_be_bytes([high, low, 0, 0])
 }
--- a/components/limits/src/limiter.rs
+++ b/components/limits/src/limiter.rs
@@ -59,7 +59,7 @@
 
 /// Queue position of a waiting request.
 #[derive(Debug, Clone)]
-pub(crate) struct Position {
+pub(crate) struct QueuePosition {
     pub(crate) pool: EntryName,
     pub(crate) priority: Priority,
     pub(crate) customer: CustomerId,
@@ -73,7 +73,7 @@
     pub(crate) customers: BTreeMap<CustomerId, Account>,
     pub(crate) offers: BTreeMap<EntryName, Account>,
     pub(crate) pools: BTreeMap<EntryName, Pool>,
-    pub(crate) waiting: BTreeMap<Ticket, Position>,
+    pub(crate) waiting: BTreeMap<Ticket, QueuePosition>,
     pub(crate) verdicts: Vec<(Ticket, Verdict)>,
     pub(crate) last_ticket: u64,
 }
@@ -96,17 +96,17 @@
 
     /// Sets the limits and weight of a customer.
     pub fn set_customer(&mut self, now: Time, id: &CustomerId, bounds: Bounds, weight: u32) {
-        if let Some(account) = customer(&mut self.customers, id) {
+        if let Some(account) = customer_account(&mut self.customers, id) {
             account.configure(bounds, weight);
-            account.share(now, &self.shares);
+            account.apply_shares(now, &self.shares);
         }
     }
 
     /// Sets the limits of an offer or plain service.
     pub fn set_offer(&mut self, now: Time, name: &EntryName, bounds: Bounds) {
-        if let Some(account) = offer(&mut self.offers, name) {
+        if let Some(account) = offer_account(&mut self.offers, name) {
             account.configure(bounds, 1);
-            account.share(now, &self.shares);
+            account.apply_shares(now, &self.shares);
         }
     }
 
@@ -122,48 +122,48 @@
 
     /// Sets the number of slots of all healthy upstreams of a pool.
     pub fn set_slots(&mut self, now: Time, name: &EntryName, slots: u32) {
-        let pool = pool(&mut self.pools, name);
+        let pool = pool_entry(&mut self.pools, name);
         if let Some(pool) = pool.filter(|pool| pool.slots != slots) {
             pool.slots = slots;
-            pool.share(now, &self.shares, &self.config);
+            pool.apply_shares(now, &self.shares, &self.config);
         }
     }
 
     /// Updates which daemons are live and how much of the fleet is reachable.
     pub fn fleet(&mut self, now: Time, live: &BTreeSet<DaemonId>, reach: Reach) {
-        self.shares.fleet(now, live, reach);
+        self.shares.update_fleet(now, live, reach);
     }
 
     /// Updates the demand of another daemon.
     pub fn peer_fact(&mut self, daemon: &DaemonId, fact: DemandFact) {
-        self.shares.peer_fact(daemon, fact);
+        self.shares.update_peer(daemon, fact);
     }
 
     /// Recalculates this daemon's shares and drops idle accounts. Must be called several times per
     /// second. Returns the demand to publish if it has changed enough.
     pub fn tick(&mut self, now: Time) -> Option<DemandFact> {
         for account in self.customers.values_mut().chain(self.offers.values_mut()) {
-            account.share(now, &self.shares);
+            account.apply_shares(now, &self.shares);
         }
         for pool in self.pools.values_mut() {
-            pool.share(now, &self.shares, &self.config);
+            pool.apply_shares(now, &self.shares, &self.config);
         }
-        self.forget_idle(now);
+        self.drop_idle_accounts(now);
         let demands = self.demands(now);
         self.shares.publish(now, demands)
     }
 
     fn demands(&self, now: Time) -> Vec<(KeyId, f64)> {
         let accounts = self.customers.values().chain(self.offers.values());
-        let accounts = accounts.filter(|account| account.is_bounded());
+        let accounts = accounts.filter(|account| account.has_limits());
         let accounts = accounts.map(|account| (account.key, account.demand.rate(now)));
         let lanes = self.pools.values().flat_map(|p| [&p.interactive, &p.batch]);
-        let lanes = lanes.map(|lane| (lane.key, lane.wanted.level()));
+        let lanes = lanes.map(|lane| (lane.key, lane.demand.level()));
         accounts.chain(lanes).collect()
     }
 
     /// Drops idle accounts without limits, which were created by their first request.
-    fn forget_idle(&mut self, now: Time) {
+    fn drop_idle_accounts(&mut self, now: Time) {
         self.customers.retain(|_, account| !account.is_idle(now));
         self.offers.retain(|_, account| !account.is_idle(now));
     }
@@ -188,7 +188,7 @@
         if let Some(pool) = self.pools.get_mut(&grant.pool) {
             let lane = pool.lane(grant.priority);
             lane.running = lane.running.saturating_sub(1);
-            lane.note_held(now.since(grant.started));
+            lane.record_hold_time(now.since(grant.started));
         }
     }
 
@@ -206,7 +206,7 @@
             offers: self.offers.len(),
             pools: self.pools.len(),
             waiting: self.waiting.len(),
-            peers: self.shares.peers(),
+            peers: self.shares.peer_count(),
         }
     }
 
@@ -237,7 +237,7 @@
     pub allowance: u32,
 }
 
-pub(crate) fn customer<'a>(
+pub(crate) fn customer_account<'a>(
     accounts: &'a mut BTreeMap<CustomerId, Account>,
     id: &CustomerId,
 ) -> Option<&'a mut Account> {
@@ -248,7 +248,7 @@
     Some(account.or_insert_with(|| Account::new(KeyId::customer(id))))
 }
 
-pub(crate) fn offer<'a>(
+pub(crate) fn offer_account<'a>(
     accounts: &'a mut BTreeMap<EntryName, Account>,
     name: &EntryName,
 ) -> Option<&'a mut Account> {
@@ -259,7 +259,7 @@
     Some(account.or_insert_with(|| Account::new(KeyId::offer(name))))
 }
 
-pub(crate) fn pool<'a>(
+pub(crate) fn pool_entry<'a>(
     pools: &'a mut BTreeMap<EntryName, Pool>,
     name: &EntryName,
 ) -> Option<&'a mut Pool> {
--- a/components/limits/src/pool.rs
+++ b/components/limits/src/pool.rs
@@ -9,7 +9,7 @@
 use crate::shares::Shares;
 
 /// Weight of the newest request in the moving average of the hold time.
-const HELD_WEIGHT: f64 = 0.05;
+const HOLD_TIME_WEIGHT: f64 = 0.05;
 
 /// Requests of one priority.
 #[derive(Debug, Clone)]
@@ -18,9 +18,9 @@
     pub(crate) queue: FairQueue,
     pub(crate) running: u32,
     pub(crate) allowance: u32,
-    pub(crate) wanted: Meter,
-    pub(crate) refused: Meter,
-    held: Span,
+    pub(crate) demand: Meter,
+    pub(crate) refusals: Meter,
+    hold_time: Span,
 }
 
 impl Lane {
@@ -30,9 +30,9 @@
             queue: FairQueue::default(),
             running: 0,
             allowance: 0,
-            wanted: Meter::default(),
-            refused: Meter::default(),
-            held: Span::ZERO,
+            demand: Meter::default(),
+            refusals: Meter::default(),
+            hold_time: Span::ZERO,
         }
     }
 
@@ -47,38 +47,38 @@
         f64::from(self.running) + waiting as f64
     }
 
-    pub(crate) fn note_held(&mut self, held: Span) {
-        let old = self.held.as_secs_f64();
-        let weight = if self.held == Span::ZERO {
+    pub(crate) fn record_hold_time(&mut self, hold_time: Span) {
+        let old = self.hold_time.as_secs_f64();
+        let weight = if self.hold_time == Span::ZERO {
             1.0
         } else {
-            HELD_WEIGHT
+            HOLD_TIME_WEIGHT
         };
-        self.held = Span::from_secs_f64(old + weight * (held.as_secs_f64() - old));
+        self.hold_time = Span::from_secs_f64(old + weight * (hold_time.as_secs_f64() - old));
     }
 
     /// Average time that a request holds a slot.
-    pub(crate) fn held(&self) -> Span {
-        self.held
+    pub(crate) fn hold_time(&self) -> Span {
+        self.hold_time
     }
 
     /// Requests that end per second when all slots of the lane are in use.
     pub(crate) fn drain_rate(&self) -> f64 {
         let slots = f64::from(self.allowance.max(self.running)).max(1.0);
-        slots / self.held.as_secs_f64().max(MIN_HELD_SECONDS)
+        slots / self.hold_time.as_secs_f64().max(MIN_HOLD_SECONDS)
     }
 
     /// Estimated wait of one more request of a customer.
-    pub(crate) fn wait(&self, customer: &CustomerId, weight: f64) -> Span {
+    pub(crate) fn estimated_wait(&self, customer: &CustomerId, weight: f64) -> Span {
         let all = self.queue.len() as f64 + 1.0;
         let own = self.queue.flow_len(customer) as f64 + 1.0;
-        let fair = own * self.queue.weight_with(customer, weight) / weight;
+        let fair = own * self.queue.total_weight_with(customer, weight) / weight;
         Span::from_secs_f64(all.min(fair) / self.drain_rate())
     }
 }
 
 /// Lower bound of the hold time used in estimates.
-const MIN_HELD_SECONDS: f64 = 0.001;
+const MIN_HOLD_SECONDS: f64 = 0.001;
 
 /// Slots of one service's upstreams, and the requests that wait for them.
 #[derive(Debug, Clone)]
@@ -88,9 +88,9 @@
     /// Slots of all healthy upstreams, for the whole fleet.
     pub(crate) slots: u32,
     /// Interactive requests that were running at the last recalculation of the shares.
-    shared_at: u32,
+    interactive_at_update: u32,
     /// Slots for all of this daemon's work that interactive work of other daemons leaves free.
-    ceiling: u32,
+    available: u32,
 }
 
 impl Pool {
@@ -99,8 +99,8 @@
             interactive: Lane::new(KeyId::interactive(name)),
             batch: Lane::new(KeyId::batch(name)),
             slots: 0,
-            shared_at: 0,
-            ceiling: 0,
+            interactive_at_update: 0,
+            available: 0,
         }
     }
 
@@ -122,7 +122,10 @@
     /// Interactive requests that started or ended since the last recalculation count at once.
     fn has_room_for_batch(&self) -> bool {
         let in_use = self.batch.running + self.interactive.running;
-        in_use < self.ceiling.min(self.batch.allowance + self.shared_at)
+        in_use
+            < self
+                .available
+                .min(self.batch.allowance + self.interactive_at_update)
     }
 
     /// Applies this daemon's share of the slots.
@@ -130,28 +133,28 @@
     /// Interactive work may use all slots that interactive work of other daemons leaves free. Only
     /// if all interactive work together does not fit, each daemon is limited to its share. Batch
     /// work gets a share of what interactive work leaves free, less the reserve.
-    pub(crate) fn share(&mut self, now: Time, shares: &Shares, config: &Config) {
+    pub(crate) fn apply_shares(&mut self, now: Time, shares: &Shares, config: &Config) {
         for lane in [&mut self.interactive, &mut self.batch] {
             let wanted = lane.wanted_slots();
-            lane.wanted.follow(now, wanted);
+            lane.demand.follow(now, wanted);
         }
-        self.shared_at = self.interactive.running;
+        self.interactive_at_update = self.interactive.running;
         let slots = f64::from(self.slots);
         let own = f64::from(self.interactive.running);
-        let others = shares.others(self.interactive.key);
-        let part = shares.allotment(now, self.interactive.key, slots);
+        let others = shares.others_demand(self.interactive.key);
+        let share = shares.share_units(now, self.interactive.key, slots);
         let free = slots - others - own;
         let borrowed = if free > 0.0 {
             own + free * config.borrow
         } else {
             0.0
         };
-        self.interactive.allowance = part.max(borrowed as u32);
+        self.interactive.allowance = share.max(borrowed as u32);
         let reserve = config.reserve * slots;
-        let wanted = own.max(self.interactive.wanted.level());
-        let ceiling = (slots - reserve - others).max(0.0);
-        self.ceiling = ceiling as u32;
-        let left = (ceiling - wanted).max(0.0);
-        self.batch.allowance = shares.allotment(now, self.batch.key, left);
+        let wanted = own.max(self.interactive.demand.level());
+        let available = (slots - reserve - others).max(0.0);
+        self.available = available as u32;
+        let left = (available - wanted).max(0.0);
+        self.batch.allowance = shares.share_units(now, self.batch.key, left);
     }
 }
--- a/components/limits/src/shares.rs
+++ b/components/limits/src/shares.rs
@@ -11,26 +11,26 @@
 use crate::demand::{DemandFact, KeyId};
 
 /// Fraction of each limit that is divided evenly.
-const EVEN_PART: f64 = 0.1;
+const EVEN_FRACTION: f64 = 0.1;
 /// Maximum number of other daemons remembered.
 const MAX_PEERS: usize = 2_048;
 /// A daemon that is gone keeps its share for this time, so that a false failure detection has no
 /// effect.
-const GONE_HOLD: Span = Span::from_secs(3);
+const GONE_SHARE_HOLD: Span = Span::from_secs(3);
 /// This daemon's share increases only after the others had time to receive its new demand.
-const RISE_DELAY: Span = Span::from_secs(1);
+const INCREASE_DELAY: Span = Span::from_secs(1);
 /// Time constant at which the share of an isolated daemon approaches an even share.
-const CUT_DECAY: Span = Span::from_secs(10);
+const ISOLATION_DECAY: Span = Span::from_secs(10);
 /// Minimum interval between published facts.
 const MIN_INTERVAL: Span = Span::from_millis(500);
 /// Minimum interval per live daemon, so that the number of facts per second stays bounded as the
 /// fleet grows.
 const INTERVAL_PER_DAEMON: Span = Span::from_millis(50);
 /// A change of demand is published if it exceeds this fraction of the last demand plus
-/// [`CHANGED_BY`].
-const CHANGED_PART: f64 = 0.1;
+/// [`CHANGE_AMOUNT`].
+const CHANGE_FRACTION: f64 = 0.1;
 /// Absolute part of that threshold, so that single requests cause no message.
-const CHANGED_BY: f64 = 0.5;
+const CHANGE_AMOUNT: f64 = 0.5;
 
 /// Demand of another daemon.
 #[derive(Debug, Clone, Default)]
@@ -41,9 +41,9 @@
 
 /// Shares that were in force when the daemon became isolated.
 #[derive(Debug, Clone)]
-struct Cut {
+struct Isolation {
     at: Time,
-    parts: BTreeMap<KeyId, f64>,
+    shares: BTreeMap<KeyId, f64>,
 }
 
 /// This daemon's share of each limit of the fleet.
@@ -51,13 +51,13 @@
 pub struct Shares {
     me: DaemonId,
     published: DemandFact,
-    before: DemandFact,
+    previous: DemandFact,
     published_at: Option<Time>,
     peers: BTreeMap<DaemonId, Peer>,
     totals: BTreeMap<KeyId, f64>,
-    live: usize,
+    live_daemons: usize,
     reach: Reach,
-    cut: Option<Cut>,
+    isolation: Option<Isolation>,
 }
 
 /// Reachable part of the fleet, including this daemon.
@@ -76,21 +76,21 @@
         Self {
             me,
             published: DemandFact::default(),
-            before: DemandFact::default(),
+            previous: DemandFact::default(),
             published_at: None,
             peers: BTreeMap::new(),
             totals: BTreeMap::new(),
-            live: 1,
+            live_daemons: 1,
             reach: Reach {
                 reached: 1,
                 known: 1,
             },
-            cut: None,
+            isolation: None,
         }
     }
 
     /// Updates which daemons are live and how much of the fleet is reachable.
-    pub fn fleet(&mut self, now: Time, live: &BTreeSet<DaemonId>, reach: Reach) {
+    pub fn update_fleet(&mut self, now: Time, live: &BTreeSet<DaemonId>, reach: Reach) {
         for (id, peer) in &mut self.peers {
             peer.gone_at = match live.contains(id) {
                 true => None,
@@ -98,13 +98,13 @@
             };
         }
         let others = live.iter().filter(|id| **id != self.me).count();
-        self.live = others + 1;
+        self.live_daemons = others + 1;
         self.reach = reach;
-        self.note_cut(now);
+        self.update_isolation(now);
         if !self.is_cut_off() {
-            self.forget_gone(now);
+            self.remove_gone(now);
         }
-        self.sum();
+        self.recalculate_totals();
     }
 
     /// Whether at least half of the fleet is unreachable. The daemon cannot tell whether the
@@ -114,28 +114,28 @@
         self.reach.reached * 2 <= self.reach.known
     }
 
-    fn note_cut(&mut self, now: Time) {
+    fn update_isolation(&mut self, now: Time) {
         if !self.is_cut_off() {
-            self.cut = None;
-        } else if self.cut.is_none() {
-            let parts = self
+            self.isolation = None;
+        } else if self.isolation.is_none() {
+            let shares = self
                 .totals
                 .keys()
-                .map(|key| (*key, self.raw_part(now, *key)));
-            let parts = parts.collect();
-            self.cut = Some(Cut { at: now, parts });
+                .map(|key| (*key, self.demand_share(now, *key)));
+            let shares = shares.collect();
+            self.isolation = Some(Isolation { at: now, shares });
         }
     }
 
-    fn forget_gone(&mut self, now: Time) {
+    fn remove_gone(&mut self, now: Time) {
         self.peers.retain(|_, peer| {
             let gone = peer.gone_at;
-            gone.is_none_or(|at| now.since(at) < GONE_HOLD)
+            gone.is_none_or(|at| now.since(at) < GONE_SHARE_HOLD)
         });
     }
 
     /// Updates the demand of another daemon.
-    pub fn peer_fact(&mut self, daemon: &DaemonId, demand: DemandFact) {
+    pub fn update_peer(&mut self, daemon: &DaemonId, demand: DemandFact) {
         let is_new = !self.peers.contains_key(daemon);
         if *daemon == self.me || (is_new && self.peers.len() >= MAX_PEERS) {
             return;
@@ -151,7 +151,7 @@
     }
 
     /// Recalculates the totals, which also removes accumulated rounding errors.
-    fn sum(&mut self) {
+    fn recalculate_totals(&mut self) {
         self.totals.clear();
         for peer in self.peers.values() {
             for (key, demand) in peer.demand.iter() {
@@ -169,71 +169,71 @@
         now: Time,
         demands: impl IntoIterator<Item = (KeyId, f64)>,
     ) -> Option<DemandFact> {
-        let interval = MIN_INTERVAL.max(INTERVAL_PER_DAEMON.times(self.live as u64));
+        let interval = MIN_INTERVAL.max(INTERVAL_PER_DAEMON.times(self.live_daemons as u64));
         if self.published_at.is_some_and(|at| now.since(at) < interval) {
             return None;
         }
         let fact = DemandFact::new(demands);
-        if !self.differs(&fact) {
+        if !self.has_changed(&fact) {
             return None;
         }
-        self.before = std::mem::replace(&mut self.published, fact.clone());
+        self.previous = std::mem::replace(&mut self.published, fact.clone());
         self.published_at = Some(now);
         Some(fact)
     }
 
-    fn differs(&self, fact: &DemandFact) -> bool {
+    fn has_changed(&self, fact: &DemandFact) -> bool {
         let keys = fact.iter().chain(self.published.iter());
         let mut keys = keys.map(|(key, _)| key);
         keys.any(|key| {
             let old = self.published.get(key);
             let new = fact.get(key);
-            (new - old).abs() > CHANGED_PART * old + CHANGED_BY
+            (new - old).abs() > CHANGE_FRACTION * old + CHANGE_AMOUNT
                 || (old == 0.0) != (new == 0.0) && new.max(old) > MIN_DEMAND
         })
     }
 
     /// Own demand as known to the others; an increase counts once they had time to receive it.
-    fn own(&self, now: Time, key: KeyId) -> f64 {
+    fn effective_demand(&self, now: Time, key: KeyId) -> f64 {
         let new = self.published.get(key);
-        let heard = self
+        let is_known = self
             .published_at
-            .is_some_and(|at| now.since(at) >= RISE_DELAY);
-        if heard {
+            .is_some_and(|at| now.since(at) >= INCREASE_DELAY);
+        if is_known {
             new
         } else {
-            new.min(self.before.get(key))
+            new.min(self.previous.get(key))
         }
     }
 
     /// Total demand of the other daemons.
     #[must_use]
-    pub fn others(&self, key: KeyId) -> f64 {
+    pub fn others_demand(&self, key: KeyId) -> f64 {
         self.totals.get(&key).copied().unwrap_or(0.0).max(0.0)
     }
 
     /// This daemon's share of a limit, from 0 to 1.
     #[must_use]
-    pub fn part(&self, now: Time, key: KeyId) -> f64 {
-        let part = self.raw_part(now, key);
-        let Some(cut) = &self.cut else {
-            return part;
+    pub fn share(&self, now: Time, key: KeyId) -> f64 {
+        let share = self.demand_share(now, key);
+        let Some(isolation) = &self.isolation else {
+            return share;
         };
         let even = 1.0 / self.reach.known.max(1) as f64;
-        let last = cut.parts.get(&key).copied().unwrap_or(even);
-        let age = now.since(cut.at).as_secs_f64() / CUT_DECAY.as_secs_f64();
-        let fading = even + (last - even) * (-age).exp();
-        part.min(last).min(fading.max(even.min(last)))
+        let last = isolation.shares.get(&key).copied().unwrap_or(even);
+        let age = now.since(isolation.at).as_secs_f64() / ISOLATION_DECAY.as_secs_f64();
+        let decayed = even + (last - even) * (-age).exp();
+        share.min(last).min(decayed.max(even.min(last)))
     }
 
-    fn raw_part(&self, now: Time, key: KeyId) -> f64 {
-        let even = 1.0 / self.live.max(1) as f64;
-        let own = self.own(now, key);
-        let total = own + self.others(key);
+    fn demand_share(&self, now: Time, key: KeyId) -> f64 {
+        let even = 1.0 / self.live_daemons.max(1) as f64;
+        let own = self.effective_demand(now, key);
+        let total = own + self.others_demand(key);
         if total <= 0.0 {
             return even;
         }
-        EVEN_PART * even + (1.0 - EVEN_PART) * own / total
+        EVEN_FRACTION * even + (1.0 - EVEN_FRACTION) * own / total
     }
 
     /// This daemon's share of a limit in whole units.
@@ -242,38 +242,38 @@
     /// the largest fractions; every daemon calculates the same order. Otherwise a limit of 10
     /// would be 0 for each of 64 daemons.
     #[must_use]
-    pub fn allotment(&self, now: Time, key: KeyId, limit: f64) -> u32 {
-        let own = self.part(now, key) * limit;
-        if self.cut.is_some() {
+    pub fn share_units(&self, now: Time, key: KeyId, limit: f64) -> u32 {
+        let own = self.share(now, key) * limit;
+        if self.isolation.is_some() {
             return own as u32;
         }
-        let own_fraction = (own.fract(), self.rank(&self.me, key));
-        let total = self.own(now, key) + self.others(key);
+        let own_fraction = (own.fract(), self.tie_rank(&self.me, key));
+        let total = self.effective_demand(now, key) + self.others_demand(key);
         let mut left = limit - own.floor();
         let mut ahead = 0_u32;
         for (id, peer) in &self.peers {
             let demand = peer.demand.get(key);
-            let even = EVEN_PART / self.live as f64;
-            let part = match total > 0.0 {
-                true => even + (1.0 - EVEN_PART) * demand / total,
-                false => 1.0 / self.live as f64,
+            let even = EVEN_FRACTION / self.live_daemons as f64;
+            let share = match total > 0.0 {
+                true => even + (1.0 - EVEN_FRACTION) * demand / total,
+                false => 1.0 / self.live_daemons as f64,
             };
-            let theirs = part * limit;
+            let theirs = share * limit;
             left -= theirs.floor();
-            ahead += u32::from((theirs.fract(), self.rank(id, key)) > own_fraction);
+            ahead += u32::from((theirs.fract(), self.tie_rank(id, key)) > own_fraction);
         }
         let extra = f64::from(ahead) + 1.0 <= left + ROUNDING;
         own as u32 + u32::from(extra)
     }
 
     /// Breaks ties between equal fractions, in a different order for each key.
-    fn rank(&self, id: &DaemonId, key: KeyId) -> u64 {
+    fn tie_rank(&self, id: &DaemonId, key: KeyId) -> u64 {
         xxhash_rust::xxh3::xxh3_64_with_seed(id.as_str().as_bytes(), u64::from(key.0))
     }
 
     /// Number of other daemons remembered.
     #[must_use]
-    pub fn peers(&self) -> usize {
+    pub fn peer_count(&self) -> usize {
         self.peers.len()
     }
 }
--- a/components/limits/tests/fuzz.rs
+++ b/components/limits/tests/fuzz.rs
@@ -17,10 +17,10 @@
     Admit(u8, bool, u16, u16),
     Release(u8, u16),
     Cancel(u8),
-    Slots(u8),
-    Bound(u8, u8),
-    Peer(u8, u8),
-    Wait(u16),
+    SetSlots(u8),
+    SetBounds(u8, u8),
+    PeerDemand(u8, u8),
+    Advance(u16),
 }
 
 /// Empty reference model: the invariants are checked on the answers alone.
@@ -41,10 +41,10 @@
                 .prop_map(|(c, b, t, d)| Step::Admit(c, b, t, d)),
             6 => (any::<u8>(), 0..5000u16).prop_map(|(g, t)| Step::Release(g, t)),
             1 => any::<u8>().prop_map(Step::Cancel),
-            1 => (0..12u8).prop_map(Step::Slots),
-            1 => (0..4u8, 0..20u8).prop_map(|(c, l)| Step::Bound(c, l)),
-            1 => (1..4u8, 0..20u8).prop_map(|(d, l)| Step::Peer(d, l)),
-            4 => (0..3000u16).prop_map(Step::Wait),
+            1 => (0..12u8).prop_map(Step::SetSlots),
+            1 => (0..4u8, 0..20u8).prop_map(|(c, l)| Step::SetBounds(c, l)),
+            1 => (1..4u8, 0..20u8).prop_map(|(d, l)| Step::PeerDemand(d, l)),
+            4 => (0..3000u16).prop_map(Step::Advance),
         ]
         .boxed()
     }
@@ -54,7 +54,7 @@
     }
 }
 
-struct Real {
+struct System {
     limiter: Limiter,
     rng: SmallRng,
     now: Time,
@@ -71,7 +71,7 @@
     format!("c{number}").parse().unwrap()
 }
 
-impl Real {
+impl System {
     /// Number of interactive and batch requests with a grant.
     fn running(&self) -> (u32, u32) {
         let lane = |priority| self.limiter.lane(&pool(), priority);
@@ -89,11 +89,11 @@
                     .release(self.now, grant, Tokens(u64::from(used)));
             }
             Step::Cancel(number) => self.cancel(number),
-            Step::Slots(slots) => {
+            Step::SetSlots(slots) => {
                 self.slots = u32::from(slots);
                 self.limiter.set_slots(self.now, &pool(), self.slots);
             }
-            Step::Bound(who, limit) => {
+            Step::SetBounds(who, limit) => {
                 let bounds = Bounds {
                     requests: (limit > 0).then_some(Rate(f64::from(limit))),
                     tokens: (limit > 10).then_some(Rate(f64::from(limit) * 100.0)),
@@ -102,13 +102,13 @@
                 self.limiter
                     .set_customer(self.now, &customer(who), bounds, 1);
             }
-            Step::Peer(number, demand) => {
+            Step::PeerDemand(number, demand) => {
                 let id = format!("peer{number}").parse().unwrap();
                 let key = KeyId::interactive(&pool());
                 let fact = DemandFact::new([(key, f64::from(demand))]);
                 self.limiter.peer_fact(&id, fact);
             }
-            Step::Wait(millis) => {
+            Step::Advance(millis) => {
                 self.now = self.now + Span::from_millis(u64::from(millis));
                 self.limiter.tick(self.now);
             }
@@ -161,11 +161,11 @@
 struct Fuzz;
 
 impl StateMachineTest for Fuzz {
-    type SystemUnderTest = Real;
+    type SystemUnderTest = System;
     type Reference = Model;
 
-    fn init_test(_: &Model) -> Real {
-        Real {
+    fn init_test(_: &Model) -> System {
+        System {
             limiter: Limiter::new("me".parse().unwrap(), Config::default()),
             rng: SmallRng::seed_from_u64(3),
             now: Time::ZERO,
@@ -175,24 +175,27 @@
         }
     }
 
-    fn apply(mut real: Real, _: &Model, step: Step) -> Real {
-        let before = real.running();
-        real.apply(&step);
-        let after = real.running();
-        assert!(after.0 <= before.0.max(real.slots), "too much interactive");
-        let is_full = after.0 + after.1 > real.slots;
+    fn apply(mut system: System, _: &Model, step: Step) -> System {
+        let before = system.running();
+        system.apply(&step);
+        let after = system.running();
+        assert!(
+            after.0 <= before.0.max(system.slots),
+            "too much interactive"
+        );
+        let is_full = after.0 + after.1 > system.slots;
         assert!(after.1 <= before.1 || !is_full, "batch without room");
-        real
+        system
     }
 
-    fn check_invariants(real: &Real, _: &Model) {
-        assert_eq!(real.limiter.fill().waiting, real.waiting.len());
+    fn check_invariants(system: &System, _: &Model) {
+        assert_eq!(system.limiter.fill().waiting, system.waiting.len());
         let lanes = [Priority::Interactive, Priority::Batch];
-        let lanes = lanes.map(|priority| real.limiter.lane(&pool(), priority));
+        let lanes = lanes.map(|priority| system.limiter.lane(&pool(), priority));
         let running: u32 = lanes.iter().flatten().map(|lane| lane.running).sum();
-        assert_eq!(running as usize, real.grants.len());
+        assert_eq!(running as usize, system.grants.len());
         let queued: usize = lanes.iter().flatten().map(|lane| lane.waiting).sum();
-        assert_eq!(queued, real.waiting.len());
+        assert_eq!(queued, system.waiting.len());
     }
 }
 
--- a/components/limits/tests/limits.rs
+++ b/components/limits/tests/limits.rs
@@ -70,7 +70,7 @@
         self.pump()
     }
 
-    fn pass(&mut self, span: Span) {
+    fn advance(&mut self, span: Span) {
         self.now = self.now + span;
         self.limiter.tick(self.now);
     }
@@ -99,7 +99,7 @@
     let mut held: Vec<_> = (0..4).map(|_| f.start("a", Interactive)).collect();
     let batch = f.wait("b", Batch);
     let interactive = f.wait("a", Interactive);
-    f.pass(STEP);
+    f.advance(STEP);
     let started = f.release(held.pop().unwrap(), 100);
     assert_eq!(started.len(), 1);
     assert_eq!(started[0].0, interactive);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn can_keep_slots_free_of_batch_for_the_next_interactive_request() {
+fn can_reserve_slots_for_interactive_requests() {
     // Guards against batch work that fills all slots: a partner sends ten times what the pool can
     // run, and the next interactive request would wait until a batch answer ends.
     let mut f = Fixture::new(20);
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn can_push_out_the_longest_flow_of_a_full_queue() {
+fn can_evict_from_the_longest_flow_of_a_full_queue() {
     let mut f = Fixture::new(1);
     let _held = f.start("x", Interactive);
     for number in 0..4 {
@@ -166,12 +166,12 @@
 }
 
 #[test]
-fn can_refuse_at_once_what_cannot_be_answered_in_time() {
+fn can_refuse_at_once_if_the_deadline_cannot_be_met() {
     // Guards against a late refusal: a caller with two seconds left joins a queue of ten seconds.
     // If it were held until its deadline, it would be refused too late to go elsewhere.
     let mut f = Fixture::new(1);
     let first = f.start("x", Interactive);
-    f.pass(Span::from_secs(1));
+    f.advance(Span::from_secs(1));
     f.release(first, 100);
     let _held = f.start("x", Interactive);
     for _ in 0..10 {
@@ -185,12 +185,12 @@
 }
 
 #[test]
-fn can_spread_the_return_of_what_was_refused_together() {
+fn can_spread_retries_of_simultaneous_refusals() {
     // Guards against synchronized retries: a thousand callers that are refused in one second and
     // told to retry after the same delay would be refused together again.
     let mut f = Fixture::new(1);
     let first = f.start("x", Interactive);
-    f.pass(Span::from_secs(1));
+    f.advance(Span::from_secs(1));
     f.release(first, 100);
     let _held = f.start("x", Interactive);
     let mut latest = Span::ZERO;
@@ -207,7 +207,7 @@
     let mut f = Fixture::new(1);
     let _held = f.start("x", Interactive);
     let ticket = f.wait("x", Interactive);
-    f.pass(Span::from_secs(31));
+    f.advance(Span::from_secs(31));
     let ended = f.pump();
     assert!(matches!(&ended[..], [(t, Verdict::Refuse(_))] if *t == ticket));
     assert_eq!(f.limiter.fill().waiting, 0);
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn can_cancel_a_wait() {
+fn can_cancel_a_waiting_request() {
     let mut f = Fixture::new(1);
     let held = f.start("x", Interactive);
     let ticket = f.wait("x", Interactive);
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn can_go_on_before_others_after_giving_way() {
+fn can_resume_a_preempted_request_first() {
     // Guards against lost work: a batch request is half done when an interactive request preempts
     // it. At the end of its customer's queue of a thousand requests its deadline would pass and
     // the half would be lost.
@@ -241,7 +241,7 @@
     let interactive = f.start("a", Interactive);
     let ticket = f.limiter.give_way(grant);
     assert!(f.pump().is_empty());
-    f.pass(Span::from_secs(20));
+    f.advance(Span::from_secs(20));
     let started = f.release(interactive, 100);
     let first = started.first().map(|(ticket, _)| *ticket);
     assert_eq!(first, Some(ticket));
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn can_count_no_demand_for_slots_held_back_by_a_limit() {
+fn can_exclude_rate_limited_requests_from_slot_demand() {
     // A customer sends three times its limit. Guards against counting its waiting requests as
     // demand, though they need no slot yet: this kept batch work off idle slots.
     let mut f = Fixture::new(10);
@@ -259,7 +259,7 @@
     f.wait("x", Interactive);
     f.wait("x", Interactive);
     for _ in 0..10 {
-        f.pass(Span::from_secs(1));
+        f.advance(Span::from_secs(1));
     }
     let lane = f.limiter.lane(&pool(), Batch).unwrap();
     assert_eq!(lane.allowance, 9);
@@ -278,14 +278,14 @@
     f.release(grant, 5100);
     let refusal = f.refused(f.ask("x", Interactive));
     assert_eq!(refusal.code, Code::CustomerLimit);
-    f.pass(Span::from_secs(5));
+    f.advance(Span::from_secs(5));
     let _ = f.start("x", Interactive);
 }
 
 /// Daemons that receive each other's facts almost a second late.
 struct Fleet {
     shares: Vec<Shares>,
-    late: Vec<(Time, usize, DemandFact)>,
+    in_flight: Vec<(Time, usize, DemandFact)>,
     now: Time,
 }
 
@@ -298,21 +298,21 @@
         let shares = (0..size).map(|number| Shares::new(daemon(number)));
         let mut fleet = Self {
             shares: shares.collect(),
-            late: Vec::new(),
+            in_flight: Vec::new(),
             now: Time::ZERO,
         };
-        fleet.see(0..size, 0..size, size);
+        fleet.update(0..size, 0..size, size);
         fleet
     }
 
-    fn see(&mut self, who: std::ops::Range<usize>, live: std::ops::Range<usize>, known: usize) {
+    fn update(&mut self, who: std::ops::Range<usize>, live: std::ops::Range<usize>, known: usize) {
         let live: BTreeSet<_> = live.map(daemon).collect();
         for number in who {
             let reach = Reach {
                 reached: live.len(),
                 known,
             };
-            self.shares[number].fleet(self.now, &live, reach);
+            self.shares[number].update_fleet(self.now, &live, reach);
         }
     }
 
@@ -322,7 +322,7 @@
             for number in 0..self.shares.len() {
                 let fact = self.shares[number].publish(self.now, [(key(), demand(number))]);
                 let due = self.now + Span::from_millis(900);
-                self.late.extend(fact.map(|fact| (due, number, fact)));
+                self.in_flight.extend(fact.map(|fact| (due, number, fact)));
             }
             self.deliver();
         }
@@ -330,39 +330,41 @@
 
     fn deliver(&mut self) {
         let now = self.now;
-        let (due, late) = self
-            .late
+        let (due, in_flight) = self
+            .in_flight
             .drain(..)
             .partition(|(at, ..)| now.has_reached(*at));
-        self.late = late;
+        self.in_flight = in_flight;
         let due: Vec<(Time, usize, DemandFact)> = due;
         for (_, from, fact) in due {
             for shares in &mut self.shares {
-                shares.peer_fact(&daemon(from), fact.clone());
+                shares.update_peer(&daemon(from), fact.clone());
             }
         }
     }
 
-    fn part(&self, number: usize) -> f64 {
-        self.shares[number].part(self.now, key())
+    fn share(&self, number: usize) -> f64 {
+        self.shares[number].share(self.now, key())
     }
 
     fn sum(&self) -> f64 {
-        (0..self.shares.len()).map(|number| self.part(number)).sum()
+        (0..self.shares.len())
+            .map(|number| self.share(number))
+            .sum()
     }
 }
 
 #[test]
-fn can_follow_demand_and_add_up_to_the_limit() {
+fn can_share_by_demand_and_add_up_to_the_limit() {
     let mut fleet = Fleet::new(9);
     let demand = |number| if number == 0 { 80.0 } else { 2.5 };
     fleet.run(6, demand);
     assert!((fleet.sum() - 1.0).abs() < 0.02, "{}", fleet.sum());
-    assert!(fleet.part(0) > 0.7, "{}", fleet.part(0));
+    assert!(fleet.share(0) > 0.7, "{}", fleet.share(0));
 }
 
 #[test]
-fn can_rise_only_after_the_others_have_heard() {
+fn can_delay_an_increase_until_others_know() {
     // The demand at one daemon grows tenfold. Guards against taking the larger share at once: the
     // others would still use theirs until the fact arrives, and the customer would exceed its
     // limit.
@@ -375,39 +377,39 @@
             let demand = if number == 0 { 100.0 } else { 10.0 };
             let fact = fleet.shares[number].publish(fleet.now, [(key(), demand)]);
             let due = fleet.now + Span::from_millis(900);
-            fleet.late.extend(fact.map(|fact| (due, number, fact)));
+            fleet.in_flight.extend(fact.map(|fact| (due, number, fact)));
         }
         fleet.deliver();
         assert!(fleet.sum() <= 1.0 + 1e-3, "{}", fleet.sum());
     }
-    assert!(fleet.part(0) > 0.7);
+    assert!(fleet.share(0) > 0.7);
 }
 
 #[test]
-fn can_return_the_part_of_a_dead_daemon() {
+fn can_redistribute_the_share_of_a_failed_daemon() {
     let mut fleet = Fleet::new(4);
     fleet.run(5, |_| 10.0);
-    fleet.see(0..3, 0..3, 4);
+    fleet.update(0..3, 0..3, 4);
     fleet.run(4, |_| 10.0);
-    fleet.see(0..3, 0..3, 4);
-    let sum: f64 = (0..3).map(|number| fleet.part(number)).sum();
+    fleet.update(0..3, 0..3, 4);
+    let sum: f64 = (0..3).map(|number| fleet.share(number)).sum();
     assert!((sum - 1.0).abs() < 0.01, "{sum}");
 }
 
 #[test]
-fn can_keep_no_more_than_the_last_part_when_cut_off() {
+fn can_keep_at_most_the_last_share_when_isolated() {
     // A daemon loses contact with all others, which are alive and use the whole limit. Guards
     // against taking over their shares, which would give the customer twice its limit.
     let mut fleet = Fleet::new(8);
     fleet.run(5, |number| if number == 0 { 70.0 } else { 10.0 });
-    let last = fleet.part(0);
-    fleet.see(0..1, 0..1, 8);
+    let last = fleet.share(0);
+    fleet.update(0..1, 0..1, 8);
     fleet.now = fleet.now + Span::from_secs(5);
-    fleet.see(0..1, 0..1, 8);
-    assert!(fleet.part(0) <= last);
+    fleet.update(0..1, 0..1, 8);
+    assert!(fleet.share(0) <= last);
     fleet.now = fleet.now + Span::from_secs(60);
-    fleet.see(0..1, 0..1, 8);
-    assert!((fleet.part(0) - 0.125).abs() < 0.01, "{}", fleet.part(0));
+    fleet.update(0..1, 0..1, 8);
+    assert!((fleet.share(0) - 0.125).abs() < 0.01, "{}", fleet.share(0));
 }
 
 #[test]
@@ -415,20 +417,20 @@
     let mut fleet = Fleet::new(64);
     fleet.run(10, |number| 1.0 + (number % 7) as f64);
     for limit in [1.0, 10.0, 64.0, 333.0] {
-        let parts = fleet.shares.iter();
-        let sum: u32 = parts.map(|s| s.allotment(fleet.now, key(), limit)).sum();
+        let shares = fleet.shares.iter();
+        let sum: u32 = shares.map(|s| s.share_units(fleet.now, key(), limit)).sum();
         assert!((f64::from(sum) - limit).abs() <= 1.0, "{sum} of {limit}");
     }
 }
 
 #[test]
-fn can_hold_a_customers_limit_at_one_daemon() {
+fn can_enforce_a_customers_limit_at_one_daemon() {
     let mut f = Fixture::new(1000);
     f.limiter
         .set_customer(f.now, &"x".parse().unwrap(), bounds(10.0), 1);
     let mut started = 0;
     for _ in 0..100 {
-        f.pass(STEP);
+        f.advance(STEP);
         started += f.pump().len();
         for _ in 0..10 {
             let ask = f.ask("x", Interactive);
@@ -450,7 +452,7 @@
 }
 
 #[test]
-fn can_keep_facts_small_and_whole() {
+fn can_round_trip_facts_of_limited_size() {
     let demands = (0..100).map(|n| (KeyId(n), f64::from(n)));
     let fact = DemandFact::new(demands);
     let bytes = fact.to_bytes();
