--- a/components/limits/src/admission.rs
+++ b/components/limits/src/admission.rs
@@ -13,7 +13,7 @@
 const MIN_RETRY_DELAY: Span = Span::from_secs(1);
 /// Maximum time in seconds over which retries are spread.
 const MAX_SPREAD_SECONDS: f64 = 60.0;
-/// Refusals of this many seconds are assumed to be retried.
+/// Retries are expected for the refusals of this many seconds.
 const RETRY_WINDOW_SECONDS: f64 = 10.0;
 
 impl Limiter {
--- a/components/limits/src/shares.rs
+++ b/components/limits/src/shares.rs
@@ -14,8 +14,8 @@
 const EVEN_FRACTION: f64 = 0.1;
 /// Maximum number of other daemons remembered.
 const MAX_PEERS: usize = 2_048;
-/// A daemon that is gone keeps its share for this time, so that a false failure detection has no
-/// effect.
+/// A daemon that is gone keeps its share for this time, so that a false failure detection costs
+/// nothing.
 const GONE_SHARE_HOLD: Span = Span::from_secs(3);
 /// This daemon's share increases only after the others had time to receive its new demand.
 const INCREASE_DELAY: Span = Span::from_secs(1);
--- a/components/membership/src/membership/receive.rs
+++ b/components/membership/src/membership/receive.rs
@@ -36,7 +36,8 @@
         outcome
     }
 
-    /// Whether a message is processed; counts rejected ones.
+    /// Whether a message is processed. Records the contact with its sender, and reports a duplicate
+    /// name or an outdated sender.
     fn accept(
         &mut self,
         now: Time,
