--- a/components/membership/src/membership.rs
+++ b/components/membership/src/membership.rs
@@ -16,7 +16,7 @@
 use crate::repair::Cursor;
 use crate::rumor::{Rumors, Subject, Urgency};
 
-mod news;
+mod gossip;
 mod publish;
 mod receive;
 mod report;
