--- a/components/membership/src/lib.rs
+++ b/components/membership/src/lib.rs
@@ -30,7 +30,7 @@
 pub use member::{Member, Stamp, State};
 pub use membership::{Counters, Event, Fill, Membership, Outcome};
 pub use message::{
-    Digest, DigestEntry, Envelope, FactGroup, MAX_ATTACHMENT_BYTES, MemberNews, MemberRecord,
-    Message, News, OriginFacts, Sender, SharedFact,
+    Digest, DigestEntry, Envelope, FactGroup, Gossip, MAX_ATTACHMENT_BYTES, MemberRecord,
+    MemberUpdate, Message, OriginFacts, Sender, SharedFact,
 };
 pub use origin::{OriginId, OriginTag};
--- a/components/membership/src/membership/gossip.rs
+++ b/components/membership/src/membership/gossip.rs
@@ -12,7 +12,7 @@
 use crate::fact::Topic;
 use crate::member::State;
 use crate::message::{
-    Envelope, FactGroup, GROUP_ORIGIN_BYTES, MemberNews, MemberRecord, Message, News,
+    Envelope, FactGroup, GROUP_ORIGIN_BYTES, Gossip, MemberRecord, MemberUpdate, Message,
 };
 use crate::origin::{FactKey, OriginId, OriginTag};
 use crate::rumor::{Subject, Urgency};
@@ -27,8 +27,8 @@
 type Groups = BTreeMap<(Topic, Bytes, Bytes), Vec<(OriginTag, u64)>>;
 
 /// Builds the gossip for one receiver within its byte limits.
-struct NewsBuilder {
-    members: Vec<MemberNews>,
+struct GossipBuilder {
+    members: Vec<MemberUpdate>,
     groups: Groups,
     remaining: usize,
     urgent_reserve: usize,
@@ -36,7 +36,7 @@
     obsolete: Vec<Subject>,
 }
 
-impl NewsBuilder {
+impl GossipBuilder {
     fn new(remaining: usize) -> Self {
         Self {
             members: Vec::new(),
@@ -69,12 +69,12 @@
 impl Membership {
     /// Gossip for a receiver. A report that the receiver itself is suspect or gone comes first, so
     /// that it can refute it.
-    pub(super) fn build_news(&mut self, to: Option<&DaemonId>) -> News {
+    pub(super) fn build_gossip(&mut self, to: Option<&DaemonId>) -> Gossip {
         let remaining = self.gossip_budget.available().min(self.cfg.budget.message);
-        let mut builder = NewsBuilder::new(remaining);
+        let mut builder = GossipBuilder::new(remaining);
         let receiver = to.and_then(|id| self.members.get(id));
         if let Some(member) = receiver.filter(|m| m.record.state != State::Alive) {
-            builder.members.push(brief_news(&member.record));
+            builder.members.push(brief_update(&member.record));
         }
         let queued = self.rumors.queued().take(MAX_RUMORS_SCANNED);
         for (urgency, subject) in queued {
@@ -89,7 +89,7 @@
         for subject in &builder.sent {
             self.rumors.mark_sent(subject);
         }
-        News {
+        Gossip {
             attachment: self.attachment.clone(),
             members: builder.members,
             facts: fact_groups(builder.groups),
@@ -98,7 +98,7 @@
 
     fn add_rumor(
         &self,
-        builder: &mut NewsBuilder,
+        builder: &mut GossipBuilder,
         urgency: Urgency,
         subject: &Subject,
         to: Option<&DaemonId>,
@@ -113,7 +113,7 @@
 
     fn add_member_rumor(
         &self,
-        builder: &mut NewsBuilder,
+        builder: &mut GossipBuilder,
         urgency: Urgency,
         subject: &Subject,
         id: &DaemonId,
@@ -127,16 +127,16 @@
             builder.obsolete.push(subject.clone());
             return;
         };
-        let news = member_news(record);
-        if builder.reserve(news.wire_len(), urgency) {
-            builder.members.push(news);
+        let update = member_update(record);
+        if builder.reserve(update.wire_len(), urgency) {
+            builder.members.push(update);
             builder.sent.push(subject.clone());
         }
     }
 
     fn add_fact_rumor(
         &self,
-        builder: &mut NewsBuilder,
+        builder: &mut GossipBuilder,
         urgency: Urgency,
         id: &OriginId,
         key: &FactKey,
@@ -178,9 +178,9 @@
     }
 
     /// Pushes pending updates to one peer.
-    pub(super) fn push_news(&mut self, to: &MemberRecord, outcome: &mut Outcome) {
-        let news = self.build_news(Some(&to.id));
-        self.send(to.address, Message::Push(news), outcome);
+    pub(super) fn push_gossip(&mut self, to: &MemberRecord, outcome: &mut Outcome) {
+        let gossip = self.build_gossip(Some(&to.id));
+        self.send(to.address, Message::Push(gossip), outcome);
     }
 
     /// Pushes urgent updates to a few peers, with other updates as far as they fit.
@@ -196,7 +196,7 @@
             if !self.rumors.has_urgent() {
                 return;
             }
-            self.push_news(&peer, outcome);
+            self.push_gossip(&peer, outcome);
         }
     }
 
@@ -228,20 +228,20 @@
 
 /// A full record for a new daemon. Otherwise a brief update: the receiver knows the daemon, or the
 /// digest repairs it.
-fn member_news(record: &MemberRecord) -> MemberNews {
+fn member_update(record: &MemberRecord) -> MemberUpdate {
     if record.state == State::Alive && record.stamp.refutation == 0 {
-        MemberNews::Full(record.clone())
+        MemberUpdate::Full(record.clone())
     } else {
-        brief_news(record)
+        brief_update(record)
     }
 }
 
-fn brief_news(record: &MemberRecord) -> MemberNews {
+fn brief_update(record: &MemberRecord) -> MemberUpdate {
     let origin = OriginId {
         daemon: record.id.clone(),
         incarnation: record.stamp.incarnation,
     };
-    MemberNews::Brief {
+    MemberUpdate::Brief {
         origin: origin.tag(),
         refutation: record.stamp.refutation,
         state: record.state,
--- a/components/membership/src/membership/receive.rs
+++ b/components/membership/src/membership/receive.rs
@@ -5,7 +5,7 @@
 
 use super::{Event, Membership, Outcome};
 use crate::member::State;
-use crate::message::{MemberRecord, Message, News, Sender};
+use crate::message::{Gossip, MemberRecord, Message, Sender};
 
 /// Random members sent to a joining daemon when the repair budget is used up.
 const SHORT_PAGE_MEMBERS: usize = 6;
@@ -58,7 +58,7 @@
         }
         let known = self.members.get(&from.id).map(|m| m.record.stamp);
         let is_join = matches!(message, Message::Join(_));
-        // The sender was paused while a later run took over its name, so its news is outdated.
+        // The sender was paused while a later run took over its name, so its message is outdated.
         if !is_join && known.is_some_and(|known| known.incarnation > from.incarnation) {
             self.counters.stale += 1;
             self.send_successor(from, outcome);
@@ -79,19 +79,19 @@
         outcome: &mut Outcome,
     ) {
         match message {
-            Message::Probe { seq, news } => {
-                self.handle_news(now, from, news, rng, outcome);
-                let news = self.build_news(Some(&from.id));
-                self.send(from.address, Message::Ack { seq, news }, outcome);
+            Message::Probe { seq, gossip } => {
+                self.handle_gossip(now, from, gossip, rng, outcome);
+                let gossip = self.build_gossip(Some(&from.id));
+                self.send(from.address, Message::Ack { seq, gossip }, outcome);
             }
-            Message::Ack { seq, news } => {
-                self.handle_news(now, from, news, rng, outcome);
+            Message::Ack { seq, gossip } => {
+                self.handle_gossip(now, from, gossip, rng, outcome);
                 self.on_ack(seq, outcome);
             }
             Message::ProbeFor { seq, target } => {
                 self.on_probe_for(now, from, seq, &target, outcome)
             }
-            Message::Push(news) => self.handle_news(now, from, news, rng, outcome),
+            Message::Push(gossip) => self.handle_gossip(now, from, gossip, rng, outcome),
             Message::Join(record) => self.on_join(now, from, record, rng, outcome),
             Message::PageRequest(after) => self.send_page(from, Some(&after), outcome),
             Message::Page { members, next } => {
@@ -123,19 +123,19 @@
         }
     }
 
-    fn handle_news(
+    fn handle_gossip(
         &mut self,
         now: Time,
         from: &Sender,
-        news: News,
+        gossip: Gossip,
         rng: &mut impl Rng,
         outcome: &mut Outcome,
     ) {
-        self.apply_news(now, &news, rng, outcome);
-        if !news.attachment.is_empty() {
+        self.apply_gossip(now, &gossip, rng, outcome);
+        if !gossip.attachment.is_empty() {
             outcome.events.push(Event::Attachment {
                 from: from.id.clone(),
-                bytes: news.attachment,
+                bytes: gossip.attachment,
             });
         }
     }
@@ -148,14 +148,14 @@
         let known = self.members.get(&from.id).map(|member| &member.record);
         let suspected = known.filter(|record| record.state != State::Alive);
         if let Some(record) = suspected.filter(|_| !gets_reply).cloned() {
-            self.push_news(&record, outcome);
+            self.push_gossip(&record, outcome);
         }
     }
 
     fn on_ack(&mut self, seq: u32, outcome: &mut Outcome) {
         if let Some((requester, seq)) = self.prober.acknowledge(seq) {
-            let news = News::default();
-            self.send(requester, Message::Ack { seq, news }, outcome);
+            let gossip = Gossip::default();
+            self.send(requester, Message::Ack { seq, gossip }, outcome);
         }
     }
 
@@ -175,8 +175,8 @@
             .prober
             .add_relay(now, from.address, requester_seq, ends_at);
         if let Some(seq) = relay {
-            let news = self.build_news(Some(target));
-            self.send(to, Message::Probe { seq, news }, outcome);
+            let gossip = self.build_gossip(Some(target));
+            self.send(to, Message::Probe { seq, gossip }, outcome);
         }
     }
 
--- a/components/membership/src/membership/report.rs
+++ b/components/membership/src/membership/report.rs
@@ -6,7 +6,7 @@
 use super::publish::urgency_of;
 use super::{Event, Membership, Outcome};
 use crate::member::{Change, State};
-use crate::message::{FactGroup, MemberNews, MemberRecord, News, OriginFacts, SharedFact};
+use crate::message::{FactGroup, Gossip, MemberRecord, MemberUpdate, OriginFacts, SharedFact};
 use crate::origin::{FactUpdate, OriginId};
 use crate::rumor::{Subject, Urgency};
 
@@ -16,31 +16,31 @@
 const SUSPICION_BASE_FLEET: f64 = 10.0;
 
 impl Membership {
-    pub(super) fn apply_news(
+    pub(super) fn apply_gossip(
         &mut self,
         now: Time,
-        news: &News,
+        gossip: &Gossip,
         rng: &mut impl Rng,
         outcome: &mut Outcome,
     ) {
-        for member in &news.members {
-            self.apply_member_news(now, member, rng, outcome);
+        for update in &gossip.members {
+            self.apply_member_update(now, update, rng, outcome);
         }
-        for group in &news.facts {
+        for group in &gossip.facts {
             self.apply_fact_group(now, group, outcome);
         }
     }
 
-    fn apply_member_news(
+    fn apply_member_update(
         &mut self,
         now: Time,
-        news: &MemberNews,
+        update: &MemberUpdate,
         rng: &mut impl Rng,
         outcome: &mut Outcome,
     ) {
-        match news {
-            MemberNews::Full(record) => self.apply_report(now, record, rng, outcome),
-            MemberNews::Brief {
+        match update {
+            MemberUpdate::Full(record) => self.apply_report(now, record, rng, outcome),
+            MemberUpdate::Brief {
                 origin,
                 refutation,
                 state,
@@ -263,7 +263,7 @@
         now: Time,
         id: &OriginId,
         fact: &SharedFact,
-        gossip: bool,
+        forward: bool,
         outcome: &mut Outcome,
     ) {
         if *id == self.own_origin() {
@@ -275,7 +275,7 @@
             FactUpdate::New => {
                 self.counters.facts_new += 1;
                 let (urgency, times) = urgency_of(fact.topic);
-                if gossip || fact.topic.is_urgent() {
+                if forward || fact.topic.is_urgent() {
                     self.rumors.add(subject(), urgency, times);
                 }
                 outcome.events.push(Event::FactChanged {
--- a/components/membership/src/membership/tick.rs
+++ b/components/membership/src/membership/tick.rs
@@ -122,8 +122,8 @@
         let Some(to) = self.members.get(target).map(|m| m.record.address) else {
             return;
         };
-        let news = self.build_news(Some(target));
-        self.send(to, Message::Probe { seq, news }, outcome);
+        let gossip = self.build_gossip(Some(target));
+        self.send(to, Message::Probe { seq, gossip }, outcome);
     }
 
     /// Asks others to probe a target that did not answer, since only the path to it may have
@@ -159,7 +159,7 @@
         if record.state == State::Alive {
             record.state = State::Suspect;
             self.apply_report(now, &record, rng, outcome);
-            self.push_news(&record, outcome);
+            self.push_gossip(&record, outcome);
         }
     }
 
@@ -175,7 +175,7 @@
             return;
         }
         for peer in self.random_peers(1, None, rng) {
-            self.push_news(&peer, outcome);
+            self.push_gossip(&peer, outcome);
         }
     }
 
--- a/components/membership/src/message.rs
+++ b/components/membership/src/message.rs
@@ -44,14 +44,14 @@
         /// Sequence number, returned in the acknowledgement.
         seq: u32,
         /// Piggybacked gossip.
-        news: News,
+        gossip: Gossip,
     },
     /// Confirms that the sender is alive, or that the target of an indirect probe is.
     Ack {
         /// Sequence number of the probe.
         seq: u32,
         /// Piggybacked gossip.
-        news: News,
+        gossip: Gossip,
     },
     /// Asks the receiver to probe another daemon on the sender's behalf.
     ProbeFor {
@@ -61,7 +61,7 @@
         target: DaemonId,
     },
     /// Gossip only.
-    Push(News),
+    Push(Gossip),
     /// Announces a new daemon and asks for the members.
     Join(MemberRecord),
     /// Asks for the members whose name sorts after this one.
@@ -88,18 +88,18 @@
 
 /// Gossip carried on messages.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct Gossip {
     /// Bytes that the sender attaches to every message.
     pub attachment: Bytes,
     /// Changes of members.
-    pub members: Vec<MemberNews>,
+    pub members: Vec<MemberUpdate>,
     /// Changes of facts.
     pub facts: Vec<FactGroup>,
 }
 
 /// A change of a member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum MemberNews {
+pub enum MemberUpdate {
     /// Full record, for a member that the receiver may not know.
     Full(MemberRecord),
     /// Short form; ignored unless the receiver knows this incarnation of the member.
@@ -209,7 +209,7 @@
     }
 }
 
-impl MemberNews {
+impl MemberUpdate {
     /// Maximum encoded length in bytes.
     #[must_use]
     pub fn wire_len(&self) -> usize {
@@ -261,11 +261,15 @@
     }
 }
 
-impl News {
+impl Gossip {
     /// Maximum encoded length in bytes.
     #[must_use]
     pub fn wire_len(&self) -> usize {
-        let members = self.members.iter().map(MemberNews::wire_len).sum::<usize>();
+        let members = self
+            .members
+            .iter()
+            .map(MemberUpdate::wire_len)
+            .sum::<usize>();
         let facts = self.facts.iter().map(FactGroup::wire_len).sum::<usize>();
         text_len(self.attachment.len()) + 3 + members + 3 + facts
     }
@@ -288,9 +292,11 @@
     #[must_use]
     pub fn wire_len(&self) -> usize {
         1 + match self {
-            Self::Probe { news, .. } | Self::Ack { news, .. } => SMALL_INT_BYTES + news.wire_len(),
+            Self::Probe { gossip, .. } | Self::Ack { gossip, .. } => {
+                SMALL_INT_BYTES + gossip.wire_len()
+            }
             Self::ProbeFor { target, .. } => SMALL_INT_BYTES + text_len(target.as_str().len()),
-            Self::Push(news) => news.wire_len(),
+            Self::Push(gossip) => gossip.wire_len(),
             Self::Join(record) => record.wire_len(),
             Self::PageRequest(after) => text_len(after.as_str().len()),
             Self::Page { members, next } => {
@@ -315,8 +321,8 @@
     #[must_use]
     pub fn is_well_formed(&self) -> bool {
         match self {
-            Self::Probe { news, .. } | Self::Ack { news, .. } | Self::Push(news) => {
-                news.is_well_formed()
+            Self::Probe { gossip, .. } | Self::Ack { gossip, .. } | Self::Push(gossip) => {
+                gossip.is_well_formed()
             }
             Self::Repair { origins, .. } => {
                 let mut facts = origins.iter().flat_map(|origin| &origin.facts);
--- a/components/membership/tests/facts.rs
+++ b/components/membership/tests/facts.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use fleet::{Fleet, address, config};
 use membership::{
-    FactGroup, Membership, Message, News, OriginId, PublishError, Sender, State, Topic,
+    FactGroup, Gossip, Membership, Message, OriginId, PublishError, Sender, State, Topic,
 };
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -169,14 +169,14 @@
         incarnation: early.incarnation,
         address: early.address,
     };
-    let news = News {
+    let gossip = Gossip {
         attachment: Bytes::from_static(b"old"),
-        ..News::default()
+        ..Gossip::default()
     };
     let now = fleet.now;
     let mut rng = StdRng::seed_from_u64(8);
     let membership = &mut fleet.node(0).membership;
-    let outcome = membership.receive(now, &from, Message::Push(news), &mut rng);
+    let outcome = membership.receive(now, &from, Message::Push(gossip), &mut rng);
     assert!(outcome.events.is_empty());
     assert_eq!(membership.counters().stale, 1);
 }
@@ -206,17 +206,17 @@
         (12, "c"),
         (10, "a"),
     ] {
-        let news = News {
+        let gossip = Gossip {
             facts: vec![FactGroup {
                 topic: Topic::Engines,
                 key: Bytes::new(),
                 value: Bytes::from_static(value.as_bytes()),
                 origins: vec![(origin.tag(), seq)],
             }],
-            ..News::default()
+            ..Gossip::default()
         };
         let membership = &mut fleet.node(0).membership;
-        membership.receive(now, &from, Message::Push(news), &mut rng);
+        membership.receive(now, &from, Message::Push(gossip), &mut rng);
     }
     assert_eq!(values(&fleet.node(0).membership, Topic::Engines, 1), ["c"]);
 }
@@ -237,9 +237,9 @@
     });
     let refused = results.filter(|result| *result == Err(PublishError::TooMany(128)));
     assert_eq!(refused.count(), 72);
-    let news = News {
+    let gossip = Gossip {
         attachment: long,
-        ..News::default()
+        ..Gossip::default()
     };
     let me = config(1, 1);
     let from = Sender {
@@ -248,7 +248,7 @@
         address: address(1),
     };
     let mut rng = StdRng::seed_from_u64(6);
-    membership.receive(Time(1), &from, Message::Push(news), &mut rng);
+    membership.receive(Time(1), &from, Message::Push(gossip), &mut rng);
     assert_eq!(membership.counters().malformed, 1);
 }
 
