--- a/components/membership/src/membership/report.rs
+++ b/components/membership/src/membership/report.rs
@@ -73,7 +73,7 @@
         self.apply_record(now, record, rng, outcome);
     }
 
-    /// Applies a record as it is, without downgrading reports of a death.
+    /// Applies a record as it is, without downgrading a down report.
     pub(super) fn apply_record(
         &mut self,
         now: Time,
@@ -177,7 +177,7 @@
 
     /// Queues a member's record for gossip.
     ///
-    /// Deaths and refutations are short and must arrive before a suspicion expires, so they are
+    /// Down reports and refutations are short and must arrive before a suspicion expires, so they are
     /// sent more often than newly joined members, whose records are long and also spread by the
     /// digest.
     pub(super) fn queue_member(&mut self, id: DaemonId) {
@@ -209,7 +209,7 @@
     ///
     /// If it has this daemon's address or is gone, it is from an earlier run whose clock was
     /// ahead. If it is alive at another address, it is a second process with the same name: if
-    /// both raised their incarnation, they would outbid each other without end.
+    /// both raised their incarnation, each would raise it above the other's without end.
     fn handle_later_incarnation(&mut self, record: &MemberRecord, outcome: &mut Outcome) {
         let address = record.address;
         if address == self.me.address || !record.state.is_present() {
--- a/components/membership/tests/membership.rs
+++ b/components/membership/tests/membership.rs
@@ -86,11 +86,11 @@
     assert!(took.is_some());
     assert_eq!(fleet.count(resumed, is_down), 0);
     let third = config(3, 1);
-    let other_deaths = fleet.count(
+    let other_down_events = fleet.count(
         paused,
         |event| matches!(event, Event::MemberDown { id, .. } if *id != third.me),
     );
-    assert_eq!(other_deaths, 0);
+    assert_eq!(other_down_events, 0);
     let back = fleet.count(resumed, |event| {
         matches!(event, Event::MemberUp { id, incarnation }
             if *id == third.me && *incarnation == third.incarnation)
@@ -165,8 +165,8 @@
     assert_eq!(fleet.count(Time::ZERO, raised), 1);
 }
 
-// Two hosts are given the same name by mistake. They must not outbid each other's incarnation
-// without end and flood the fleet with updates; the operator is told of both.
+// Two hosts are given the same name by mistake. They must not raise their incarnations above
+// each other without end and flood the fleet with updates; the operator is told of both.
 #[test]
 fn can_tolerate_duplicate_names() {
     let mut fleet = Fleet::new(8, 11);
