--- a/components/membership/tests/facts.rs
+++ b/components/membership/tests/facts.rs
@@ -1,4 +1,4 @@
-//! Facts in fleets of daemons: spread, order, loss, deaths, bounds, bytes.
+//! Facts in simulated fleets: spread, ordering, loss, failed daemons, limits, bandwidth.
 
 #[path = "support/fleet.rs"]
 #[allow(dead_code, unreachable_pub)]
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use fleet::{Fleet, address, config};
 use membership::{
-    FactGroup, Membership, Message, News, OriginId, PublishError, Sender, State, Topic,
+    FactGroup, Gossip, Membership, Message, OriginId, PublishError, Sender, State, Topic,
 };
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -31,14 +31,14 @@
     facts.map(|fact| fact.value).collect()
 }
 
-/// Whether every running daemon holds just this of an origin.
+/// Whether every running daemon has exactly these values of an origin.
 fn all_hold(fleet: &Fleet, topic: Topic, origin: usize, value: &[&str]) -> bool {
-    let mut running = fleet.nodes.values().filter(|node| node.runs);
+    let mut running = fleet.nodes.values().filter(|node| node.is_running);
     running.all(|node| values(&node.membership, topic, origin) == value)
 }
 
-/// Whether no other daemon holds anything of an origin.
-fn all_without(fleet: &Fleet, origin: usize, topic: Topic) -> bool {
+/// Whether no other daemon has any fact of an origin on a topic.
+fn none_hold(fleet: &Fleet, origin: usize, topic: Topic) -> bool {
     let me = config(origin, 1).me;
     let mut others = fleet.nodes.values().map(|node| &node.membership);
     others.all(|other| other.me().id == me || values(other, topic, origin).is_empty())
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn can_spread_facts_with_loss() {
+fn can_spread_facts_despite_message_loss() {
     let mut fleet = Fleet::new(32, 1);
     fleet.run_for(secs(20));
     fleet.loss = 0.2;
@@ -65,8 +65,8 @@
     assert!(took.is_some());
 }
 
-// A version turns bad and one daemon suspends it. Until the others know they go on
-// sending it work. With a third of the messages lost 128 daemons must know in a second.
+// Guards against slow suspension of a bad version: daemons that do not know of it yet keep sending
+// it work. With a third of the messages lost, 128 daemons must know within a second.
 #[test]
 fn can_spread_urgent_facts_in_a_second() {
     for seed in 1..=3 {
@@ -80,17 +80,17 @@
     }
 }
 
-// Counts of ratings still count when the daemon that made them is gone, and reach a
-// daemon that starts later. Its demand does not count any more.
+// Counts of ratings must remain valid after their daemon is gone and reach a daemon that starts
+// later, while the demand of the failed daemon must be dropped.
 #[test]
-fn can_keep_cumulative_facts_of_the_dead() {
+fn can_keep_cumulative_facts_of_failed_daemons() {
     let mut fleet = Fleet::new(8, 2);
     fleet.run_for(secs(10));
     publish(&mut fleet, 3, Topic::Evidence, "counts");
     publish(&mut fleet, 3, Topic::Demand, "much");
     fleet.run_for(secs(10));
     assert!(all_hold(&fleet, Topic::Demand, 3, &["much"]));
-    fleet.node(3).runs = false;
+    fleet.node(3).is_running = false;
     fleet.run_for(secs(60));
     assert!(all_hold(&fleet, Topic::Evidence, 3, &["counts"]));
     assert!(all_hold(&fleet, Topic::Demand, 3, &[]));
@@ -99,10 +99,10 @@
     assert!(took.is_some());
 }
 
-// A daemon is restarted: what its earlier run counted still counts beside what the new
-// run says, and the earlier run's demand goes at once.
+// After a restart, the counts of the earlier run must remain valid beside those of the new run,
+// while the demand of the earlier run must be dropped at once.
 #[test]
-fn can_tell_runs_apart() {
+fn can_separate_facts_of_successive_runs() {
     let mut fleet = Fleet::new(8, 3);
     fleet.run_for(secs(10));
     publish(&mut fleet, 3, Topic::Evidence, "early");
@@ -117,46 +117,46 @@
     assert!(all_hold(&fleet, Topic::Demand, 3, &["late"]));
 }
 
-// A daemon is cut off for fifteen seconds and taken for dead. Its demand is kept meanwhile:
-// a false death must not reset the others' shares.
+// A daemon is partitioned for fifteen seconds and declared down. Its demand must be kept: a false
+// failure detection must not reset the others' shares.
 #[test]
-fn can_bear_a_false_death() {
+fn can_tolerate_a_false_failure_detection() {
     let mut fleet = Fleet::new(8, 4);
     fleet.run_for(secs(10));
     publish(&mut fleet, 3, Topic::Demand, "much");
     fleet.run_for(secs(10));
-    fleet.node(3).side = 1;
+    fleet.node(3).partition = 1;
     fleet.run_for(secs(15));
     let third = config(3, 1).me;
     let seen = fleet.node(0).membership.member(&third).unwrap();
     assert_eq!(seen.record.state, State::Down);
     assert!(all_hold(&fleet, Topic::Demand, 3, &["much"]));
-    fleet.node(3).side = 0;
+    fleet.node(3).partition = 0;
     let took = fleet.run_while(secs(30), |fleet| !fleet.agrees());
     assert!(took.is_some());
     assert!(all_hold(&fleet, Topic::Demand, 3, &["much"]));
 }
 
-// A daemon is cut off for minutes; its demand is dropped, then it is back. The others
-// must see its demand again at once, not when the digest comes round to it.
+// A daemon is partitioned for minutes, its demand is dropped, then it returns. The others must see
+// its demand again at once, not only when the digest reaches it.
 #[test]
-fn can_bring_facts_back_after_a_long_cut() {
+fn can_restore_facts_after_a_long_partition() {
     let mut fleet = Fleet::new(48, 9);
     fleet.run_for(secs(20));
     publish(&mut fleet, 3, Topic::Demand, "much");
     fleet.run_for(secs(10));
-    fleet.node(3).side = 1;
+    fleet.node(3).partition = 1;
     fleet.run_for(secs(120));
-    assert!(all_without(&fleet, 3, Topic::Demand));
-    fleet.node(3).side = 0;
+    assert!(none_hold(&fleet, 3, Topic::Demand));
+    fleet.node(3).partition = 0;
     let back = |fleet: &Fleet| !fleet.agrees();
     assert!(fleet.run_while(secs(60), back).is_some());
     let took = fleet.run_while(secs(6), |f| !all_hold(f, Topic::Demand, 3, &["much"]));
     assert!(took.is_some());
 }
 
-// A run of a daemon that was paused wakes after its successor took over its name. What
-// it still has to say is of the past: it must not pass for the successor's.
+// An earlier run that was paused resumes after its successor took over its name. Its outdated
+// messages must not be taken for the successor's.
 #[test]
 fn errors_on_messages_of_an_earlier_run() {
     let mut fleet = Fleet::new(4, 8);
@@ -169,21 +169,21 @@
         incarnation: early.incarnation,
         address: early.address,
     };
-    let news = News {
+    let gossip = Gossip {
         attachment: Bytes::from_static(b"old"),
-        ..News::default()
+        ..Gossip::default()
     };
     let now = fleet.now;
     let mut rng = StdRng::seed_from_u64(8);
     let membership = &mut fleet.node(0).membership;
-    let outcome = membership.receive(now, &from, Message::Push(news), &mut rng);
+    let outcome = membership.receive(now, &from, Message::Push(gossip), &mut rng);
     assert!(outcome.events.is_empty());
     assert_eq!(membership.counters().stale, 1);
 }
 
-// The same fact comes again, late and out of order, by several ways.
+// The same fact arrives repeatedly, late and out of order; the highest sequence number must win.
 #[test]
-fn can_take_facts_in_any_order() {
+fn can_merge_facts_in_any_order() {
     let mut fleet = Fleet::new(2, 5);
     fleet.run_for(secs(5));
     let me = fleet.node(1).membership.me().clone();
@@ -206,23 +206,23 @@
         (12, "c"),
         (10, "a"),
     ] {
-        let news = News {
+        let gossip = Gossip {
             facts: vec![FactGroup {
                 topic: Topic::Engines,
                 key: Bytes::new(),
                 value: Bytes::from_static(value.as_bytes()),
                 origins: vec![(origin.tag(), seq)],
             }],
-            ..News::default()
+            ..Gossip::default()
         };
         let membership = &mut fleet.node(0).membership;
-        membership.receive(now, &from, Message::Push(news), &mut rng);
+        membership.receive(now, &from, Message::Push(gossip), &mut rng);
     }
     assert_eq!(values(&fleet.node(0).membership, Topic::Engines, 1), ["c"]);
 }
 
 #[test]
-fn errors_on_facts_over_their_bounds() {
+fn errors_on_facts_over_their_limits() {
     let mut fleet = Fleet::new(2, 6);
     let membership = &mut fleet.node(0).membership;
     let long = Bytes::from(vec![0; 300]);
@@ -237,9 +237,9 @@
     });
     let refused = results.filter(|result| *result == Err(PublishError::TooMany(128)));
     assert_eq!(refused.count(), 72);
-    let news = News {
+    let gossip = Gossip {
         attachment: long,
-        ..News::default()
+        ..Gossip::default()
     };
     let me = config(1, 1);
     let from = Sender {
@@ -248,14 +248,14 @@
         address: address(1),
     };
     let mut rng = StdRng::seed_from_u64(6);
-    membership.receive(Time(1), &from, Message::Push(news), &mut rng);
+    membership.receive(Time(1), &from, Message::Push(gossip), &mut rng);
     assert_eq!(membership.counters().malformed, 1);
 }
 
-// Every daemon says something new every second, far more than the budget carries. The
-// bytes must stay within the budget and later values must still come through.
+// Every daemon publishes a new value each second, far more than the budget allows. The bandwidth
+// must stay within the budget, and later values must still arrive.
 #[test]
-fn can_keep_the_budget_under_a_flood() {
+fn can_stay_within_the_budget_under_load() {
     let mut fleet = Fleet::new(32, 7);
     fleet.measure = |message| {
         let length = encoded(message);
@@ -264,7 +264,7 @@
     };
     fleet.run_for(secs(10));
     let mut before = 0;
-    // The budgets' savings are used up before it counts.
+    // The accumulated budgets are used up before the bytes are counted.
     for round in 0..60 {
         if round == 40 {
             before = fleet.nodes.values().map(|node| node.bytes).sum::<u64>();
