--- a/components/requests/src/attempt.rs
+++ b/components/requests/src/attempt.rs
@@ -1,65 +1,66 @@
-//! What is known of an attempt once it has ended.
+//! How attempts end, and whether the upstream did any of the work.
 
 use types::prelude::*;
 
 /// How an attempt at an upstream ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// No byte of the work was written: no connection, or it closed before the first byte.
+    /// No byte of the request was written: there was no connection, or it closed before.
     NotSent,
-    /// The upstream's protocol says that the work was not begun.
+    /// The upstream refused the request and said, by its protocol, that it did not begin the work.
     RefusedNotRun {
-        /// When the upstream would take it.
+        /// Delay after which the upstream would accept the request, if it named one.
         retry_after: Option<Span>,
     },
-    /// A byte was written and no answer came.
+    /// At least one byte was written and no answer came.
     Unknown(Doubt),
-    /// The answer began and stopped without its end.
+    /// The answer began and stopped before its end.
     Truncated {
-        /// Tokens received since the request's first attempt, those resumed from included.
+        /// Tokens received over all attempts, including those that this one resumed from.
         received: Tokens,
-        /// Whether the caller has seen any byte of them.
+        /// Whether any byte of the answer was sent to the caller.
         shown: bool,
     },
-    /// The answer belongs to another attempt.
+    /// The answer received belongs to another attempt.
     Crossed,
-    /// An error without a word on whether the work was begun.
+    /// An error status that does not say whether the work was begun.
     UpstreamError(u16),
-    /// The whole answer.
+    /// The complete answer was received.
     Whole {
-        /// What it took.
+        /// Tokens used.
         usage: Usage,
-        /// Whether it is good enough; if not, a stronger version may be asked.
+        /// Whether the answer is good enough; if not, a stronger version may be asked.
         adequate: bool,
     },
-    /// The caller left and the attempt was cancelled.
+    /// The caller disconnected and the attempt was cancelled.
     CallerGone,
 }
 
-/// Why nothing is known of an attempt.
+/// Why the outcome of an attempt is unknown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Doubt {
     /// The connection was reset or closed.
     Reset,
-    /// No answer within the time allowed.
+    /// No answer came before the timeout.
     TimedOut,
 }
 
-/// Tokens that a whole answer took; nothing for plain services.
+/// Tokens used by a complete answer; zero for plain services.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Of the prompt.
+    /// Tokens of the prompt.
     pub input: Tokens,
-    /// Of the answer.
+    /// Tokens of the answer.
     pub output: Tokens,
 }
 
 impl AttemptEnd {
     /// Whether the upstream did any of the work.
     ///
-    /// A reset or timeout after a written byte is not "not run": the upstream may have read it
-    /// all and be at work. The same goes for an error status without the upstream's own word,
-    /// and for a foreign answer, which says nothing of our attempt.
+    /// A reset or timeout after the first written byte does not count as "not run": the upstream
+    /// may have read the whole request and be working on it. The same holds for an error status
+    /// that does not say "not run", and for the answer to another attempt, which tells nothing
+    /// about this one.
     #[must_use]
     pub fn run(&self) -> RunState {
         match self {
@@ -72,9 +73,9 @@
     }
 }
 
-/// The state of several attempts taken together.
+/// Combines the run states of two attempts: yes outweighs unknown, unknown outweighs no.
 #[must_use]
-pub fn worse_run(a: RunState, b: RunState) -> RunState {
+pub fn combine_run_states(a: RunState, b: RunState) -> RunState {
     match (a, b) {
         (RunState::Yes, _) | (_, RunState::Yes) => RunState::Yes,
         (RunState::Unknown, _) | (_, RunState::Unknown) => RunState::Unknown,
--- a/components/requests/src/budget.rs
+++ b/components/requests/src/budget.rs
@@ -1,44 +1,45 @@
-//! The retry budget of an entry: a token bucket that successes fill.
+//! Retry budget of an entry: a token bucket that successes refill.
 //!
-//! Guards against retry storms: when a pool fails, every request would be sent several times
-//! and the failing pool would get more traffic than a healthy one. With a budget, retries are
-//! at most [`RATIO`] of successes plus a small steady allowance, whatever fails.
+//! Guards against retry storms: without a budget, each request to a failing pool would be sent
+//! several times, and the pool would get more traffic than a healthy one. With it, the retries
+//! are at most [`RETRIES_PER_SUCCESS`] times the successes plus a small steady allowance,
+//! whatever fails.
 
 use types::prelude::*;
 
-/// Retries earned by one success.
-pub const RATIO: f64 = 0.2;
-/// Retries a second for entries with few successes.
-pub const STEADY: Rate = Rate(2.0);
-/// Most retries saved up.
-pub const MOST: f64 = 50.0;
+/// Retries added to the budget by each success.
+pub const RETRIES_PER_SUCCESS: f64 = 0.2;
+/// Retries per second added regardless of successes, for entries with little traffic.
+pub const STEADY_RETRY_RATE: Rate = Rate(2.0);
+/// Capacity of the budget, in retries.
+pub const MAX_SAVED_RETRIES: f64 = 50.0;
 
-/// Retries that an entry may still make.
+/// Retries that an entry may make.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RetryBudget {
     saved: f64,
-    filled_at: Time,
+    refilled_at: Time,
 }
 
 impl RetryBudget {
-    /// A full one.
+    /// Creates a full budget.
     #[must_use]
     pub fn new(now: Time) -> Self {
         Self {
-            saved: MOST,
-            filled_at: now,
+            saved: MAX_SAVED_RETRIES,
+            refilled_at: now,
         }
     }
 
-    /// Counts a whole answer.
-    pub fn succeed(&mut self) {
-        self.save(RATIO);
+    /// Adds the share of a retry that a complete answer earns.
+    pub fn record_success(&mut self) {
+        self.add(RETRIES_PER_SUCCESS);
     }
 
-    /// Takes one retry, if there is one.
+    /// Takes one retry from the budget; false if less than one is left.
     pub fn take(&mut self, now: Time) -> bool {
-        self.save(STEADY.over(now.since(self.filled_at)));
-        self.filled_at = self.filled_at.max(now);
+        self.add(STEADY_RETRY_RATE.over(now.since(self.refilled_at)));
+        self.refilled_at = self.refilled_at.max(now);
         let allowed = self.saved >= 1.0;
         if allowed {
             self.saved -= 1.0;
@@ -46,13 +47,13 @@
         allowed
     }
 
-    /// Retries saved up, for the dump.
+    /// Retries left in the budget, for the dump.
     #[must_use]
     pub fn saved(&self) -> f64 {
         self.saved
     }
 
-    fn save(&mut self, retries: f64) {
-        self.saved = (self.saved + retries).min(MOST);
+    fn add(&mut self, retries: f64) {
+        self.saved = (self.saved + retries).min(MAX_SAVED_RETRIES);
     }
 }
--- a/components/requests/src/lib.rs
+++ b/components/requests/src/lib.rs
@@ -1,10 +1,10 @@
 //! Life cycle of a request, its attempts and claims.
 //!
-//! A request is admitted, claimed when it may run only once, attempted, and ends answered,
-//! refused or unknown; what was answered is billed. Each state is a type, so that a request
-//! cannot be attempted without the claim that it needs, be billed twice, or be called "not run"
-//! after an attempt that may have run. What follows an attempt is decided from what is known
-//! of its end, see [`step`].
+//! A request is admitted, claimed if it may run at most once, and attempted. It ends answered,
+//! refused or with an unknown outcome; an answered request is billed. Each state is a type, so
+//! that a request cannot be attempted without the claim that it needs, be billed twice, or be
+//! reported as "not run" after an attempt that may have run. [`step`] decides what follows an
+//! attempt from how it ended.
 
 pub mod attempt;
 pub mod budget;
--- a/components/requests/src/life.rs
+++ b/components/requests/src/life.rs
@@ -1,31 +1,31 @@
 //! The states of a request as types.
 //!
-//! Moving a request to its next state takes it by value, so that each is left once: a request
-//! is answered or refused but not both, and billed at most once in a daemon. Across daemons
-//! the bill's id (customer and request) sees to that.
+//! Each transition takes the request by value, so a state is left only once: a request is
+//! answered or refused but not both, and a daemon bills it at most once. Across daemons, the
+//! bill's id (customer and request) prevents a second bill.
 
 use types::prelude::*;
 
 use crate::attempt::{AttemptEnd, Usage};
 use crate::budget::RetryBudget;
 use crate::claim::Held;
-use crate::refusal::{Code, NotRun, Refusal};
+use crate::refusal::{Code, NotRunProof, Refusal};
 use crate::step::{self, Progress, Retry, Step};
 
-/// What holds of a request from admission on.
+/// Properties of a request, fixed at its admission.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Facts {
-    /// Who asks.
+    /// Customer that sent the request.
     pub customer: CustomerId,
-    /// The request, unique for its customer within the retry window.
+    /// Request id, unique for the customer within the retry window.
     pub id: RequestId,
-    /// The offer or service asked for.
+    /// Offer or service that the request is for.
     pub entry: EntryName,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Whether a broken answer can be continued elsewhere.
+    /// Whether a truncated answer can be resumed by another attempt.
     pub resumable: bool,
-    /// An answer is of no use later.
+    /// Time after which an answer is of no use.
     pub deadline: Time,
 }
 
@@ -36,64 +36,64 @@
     state: S,
 }
 
-/// What a request carries through all of its states.
+/// Data that a request keeps in all of its states.
 #[derive(Debug)]
 struct Core {
     facts: Facts,
     progress: Progress,
-    held: Option<Held>,
+    claim: Option<Held>,
 }
 
-/// Read, not yet checked: nothing has left this daemon.
+/// State of a request that was read but not yet checked; nothing was sent upstream.
 #[derive(Debug)]
 pub struct Arrived(());
 
-/// May be served; nothing has left this daemon.
+/// State of a request that passed admission; nothing was sent upstream.
 #[derive(Debug)]
 pub struct Admitted(());
 
-/// Holds the claim that work which runs only once needs.
+/// State of a request with the claim that work which runs at most once needs.
 #[derive(Debug)]
 pub struct Claimed(());
 
-/// At one upstream, or two when hedged.
+/// State of a request in flight at one upstream, or at two when hedged.
 #[derive(Debug)]
 pub struct Attempted(());
 
-/// May go to an upstream, for the first time or again.
+/// State of a request that is ready for its first or next attempt.
 #[derive(Debug)]
 pub struct Waiting(());
 
-/// Has its whole answer.
+/// State of a request whose complete answer was received.
 #[derive(Debug)]
 pub struct Answered {
     usage: Usage,
 }
 
-/// Was refused.
+/// State of a request that was refused.
 #[derive(Debug)]
 pub struct Refused {
     refusal: Refusal,
 }
 
-/// May have run and will not run again.
+/// State of a request that may have run and must not be run again.
 #[derive(Debug)]
 pub struct Unknown(());
 
-/// Answered, and its bill is with the ledger.
+/// State of an answered request whose bill was made.
 #[derive(Debug)]
 pub struct Billed(());
 
-/// What a bill is made from. One bill for each customer and request, whoever makes it.
+/// Content of a bill. Each customer and request has one bill, whichever daemon makes it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BillFacts {
-    /// Who pays.
+    /// Customer that pays.
     pub customer: CustomerId,
-    /// For what.
+    /// Request that is billed.
     pub request: RequestId,
-    /// The offer or service.
+    /// Offer or service that was used.
     pub entry: EntryName,
-    /// What the answer took.
+    /// Tokens used by the answer.
     pub usage: Usage,
 }
 
@@ -104,25 +104,25 @@
 }
 
 impl Arrived {
-    /// A request that was just read from its caller.
+    /// Starts the life cycle of a request that was read from its caller.
     #[must_use]
     pub fn new() -> Self {
         Self(())
     }
 
-    /// Refuses it: true as "not run", since taking it by value leaves nothing to attempt.
+    /// Refuses the request as not run: taking it by value rules out any attempt.
     #[must_use]
     pub fn refuse(self, code: Code) -> Refusal {
-        Refusal::not_run(NotRun::proved(), code)
+        Refusal::not_run(NotRunProof::new(), code)
     }
 
-    /// Admits it.
+    /// Admits the request.
     #[must_use]
     pub fn admit(self, facts: Facts) -> Request<Admitted> {
         let core = Box::new(Core {
             facts,
             progress: Progress::default(),
-            held: None,
+            claim: None,
         });
         Request {
             core,
@@ -132,121 +132,121 @@
 }
 
 impl<S> Request<S> {
-    /// What holds of it.
+    /// Properties of the request.
     #[must_use]
     pub fn facts(&self) -> &Facts {
         &self.core.facts
     }
 
-    /// What its attempts have come to.
+    /// Combined result of the attempts so far.
     #[must_use]
     pub fn progress(&self) -> &Progress {
         &self.core.progress
     }
 
-    /// Time left, to be passed on with an attempt.
+    /// Time left until the deadline, to be sent with an attempt.
     #[must_use]
     pub fn time_left(&self, now: Time) -> Span {
         now.until(self.core.facts.deadline)
     }
 
-    fn turn<T>(self, state: T) -> Request<T> {
+    fn transition<T>(self, state: T) -> Request<T> {
         Request {
             core: self.core,
             state,
         }
     }
 
-    fn refused(self, code: Code) -> Request<Refused> {
+    fn into_refused(self, code: Code) -> Request<Refused> {
         let refusal = self.core.progress.refusal(code);
-        self.turn(Refused { refusal })
+        self.transition(Refused { refusal })
     }
 }
 
 impl Request<Admitted> {
-    /// Goes on with the claim made for it.
+    /// Attaches the claim that was made for the request.
     #[must_use]
-    pub fn claim(mut self, held: Held) -> Request<Claimed> {
-        self.core.held = Some(held);
-        self.turn(Claimed(()))
+    pub fn claim(mut self, claim: Held) -> Request<Claimed> {
+        self.core.claim = Some(claim);
+        self.transition(Claimed(()))
     }
 
-    /// Readies it for an upstream.
+    /// Makes an idempotent request ready for its first attempt.
     ///
     /// # Errors
-    /// Gives the request back when it is not idempotent: it needs a claim first.
+    /// Returns the request unchanged if it is not idempotent: it needs a claim first.
     pub fn ready(self) -> Result<Request<Waiting>, Self> {
         if self.core.facts.idempotent {
-            Ok(self.turn(Waiting(())))
+            Ok(self.transition(Waiting(())))
         } else {
             Err(self)
         }
     }
 
-    /// Refuses it as not run.
+    /// Refuses the request as not run.
     #[must_use]
     pub fn refuse(self, code: Code) -> Request<Refused> {
-        self.refused(code)
+        self.into_refused(code)
     }
 }
 
 impl Request<Claimed> {
-    /// Readies it for an upstream.
+    /// Makes the request ready for its first attempt.
     #[must_use]
     pub fn ready(self) -> Request<Waiting> {
-        self.turn(Waiting(()))
+        self.transition(Waiting(()))
     }
 
-    /// Refuses it as not run; the claim is to be released.
+    /// Refuses the request as not run; the caller must release the claim.
     #[must_use]
     pub fn refuse(self, code: Code) -> Request<Refused> {
-        self.refused(code)
+        self.into_refused(code)
     }
 }
 
 impl Request<Waiting> {
-    /// Goes to an upstream.
+    /// Begins an attempt at an upstream.
     #[must_use]
     pub fn attempt(mut self, upstream: UpstreamId) -> Request<Attempted> {
         self.core.progress.begin(upstream);
-        self.turn(Attempted(()))
+        self.transition(Attempted(()))
     }
 
-    /// Refuses it, saying "not run" only if no attempt ran.
+    /// Refuses the request; the refusal says "not run" only if no attempt can have run.
     #[must_use]
     pub fn refuse(self, code: Code) -> Request<Refused> {
-        self.refused(code)
+        self.into_refused(code)
     }
 
-    /// Answers with what an earlier attempt gave, when no stronger version could be had.
+    /// Answers with the result of an earlier attempt, if no stronger version was available.
     #[must_use]
     pub fn answer(self, usage: Usage) -> Request<Answered> {
-        self.turn(Answered { usage })
+        self.transition(Answered { usage })
     }
 }
 
-/// A request after an attempt.
+/// What follows the end of an attempt.
 #[derive(Debug)]
 pub enum Next {
-    /// The other attempt of a hedged pair is still under way.
+    /// The other attempt of a hedged pair is still in flight.
     Open(Request<Attempted>),
-    /// Try again.
+    /// Begin another attempt.
     Retry(Request<Waiting>, Retry),
-    /// Ask a stronger version.
+    /// Begin an attempt at a stronger version.
     Escalate(Request<Waiting>),
-    /// Answer.
+    /// Send the answer to the caller.
     Answered(Request<Answered>),
-    /// Refuse.
+    /// Send a refusal to the caller.
     Refused(Request<Refused>),
-    /// Say that the outcome is unknown.
+    /// Tell the caller that the outcome is unknown.
     Unknown(Request<Unknown>),
 }
 
 impl Request<Attempted> {
-    /// Adds a second attempt beside the first, if that is allowed.
+    /// Begins a second attempt beside the first, if hedging is allowed.
     ///
     /// # Errors
-    /// Gives the request back when it may not be hedged.
+    /// Returns the request unchanged if it may not be hedged.
     pub fn hedge(
         mut self,
         upstream: UpstreamId,
@@ -260,16 +260,16 @@
         Ok(self)
     }
 
-    /// Notes that the caller has seen a byte of the answer.
+    /// Records that a byte of the answer was sent to the caller.
     pub fn show(&mut self) {
         self.core.progress.shown = true;
     }
 
-    /// Stops an attempt that is to go on later from the tokens that the caller has, on another
-    /// upstream or the same. It costs no retry: nothing failed.
+    /// Interrupts an attempt, to resume later after the tokens received so far, at the same or
+    /// another upstream. This takes nothing from the retry budget, because nothing failed.
     ///
     /// # Errors
-    /// Gives the request back when its work may not be repeated or resumed.
+    /// Returns the request unchanged if its work may not be repeated or resumed.
     pub fn pause(
         mut self,
         upstream: &UpstreamId,
@@ -281,10 +281,10 @@
         let shown = self.core.progress.shown;
         let end = AttemptEnd::Truncated { received, shown };
         self.core.progress.end(upstream, &end);
-        Ok(self.turn(Waiting(())))
+        Ok(self.transition(Waiting(())))
     }
 
-    /// Takes the end of an attempt and goes on.
+    /// Records the end of an attempt and decides what follows.
     #[must_use]
     pub fn end(
         mut self,
@@ -296,29 +296,29 @@
         self.core.progress.end(upstream, end);
         let is_whole = matches!(end, AttemptEnd::Whole { .. });
         if is_whole {
-            budget.succeed();
+            budget.record_success();
         }
         if !self.core.progress.open.is_empty() && !is_whole {
             return Next::Open(self);
         }
         match step::next_step(&self.core.facts, &self.core.progress, end, now, budget) {
-            Step::Retry(retry) => Next::Retry(self.turn(Waiting(())), retry),
-            Step::Escalate => Next::Escalate(self.turn(Waiting(()))),
-            Step::Answer(usage) => Next::Answered(self.turn(Answered { usage })),
-            Step::Refuse(refusal) => Next::Refused(self.turn(Refused { refusal })),
-            Step::Unknown => Next::Unknown(self.turn(Unknown(()))),
+            Step::Retry(retry) => Next::Retry(self.transition(Waiting(())), retry),
+            Step::Escalate => Next::Escalate(self.transition(Waiting(()))),
+            Step::Answer(usage) => Next::Answered(self.transition(Answered { usage })),
+            Step::Refuse(refusal) => Next::Refused(self.transition(Refused { refusal })),
+            Step::Unknown => Next::Unknown(self.transition(Unknown(()))),
         }
     }
 }
 
 impl Request<Answered> {
-    /// What the answer took.
+    /// Tokens used by the answer.
     #[must_use]
     pub fn usage(&self) -> Usage {
         self.state.usage
     }
 
-    /// Makes its bill, once; the claim's outcome is to be recorded.
+    /// Makes the request's only bill; the caller must then record the outcome in the claim.
     #[must_use]
     pub fn bill(self) -> (Request<Billed>, BillFacts) {
         let bill = BillFacts {
@@ -327,36 +327,36 @@
             entry: self.core.facts.entry.clone(),
             usage: self.state.usage,
         };
-        (self.turn(Billed(())), bill)
+        (self.transition(Billed(())), bill)
     }
 }
 
 impl Request<Billed> {
-    /// The claim, to record the outcome with.
+    /// Returns the claim, if there is one, for recording the outcome in it.
     #[must_use]
     pub fn into_claim(self) -> Option<Held> {
-        self.core.held
+        self.core.claim
     }
 }
 
 impl Request<Refused> {
-    /// What the caller is told.
+    /// Refusal to send to the caller.
     #[must_use]
     pub fn refusal(&self) -> Refusal {
         self.state.refusal
     }
 
-    /// The claim to release: only when the work was certainly not run. A claim on work that
-    /// may have run stays until it lapses.
+    /// Returns the claim to release, only if the work certainly did not run. The claim of work
+    /// that may have run is kept until its lease expires.
     #[must_use]
     pub fn into_claim_to_release(self) -> Option<Held> {
         let is_not_run = self.core.progress.run() == RunState::No;
-        self.core.held.filter(|_| is_not_run)
+        self.core.claim.filter(|_| is_not_run)
     }
 }
 
 impl Request<Unknown> {
-    /// What the caller is told.
+    /// Refusal to send to the caller, which says that the outcome is unknown.
     #[must_use]
     pub fn refusal(&self) -> Refusal {
         self.core.progress.refusal(Code::OutcomeUnknown)
--- a/components/requests/src/refusal.rs
+++ b/components/requests/src/refusal.rs
@@ -1,19 +1,19 @@
-//! Refusals, and the evidence that one which says "not run" needs.
+//! Refusals, and the proof that a refusal which says "not run" needs.
 
 use std::fmt;
 
 use types::prelude::*;
 
-/// Proof that no byte of a request's work reached an upstream, or that each upstream it
-/// reached said it had not begun.
+/// Proof that no byte of a request reached an upstream, or that each upstream it reached said
+/// that it did not begin the work.
 ///
 /// Guards against a false "not run", after which a caller would repeat a booking that was
-/// made: only [`crate::life::Request`] makes one, from the ends of all of its attempts.
+/// made. Only [`crate::life::Request`] creates one, from the ends of all of its attempts.
 #[derive(Debug)]
-pub struct NotRun(());
+pub struct NotRunProof(());
 
-impl NotRun {
-    pub(crate) fn proved() -> Self {
+impl NotRunProof {
+    pub(crate) fn new() -> Self {
         Self(())
     }
 }
@@ -21,43 +21,43 @@
 /// Why a request was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Code {
-    /// The request itself is wrong.
+    /// The request is malformed.
     Invalid,
-    /// Nobody known asks.
+    /// The caller's credentials are missing or unknown.
     Unauthorized,
-    /// The customer may not have it.
+    /// The customer is not permitted to use the entry.
     NotPermitted,
-    /// Nothing of that name is offered.
+    /// There is no entry of the requested name.
     NotFound,
-    /// A limit of the customer or entry is reached.
+    /// A limit of the customer or entry was reached.
     Limited,
-    /// Too much work is waiting.
+    /// Too many requests are waiting.
     Overloaded,
-    /// The catalogue may be out of date, and the entry says to refuse then.
+    /// The catalogue may be out of date, and the entry asks to refuse in that case.
     Stale,
-    /// No upstream can take it.
+    /// No upstream can take the request.
     NoUpstream,
-    /// Upstreams ended under the same request.
+    /// The same request crashed upstreams and is quarantined.
     Barred,
-    /// It cannot be done in time.
+    /// The request cannot be completed before its deadline.
     DeadlinePassed,
-    /// The claim that it needs cannot be made.
+    /// The claim that the request needs cannot be made.
     ClaimUnavailable,
-    /// The bill could not be kept safe.
+    /// The ledger has no room for the bill.
     LedgerFull,
-    /// Attempts failed and no more are allowed.
+    /// Attempts failed and no further one is allowed.
     AttemptsFailed,
-    /// An upstream answered with this error status.
+    /// An upstream answered with this HTTP error status.
     UpstreamStatus(u16),
-    /// The answer broke off after the caller had seen a part.
+    /// The answer was truncated after a part of it was sent to the caller.
     StreamCut,
-    /// It may have run and must not run again.
+    /// The request may have run and must not be run again.
     OutcomeUnknown,
-    /// It ran under the same id earlier; its answer was too large to keep.
+    /// The request ran earlier under the same id, and its answer was too large to record.
     AnswerNotKept,
-    /// The same id is in use for another request.
+    /// The same id was used for a different request.
     IdReused,
-    /// The caller left.
+    /// The caller disconnected.
     CallerGone,
     /// The daemon is shutting down.
     ShuttingDown,
@@ -90,7 +90,7 @@
     }
 }
 
-/// What a caller is told instead of an answer.
+/// What the caller is told instead of an answer: reason, run state and retry delay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
     run: RunState,
@@ -99,9 +99,9 @@
 }
 
 impl Refusal {
-    /// One that says "not run".
+    /// Creates a refusal that says "not run".
     #[must_use]
-    pub fn not_run(_evidence: NotRun, code: Code) -> Self {
+    pub fn not_run(_proof: NotRunProof, code: Code) -> Self {
         Self {
             run: RunState::No,
             code,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// One of a request that may have run.
+    /// Creates the refusal of a request that may have run.
     #[must_use]
     pub fn unknown(code: Code) -> Self {
         Self {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// One of a request that ran, wholly or in part.
+    /// Creates the refusal of a request that ran, wholly or in part.
     #[must_use]
     pub fn ran(code: Code) -> Self {
         Self {
@@ -129,7 +129,7 @@
         }
     }
 
-    /// With a time after which a repeat is worth while.
+    /// Sets the delay after which a repeat is worthwhile.
     #[must_use]
     pub fn with_retry_after(self, span: Option<Span>) -> Self {
         Self {
@@ -138,19 +138,19 @@
         }
     }
 
-    /// Whether any of the work was done.
+    /// Whether an upstream did any of the work.
     #[must_use]
     pub fn run(&self) -> RunState {
         self.run
     }
 
-    /// Why.
+    /// Reason for the refusal.
     #[must_use]
     pub fn code(&self) -> Code {
         self.code
     }
 
-    /// When a repeat is worth while.
+    /// Delay after which a repeat is worthwhile.
     #[must_use]
     pub fn retry_after(&self) -> Option<Span> {
         self.retry_after
--- a/components/requests/src/step.rs
+++ b/components/requests/src/step.rs
@@ -1,22 +1,22 @@
-//! What follows an attempt.
+//! Decides what follows an attempt.
 //!
-//! Decided from what is known of all attempts so far, never from a guess: an attempt that may
-//! have run is repeated only when the request is idempotent, and an answer that the caller has
-//! begun to see is only ever continued, never begun anew.
+//! The decision uses the ends of all attempts so far: a request that may have run is attempted
+//! again only if it is idempotent, and an answer that was partly sent to the caller can only be
+//! resumed, never restarted.
 
 use types::prelude::*;
 
-use crate::attempt::{AttemptEnd, Usage, worse_run};
+use crate::attempt::{AttemptEnd, Usage, combine_run_states};
 use crate::budget::RetryBudget;
 use crate::life::Facts;
-use crate::refusal::{Code, NotRun, Refusal};
+use crate::refusal::{Code, NotRunProof, Refusal};
 
-/// Most attempts at one request, resumptions and escalations included.
+/// Most attempts at one request, including resumptions and escalations.
 pub const MAX_ATTEMPTS: usize = 5;
-/// An attempt that has less time than this is not begun.
-pub const LEAST_TIME: Span = Span::from_millis(5);
+/// Shortest time before the deadline in which an attempt is still begun.
+pub const MIN_ATTEMPT_TIME: Span = Span::from_millis(5);
 
-/// What the attempts at a request have come to.
+/// Combined result of the attempts at a request.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Progress {
     pub(crate) tried: Vec<UpstreamId>,
@@ -25,48 +25,50 @@
     pub(crate) run: Option<RunState>,
     pub(crate) received: Tokens,
     pub(crate) shown: bool,
-    pub(crate) at_hand: Option<Usage>,
+    pub(crate) answer_usage: Option<Usage>,
 }
 
 impl Progress {
-    /// Whether any of the work was done, as far as is known; an open attempt may have.
+    /// Whether an upstream did any of the work, as far as is known; an open attempt counts as
+    /// unknown.
     #[must_use]
     pub fn run(&self) -> RunState {
         let ended = self.run.unwrap_or(RunState::No);
         if self.open.is_empty() {
             ended
         } else {
-            worse_run(ended, RunState::Unknown)
+            combine_run_states(ended, RunState::Unknown)
         }
     }
 
-    /// Attempts made.
+    /// Number of attempts begun.
     #[must_use]
     pub fn attempts(&self) -> usize {
         self.tried.len()
     }
 
-    /// Upstreams that failed, latest last.
+    /// Upstreams whose attempts failed, latest last.
     #[must_use]
     pub fn failed(&self) -> &[UpstreamId] {
         &self.failed
     }
 
-    /// Whether the caller has seen a byte of the answer.
+    /// Whether any byte of the answer was sent to the caller.
     #[must_use]
     pub fn shown(&self) -> bool {
         self.shown
     }
 
-    /// The only source of proof that nothing ran.
-    pub(crate) fn not_run(&self) -> Option<NotRun> {
-        (self.run() == RunState::No).then(NotRun::proved)
+    /// Returns the proof that no attempt ran, or `None` if one may have run. Apart from requests
+    /// refused before admission, nothing else creates this proof.
+    pub(crate) fn not_run_proof(&self) -> Option<NotRunProof> {
+        (self.run() == RunState::No).then(NotRunProof::new)
     }
 
-    /// A refusal that says as much about the work as is known.
+    /// Creates a refusal with the run state known so far.
     pub(crate) fn refusal(&self, code: Code) -> Refusal {
-        match (self.not_run(), self.run()) {
-            (Some(evidence), _) => Refusal::not_run(evidence, code),
+        match (self.not_run_proof(), self.run()) {
+            (Some(proof), _) => Refusal::not_run(proof, code),
             (None, RunState::Yes) => Refusal::ran(code),
             (None, _) => Refusal::unknown(code),
         }
@@ -81,44 +83,45 @@
         if let Some(index) = self.open.iter().position(|open| open == upstream) {
             self.open.swap_remove(index);
         }
-        let so_far = self.run.unwrap_or(RunState::No);
-        self.run = Some(worse_run(so_far, end.run()));
+        let earlier = self.run.unwrap_or(RunState::No);
+        self.run = Some(combine_run_states(earlier, end.run()));
         if let AttemptEnd::Truncated { received, shown } = end {
             self.received = self.received.max(*received);
             self.shown |= shown;
         }
         match end {
-            AttemptEnd::Whole { usage, .. } => self.at_hand = Some(*usage),
+            AttemptEnd::Whole { usage, .. } => self.answer_usage = Some(*usage),
             _ => self.failed.push(upstream.clone()),
         }
     }
 }
 
-/// What to do next.
+/// What to do after an attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Step {
-    /// Try again.
+    /// Begin another attempt.
     Retry(Retry),
-    /// Ask a stronger version; the answer at hand serves if none can be had.
+    /// Ask a stronger version; the answer already received is sent if none is available.
     Escalate,
-    /// Give the caller the answer.
+    /// Send the complete answer to the caller.
     Answer(Usage),
-    /// Tell the caller no.
+    /// Send a refusal to the caller.
     Refuse(Refusal),
-    /// Tell the caller that the outcome is unknown; never run it again.
+    /// Tell the caller that the outcome is unknown; the request must not run again.
     Unknown,
 }
 
-/// How to try again.
+/// How to make the next attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Retry {
-    /// Upstreams that failed; not these if another can be had.
+    /// Upstreams that failed, to be used only if no other is available.
     pub avoid: Vec<UpstreamId>,
-    /// Continue a broken answer after these tokens, on the same version; else begin anew.
+    /// Number of tokens after which to resume a truncated answer, on the same version; the
+    /// answer starts from the beginning if there is none.
     pub resume_from: Option<Tokens>,
 }
 
-/// Decides what follows an attempt whose end is already counted in `progress`.
+/// Decides what follows an attempt whose end is already recorded in `progress`.
 #[must_use]
 pub fn next_step(
     facts: &Facts,
@@ -129,34 +132,35 @@
 ) -> Step {
     let step = match end {
         AttemptEnd::Whole { usage, adequate } => {
-            after_whole(facts, progress, *usage, *adequate, now)
+            after_complete_answer(facts, progress, *usage, *adequate, now)
         }
         AttemptEnd::CallerGone => return Step::Refuse(progress.refusal(Code::CallerGone)),
-        AttemptEnd::UpstreamError(status) if is_final(*status) => {
+        AttemptEnd::UpstreamError(status) if is_permanent(*status) => {
             Step::Refuse(progress.refusal(Code::UpstreamStatus(*status)))
         }
         _ => after_failure(facts, progress, end, now, budget),
     };
-    // An escalation that failed leaves the weaker version's answer, which is whole.
-    match (step, progress.at_hand) {
+    // After a failed escalation the weaker version's answer is still complete and usable.
+    match (step, progress.answer_usage) {
         (Step::Refuse(_), Some(usage)) => Step::Answer(usage),
         (step, _) => step,
     }
 }
 
-/// An error that another upstream would give as well.
-fn is_final(status: u16) -> bool {
+/// Whether another upstream would answer with the same error.
+fn is_permanent(status: u16) -> bool {
     (400..500).contains(&status) && !matches!(status, 408 | 425 | 429)
 }
 
-fn after_whole(
+fn after_complete_answer(
     facts: &Facts,
     progress: &Progress,
     usage: Usage,
     adequate: bool,
     now: Time,
 ) -> Step {
-    let may_escalate = facts.idempotent && !progress.shown && has_room(facts, progress, now);
+    let may_escalate =
+        facts.idempotent && !progress.shown && may_begin_attempt(facts, progress, now);
     if adequate || !may_escalate {
         Step::Answer(usage)
     } else {
@@ -171,20 +175,20 @@
     now: Time,
     budget: &mut RetryBudget,
 ) -> Step {
-    // Guards against a booking made twice: after a reset the first upstream may have run it
-    // all, so a second run anywhere could double it. Only proof of "not run" allows another.
+    // Guards against a booking made twice: after a reset the first upstream may have run the
+    // request, and a second attempt would run it again. Only proof of "not run" allows one.
     if !facts.idempotent && progress.run() != RunState::No {
         return Step::Unknown;
     }
     let resume = facts.resumable && (progress.shown || progress.received > Tokens(0));
-    // Guards against a spliced answer: bytes of a second answer after those of the first.
+    // Guards against a mixed answer: bytes of a second answer sent after those of the first.
     if progress.shown && !resume {
         return Step::Refuse(progress.refusal(Code::StreamCut));
     }
-    if now.until(facts.deadline) < LEAST_TIME {
+    if now.until(facts.deadline) < MIN_ATTEMPT_TIME {
         return Step::Refuse(progress.refusal(Code::DeadlinePassed));
     }
-    if progress.attempts() >= MAX_ATTEMPTS || !is_paid(end, now, budget) {
+    if progress.attempts() >= MAX_ATTEMPTS || !budget_allows_retry(end, now, budget) {
         let refusal = progress.refusal(Code::AttemptsFailed);
         return Step::Refuse(refusal.with_retry_after(Some(retry_after(end))));
     }
@@ -194,45 +198,46 @@
     })
 }
 
-/// An attempt that never reached an upstream has cost the pool nothing and draws on no budget.
-fn is_paid(end: &AttemptEnd, now: Time, budget: &mut RetryBudget) -> bool {
+/// Whether the budget allows a retry. A retry after an attempt that never reached an upstream
+/// takes nothing from the budget, because that attempt put no load on the pool.
+fn budget_allows_retry(end: &AttemptEnd, now: Time, budget: &mut RetryBudget) -> bool {
     *end == AttemptEnd::NotSent || budget.take(now)
 }
 
 fn retry_after(end: &AttemptEnd) -> Span {
-    const DEFAULT: Span = Span::from_secs(1);
+    const DEFAULT_RETRY_AFTER: Span = Span::from_secs(1);
     match end {
-        AttemptEnd::RefusedNotRun { retry_after } => retry_after.unwrap_or(DEFAULT),
-        _ => DEFAULT,
+        AttemptEnd::RefusedNotRun { retry_after } => retry_after.unwrap_or(DEFAULT_RETRY_AFTER),
+        _ => DEFAULT_RETRY_AFTER,
     }
 }
 
-fn has_room(facts: &Facts, progress: &Progress, now: Time) -> bool {
-    progress.attempts() < MAX_ATTEMPTS && now.until(facts.deadline) >= LEAST_TIME
+fn may_begin_attempt(facts: &Facts, progress: &Progress, now: Time) -> bool {
+    progress.attempts() < MAX_ATTEMPTS && now.until(facts.deadline) >= MIN_ATTEMPT_TIME
 }
 
-/// Whether a second attempt may run beside the first: idempotent work only, before the caller
-/// has seen anything, once a request, and paid from the retry budget.
+/// Whether a second attempt may run beside the first: only for idempotent work, before any of
+/// the answer was sent to the caller, once per request, and if the retry budget allows it.
 #[must_use]
 pub fn may_hedge(facts: &Facts, progress: &Progress, now: Time, budget: &mut RetryBudget) -> bool {
     facts.idempotent
         && !progress.shown
         && progress.open.len() == 1
         && progress.attempts() == 1
-        && has_room(facts, progress, now)
+        && may_begin_attempt(facts, progress, now)
         && budget.take(now)
 }
 
-/// What to do when the caller leaves.
+/// What to do with an attempt when the caller disconnects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OnCallerGone {
-    /// Cancel the attempt: nobody wants the answer.
+    /// Cancel the attempt: nobody waits for the answer.
     Cancel,
-    /// Let it end and record the outcome, which the caller's repeat will ask for.
+    /// Let the attempt finish and record its outcome, for a repeat of the request.
     Finish,
 }
 
-/// Decides it: work that may run only once is not cut off half way.
+/// Decides what to do when the caller disconnects: work that may run at most once is finished.
 #[must_use]
 pub fn on_caller_gone(facts: &Facts) -> OnCallerGone {
     if facts.idempotent {
--- a/components/requests/tests/life.rs
+++ b/components/requests/tests/life.rs
@@ -1,7 +1,7 @@
 //! Life cycle, retry rules and the truth of "not run".
 
 use requests::attempt::{AttemptEnd, Doubt, Usage};
-use requests::budget::{MOST, RetryBudget};
+use requests::budget::{MAX_SAVED_RETRIES, RetryBudget};
 use requests::life::{Arrived, Attempted, Facts, Next, Request, Waiting};
 use requests::refusal::Code;
 use requests::step::MAX_ATTEMPTS;
@@ -157,7 +157,7 @@
         .map(|_| first(facts(true, false)).end(&upstream(1), &reset, NOW, &mut budget))
         .filter(|next| matches!(next, Next::Retry(..)))
         .count();
-    assert_eq!(retries, MOST as usize);
+    assert_eq!(retries, MAX_SAVED_RETRIES as usize);
 }
 
 #[test]
