--- a/components/requests/src/claim.rs
+++ b/components/requests/src/claim.rs
@@ -1,14 +1,16 @@
-//! At most once across daemons: a durable claim in the key-value service.
+//! Claims: durable marks in the key-value store that let a request run at most once.
 //!
-//! A request that is not idempotent is claimed under `claims/CUSTOMER/REQUEST` before its first
-//! byte leaves. The claim is a write that succeeds only if the key is absent, so of all daemons,
-//! repeats and restarts one gets it. It carries a nonce, which tells the daemon's own write from
-//! another's when a reply is lost. Once the outcome is known it is recorded in the claim, so that
-//! a repeat gets the same answer; a repeat that finds none recorded is told "outcome unknown".
+//! A request that is not idempotent is claimed under `claims/CUSTOMER/REQUEST` before the first
+//! byte is sent to an upstream. The claim is a write that succeeds only if the key is absent, so
+//! of all daemons, repeats and restarts only one gets it. It carries a nonce, by which a daemon
+//! recognizes its own write after a lost reply. Once the outcome is known, it is recorded in the
+//! claim, and a repeat gets the same answer; a repeat that finds no recorded outcome is told
+//! "outcome unknown".
 //!
-//! The machines here return [`keyvalue::Request`]s and take [`keyvalue::Outcome`]s:
-//! [`Claim`] makes a claim, [`Settle`] records its outcome or releases it, [`LeaseSlots`] keeps
-//! the lease that claims go with, and [`Batcher`] packs many of their calls into one.
+//! The types here are state machines without I/O: they return [`keyvalue::Request`]s and take
+//! [`keyvalue::Outcome`]s. [`Claim`] makes a claim, [`Settle`] records its outcome or releases
+//! it, [`LeaseSlots`] obtains the lease that claims are written with, and [`Batcher`] packs many
+//! of their calls into one.
 
 mod batch;
 mod lease;
@@ -27,42 +29,43 @@
 };
 use types::prelude::*;
 
-/// Calls made for one claim before it is given up.
+/// Most store calls made for one claim or settlement before it is given up.
 pub const MAX_CALLS: u32 = 6;
 
-/// The key of a request's claim below `prefix`, such as `/buckthorncross/main/claims/`.
+/// Returns the key of a request's claim below `prefix`, such as `/buckthorncross/main/claims/`.
 ///
-/// Guards against two requests sharing a key: names may hold `/`, so that customer `a/b` with
-/// request `c` would meet customer `a` with request `b/c`. The customer's are escaped.
+/// Guards against two requests sharing a key: names may contain `/`, so customer `a/b` with
+/// request `c` would collide with customer `a` with request `b/c`. Each `/` in the customer's
+/// name is escaped.
 #[must_use]
 pub fn claim_key(prefix: &str, customer: &CustomerId, id: &RequestId) -> String {
     let customer = customer.as_str().replace('/', "%2F");
     format!("{prefix}{customer}/{id}")
 }
 
-/// What a claim is made with.
+/// Parameters of a claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimSpec {
-    /// See [`claim_key`].
+    /// Key in the store, see [`claim_key`].
     pub key: String,
-    /// Unique for this daemon's run and attempt at the request.
+    /// Nonce, unique for this claim among all claims of all daemons.
     pub nonce: Nonce,
-    /// Hash of what is asked; a repeat has the same.
+    /// Hash of the request's content; a repeat has the same.
     pub fingerprint: u64,
-    /// What the key goes with.
+    /// Lease that the key is written with; the key is deleted when it expires.
     pub lease: ClaimLease,
-    /// Given up then.
+    /// Time after which the claim is given up.
     pub deadline: Time,
 }
 
-/// A claim in the making.
+/// State machine that makes a claim.
 #[derive(Debug, Clone)]
 pub struct Claim {
     spec: ClaimSpec,
-    over: ModRevision,
+    expected_revision: ModRevision,
     phase: Phase,
     calls: u32,
-    in_doubt: bool,
+    may_be_written: bool,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -71,7 +74,8 @@
     Reading,
 }
 
-/// A claim that this daemon holds. Not copied: it is settled once.
+/// A claim that this daemon holds, or may hold after an unanswered write. Not `Clone`, because
+/// it is settled once.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Held {
     pub(crate) key: String,
@@ -81,60 +85,61 @@
     pub(crate) revision: Option<ModRevision>,
 }
 
-/// What another's claim says of the request.
+/// What an existing claim by another call says about the request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Standing {
-    /// It ran; answer so again.
+    /// The request ran; its recorded answer is to be sent again.
     Recorded(Recorded),
-    /// It may be running or have run.
+    /// The request may be running or have run.
     Open,
-    /// The same id was used for something else.
+    /// The same id was used for a request with other content.
     Reused,
 }
 
-/// What follows a call.
+/// What follows a store call of a [`Claim`].
 #[derive(Debug)]
 pub enum ClaimStep {
-    /// Make this call.
+    /// Make this store call.
     Call(keyvalue::Request),
-    /// The claim is this daemon's: run the request.
+    /// This daemon has the claim: run the request.
     Mine(Held),
-    /// The claim is another's: do not run it.
+    /// Another call has the claim: do not run the request.
     Duplicate(Standing),
-    /// No claim could be made: refuse as not run. A write still in doubt is to be released,
-    /// or the caller's repeat would be told "outcome unknown" when it lands.
+    /// The claim could not be made: refuse the request as not run. A write that may still take
+    /// effect is given, to be released: if it took effect later, the caller's repeat would be
+    /// told "outcome unknown".
     Unavailable(Option<Held>),
 }
 
 impl Claim {
-    /// Begins with the first call.
+    /// Starts a claim and returns its first store call.
     #[must_use]
     pub fn start(spec: ClaimSpec) -> (Self, keyvalue::Request) {
         let claim = Self {
             spec,
-            over: ModRevision(0),
+            expected_revision: ModRevision(0),
             phase: Phase::Writing,
             calls: 1,
-            in_doubt: false,
+            may_be_written: false,
         };
-        let call = claim.write();
+        let call = claim.write_request();
         (claim, call)
     }
 
-    /// The lease that it is made with.
+    /// Lease that the claim is written with.
     #[must_use]
     pub fn lease(&self) -> LeaseId {
         self.spec.lease.id
     }
 
-    /// Takes the outcome of the last call.
+    /// Takes the outcome of the last store call.
     #[must_use]
     pub fn on_outcome(&mut self, outcome: Outcome, now: Time) -> ClaimStep {
         match (self.phase, outcome) {
             (Phase::Writing, Ok(answer)) => self.after_write(answer, now),
             (Phase::Reading, Ok(answer)) => self.after_read(answer, now),
             (Phase::Writing, Err(CallError::Unknown(_))) => {
-                self.in_doubt = true;
+                self.may_be_written = true;
                 self.call_again(Phase::Reading, now)
             }
             (_, Err(CallError::Refused(_))) => self.give_up(),
@@ -144,46 +149,49 @@
 
     fn after_write(&mut self, answer: Answer, now: Time) -> ClaimStep {
         let Reply::Txn(TxnReply { succeeded, replies }) = answer.reply else {
-            return self.doubt(now);
+            return self.read_back(now);
         };
         if succeeded {
-            return self.mine(answer.revision, now);
+            return self.acquired(answer.revision, now);
         }
         match replies.into_iter().next() {
-            Some(OpReply::Range(found)) => self.after_found(found, now),
-            _ => self.doubt(now),
+            Some(OpReply::Range(found)) => self.on_stored_value(found, now),
+            _ => self.read_back(now),
         }
     }
 
     fn after_read(&mut self, answer: Answer, now: Time) -> ClaimStep {
         match answer.reply {
-            Reply::Range(found) => self.after_found(found, now),
-            _ => self.doubt(now),
+            Reply::Range(found) => self.on_stored_value(found, now),
+            _ => self.read_back(now),
         }
     }
 
-    fn doubt(&mut self, now: Time) -> ClaimStep {
-        self.in_doubt = true;
+    fn read_back(&mut self, now: Time) -> ClaimStep {
+        self.may_be_written = true;
         self.call_again(Phase::Reading, now)
     }
 
-    /// Guards against running twice after a lost reply. Absent: the write did not land yet, and
-    /// is made again with the same nonce; should both land, the second fails against the first,
-    /// which the nonce shows to be ours. Another's nonce: never run here.
-    fn after_found(&mut self, found: Vec<KeyValue>, now: Time) -> ClaimStep {
+    /// Decides by the key's present value.
+    ///
+    /// Guards against running twice after a lost reply. If the key is absent, the write has not
+    /// taken effect yet and is made again with the same nonce; if both take effect, the second
+    /// fails against the first, which the nonce identifies as this claim's own. If the nonce
+    /// is another's, the request never runs here.
+    fn on_stored_value(&mut self, found: Vec<KeyValue>, now: Time) -> ClaimStep {
         let Some(found) = found.into_iter().next() else {
-            self.over = ModRevision(0);
+            self.expected_revision = ModRevision(0);
             return self.call_again(Phase::Writing, now);
         };
         let Some(record) = ClaimRecord::decode(&found.value) else {
             return ClaimStep::Duplicate(Standing::Open);
         };
         if record.nonce == self.spec.nonce {
-            return self.mine(found.mod_revision, now);
+            return self.acquired(found.mod_revision, now);
         }
         match record.state {
             State::Released => {
-                self.over = found.mod_revision;
+                self.expected_revision = found.mod_revision;
                 self.call_again(Phase::Writing, now)
             }
             _ if record.fingerprint != self.spec.fingerprint => {
@@ -194,10 +202,12 @@
         }
     }
 
-    /// Guards against a claim that lapses before its caller stops retrying: one that took so
+    /// Takes the claim as made.
+    ///
+    /// Guards against a claim that expires before its caller stops retrying: a claim that took so
     /// long that its lease has less than the retry window left is not used.
-    fn mine(&mut self, revision: ModRevision, now: Time) -> ClaimStep {
-        let held = self.held(Some(revision));
+    fn acquired(&mut self, revision: ModRevision, now: Time) -> ClaimStep {
+        let held = self.to_held(Some(revision));
         if now.has_reached(self.spec.lease.use_until) || now.has_reached(self.spec.deadline) {
             return ClaimStep::Unavailable(Some(held));
         }
@@ -211,16 +221,16 @@
         self.calls += 1;
         self.phase = phase;
         ClaimStep::Call(match phase {
-            Phase::Writing => self.write(),
+            Phase::Writing => self.write_request(),
             Phase::Reading => keyvalue::Request::Range(Range::key(&self.spec.key)),
         })
     }
 
     fn give_up(&self) -> ClaimStep {
-        ClaimStep::Unavailable(self.in_doubt.then(|| self.held(None)))
+        ClaimStep::Unavailable(self.may_be_written.then(|| self.to_held(None)))
     }
 
-    fn held(&self, revision: Option<ModRevision>) -> Held {
+    fn to_held(&self, revision: Option<ModRevision>) -> Held {
         Held {
             key: self.spec.key.clone(),
             nonce: self.spec.nonce.clone(),
@@ -230,19 +240,24 @@
         }
     }
 
-    fn write(&self) -> keyvalue::Request {
+    fn write_request(&self) -> keyvalue::Request {
         let record = ClaimRecord {
             nonce: self.spec.nonce.clone(),
             fingerprint: self.spec.fingerprint,
             state: State::Open,
         };
         let lease = self.spec.lease.id;
-        write_if(&self.spec.key, self.over, record.encode(), lease)
+        put_if_revision(
+            &self.spec.key,
+            self.expected_revision,
+            record.encode(),
+            lease,
+        )
     }
 }
 
-/// Writes a key if its last write was `revision` (0: if it is absent), else reads it.
-pub(crate) fn write_if(
+/// Writes a key if it was last written at `revision` (0: if it is absent), else reads it.
+pub(crate) fn put_if_revision(
     key: &str,
     revision: ModRevision,
     value: Bytes,
--- a/components/requests/src/claim/lease.rs
+++ b/components/requests/src/claim/lease.rs
@@ -1,8 +1,8 @@
-//! The lease that a daemon's claims go with.
+//! Lease that a daemon's claims are written with.
 //!
-//! One lease for each daemon and time slot is shared by all claims made in the slot, so that
-//! grants are a call an hour and not one a request. It is never renewed: it outlives the daemon
-//! and lapses by itself, one retry window after the slot's end at the earliest.
+//! Each daemon uses one lease per time slot for all claims made in the slot, so that it asks for
+//! a lease once an hour and not once a request. The lease is never renewed: it outlives the
+//! daemon and expires by itself, at the earliest one retry window after the slot's end.
 
 use keyvalue::{LeaseId, Outcome, Reply};
 use types::prelude::*;
@@ -11,17 +11,17 @@
 pub const MIN_WINDOW: Span = Span::from_secs(600);
 /// Longest retry window.
 pub const MAX_WINDOW: Span = Span::from_secs(7 * 24 * 3600);
-/// A new lease is asked for when this part of the slot is left.
-const ASK_AHEAD: u64 = 4;
-/// Wait before a grant without a reply is asked for again.
-const ASK_AGAIN: Span = Span::from_secs(1);
+/// A new lease is requested when one part in this many of the slot is left.
+const REQUEST_AHEAD_DIVISOR: u64 = 4;
+/// Delay before an unanswered lease request is sent again.
+const GRANT_RETRY_DELAY: Span = Span::from_secs(1);
 
-/// How long claims last.
+/// How long claims last and leases are used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Windows {
-    /// Callers may repeat a request for this long.
+    /// Time for which callers may repeat a request.
     pub retry: Span,
-    /// A lease is used for new claims for this long.
+    /// Time for which a lease is used for new claims.
     pub slot: Span,
 }
 
@@ -34,78 +34,81 @@
     }
 }
 
-/// A lease as a claim uses it.
+/// Lease for new claims.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClaimLease {
-    /// The lease.
+    /// Id of the lease in the store.
     pub id: LeaseId,
-    /// A claim made with it before then lasts at least the retry window.
+    /// End of use: a claim made before then lasts at least the retry window.
     pub use_until: Time,
 }
 
-/// Keeps a lease for the present slot.
+/// State machine that obtains the lease for each time slot.
 #[derive(Debug, Clone)]
 pub struct LeaseSlots {
     windows: Windows,
     current: Option<ClaimLease>,
-    asked_at: Option<Time>,
+    requested_at: Option<Time>,
 }
 
 impl LeaseSlots {
-    /// Without a lease as yet. The retry window is brought within its bounds.
+    /// Starts without a lease. The retry window is clamped to [`MIN_WINDOW`] and [`MAX_WINDOW`].
     #[must_use]
     pub fn new(windows: Windows) -> Self {
         let retry = windows.retry.clamp(MIN_WINDOW, MAX_WINDOW);
         Self {
             windows: Windows { retry, ..windows },
             current: None,
-            asked_at: None,
+            requested_at: None,
         }
     }
 
-    /// The lease for new claims, if there is one.
+    /// Returns the lease for new claims, if there is one.
     #[must_use]
     pub fn current(&self, now: Time) -> Option<ClaimLease> {
         self.current.filter(|lease| now < lease.use_until)
     }
 
-    /// Forgets a lease that the store may no longer have; to be called when it refuses a
-    /// claim's write, or claims would be refused until the slot's end.
+    /// Stops using a lease that the store may no longer have. Must be called when the store
+    /// refuses a claim's write; otherwise it would refuse all claims until the slot's end.
     pub fn forget(&mut self, id: LeaseId) {
         self.current = self.current.filter(|lease| lease.id != id);
     }
 
-    /// The call to make now, if any, with the moment to be given back with its outcome.
+    /// Returns the store call to make now, if any, and its time, which must be passed to
+    /// [`Self::on_outcome`] with the outcome.
     #[must_use]
     pub fn poll(&mut self, now: Time) -> Option<(Time, keyvalue::Request)> {
-        let ahead = Span(self.windows.slot.0 / ASK_AHEAD);
-        let is_fresh = self.current(now + ahead).is_some();
-        let is_asked = self.asked_at.is_some_and(|at| now.since(at) < ASK_AGAIN);
-        if is_fresh || is_asked {
+        let lead = Span(self.windows.slot.0 / REQUEST_AHEAD_DIVISOR);
+        let is_fresh = self.current(now + lead).is_some();
+        let is_requested = self
+            .requested_at
+            .is_some_and(|at| now.since(at) < GRANT_RETRY_DELAY);
+        if is_fresh || is_requested {
             return None;
         }
-        self.asked_at = Some(now);
+        self.requested_at = Some(now);
         let ttl = self.windows.retry + self.windows.slot;
         Some((now, keyvalue::Request::LeaseGrant { ttl }))
     }
 
-    /// Takes the outcome of a call made at `asked_at`.
+    /// Takes the outcome of the store call made at `requested_at`.
     ///
-    /// Guards against claims that lapse early: the lease runs from the grant, which may be as
-    /// early as the call. A daemon paused in between would take the reply, when it wakes, for
-    /// one to a call that it has just made, and use a lease that is nearly or quite over. So
-    /// the slot is counted from the call that this reply belongs to. A grant whose reply was
-    /// lost lapses by itself.
-    pub fn on_outcome(&mut self, asked_at: Time, outcome: &Outcome) {
+    /// Guards against claims that expire early: the lease runs from its grant, which may be as
+    /// early as the call. A daemon that was paused between call and reply may make another call
+    /// before it reads that reply; counted from the later call, the slot would outlast a lease
+    /// that has nearly or fully expired. So the slot is counted from the call that the reply
+    /// belongs to. A granted lease whose reply was lost expires by itself.
+    pub fn on_outcome(&mut self, requested_at: Time, outcome: &Outcome) {
         let Ok(answer) = outcome else {
             return;
         };
         let Reply::LeaseGranted(id) = answer.reply else {
             return;
         };
-        let use_until = asked_at + self.windows.slot;
-        let is_longer = |held: ClaimLease| held.use_until < use_until;
-        if self.current.is_none_or(is_longer) {
+        let use_until = requested_at + self.windows.slot;
+        let ends_before = |held: ClaimLease| held.use_until < use_until;
+        if self.current.is_none_or(ends_before) {
             self.current = Some(ClaimLease { id, use_until });
         }
     }
--- a/components/requests/src/claim/record.rs
+++ b/components/requests/src/claim/record.rs
@@ -1,63 +1,63 @@
-//! What a claim's key holds: a line of JSON, then the recorded answer's body as it is.
+//! Stored value of a claim: a line of JSON, then the body of the recorded answer unchanged.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use serde::{Deserialize, Serialize};
 use types::prelude::*;
 
-/// Largest body that is recorded.
+/// Largest body that is recorded, in bytes.
 pub const MAX_BODY: ByteSize = ByteSize(16 << 10);
-/// Most bytes of headers that are recorded.
+/// Largest total size of headers that are recorded, in bytes.
 pub const MAX_HEADER_BYTES: usize = 2 << 10;
 
-/// Tells one daemon's write of a claim from all others, its own earlier ones included.
+/// Distinguishes a daemon's write of a claim from all others, including its own earlier ones.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Nonce {
-    /// Who claims.
+    /// Daemon that makes the claim.
     pub daemon: DaemonId,
-    /// Its restart.
+    /// Incarnation of the daemon, which differs after each restart.
     pub incarnation: Incarnation,
-    /// Counts its claims.
+    /// Number of the claim within the incarnation.
     pub counter: u64,
 }
 
 /// A claim as stored.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimRecord {
-    /// Whose it is.
+    /// Nonce of the call that made the claim.
     pub nonce: Nonce,
-    /// Hash of what was asked.
+    /// Hash of the request's content.
     pub fingerprint: u64,
-    /// How far it has come.
+    /// State of the request.
     pub state: State,
 }
 
-/// How far a claimed request has come.
+/// State of a claimed request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum State {
-    /// It may be running.
+    /// The request may be running or have run.
     Open,
-    /// It certainly did not run: another may claim it.
+    /// The request certainly did not run: it may be claimed again.
     Released,
-    /// It ran.
+    /// The request ran.
     Done(Recorded),
 }
 
-/// The answer to a request that ran.
+/// Recorded answer to a request that ran.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Recorded {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Headers by name.
+    /// Names and values of the headers.
     pub headers: Vec<(String, String)>,
-    /// The body, or nothing if it was too large to keep.
+    /// The body, or `None` if the answer was too large to record.
     pub body: Option<Bytes>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Head {
+struct Metadata {
     nonce: Nonce,
     fingerprint: u64,
-    state: Word,
+    state: StateTag,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     status: Option<u16>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
@@ -68,14 +68,14 @@
 
 #[derive(Clone, Copy, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum Word {
+enum StateTag {
     Open,
     Released,
     Done,
 }
 
 impl Recorded {
-    /// An answer as far as it may be kept: headers and body are left out when too large.
+    /// Creates a record of an answer; headers and body are both left out if either is too large.
     #[must_use]
     pub fn new(status: u16, headers: Vec<(String, String)>, body: Bytes) -> Self {
         let header_bytes: usize = headers.iter().map(|(k, v)| k.len() + v.len()).sum();
@@ -89,16 +89,16 @@
 }
 
 impl ClaimRecord {
-    /// As a value of the store.
+    /// Encodes the record as a value of the store.
     #[must_use]
     pub fn encode(&self) -> Bytes {
         let (state, recorded) = match &self.state {
-            State::Open => (Word::Open, None),
-            State::Released => (Word::Released, None),
-            State::Done(recorded) => (Word::Done, Some(recorded)),
+            State::Open => (StateTag::Open, None),
+            State::Released => (StateTag::Released, None),
+            State::Done(recorded) => (StateTag::Done, Some(recorded)),
         };
         let body = recorded.and_then(|recorded| recorded.body.as_ref());
-        let head = Head {
+        let metadata = Metadata {
             nonce: self.nonce.clone(),
             fingerprint: self.fingerprint,
             state,
@@ -106,27 +106,27 @@
             headers: recorded.map_or_else(Vec::new, |recorded| recorded.headers.clone()),
             body_bytes: body.map(Bytes::len),
         };
-        // Plain strings and numbers only, which always have a JSON form.
-        let head = serde_json::to_vec(&head).unwrap_or_default();
-        let mut value = BytesMut::from(head.as_slice());
+        // Cannot fail: the metadata has only strings and numbers, which always have a JSON form.
+        let metadata = serde_json::to_vec(&metadata).unwrap_or_default();
+        let mut value = BytesMut::from(metadata.as_slice());
         value.put_u8(b'\n');
         value.extend_from_slice(body.map_or(&[], |body| body.as_ref()));
         value.freeze()
     }
 
-    /// From a value of the store, unless it is malformed.
+    /// Decodes a value of the store; `None` if it is malformed.
     #[must_use]
     pub fn decode(value: &Bytes) -> Option<Self> {
-        let end = value.iter().position(|byte| *byte == b'\n')?;
-        let head: Head = serde_json::from_slice(&value[..end]).ok()?;
-        let rest = value.slice(end + 1..);
-        let state = match head.state {
-            Word::Open => State::Open,
-            Word::Released => State::Released,
-            Word::Done => State::Done(Recorded {
-                status: head.status?,
-                headers: head.headers,
-                body: match head.body_bytes {
+        let line_end = value.iter().position(|byte| *byte == b'\n')?;
+        let metadata: Metadata = serde_json::from_slice(&value[..line_end]).ok()?;
+        let rest = value.slice(line_end + 1..);
+        let state = match metadata.state {
+            StateTag::Open => State::Open,
+            StateTag::Released => State::Released,
+            StateTag::Done => State::Done(Recorded {
+                status: metadata.status?,
+                headers: metadata.headers,
+                body: match metadata.body_bytes {
                     Some(length) if length != rest.len() => return None,
                     Some(_) => Some(rest),
                     None => None,
@@ -134,8 +134,8 @@
             }),
         };
         Some(Self {
-            nonce: head.nonce,
-            fingerprint: head.fingerprint,
+            nonce: metadata.nonce,
+            fingerprint: metadata.fingerprint,
             state,
         })
     }
--- a/components/requests/src/claim/settle.rs
+++ b/components/requests/src/claim/settle.rs
@@ -1,36 +1,37 @@
-//! Recording a claim's outcome, or releasing the claim of work that did not run.
+//! Settles claims: records the outcome, or releases the claim of work that did not run.
 //!
-//! Both replace the claim's value by compare-and-swap on its own write. A release leaves a
-//! marker instead of deleting the key: a write of the claim whose reply was lost may land later,
-//! and would stand for ever as "may have run" in an empty place; against the marker it fails.
+//! Both replace the claim's value by compare-and-swap on the revision of the claim's own write.
+//! A release writes a marker instead of deleting the key: a write of the claim whose reply was
+//! lost may take effect later. If the key were absent, it would succeed, and the claim would
+//! say "may have run" until its lease expires; against the marker it fails.
 
 use bytes::Bytes;
 use keyvalue::{CallError, KeyValue, LeaseId, ModRevision, OpReply, Outcome, Range, Reply};
 
-use super::{ClaimRecord, Held, MAX_CALLS, Nonce, Recorded, State, write_if};
+use super::{ClaimRecord, Held, MAX_CALLS, Nonce, Recorded, State, put_if_revision};
 
-/// A claim being settled.
+/// State machine that settles a claim.
 #[derive(Debug, Clone)]
 pub struct Settle {
     key: String,
     nonce: Nonce,
     lease: LeaseId,
     value: Bytes,
-    releases: bool,
-    over: Option<ModRevision>,
+    is_release: bool,
+    expected_revision: Option<ModRevision>,
     calls: u32,
 }
 
-/// What follows a call.
+/// What follows a store call of a [`Settle`].
 #[derive(Debug)]
 pub enum SettleStep {
-    /// Make this call.
+    /// Make this store call.
     Call(keyvalue::Request),
-    /// Settled.
+    /// The claim is settled.
     Done,
-    /// The key is another's: its claim had lapsed or been released.
+    /// The key holds another call's claim: this one had expired or been released.
     Superseded,
-    /// The store does not answer: begin again later with [`Settle::again`].
+    /// The store does not answer: start again later with [`Settle::again`].
     Later,
 }
 
@@ -48,7 +49,7 @@
     }
 
     fn start(held: Held, state: State) -> (Self, keyvalue::Request) {
-        let releases = state == State::Released;
+        let is_release = state == State::Released;
         let record = ClaimRecord {
             nonce: held.nonce.clone(),
             fingerprint: held.fingerprint,
@@ -59,28 +60,28 @@
             nonce: held.nonce,
             lease: held.lease,
             value: record.encode(),
-            releases,
-            over: held.revision,
+            is_release,
+            expected_revision: held.revision,
             calls: 0,
         };
         let call = settle.again();
         (settle, call)
     }
 
-    /// Begins again after [`SettleStep::Later`].
+    /// Starts again after [`SettleStep::Later`] and returns the first store call.
     #[must_use]
     pub fn again(&mut self) -> keyvalue::Request {
         self.calls = 1;
         self.next_call()
     }
 
-    /// Takes the outcome of the last call.
+    /// Takes the outcome of the last store call.
     #[must_use]
     pub fn on_outcome(&mut self, outcome: Outcome) -> SettleStep {
         let reply = match outcome {
             Ok(answer) => answer.reply,
             Err(CallError::Unknown(_)) => {
-                self.over = None;
+                self.expected_revision = None;
                 return self.call_again();
             }
             Err(CallError::NotSent(_) | CallError::Refused(_)) => return self.call_again(),
@@ -88,17 +89,17 @@
         match reply {
             Reply::Txn(txn) if txn.succeeded => SettleStep::Done,
             Reply::Txn(txn) => match txn.replies.into_iter().next() {
-                Some(OpReply::Range(found)) => self.after_found(found),
-                _ => self.read_again(),
+                Some(OpReply::Range(found)) => self.on_stored_value(found),
+                _ => self.read_back(),
             },
-            Reply::Range(found) => self.after_found(found),
-            _ => self.read_again(),
+            Reply::Range(found) => self.on_stored_value(found),
+            _ => self.read_back(),
         }
     }
 
-    fn after_found(&mut self, found: Vec<KeyValue>) -> SettleStep {
+    fn on_stored_value(&mut self, found: Vec<KeyValue>) -> SettleStep {
         let Some(found) = found.into_iter().next() else {
-            self.over = Some(ModRevision(0));
+            self.expected_revision = Some(ModRevision(0));
             return self.call_again();
         };
         if found.value == self.value {
@@ -108,18 +109,19 @@
         if !record.is_some_and(|record| self.may_replace(&record)) {
             return SettleStep::Superseded;
         }
-        self.over = Some(found.mod_revision);
+        self.expected_revision = Some(found.mod_revision);
         self.call_again()
     }
 
-    /// Another's release marker is replaced by ours as well: our claim over it may be on its
-    /// way still, and fails once the marker's revision has moved.
+    /// Whether the stored value may be replaced: this claim's own, or, by a release, another
+    /// call's release marker. This claim's write over that marker may still be in flight, and
+    /// it fails once the marker's revision has changed.
     fn may_replace(&self, record: &ClaimRecord) -> bool {
-        record.nonce == self.nonce || (self.releases && record.state == State::Released)
+        record.nonce == self.nonce || (self.is_release && record.state == State::Released)
     }
 
-    fn read_again(&mut self) -> SettleStep {
-        self.over = None;
+    fn read_back(&mut self) -> SettleStep {
+        self.expected_revision = None;
         self.call_again()
     }
 
@@ -132,8 +134,8 @@
     }
 
     fn next_call(&self) -> keyvalue::Request {
-        match self.over {
-            Some(revision) => write_if(&self.key, revision, self.value.clone(), self.lease),
+        match self.expected_revision {
+            Some(revision) => put_if_revision(&self.key, revision, self.value.clone(), self.lease),
             None => keyvalue::Request::Range(Range::key(&self.key)),
         }
     }
