--- a/components/requests/tests/claims.rs
+++ b/components/requests/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Claims against lost replies, delayed writes, other daemons and a store that is down.
+//! Claims under lost replies, delayed writes, concurrent daemons and a store that is down.
 
 use keyvalue::{CallError, LeaseId, Outcome, Request};
 use requests::claim::*;
@@ -18,11 +18,11 @@
     store
 }
 
-fn lost() -> Outcome {
+fn reply_lost() -> Outcome {
     Err(CallError::Unknown("no reply".to_owned()))
 }
 
-fn down() -> Outcome {
+fn not_sent() -> Outcome {
     Err(CallError::NotSent("no connection".to_owned()))
 }
 
@@ -45,8 +45,8 @@
     }
 }
 
-/// Drives a claim with a store that answers.
-fn drive(store: &mut Store, claim: &mut Claim, mut call: Request) -> ClaimStep {
+/// Makes the calls of a claim at the store until it ends.
+fn run_calls(store: &mut Store, claim: &mut Claim, mut call: Request) -> ClaimStep {
     loop {
         match claim.on_outcome(store.call(&call), NOW) {
             ClaimStep::Call(next) => call = next,
@@ -57,10 +57,10 @@
 
 fn claim(store: &mut Store, spec: ClaimSpec) -> ClaimStep {
     let (mut claim, call) = Claim::start(spec);
-    drive(store, &mut claim, call)
+    run_calls(store, &mut claim, call)
 }
 
-fn held(step: ClaimStep) -> Held {
+fn expect_held(step: ClaimStep) -> Held {
     match step {
         ClaimStep::Mine(held) => held,
         other => panic!("not mine: {other:?}"),
@@ -84,7 +84,7 @@
 #[test]
 fn can_give_a_repeat_the_recorded_answer() {
     let mut store = store();
-    let mine = held(claim(&mut store, spec("d1", 1)));
+    let mine = expect_held(claim(&mut store, spec("d1", 1)));
     let open = claim(&mut store, spec("d2", 1));
     assert!(matches!(open, ClaimStep::Duplicate(Standing::Open)));
     let step = settle(&mut store, Settle::record(mine, recorded()));
@@ -99,49 +99,51 @@
     assert!(matches!(reused, ClaimStep::Duplicate(Standing::Reused)));
 }
 
-// A booking fails although nobody made it: the daemon took its own claim for another's. The
-// claim's write took effect and its reply was lost. Cause: no nonce compared on read-back.
+// Guards against refusing a request that never ran: the claim's write takes effect but its
+// reply is lost, and without comparing the nonce the daemon takes its own claim for another's.
 #[test]
 fn can_recognize_its_own_write_after_a_lost_reply() {
     let mut store = store();
     let (mut claim, call) = Claim::start(spec("d1", 1));
     let _ = store.call(&call);
-    let ClaimStep::Call(read) = claim.on_outcome(lost(), NOW) else {
+    let ClaimStep::Call(read) = claim.on_outcome(reply_lost(), NOW) else {
         panic!("not read back");
     };
-    let mine = held(drive(&mut store, &mut claim, read));
+    let mine = expect_held(run_calls(&mut store, &mut claim, read));
     let step = settle(&mut store, Settle::record(mine, recorded()));
     assert!(matches!(step, SettleStep::Done));
 }
 
-// Two teachers are booked. The first daemon's claim hung in the store; the read-back found
-// nothing and another daemon claimed and ran; then the first write landed. Cause: a read-back
-// that found nothing was taken for "mine" or the write was not conditional.
+// Guards against running a request twice. The first daemon's write is delayed, its read-back
+// finds no key, and another daemon claims and runs the request before the write takes effect.
+// This happens if the first daemon takes an empty read-back for success, or if its write is
+// not conditional.
 #[test]
 fn errors_of_delayed_claims_do_not_run_twice() {
     let mut store = store();
     let (mut slow, delayed) = Claim::start(spec("d1", 1));
-    let ClaimStep::Call(read) = slow.on_outcome(lost(), NOW) else {
+    let ClaimStep::Call(read) = slow.on_outcome(reply_lost(), NOW) else {
         panic!("not read back");
     };
     let ClaimStep::Call(write) = slow.on_outcome(store.call(&read), NOW) else {
         panic!("absent is written again");
     };
-    held(claim(&mut store, spec("d2", 1)));
+    expect_held(claim(&mut store, spec("d2", 1)));
     let _ = store.call(&delayed);
-    let step = drive(&mut store, &mut slow, write);
+    let step = run_calls(&mut store, &mut slow, write);
     assert!(matches!(step, ClaimStep::Duplicate(Standing::Open)));
 }
 
-// A principal is told "not run", repeats, and is told "outcome unknown" until the next day.
-// The refused claim's write landed after the refusal. Cause: the release deleted the key or
-// found nothing to delete, and left an empty place for the write to land in.
+// Guards against a claim that blocks repeats for the whole retry window: a caller is told "not
+// run", and its repeats are told "outcome unknown" until the next day. This happens if the
+// claim's delayed write takes effect after the refusal, because the release deleted the key, or
+// found none, and left it absent.
 #[test]
 fn errors_of_abandoned_claims_leave_no_phantom() {
     for taken_over in [false, true] {
         let mut store = store();
         if taken_over {
-            let mine = held(claim(&mut store, spec("d0", 1)));
+            let mine = expect_held(claim(&mut store, spec("d0", 1)));
             settle(&mut store, Settle::release(mine));
         }
         let (mut slow, mut call) = Claim::start(spec("d1", 1));
@@ -152,31 +154,32 @@
             call = next;
         }
         let delayed = call;
-        let mut step = slow.on_outcome(lost(), NOW);
+        let mut step = slow.on_outcome(reply_lost(), NOW);
         while let ClaimStep::Call(_) = step {
-            step = slow.on_outcome(down(), NOW);
+            step = slow.on_outcome(not_sent(), NOW);
         }
-        let ClaimStep::Unavailable(Some(doubtful)) = step else {
+        let ClaimStep::Unavailable(Some(possibly_written)) = step else {
             panic!("given up without a doubt: {step:?}");
         };
-        settle(&mut store, Settle::release(doubtful));
+        settle(&mut store, Settle::release(possibly_written));
         let _ = store.call(&delayed);
-        held(claim(&mut store, spec("d2", 1)));
+        expect_held(claim(&mut store, spec("d2", 1)));
     }
 }
 
 #[test]
 fn errors_of_a_store_that_is_down_make_no_claim() {
     let (mut claim, _) = Claim::start(spec("d1", 1));
-    let mut step = claim.on_outcome(down(), NOW);
+    let mut step = claim.on_outcome(not_sent(), NOW);
     while let ClaimStep::Call(_) = step {
-        step = claim.on_outcome(down(), NOW);
+        step = claim.on_outcome(not_sent(), NOW);
     }
     assert!(matches!(step, ClaimStep::Unavailable(None)));
 }
 
-// A booking is made again a day later: its claim lapsed early. The daemon was paused between
-// the grant of the lease and the claim. Cause: a lease used past its slot.
+// Guards against a claim that expires within the retry window, so that a repeat runs again.
+// This happens if a daemon that was paused between the lease's grant and the claim uses the
+// lease past its slot.
 #[test]
 fn errors_of_late_claims_are_not_used() {
     let mut store = store();
@@ -191,15 +194,15 @@
 fn can_keep_one_lease_for_a_slot() {
     let mut store = store();
     let mut slots = LeaseSlots::new(Windows::default());
-    let (asked, call) = slots.poll(NOW).unwrap();
+    let (requested_at, call) = slots.poll(NOW).unwrap();
     assert_eq!(slots.poll(NOW), None);
-    slots.on_outcome(asked, &store.call(&call));
+    slots.on_outcome(requested_at, &store.call(&call));
     let lease = slots.current(NOW).unwrap();
     assert_eq!(slots.poll(NOW + Span::from_secs(2_000)), None);
     let later = NOW + Span::from_secs(3_000);
-    let (asked, call) = slots.poll(later).unwrap();
+    let (requested_at, call) = slots.poll(later).unwrap();
     assert_eq!(slots.current(later), Some(lease));
-    slots.on_outcome(asked, &lost());
+    slots.on_outcome(requested_at, &reply_lost());
     assert_eq!(slots.current(NOW + Span::from_secs(3_700)), None);
     let again = slots.poll(later + Span::from_secs(2)).unwrap();
     assert_eq!(again.1, call);
@@ -207,25 +210,25 @@
     assert_eq!(slots.current(later), None);
 }
 
-// No booking goes through for a minute after a daemon was paused. Its lease was granted before
-// the pause and lapsed in it; the reply came after, when the daemon had just asked again.
-// Cause: the slot was counted from the later call.
+// Guards against refused claims for a minute after a daemon was paused. Its lease was granted
+// before the pause and expired during it; the reply is read after the daemon has requested a
+// lease again, and the slot must not be counted from that later call.
 #[test]
 fn errors_of_late_grants_give_no_lease() {
     let mut store = store();
     let mut slots = LeaseSlots::new(Windows::default());
-    let (asked, call) = slots.poll(NOW).unwrap();
+    let (requested_at, call) = slots.poll(NOW).unwrap();
     let granted = store.call(&call);
     let later = NOW + Span::from_secs(25 * 3600);
     assert!(slots.poll(later).is_some());
-    slots.on_outcome(asked, &granted);
+    slots.on_outcome(requested_at, &granted);
     assert_eq!(slots.current(later), None);
 }
 
 #[test]
-fn can_claim_again_once_the_lease_lapsed() {
+fn can_claim_again_after_the_lease_expired() {
     let mut store = store();
-    held(claim(&mut store, spec("d1", 1)));
+    expect_held(claim(&mut store, spec("d1", 1)));
     store.advance(Time::ZERO + Span::from_secs(701));
     let refused = claim(&mut store, spec("d2", 1));
     assert!(matches!(refused, ClaimStep::Unavailable(None)));
@@ -235,11 +238,11 @@
         keyvalue::Reply::LeaseGranted(id) => id,
         other => panic!("no lease: {other:?}"),
     };
-    held(claim(&mut store, fresh));
+    expect_held(claim(&mut store, fresh));
 }
 
-// Requests of two customers share one claim, and one of them is told of the other's booking.
-// Cause: names hold `/`, and the key was built by joining them.
+// Guards against two customers' requests sharing one claim, so that one customer gets the
+// other's answer: names may contain `/`, and joining them unescaped gives equal keys.
 #[test]
 fn errors_of_slashes_do_not_join_two_keys() {
     let key = |customer: &str, id: &str| {
@@ -266,7 +269,7 @@
     let outcomes = batcher.on_outcome(store.call(&first));
     assert_eq!(outcomes.len(), 9);
     for (ticket, outcome) in outcomes {
-        held(claims[ticket.0 as usize].on_outcome(outcome, NOW));
+        expect_held(claims[ticket.0 as usize].on_outcome(outcome, NOW));
     }
     let second = batcher.next_call(NOW).unwrap();
     let (ticket, outcome) = batcher.on_outcome(store.call(&second)).remove(0);
@@ -275,7 +278,7 @@
 }
 
 #[test]
-fn can_bound_the_calls_a_second() {
+fn can_bound_calls_per_second() {
     let mut batcher = Batcher::new(Span::from_millis(50));
     let mut calls = 0;
     for n in 0..2_000 {
@@ -285,15 +288,15 @@
         batcher.push(Ticket(n), Claim::start(spec).1).unwrap();
         if batcher.next_call(now).is_some() {
             calls += 1;
-            let _ = batcher.on_outcome(lost());
+            let _ = batcher.on_outcome(reply_lost());
         }
     }
     assert_eq!(calls, 40);
     assert_eq!(batcher.due_at(), Some(NOW + Span::from_secs(2)));
 }
 
-// Nobody can book through a daemon although the store is up: one waiting call's lease is gone
-// and the store refuses the whole batch, again and again. Cause: a batch kept together.
+// Guards against one call that blocks all claims of a daemon: the store refuses a whole batch if
+// the lease of one of its calls is gone, and again each time the same batch is sent.
 #[test]
 fn errors_of_one_call_do_not_fail_its_batch() {
     let mut store = store();
--- a/components/requests/tests/life.rs
+++ b/components/requests/tests/life.rs
@@ -1,4 +1,4 @@
-//! Life cycle, retry rules and the truth of "not run".
+//! Life cycle of requests, retry rules and correctness of "not run".
 
 use requests::attempt::{AttemptEnd, Doubt, Usage};
 use requests::budget::{MAX_SAVED_RETRIES, RetryBudget};
@@ -31,7 +31,7 @@
     format!("u{n}").parse().unwrap()
 }
 
-fn first(facts: Facts) -> Request<Attempted> {
+fn first_attempt(facts: Facts) -> Request<Attempted> {
     let ready = Arrived::new().admit(facts).ready().unwrap();
     ready.attempt(upstream(1))
 }
@@ -40,14 +40,14 @@
     req.end(&upstream(1), end, NOW, &mut RetryBudget::new(NOW))
 }
 
-fn retried(next: Next) -> (Request<Waiting>, Option<Tokens>) {
+fn expect_retry(next: Next) -> (Request<Waiting>, Option<Tokens>) {
     match next {
         Next::Retry(req, retry) => (req, retry.resume_from),
         other => panic!("no retry: {other:?}"),
     }
 }
 
-fn cut(received: u64, shown: bool) -> AttemptEnd {
+fn truncated(received: u64, shown: bool) -> AttemptEnd {
     AttemptEnd::Truncated {
         received: Tokens(received),
         shown,
@@ -56,76 +56,78 @@
 
 #[test]
 fn can_answer_and_bill_once() {
-    let Next::Answered(req) = end(first(facts(true, true)), &WHOLE) else {
+    let Next::Answered(req) = end(first_attempt(facts(true, true)), &WHOLE) else {
         panic!("not answered");
     };
     let (_, bill) = req.bill();
     assert_eq!(bill.usage.output, Tokens(5));
 }
 
-// A caller is told "not run" and books again, and two teachers come. The upstream had read
-// the request before the connection was reset. Cause: a reset taken for a refused connection.
+// Guards against a false "not run", after which a caller repeats work that was done: the upstream
+// may have read the request before the connection was reset, so a reset must not count as a
+// refused connection.
 #[test]
 fn errors_say_not_run_only_with_proof() {
-    let doubtful = [
+    let may_have_run = [
         AttemptEnd::Unknown(Doubt::Reset),
         AttemptEnd::Unknown(Doubt::TimedOut),
         AttemptEnd::Crossed,
         AttemptEnd::UpstreamError(503),
-        cut(2, false),
+        truncated(2, false),
     ];
-    for doubt in doubtful {
-        let (req, _) = retried(end(first(facts(true, false)), &doubt));
+    for attempt_end in may_have_run {
+        let (req, _) = expect_retry(end(first_attempt(facts(true, false)), &attempt_end));
         assert_ne!(req.refuse(Code::NoUpstream).refusal().run(), RunState::No);
     }
-    for proof in [
+    for attempt_end in [
         AttemptEnd::NotSent,
         AttemptEnd::RefusedNotRun { retry_after: None },
     ] {
-        let (req, _) = retried(end(first(facts(true, false)), &proof));
+        let (req, _) = expect_retry(end(first_attempt(facts(true, false)), &attempt_end));
         assert_eq!(req.refuse(Code::NoUpstream).refusal().run(), RunState::No);
     }
 }
 
-// As above, over two attempts: the first was reset, the second found nobody. Cause: only the
-// last attempt's end counted.
+// Guards against a false "not run" over two attempts, if only the end of the last one counts: the
+// first was reset, the second found no upstream.
 #[test]
 fn errors_of_earlier_attempts_are_remembered() {
-    let (req, _) = retried(end(
-        first(facts(true, false)),
+    let (req, _) = expect_retry(end(
+        first_attempt(facts(true, false)),
         &AttemptEnd::Unknown(Doubt::Reset),
     ));
-    let (req, _) = retried(end(req.attempt(upstream(1)), &AttemptEnd::NotSent));
+    let (req, _) = expect_retry(end(req.attempt(upstream(1)), &AttemptEnd::NotSent));
     let refusal = req.refuse(Code::NoUpstream).refusal();
     assert_eq!(refusal.run(), RunState::Unknown);
 }
 
-// A caller reads half of one answer and half of another. The first stream broke after a part
-// was shown, and the engine cannot resume. Cause: the second answer was begun anew.
+// Guards against an answer mixed from two: the first stream is truncated after a part of it was
+// sent to the caller, the engine cannot resume it, and the second answer starts from the
+// beginning.
 #[test]
 fn errors_of_shown_streams_are_resumed_or_refused() {
-    let (_, resume) = retried(end(first(facts(true, true)), &cut(7, true)));
+    let (_, resume) = expect_retry(end(first_attempt(facts(true, true)), &truncated(7, true)));
     assert_eq!(resume, Some(Tokens(7)));
-    let (_, anew) = retried(end(first(facts(true, false)), &cut(7, false)));
-    assert_eq!(anew, None);
-    let Next::Refused(req) = end(first(facts(true, false)), &cut(7, true)) else {
+    let (_, restart) = expect_retry(end(first_attempt(facts(true, false)), &truncated(7, false)));
+    assert_eq!(restart, None);
+    let Next::Refused(req) = end(first_attempt(facts(true, false)), &truncated(7, true)) else {
         panic!("not refused");
     };
     assert_eq!(req.refusal().code(), Code::StreamCut);
     assert_eq!(req.refusal().run(), RunState::Yes);
 }
 
-// As above, but the resumed attempt finds nobody at first: the part shown must not be
-// forgotten by the third attempt.
+// Guards against a third attempt that restarts the answer: the second, resumed attempt finds no
+// upstream, and the tokens already sent to the caller must still count.
 #[test]
 fn can_resume_after_a_failed_resumption() {
-    let (req, _) = retried(end(first(facts(true, true)), &cut(7, true)));
-    let (_, resume) = retried(end(req.attempt(upstream(1)), &AttemptEnd::NotSent));
+    let (req, _) = expect_retry(end(first_attempt(facts(true, true)), &truncated(7, true)));
+    let (_, resume) = expect_retry(end(req.attempt(upstream(1)), &AttemptEnd::NotSent));
     assert_eq!(resume, Some(Tokens(7)));
 }
 
 #[test]
-fn errors_without_claim_keep_non_idempotent_work_here() {
+fn errors_without_a_claim_do_not_send_non_idempotent_work() {
     let req = Arrived::new().admit(facts(false, false));
     let req = req.ready().unwrap_err();
     assert_eq!(
@@ -140,45 +142,50 @@
         usage: Usage::default(),
         adequate: false,
     };
-    let Next::Escalate(req) = end(first(facts(true, true)), &weak) else {
+    let Next::Escalate(req) = end(first_attempt(facts(true, true)), &weak) else {
         panic!("not escalated");
     };
     let next = end(req.attempt(upstream(1)), &AttemptEnd::UpstreamError(400));
     assert!(matches!(next, Next::Answered(_)));
 }
 
-// A pool fails and each of its requests is sent again and again: the pool gets more traffic
-// than when it was healthy and never recovers. Cause: retries without a budget.
+// Guards against a retry storm: without a retry budget, a failing pool gets more traffic than a
+// healthy one and never recovers.
 #[test]
 fn errors_of_a_pool_do_not_multiply_its_traffic() {
     let mut budget = RetryBudget::new(NOW);
     let reset = AttemptEnd::Unknown(Doubt::Reset);
     let retries = (0..1_000)
-        .map(|_| first(facts(true, false)).end(&upstream(1), &reset, NOW, &mut budget))
+        .map(|_| first_attempt(facts(true, false)).end(&upstream(1), &reset, NOW, &mut budget))
         .filter(|next| matches!(next, Next::Retry(..)))
         .count();
     assert_eq!(retries, MAX_SAVED_RETRIES as usize);
 }
 
 #[test]
-fn errors_end_after_the_most_attempts_or_the_deadline() {
-    let mut req = first(facts(true, false));
+fn errors_stop_retries_at_max_attempts_or_the_deadline() {
+    let mut req = first_attempt(facts(true, false));
     for _ in 1..MAX_ATTEMPTS {
-        req = retried(end(req, &AttemptEnd::NotSent))
+        req = expect_retry(end(req, &AttemptEnd::NotSent))
             .0
             .attempt(upstream(1));
     }
     assert!(matches!(end(req, &AttemptEnd::NotSent), Next::Refused(_)));
     let late = NOW + Span::from_secs(10);
     let mut budget = RetryBudget::new(NOW);
-    let next = first(facts(true, false)).end(&upstream(1), &AttemptEnd::NotSent, late, &mut budget);
+    let next = first_attempt(facts(true, false)).end(
+        &upstream(1),
+        &AttemptEnd::NotSent,
+        late,
+        &mut budget,
+    );
     assert!(matches!(next, Next::Refused(_)));
 }
 
 #[test]
 fn can_hedge_idempotent_work_once() {
     let mut budget = RetryBudget::new(NOW);
-    let req = first(facts(true, false));
+    let req = first_attempt(facts(true, false));
     let req = req.hedge(upstream(2), NOW, &mut budget).unwrap();
     let req = req.hedge(upstream(3), NOW, &mut budget).unwrap_err();
     let Next::Open(req) = end(req, &AttemptEnd::NotSent) else {
--- a/components/requests/tests/support/store.rs
+++ b/components/requests/tests/support/store.rs
@@ -1,4 +1,4 @@
-//! A key-value service in memory, with leases and a clock that the test moves.
+//! In-memory key-value store with leases and a clock that the test advances.
 
 use std::collections::BTreeMap;
 
@@ -17,13 +17,13 @@
 }
 
 impl Store {
-    /// Moves the clock; keys of lapsed leases go.
+    /// Sets the clock and deletes expired leases with their keys.
     pub(crate) fn advance(&mut self, now: Time) {
         self.now = now;
         self.leases.retain(|_, until| *until > now);
         let leases = &self.leases;
-        let lives = |kv: &KeyValue| kv.lease.is_none_or(|lease| leases.contains_key(&lease));
-        self.keys.retain(|_, kv| lives(kv));
+        let is_live = |kv: &KeyValue| kv.lease.is_none_or(|lease| leases.contains_key(&lease));
+        self.keys.retain(|_, kv| is_live(kv));
     }
 
     pub(crate) fn call(&mut self, request: &Request) -> Outcome {
@@ -72,12 +72,12 @@
 
     fn txn(&mut self, txn: &Txn) -> TxnReply {
         let succeeded = txn.compare.iter().all(|compare| {
-            let (key, wanted) = match compare {
+            let (key, expected) = match compare {
                 Compare::Absent(key) => (key, ModRevision(0)),
                 Compare::ModRevision(key, revision) => (key, *revision),
             };
-            let held = self.keys.get(key);
-            held.map_or(ModRevision(0), |kv| kv.mod_revision) == wanted
+            let current = self.keys.get(key);
+            current.map_or(ModRevision(0), |kv| kv.mod_revision) == expected
         });
         let ops = if succeeded {
             &txn.success
