--- a/components/sessions/src/choice.rs
+++ b/components/sessions/src/choice.rs
@@ -1,34 +1,34 @@
-//! Whether a session keeps its version.
+//! Decides whether a session keeps its pinned version.
 //!
-//! A pinned version is kept as long as it may run at all, draining included. Withdrawal beats
-//! the session, as does the loss of the customer's permission: the session moves to another
+//! A pinned version is kept as long as it may run at all, even while it is draining. If it is
+//! withdrawn, or if the customer loses the permission to use it, the session moves to another
 //! version and its caller is told. Which version a new session gets is not decided here.
 
 use std::collections::BTreeSet;
 
 use types::prelude::*;
 
-/// What becomes of a session's pin.
+/// Decision on a session's pin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Pinning<'a> {
-    /// There is none: the session is new.
+    /// There is no pin: the session is new.
     New,
     /// The session keeps this version.
     Kept(&'a VersionId),
     /// The session loses this version and gets another.
     Moved(&'a VersionId),
-    /// This daemon's catalogue is older than the pin and does not have its version yet:
-    /// refuse as not run, or wait for the catalogue.
+    /// This daemon's catalogue is older than the pin and does not contain its version yet:
+    /// refuse the request as not run, or wait for the catalogue.
     Behind,
 }
 
 impl<'a> Pinning<'a> {
-    /// Decides by the versions that may serve the session, never withdrawn ones, and the
-    /// revision of the catalogue that says so.
+    /// Decides by the versions that may serve the session (withdrawn ones excluded) and the
+    /// catalogue revision that they are from.
     ///
     /// Guards against a session that changes its version at a daemon whose catalogue lags: a
-    /// version added a moment ago is unknown there, which looks like withdrawn. The pin's
-    /// revision tells the two apart.
+    /// version that was just added is unknown there, and looks as if it were withdrawn. The
+    /// pin's catalogue revision tells the two cases apart.
     #[must_use]
     pub fn of(
         pin: Option<(&'a VersionId, Revision)>,
@@ -38,7 +38,7 @@
         match pin {
             None => Self::New,
             Some((version, _)) if permitted.contains(version) => Self::Kept(version),
-            Some((_, pinned_under)) if pinned_under > revision => Self::Behind,
+            Some((_, pin_revision)) if pin_revision > revision => Self::Behind,
             Some((version, _)) => Self::Moved(version),
         }
     }
--- a/components/sessions/src/lib.rs
+++ b/components/sessions/src/lib.rs
@@ -1,10 +1,11 @@
 //! Pins of sessions to versions.
 //!
-//! A session keeps its version through any daemon. Callers that send back the signed
-//! [`token`] carry the pin themselves: any daemon reads it, with the store down, the region cut
-//! and every daemon replaced. For callers that only send a name of their own, the pin is held
-//! by two home daemons ([`homes`], [`pins`], [`lookup`]); if both are lost at once, the session
-//! is chosen for anew by draws that follow from its name alone ([`SessionKey::hash64`]).
+//! A session keeps its version whichever daemon serves it. Callers that send back the signed
+//! [`token`] carry the pin themselves: any daemon can read it, even with the store down, the
+//! region cut off or every daemon replaced. For callers that only send their own name for the
+//! session, two home daemons hold the pin ([`homes`], [`pins`], [`lookup`]). If both are lost at
+//! once, a version is chosen again, by draws that depend only on the session's key
+//! ([`SessionKey::hash64`]).
 
 pub mod choice;
 pub mod homes;
@@ -16,20 +17,20 @@
 use types::prelude::*;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A named session: names are unique for a customer and offer only.
+/// Key of a named session. Names are unique only within a customer and offer.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SessionKey {
-    /// Whose it is.
+    /// Customer that the session belongs to.
     pub customer: CustomerId,
-    /// The offer that it uses.
+    /// Offer that the session uses.
     pub offer: EntryName,
-    /// Its caller's name for it.
+    /// Name that the caller gave the session.
     pub session: SessionId,
 }
 
 impl SessionKey {
-    /// A hash that is the same in every daemon. NUL, which no name holds, keeps the parts
-    /// apart.
+    /// Returns a hash that is the same in every daemon. The parts are separated by NUL, which
+    /// no name contains.
     #[must_use]
     pub fn hash64(&self) -> u64 {
         let text = format!("{}\0{}\0{}", self.customer, self.offer, self.session);
