--- a/components/sessions/tests/sessions.rs
+++ b/components/sessions/tests/sessions.rs
@@ -1,10 +1,10 @@
-//! Sessions keep their version.
+//! Pins, tokens and home lookups: a session keeps its version.
 
 use std::collections::BTreeSet;
 
 use sessions::SessionKey;
 use sessions::choice::Pinning;
-use sessions::homes::{HOMES, Member, homes};
+use sessions::homes::{HOMES_PER_SESSION, Member, homes};
 use sessions::lookup::{Lookup, LookupStep};
 use sessions::pins::{MAX_PINS, Message, Pin, Pins, Reply};
 use sessions::token::{Key, Keys, Pinned, Sent, read_header};
@@ -64,16 +64,16 @@
 #[test]
 fn can_keep_a_pin_while_its_version_may_run() {
     let permitted = BTreeSet::from([version("a"), version("b")]);
-    let [kept, lost] = ["a", "c"].map(version);
+    let [kept, not_permitted] = ["a", "c"].map(version);
     let pin = |name| Pinning::of(Some((name, Revision(1))), &permitted, Revision(7));
     assert_eq!(pin(&kept), Pinning::Kept(&kept));
-    assert_eq!(pin(&lost), Pinning::Moved(&lost));
+    assert_eq!(pin(&not_permitted), Pinning::Moved(&not_permitted));
     assert_eq!(Pinning::of(None, &permitted, Revision(7)), Pinning::New);
 }
 
-// A session changes its version at one daemon of nine and comes back at the next. A version
-// was added, the session began on it, and the ninth had not heard of it. Cause: a version
-// unknown to a lagging catalogue taken for a withdrawn one.
+// Guards against a session that changes its version at one daemon and changes back at the next:
+// the version was just added, the session began on it, and a daemon whose catalogue lags must
+// not take the unknown version for a withdrawn one.
 #[test]
 fn errors_of_a_lagging_catalogue_do_not_move_sessions() {
     let permitted = BTreeSet::from([version("a")]);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn can_read_tokens_through_a_rotation_of_keys() {
+fn can_verify_tokens_during_key_rotation() {
     let customer: CustomerId = "kochi".parse().unwrap();
     let token = keys(&["k1"]).sign(&customer, &pinned());
     let rotated = keys(&["k2", "k1"]);
@@ -96,8 +96,9 @@
     );
 }
 
-// A customer reaches a version that it may not have seen, with another's token or one it made
-// up. Cause: a token not bound to its customer, or read before it was verified.
+// Guards against a customer that uses a forged token, or another customer's, to get a version it
+// is not permitted to use: a token must be bound to its customer and verified before it is
+// read.
 #[test]
 fn errors_of_forged_tokens_are_found() {
     let customer: CustomerId = "kochi".parse().unwrap();
@@ -115,24 +116,24 @@
     assert_eq!(keys.verify(&customer, &long), None);
 }
 
-// A session changes its version after a domain fails: both homes stood in it. Cause: homes
-// chosen without regard to failure domains.
+// Guards against a session that changes its version when a failure domain is lost, because both
+// of its homes were in that domain.
 #[test]
 fn can_hold_pins_in_two_failure_domains() {
     let members = members(9);
     for n in 0..500 {
         let homes = homes(key(&format!("s{n}")).hash64(), &members);
-        assert_eq!(homes.len(), HOMES);
+        assert_eq!(homes.len(), HOMES_PER_SESSION);
         let domains = homes.iter().map(|id| {
             let member = members.iter().find(|member| member.id == *id);
             member.unwrap().domain.clone()
         });
-        assert_eq!(domains.collect::<BTreeSet<_>>().len(), HOMES);
+        assert_eq!(domains.collect::<BTreeSet<_>>().len(), HOMES_PER_SESSION);
     }
 }
 
-// Two daemons begin the same session at once, or a cut fleet did and meets again: the caller's
-// version changes from call to call. Cause: the homes keep different pins.
+// Guards against a version that changes from call to call: two daemons, or the two sides of a
+// network partition, pinned the same session, and its homes keep different pins.
 #[test]
 fn can_agree_on_the_older_pin_in_any_order() {
     let pins = [pin("s", "a", 5, None), pin("s", "b", 9, None)];
@@ -161,8 +162,8 @@
     assert!(table.is_empty());
 }
 
-// A session changes its version a minute after a daemon was replaced, although no home failed
-// at the same time as the other. Cause: the new home was never told of its pins.
+// Guards against a session that changes its version after a daemon was replaced, although its
+// homes never failed at the same time, because a new home was not sent its pins.
 #[test]
 fn can_follow_changes_of_members() {
     let before = members(9);
@@ -181,33 +182,33 @@
             tables[at(&home)].pin(pin(&name, "a", 1, None), NOW);
         }
     }
-    // One daemon after the other leaves; what it held is at the other home.
-    let mut left = before.clone();
-    while left.len() > HOMES {
-        left.remove(0);
-        for gone in 0..before.len() {
-            tables[gone].set_members(left.clone());
-            if !left.contains(&before[gone]) {
+    // The daemons leave one after the other; the other home still holds the pins of each.
+    let mut remaining = before.clone();
+    while remaining.len() > HOMES_PER_SESSION {
+        remaining.remove(0);
+        for index in 0..before.len() {
+            tables[index].set_members(remaining.clone());
+            if !remaining.contains(&before[index]) {
                 continue;
             }
             for _ in 0..10 {
-                for (to, pin) in tables[gone].rehome(&before[gone].id, NOW) {
+                for (to, pin) in tables[index].rehome(&before[index].id, NOW) {
                     tables[at(&to)].pin(pin, NOW);
                 }
             }
         }
         for n in 0..1_000 {
             let key = key(&format!("s{n}"));
-            for home in homes(key.hash64(), &left) {
+            for home in homes(key.hash64(), &remaining) {
                 assert!(tables[at(&home)].get(&key, NOW).is_some(), "{key:?}");
             }
         }
     }
 }
 
-// A session changes its version after each host was replaced in turn, under the same names and
-// too quickly to be seen as gone. Cause: a home that was back had lost its pins, and the other
-// home, which saw the same members as before, did not send them again.
+// Guards against a session that changes its version after the daemons restarted in turn, under the
+// same names and too quickly to be seen as gone: a restarted home has lost its pins, and the
+// other home sees the same member names as before and does not send them again.
 #[test]
 fn can_refill_a_home_that_restarted_under_its_name() {
     let before = members(9);
@@ -221,16 +222,16 @@
     let home = after.iter_mut().find(|member| member.id == first);
     home.unwrap().run = Incarnation(2);
     table.set_members(after);
-    let moved = table.rehome(&second, NOW);
-    assert_eq!(moved.len(), 1);
-    assert_eq!((&moved[0].0, &moved[0].1.key), (&first, &key));
+    let to_send = table.rehome(&second, NOW);
+    assert_eq!(to_send.len(), 1);
+    assert_eq!((&to_send[0].0, &to_send[0].1.key), (&first, &key));
 }
 
-// Sessions change their version in a fleet of hundreds, where a daemon is replaced every half
-// minute, although few homes fail at a time. Cause: each change began the walk over the pins
-// anew, and the last ones were never reached.
+// Guards against sessions that change their version in a fleet of hundreds, where a daemon is
+// replaced every half minute: if each change restarts the sweep over the pins, the last pins are
+// never reached.
 #[test]
-fn can_move_pins_although_members_keep_changing() {
+fn can_move_pins_while_members_keep_changing() {
     let all = members(9);
     let (own, changing) = (&all[1].id, all[8].clone());
     let mut table = Pins::new(Span::from_secs(600));
@@ -241,13 +242,13 @@
         table.pin(pin(name, "a", 1, None), NOW);
     }
     let without_first = &all[1..];
-    let mut told = BTreeSet::new();
+    let mut sent = BTreeSet::new();
     for tick in 0..40 {
         let mut present = without_first.to_vec();
         present.retain(|member| tick / 2 % 2 == 0 || *member != changing);
         table.set_members(present);
-        let moved = table.rehome(own, NOW);
-        told.extend(moved.into_iter().map(|(home, pin)| (pin.key, home)));
+        let to_send = table.rehome(own, NOW);
+        sent.extend(to_send.into_iter().map(|(home, pin)| (pin.key, home)));
     }
     for name in &names {
         let key = key(name);
@@ -257,7 +258,7 @@
             .into_iter()
             .filter(|id| !before.contains(id) && id != own);
         for home in gained.filter(|id| *id != changing.id) {
-            assert!(told.contains(&(key.clone(), home)), "{key:?}");
+            assert!(sent.contains(&(key.clone(), home)), "{key:?}");
         }
     }
 }
@@ -265,8 +266,8 @@
 #[test]
 fn can_find_a_pin_at_either_home() {
     let homes: Vec<DaemonId> = ["d1", "d2"].map(|id| id.parse().unwrap()).to_vec();
-    let (mut lookup, asks) = Lookup::start(key("s"), homes.clone());
-    assert_eq!(asks.len(), 2);
+    let (mut lookup, messages) = Lookup::start(key("s"), homes.clone());
+    assert_eq!(messages.len(), 2);
     assert_eq!(
         lookup.on_reply(&homes[0], Some(Reply::Missing)),
         LookupStep::Wait
