--- a/components/requests/src/claim.rs
+++ b/components/requests/src/claim.rs
@@ -74,8 +74,8 @@
     Reading,
 }
 
-/// A claim that this daemon holds, or may hold after an unanswered write. Not `Clone`, because
-/// it is settled once.
+/// A claim that this daemon holds, or may hold after an unanswered write. Not `Clone`, so
+/// that it is settled only once.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Held {
     pub(crate) key: String,
@@ -85,7 +85,7 @@
     pub(crate) revision: Option<ModRevision>,
 }
 
-/// What an existing claim by another call says about the request.
+/// What an existing claim, made when the request was sent before, says about it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Standing {
     /// The request ran; its recorded answer is to be sent again.
@@ -103,7 +103,7 @@
     Call(keyvalue::Request),
     /// This daemon has the claim: run the request.
     Mine(Held),
-    /// Another call has the claim: do not run the request.
+    /// The request was claimed before, here or by another daemon: do not run it.
     Duplicate(Standing),
     /// The claim could not be made: refuse the request as not run. A write that may still take
     /// effect is given, to be released: if it took effect later, the caller's repeat would be
--- a/components/requests/src/claim/batch.rs
+++ b/components/requests/src/claim/batch.rs
@@ -50,7 +50,7 @@
 }
 
 impl Batcher {
-    /// Creates an empty batcher that waits at least `gap` between the start of a batch that is
+    /// Creates an empty batcher that waits at least `min_gap` between the start of a batch that is
     /// not full and the next.
     #[must_use]
     pub fn new(min_gap: Span) -> Self {
--- a/components/requests/src/claim/record.rs
+++ b/components/requests/src/claim/record.rs
@@ -23,7 +23,7 @@
 /// A claim as stored.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimRecord {
-    /// Nonce of the call that made the claim.
+    /// Nonce of the write that made the claim.
     pub nonce: Nonce,
     /// Hash of the request's content.
     pub fingerprint: u64,
--- a/components/requests/src/claim/settle.rs
+++ b/components/requests/src/claim/settle.rs
@@ -29,7 +29,7 @@
     Call(keyvalue::Request),
     /// The claim is settled.
     Done,
-    /// The key holds another call's claim: this one had expired or been released.
+    /// The key holds another claim: this one had expired or been released.
     Superseded,
     /// The store does not answer: start again later with [`Settle::again`].
     Later,
@@ -113,9 +113,9 @@
         self.call_again()
     }
 
-    /// Whether the stored value may be replaced: this claim's own, or, by a release, another
-    /// call's release marker. This claim's write over that marker may still be in flight, and
-    /// it fails once the marker's revision has changed.
+    /// Whether the stored value may be replaced: it is this claim's own, or this is a release and
+    /// the value is the release marker of another claim. This claim's write over that marker may
+    /// still be in flight, and it fails once the marker's revision has changed.
     fn may_replace(&self, record: &ClaimRecord) -> bool {
         record.nonce == self.nonce || (self.is_release && record.state == State::Released)
     }
--- a/components/requests/src/life.rs
+++ b/components/requests/src/life.rs
@@ -197,7 +197,7 @@
         self.transition(Waiting(()))
     }
 
-    /// Refuses the request as not run; the caller must release the claim.
+    /// Refuses the request as not run; its claim must then be released.
     #[must_use]
     pub fn refuse(self, code: Code) -> Request<Refused> {
         self.into_refused(code)
@@ -318,7 +318,7 @@
         self.state.usage
     }
 
-    /// Makes the request's only bill; the caller must then record the outcome in the claim.
+    /// Makes the request's only bill; the outcome must then be recorded in its claim.
     #[must_use]
     pub fn bill(self) -> (Request<Billed>, BillFacts) {
         let bill = BillFacts {
@@ -346,8 +346,8 @@
         self.state.refusal
     }
 
-    /// Returns the claim to release, only if the work certainly did not run. The claim of work
-    /// that may have run is kept until its lease expires.
+    /// Returns the claim to be released, if the work certainly did not run. The claim of work that
+    /// may have run stays until its lease expires.
     #[must_use]
     pub fn into_claim_to_release(self) -> Option<Held> {
         let is_not_run = self.core.progress.run() == RunState::No;
--- a/components/requests/tests/claims.rs
+++ b/components/requests/tests/claims.rs
@@ -63,7 +63,7 @@
 fn expect_held(step: ClaimStep) -> Held {
     match step {
         ClaimStep::Mine(held) => held,
-        other => panic!("not mine: {other:?}"),
+        other => panic!("claim not acquired: {other:?}"),
     }
 }
 
@@ -126,7 +126,7 @@
         panic!("not read back");
     };
     let ClaimStep::Call(write) = slow.on_outcome(store.call(&read), NOW) else {
-        panic!("absent is written again");
+        panic!("an absent key was not written again");
     };
     expect_held(claim(&mut store, spec("d2", 1)));
     let _ = store.call(&delayed);
@@ -149,7 +149,7 @@
         let (mut slow, mut call) = Claim::start(spec("d1", 1));
         if taken_over {
             let ClaimStep::Call(next) = slow.on_outcome(store.call(&call), NOW) else {
-                panic!("a released claim is taken over");
+                panic!("a released claim was not taken over");
             };
             call = next;
         }
@@ -159,7 +159,7 @@
             step = slow.on_outcome(not_sent(), NOW);
         }
         let ClaimStep::Unavailable(Some(possibly_written)) = step else {
-            panic!("given up without a doubt: {step:?}");
+            panic!("given up without a claim to release: {step:?}");
         };
         settle(&mut store, Settle::release(possibly_written));
         let _ = store.call(&delayed);
--- a/components/requests/tests/fuzz/daemon.rs
+++ b/components/requests/tests/fuzz/daemon.rs
@@ -25,7 +25,8 @@
 pub(crate) struct DaemonRun(usize, u64);
 
 impl DaemonRun {
-    pub(crate) const NOBODY: Self = Self(usize::MAX, 0);
+    /// Run of no daemon: outcomes for it are dropped.
+    pub(crate) const NONE: Self = Self(usize::MAX, 0);
 
     pub(crate) fn daemon(self) -> DaemonId {
         format!("daemon-{}", self.0).parse().unwrap()
--- a/components/requests/tests/fuzz/main.rs
+++ b/components/requests/tests/fuzz/main.rs
@@ -64,12 +64,12 @@
         let engine = prop_oneof![
             Just(EngineFault::NotSent),
             Just(EngineFault::RefusedNotRun),
-            Just(EngineFault::ResetBefore),
-            Just(EngineFault::ResetAfter),
+            Just(EngineFault::ResetBeforeRun),
+            Just(EngineFault::ResetAfterRun),
             prop_oneof![Just(400), Just(500)].prop_map(EngineFault::Error),
-            Just(EngineFault::Late),
-            Just(EngineFault::Crossed),
-            (0u8..10).prop_map(EngineFault::Cut),
+            Just(EngineFault::RunsAfterTimeout),
+            Just(EngineFault::WrongEcho),
+            (0u8..10).prop_map(EngineFault::Truncated),
         ];
         prop_oneof![
             10 => (0u8..8, 0u8..3).prop_map(|(request, daemon)| {
--- a/components/requests/tests/fuzz/world.rs
+++ b/components/requests/tests/fuzz/world.rs
@@ -94,12 +94,12 @@
 pub(crate) enum EngineFault {
     NotSent,
     RefusedNotRun,
-    ResetBefore,
-    ResetAfter,
+    ResetBeforeRun,
+    ResetAfterRun,
     Error(u16),
-    Late,
-    Crossed,
-    Cut(u8),
+    RunsAfterTimeout,
+    WrongEcho,
+    Truncated(u8),
 }
 
 pub(crate) struct World {
@@ -317,8 +317,8 @@
         for _ in 0..100 {
             self.tick(Span::from_millis(50));
             self.perform_all();
-            let is_open = self.daemons.iter().any(|daemon| !daemon.is_idle());
-            if !is_open && self.pending.is_empty() {
+            let is_busy = self.daemons.iter().any(|daemon| !daemon.is_idle());
+            if !is_busy && self.pending.is_empty() {
                 return;
             }
         }
--- a/components/requests/tests/fuzz/world/faults.rs
+++ b/components/requests/tests/fuzz/world/faults.rs
@@ -15,8 +15,8 @@
         match fault {
             EngineFault::NotSent => self.reply(&attempt, EngineReply::NotSent),
             EngineFault::RefusedNotRun => self.reply(&attempt, EngineReply::RefusedNotRun),
-            EngineFault::ResetBefore => self.reply(&attempt, EngineReply::Reset),
-            EngineFault::ResetAfter => {
+            EngineFault::ResetBeforeRun => self.reply(&attempt, EngineReply::Reset),
+            EngineFault::ResetAfterRun => {
                 self.oracle.ran(attempt.call);
                 self.reply(&attempt, EngineReply::Reset);
             }
@@ -24,11 +24,11 @@
                 self.oracle.ran(attempt.call);
                 self.reply(&attempt, EngineReply::Error(status));
             }
-            EngineFault::Late => {
+            EngineFault::RunsAfterTimeout => {
                 self.reply(&attempt, EngineReply::TimedOut);
                 self.add(vec![Effect::Attempt(attempt)]);
             }
-            EngineFault::Crossed => {
+            EngineFault::WrongEcho => {
                 self.oracle.ran(attempt.call);
                 let tokens = whole_answer(attempt.request ^ 1);
                 let reply = EngineReply::Tokens {
@@ -38,7 +38,7 @@
                 };
                 self.reply(&attempt, reply);
             }
-            EngineFault::Cut(tokens) => self.run_attempt(&attempt, tokens.into(), false),
+            EngineFault::Truncated(tokens) => self.run_attempt(&attempt, tokens.into(), false),
         }
     }
 
@@ -54,7 +54,7 @@
             }
             StoreFault::Delayed => {
                 let delayed =
-                    Effect::Store(DaemonRun::NOBODY, StoreCallOwner::Lease(self.now), request);
+                    Effect::Store(DaemonRun::NONE, StoreCallOwner::Lease(self.now), request);
                 self.add(vec![delayed]);
                 CallError::Unknown("no reply".to_owned())
             }
--- a/components/requests/tests/life.rs
+++ b/components/requests/tests/life.rs
@@ -189,7 +189,7 @@
     let req = req.hedge(upstream(2), NOW, &mut budget).unwrap();
     let req = req.hedge(upstream(3), NOW, &mut budget).unwrap_err();
     let Next::Open(req) = end(req, &AttemptEnd::NotSent) else {
-        panic!("the second attempt is still open");
+        panic!("the second attempt is not open");
     };
     assert_eq!(req.progress().run(), RunState::Unknown);
     let next = req.end(&upstream(2), &WHOLE, NOW, &mut budget);
