--- a/components/sessions/src/homes.rs
+++ b/components/sessions/src/homes.rs
@@ -22,8 +22,8 @@
 
 /// Returns the homes of a session by rendezvous hashing, in order.
 ///
-/// A daemon that joins or leaves changes the homes only of the sessions that it is or was a home of.
-/// The second home is in another failure domain than the first if there is one, so that the
+/// A daemon that joins or leaves changes the homes only of the sessions that it is or was a home
+/// of. The second home is in another failure domain than the first if there is one, so that the
 /// loss of one domain leaves one of the two.
 #[must_use]
 pub fn homes(hash: u64, members: &[Member]) -> Vec<DaemonId> {
--- a/components/sessions/src/pins.rs
+++ b/components/sessions/src/pins.rs
@@ -51,7 +51,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct Entry {
+struct HeldPin {
     version: VersionId,
     revision: Revision,
     since: Time,
@@ -62,7 +62,7 @@
 #[derive(Debug)]
 pub struct Pins {
     idle_limit: Span,
-    entries: BTreeMap<SessionKey, Entry>,
+    by_session: BTreeMap<SessionKey, HeldPin>,
     by_use: BTreeSet<(Time, SessionKey)>,
     members: Vec<Member>,
     /// Members for which every pin has been sent to its homes.
@@ -73,7 +73,9 @@
 /// A pass over all pins after the members changed, in parts.
 #[derive(Debug)]
 struct Sweep {
+    /// Members that the sweep began with.
     target: Vec<Member>,
+    /// Last session that was checked.
     after: Option<SessionKey>,
 }
 
@@ -83,7 +85,7 @@
     pub fn new(idle_limit: Span) -> Self {
         Self {
             idle_limit,
-            entries: BTreeMap::new(),
+            by_session: BTreeMap::new(),
             by_use: BTreeSet::new(),
             members: Vec::new(),
             swept_members: Vec::new(),
@@ -94,13 +96,13 @@
     /// Number of pins in the table, for the dump.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.entries.len()
+        self.by_session.len()
     }
 
     /// Whether the table holds no pins.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.entries.is_empty()
+        self.by_session.is_empty()
     }
 
     /// Answers another daemon's message.
@@ -114,8 +116,8 @@
     /// Returns the pin of a session and marks it as used.
     pub fn get(&mut self, key: &SessionKey, now: Time) -> Option<Pin> {
         self.touch(key, now);
-        let entry = self.entries.get(key)?;
-        Some(to_pin(key, entry, now))
+        let held = self.by_session.get(key)?;
+        Some(to_pin(key, held, now))
     }
 
     /// Adds a pin unless the one held wins over it, and returns the winning pin.
@@ -126,7 +128,7 @@
     /// replaced wins over an older one.
     pub fn pin(&mut self, pin: Pin, now: Time) -> Pin {
         let since = now - pin.age;
-        let is_winner = self.entries.get(&pin.key).is_none_or(|held| {
+        let is_winner = self.by_session.get(&pin.key).is_none_or(|held| {
             let replaces = pin.over.as_ref() == Some(&held.version);
             let is_older = (since, &pin.version) < (held.since, &held.version);
             held.version != pin.version && (replaces || (is_older && pin.over.is_none()))
@@ -180,17 +182,17 @@
             .as_ref()
             .map_or(Bound::Unbounded, Bound::Excluded);
         let range = (lower, Bound::Unbounded);
-        let part = self.entries.range::<SessionKey, _>(range);
+        let part = self.by_session.range::<SessionKey, _>(range);
         let part: Vec<_> = part.take(PINS_CHECKED_PER_TICK).collect();
         let mut to_send = Vec::new();
-        for (key, entry) in &part {
+        for (key, held) in &part {
             // Guards against a session that changes its version after its homes restarted one
             // after the other: a restarted home has lost its pins, so another incarnation counts
             // as a new home.
             let old = home_members(key.hash64(), &self.swept_members);
             let new = home_members(key.hash64(), &sweep.target).into_iter();
             let gained = new.filter(|home| !old.contains(home) && home.id != *own_id);
-            to_send.extend(gained.map(|home| (home.id.clone(), to_pin(key, entry, now))));
+            to_send.extend(gained.map(|home| (home.id.clone(), to_pin(key, held, now))));
         }
         sweep.after = part.last().map(|(key, _)| (*key).clone());
         if part.len() < PINS_CHECKED_PER_TICK {
@@ -204,49 +206,49 @@
 
     /// Iterates over all pins, to hand them over at a shutdown.
     pub fn iter(&self, now: Time) -> impl Iterator<Item = Pin> {
-        self.entries
+        self.by_session
             .iter()
-            .map(move |(key, entry)| to_pin(key, entry, now))
+            .map(move |(key, held)| to_pin(key, held, now))
     }
 
     fn insert(&mut self, pin: &Pin, since: Time, now: Time) {
         let key = pin.key.clone();
-        if let Some(old) = self.entries.get(&key) {
+        if let Some(old) = self.by_session.get(&key) {
             self.by_use.remove(&(old.last_used, key.clone()));
-        } else if self.entries.len() >= MAX_PINS {
+        } else if self.by_session.len() >= MAX_PINS {
             self.drop_least_recently_used();
         }
         self.by_use.insert((now, key.clone()));
-        let entry = Entry {
+        let held = HeldPin {
             version: pin.version.clone(),
             revision: pin.revision,
             since,
             last_used: now,
         };
-        self.entries.insert(key, entry);
+        self.by_session.insert(key, held);
     }
 
     fn touch(&mut self, key: &SessionKey, now: Time) {
-        if let Some(entry) = self.entries.get_mut(key) {
-            self.by_use.remove(&(entry.last_used, key.clone()));
-            entry.last_used = now;
+        if let Some(held) = self.by_session.get_mut(key) {
+            self.by_use.remove(&(held.last_used, key.clone()));
+            held.last_used = now;
             self.by_use.insert((now, key.clone()));
         }
     }
 
     fn drop_least_recently_used(&mut self) {
         if let Some((_, key)) = self.by_use.pop_first() {
-            self.entries.remove(&key);
+            self.by_session.remove(&key);
         }
     }
 }
 
-fn to_pin(key: &SessionKey, entry: &Entry, now: Time) -> Pin {
+fn to_pin(key: &SessionKey, held: &HeldPin, now: Time) -> Pin {
     Pin {
         key: key.clone(),
-        version: entry.version.clone(),
-        revision: entry.revision,
-        age: now.since(entry.since),
+        version: held.version.clone(),
+        revision: held.revision,
+        age: now.since(held.since),
         over: None,
     }
 }
