--- a/components/requests/src/attempt.rs
+++ b/components/requests/src/attempt.rs
@@ -5,7 +5,8 @@
 /// How an attempt at an upstream ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// No byte of the request was written: there was no connection, or it closed before.
+    /// No byte of the request was written: there was no connection, or it closed before
+    /// the first byte.
     NotSent,
     /// The upstream refused the request and said, by its protocol, that it did not begin the work.
     RefusedNotRun {
