--- a/components/node/src/claims.rs
+++ b/components/node/src/claims.rs
@@ -4,7 +4,7 @@
 //! are settled behind them. The thread also keeps the lease that claims go with, and tries
 //! again what the store did not take in an outage.
 
-mod keeper;
+mod worker;
 
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
@@ -19,7 +19,7 @@
 use types::prelude::*;
 
 use crate::shared::lock;
-use keeper::Keeper;
+use worker::Keeper;
 
 /// Calls and settlements that wait for the thread; more are refused as not sent.
 const JOBS_WAITING: usize = 4096;
@@ -125,7 +125,7 @@
             "waiting": self.jobs.len(),
             "most_waiting": JOBS_WAITING,
             "unsettled": self.later.load(Ordering::Relaxed),
-            "most_unsettled": keeper::MAX_LATER,
+            "most_unsettled": worker::MAX_LATER,
             "lease_used_for": lease,
         })
     }
--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -10,20 +10,20 @@
 use peers::Part;
 use types::prelude::*;
 
-use crate::calling::Calling;
 use crate::event::{Event, StoreUse};
+use crate::outbound::Calling;
 use crate::shared::{Shared, lock};
 use crate::snapshot::{Readiness, Snapshot};
-use crate::storage::Storage;
+use crate::store_pool::Storage;
 use crate::systems;
 use crate::systems::catalogue::Action;
 use crate::watching::Watching;
 
-mod barring;
 mod billing;
 mod evidence;
 mod loads;
 mod peering;
+mod quarantine;
 
 /// The tables and what they reach out through.
 pub(crate) struct Control {
--- a/components/node/src/lib.rs
+++ b/components/node/src/lib.rs
@@ -5,23 +5,23 @@
 //! traffic reads it and tells the control thread what happened as [`event::Event`]s.
 
 mod admission;
-mod barring;
-mod calling;
 mod claims;
 mod control;
 mod error;
 pub mod event;
 mod hosts;
+mod latency;
 mod measured;
-mod pace;
+mod outbound;
 mod polls;
 mod pool;
+mod quarantine;
 mod rating;
 mod sessions;
 mod shared;
 pub mod snapshot;
 mod start;
-mod storage;
+mod store_pool;
 pub mod systems;
 pub mod traffic;
 mod watching;
--- a/components/node/src/shared.rs
+++ b/components/node/src/shared.rs
@@ -14,10 +14,10 @@
 use types::prelude::*;
 
 use crate::admission::Admissions;
-use crate::barring::Barring;
 use crate::claims::Claims;
 use crate::event::Event;
-use crate::pace::Paces;
+use crate::latency::Paces;
+use crate::quarantine::Barring;
 use crate::rating::Rating;
 use crate::sessions::Sessions;
 use crate::snapshot::Snapshot;
--- a/components/node/src/start.rs
+++ b/components/node/src/start.rs
@@ -20,17 +20,17 @@
 use types::prelude::*;
 
 use crate::admission::Admissions;
-use crate::barring::Barring;
 use crate::claims::{self, Claims};
 use crate::control::Control;
 use crate::error::NodeError;
 use crate::event::{EVENTS_WAITING, Event};
 use crate::measured::Counted;
+use crate::quarantine::Barring;
 use crate::rating::Rating;
 use crate::sessions::Sessions;
 use crate::shared::Shared;
 use crate::snapshot::Snapshot;
-use crate::storage::Storage;
+use crate::store_pool::Storage;
 use crate::systems;
 use crate::traffic::{InFlight, Traffic};
 
--- a/components/node/src/systems/rollout.rs
+++ b/components/node/src/systems/rollout.rs
@@ -4,7 +4,7 @@
 //! that it has asked for. What a driver wants done is handed to the control thread, and
 //! calls of engines and of the weight store go on to threads that may block.
 
-mod seen;
+mod observations;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
 use types::prelude::*;
 use xxhash_rust::xxh3::xxh3_64;
 
-use seen::Seen;
+use observations::Seen;
 
 /// Daemons that look whether a roll-out lacks a driver; more would only load the store.
 const CANDIDATES: usize = 3;
@@ -149,7 +149,7 @@
             model,
             revision,
             engines: &engines,
-            evidence: seen::evidence(name, rollout, quality),
+            evidence: observations::evidence(name, rollout, quality),
             demand: driven.seen.demand(now),
             rank: driven.rank,
         };
--- a/components/node/src/traffic.rs
+++ b/components/node/src/traffic.rs
@@ -4,13 +4,13 @@
 //! [`Snapshot`], and all it writes are small tables behind locks that are held for
 //! microseconds and never over a wait.
 
-pub mod ask;
 mod billing;
 mod chat;
 mod claim;
 mod in_flight;
 mod limited;
 mod models;
+pub mod params;
 mod plain;
 pub mod refusal;
 pub mod resolve;
@@ -101,7 +101,7 @@
         let message = "this daemon holds no catalogue yet";
         return Err(Refusal::unavailable("starting", message, STARTING_RETRY));
     }
-    let key = ask::bearer(&req.headers).ok_or_else(Refusal::unauthorized)?;
+    let key = params::bearer(&req.headers).ok_or_else(Refusal::unauthorized)?;
     let customer = snapshot.view.customer_of_key(key);
     customer.cloned().ok_or_else(Refusal::unauthorized)
 }
--- a/components/node/src/traffic/chat.rs
+++ b/components/node/src/traffic/chat.rs
@@ -12,10 +12,10 @@
 use types::prelude::*;
 
 use super::Context;
-use super::ask::{ChatAsk, HeadAsk};
+use super::params::{ChatAsk, HeadAsk};
 use super::refusal::Refusal;
 use super::resolve::{Resolved, resolve};
-use crate::barring::Asked;
+use crate::quarantine::Asked;
 
 /// Pause that a caller is told when the catalogue may be out of date.
 const BUSY_RETRY: Span = Span::from_secs(1);
--- a/components/node/src/traffic/chat/body.rs
+++ b/components/node/src/traffic/chat/body.rs
@@ -1,7 +1,7 @@
 //! The body that goes to an engine, and the hashes of its prompt's beginnings.
 
 use super::version::Chosen;
-use crate::traffic::ask::ChatAsk;
+use crate::traffic::params::ChatAsk;
 use bytes::Bytes;
 use routing::PrefixHash;
 use serde_json::{Map, Value, json};
--- a/components/node/src/traffic/plain.rs
+++ b/components/node/src/traffic/plain.rs
@@ -13,15 +13,15 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use super::Context;
-use super::ask::HeadAsk;
 use super::billing;
 use super::claim::{self, Entry, listed};
 use super::limited;
+use super::params::HeadAsk;
 use super::refusal::{Refusal, set};
 use super::upstream::{Taken, end_of, left};
 use crate::admission;
-use crate::barring::Asked;
 use crate::measured;
+use crate::quarantine::Asked;
 use crate::shared::{Shared, lock};
 use crate::systems::limits::account_of_service;
 
