--- a/components/node/src/admission.rs
+++ b/components/node/src/admission.rs
@@ -1,4 +1,4 @@
-//! Leave to start: what a request waits for before it goes to an upstream.
+//! Admission of requests through the limiter, and preemption of batch attempts.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -10,15 +10,14 @@
 
 use crate::shared::{Shared, lock};
 
-/// A verdict that is late by more than this will not come.
-const LATE: Span = Span::from_millis(500);
-/// What a request refused for want of a verdict is told.
-const RETRY: Span = Span::from_secs(1);
-/// Part of all slots that batch work leaves free, since it does not give way at the
-/// engines as yet.
-const RESERVE: f64 = 0.03;
+/// How long after the deadline the limiter's verdict is still waited for.
+const VERDICT_GRACE: Span = Span::from_millis(500);
+/// Retry-After for a request that is refused because no verdict came.
+const OVERLOADED_RETRY_AFTER: Span = Span::from_secs(1);
+/// Fraction of all slots that batch work leaves free, since engines do not preempt it yet.
+const BATCH_RESERVE: f64 = 0.03;
 
-/// The limiter, and the requests that wait for its verdicts.
+/// The limiter, the requests that wait for its verdicts, and the preemptible batch attempts.
 pub(crate) struct Admissions {
     table: Mutex<Table>,
 }
@@ -26,147 +25,149 @@
 pub(crate) struct Table {
     pub(crate) limiter: Limiter,
     waiters: BTreeMap<Ticket, flume::Sender<Verdict>>,
-    /// Batch attempts that can be resumed, by their upstream; the latest is asked first.
-    yielding: BTreeMap<UpstreamIndex, Vec<Arc<AtomicBool>>>,
+    /// Batch attempts that can be preempted and resumed, by upstream; the latest is preempted
+    /// first.
+    preemptible: BTreeMap<UpstreamIndex, Vec<Arc<AtomicBool>>>,
 }
 
 impl Admissions {
-    /// For a daemon that runs so many requests at once, those that wait included.
+    /// Creates a limiter for a daemon with at most `max_in_flight` requests, waiting ones included.
     pub(crate) fn new(daemon: &DaemonId, max_in_flight: usize) -> Self {
         let config = Config {
-            reserve: RESERVE,
+            reserve: BATCH_RESERVE,
             max_batch_waiting: max_in_flight / 2,
             ..Config::default()
         };
         let table = Table {
             limiter: Limiter::new(daemon.clone(), config),
             waiters: BTreeMap::new(),
-            yielding: BTreeMap::new(),
+            preemptible: BTreeMap::new(),
         };
         Self {
             table: Mutex::new(table),
         }
     }
 
-    /// Asks one of this daemon's batch attempts at an upstream to give way.
-    pub(crate) fn ask_to_give_way(&self, index: UpstreamIndex) {
+    /// Asks one of this daemon's batch attempts at an upstream to end; does nothing if there is
+    /// none.
+    pub(crate) fn preempt(&self, index: UpstreamIndex) {
         let mut table = self.table();
-        let asked = table.yielding.get_mut(&index).and_then(Vec::pop);
-        if let Some(asked) = asked {
-            asked.store(true, Ordering::Release);
+        let preempted = table.preemptible.get_mut(&index).and_then(Vec::pop);
+        if let Some(preempted) = preempted {
+            preempted.store(true, Ordering::Release);
         }
     }
 
-    /// The table, for the control thread.
+    /// Locks the table, for the control thread.
     pub(crate) fn table(&self) -> MutexGuard<'_, Table> {
         lock(&self.table)
     }
 }
 
 impl Table {
-    /// Batch attempts that can be asked to give way.
-    pub(crate) fn yielding(&self) -> usize {
-        self.yielding.values().map(Vec::len).sum()
+    /// Number of batch attempts that can be preempted.
+    pub(crate) fn preemptible(&self) -> usize {
+        self.preemptible.values().map(Vec::len).sum()
     }
 
-    /// Ends the waits that can be ended.
-    pub(crate) fn pump(&mut self, now: Time) {
+    /// Delivers the limiter's verdicts on waiting requests.
+    pub(crate) fn deliver_verdicts(&mut self, now: Time) {
         for (ticket, verdict) in self.limiter.pump(now, &mut rand::rng()) {
             let waiter = self.waiters.remove(&ticket);
-            let unheard = match waiter {
+            let undelivered = match waiter {
                 Some(waiter) => waiter.send(verdict).err().map(|unsent| unsent.0),
                 None => Some(verdict),
             };
-            // Guards against a slot lost for ever: a waiter that gave up as its verdict came
-            // shows as a pool that fills without work.
-            if let Some(Verdict::Start(grant)) = unheard {
+            // A waiter may give up just as its verdict comes. Were the grant not released here, its
+            // slot would be lost for ever: a pool that fills up without work.
+            if let Some(Verdict::Start(grant)) = undelivered {
                 self.limiter.release(now, grant, Tokens(0));
             }
         }
     }
 }
 
-/// Leave to start. Gives its slot back when dropped, however the request ended.
-pub(crate) struct Leave<'a> {
+/// An admitted request's grant of a slot, released when dropped, however the request ended.
+pub(crate) struct GrantGuard<'a> {
     shared: &'a Shared,
     grant: Option<Grant>,
     used: Tokens,
 }
 
-impl Leave<'_> {
-    /// Notes what the request used.
+impl GrantGuard<'_> {
+    /// Sets the tokens that the request used, to be settled on release.
     pub(crate) fn used(&mut self, tokens: Tokens) {
         self.used = tokens;
     }
 }
 
-impl<'a> Leave<'a> {
+impl<'a> GrantGuard<'a> {
     /// Gives the slot up and waits for another one.
     ///
     /// # Errors
-    /// When the deadline comes first; the slot is gone then.
-    pub(crate) async fn wait_again(&mut self, deadline: Time) -> Result<(), Refusal> {
+    /// When the deadline passes first; the slot has been given up then.
+    pub(crate) async fn reacquire(&mut self, deadline: Time) -> Result<(), Refusal> {
         let Some(grant) = self.grant.take() else {
             return Ok(());
         };
-        let (ticket, rx) = self.give_up_slot(grant);
+        let (ticket, rx) = self.requeue(grant);
         self.grant = Some(wait(self.shared, ticket, &rx, deadline).await?);
         Ok(())
     }
 }
 
-impl Leave<'_> {
-    fn give_up_slot(&self, grant: Grant) -> (Ticket, flume::Receiver<Verdict>) {
+impl GrantGuard<'_> {
+    fn requeue(&self, grant: Grant) -> (Ticket, flume::Receiver<Verdict>) {
         let now = self.shared.now();
         let mut table = self.shared.admissions.table();
         let ticket = table.limiter.give_way(grant);
         let (tx, rx) = flume::bounded(1);
         table.waiters.insert(ticket, tx);
-        table.pump(now);
+        table.deliver_verdicts(now);
         (ticket, rx)
     }
 }
 
-impl Drop for Leave<'_> {
+impl Drop for GrantGuard<'_> {
     fn drop(&mut self) {
         let now = self.shared.now();
         let mut table = self.shared.admissions.table();
         if let Some(grant) = self.grant.take() {
             table.limiter.release(now, grant, self.used);
         }
-        table.pump(now);
+        table.deliver_verdicts(now);
     }
 }
 
-/// Waits for leave to start, at most until the deadline.
+/// Waits until a request is admitted, at most until its deadline.
 ///
 /// # Errors
-/// When a limit or overload refuses it: nothing was sent anywhere.
-pub(crate) async fn enter(shared: &Shared, ask: Ask) -> Result<Leave<'_>, Refusal> {
+/// When it is refused for a limit or for overload; nothing was sent to an upstream.
+pub(crate) async fn acquire(shared: &Shared, ask: Ask) -> Result<GrantGuard<'_>, Refusal> {
     let deadline = ask.deadline;
     let grant = match admit(shared, ask)? {
-        Admitted::Start(grant) => grant,
-        Admitted::Wait(ticket, rx) => wait(shared, ticket, &rx, deadline).await?,
+        FirstVerdict::Start(grant) => grant,
+        FirstVerdict::Wait(ticket, rx) => wait(shared, ticket, &rx, deadline).await?,
     };
-    Ok(leave(shared, grant))
+    Ok(guard(shared, grant))
 }
 
-/// What the limiter said at once.
-enum Admitted {
+/// The limiter's first answer: admitted, or queued under a ticket.
+enum FirstVerdict {
     Start(Grant),
     Wait(Ticket, flume::Receiver<Verdict>),
 }
 
-fn admit(shared: &Shared, ask: Ask) -> Result<Admitted, Refusal> {
+fn admit(shared: &Shared, ask: Ask) -> Result<FirstVerdict, Refusal> {
     let now = shared.now();
     let mut table = shared.admissions.table();
     match table.limiter.admit(now, ask, &mut rand::rng()) {
-        Admission::Start(grant) => Ok(Admitted::Start(grant)),
+        Admission::Start(grant) => Ok(FirstVerdict::Start(grant)),
         Admission::Refuse(refusal) => Err(refusal),
         Admission::Wait(ticket) => {
             let (tx, rx) = flume::bounded(1);
             table.waiters.insert(ticket, tx);
-            Ok(Admitted::Wait(ticket, rx))
+            Ok(FirstVerdict::Wait(ticket, rx))
         }
     }
 }
@@ -177,8 +178,8 @@
     rx: &flume::Receiver<Verdict>,
     deadline: Time,
 ) -> Result<Grant, Refusal> {
-    let patience = shared.now().until(deadline) + LATE;
-    let verdict = tokio::time::timeout(patience.to_duration(), rx.recv_async()).await;
+    let timeout = shared.now().until(deadline) + VERDICT_GRACE;
+    let verdict = tokio::time::timeout(timeout.to_duration(), rx.recv_async()).await;
     let verdict = match verdict {
         Ok(Ok(verdict)) => Ok(verdict),
         Ok(Err(_)) | Err(_) => give_up(shared, ticket, rx),
@@ -188,12 +189,12 @@
         Ok(Verdict::Refuse(refusal)) => Err(refusal),
         Err(_) => Err(Refusal {
             code: Code::Overloaded,
-            retry_after: RETRY,
+            retry_after: OVERLOADED_RETRY_AFTER,
         }),
     }
 }
 
-/// Leaves the queue; a verdict that came at the last moment counts.
+/// Leaves the queue; a verdict that came in the meantime still counts.
 fn give_up(
     shared: &Shared,
     ticket: Ticket,
@@ -205,50 +206,54 @@
     rx.try_recv()
 }
 
-fn leave(shared: &Shared, grant: Grant) -> Leave<'_> {
-    Leave {
+fn guard(shared: &Shared, grant: Grant) -> GrantGuard<'_> {
+    GrantGuard {
         shared,
         grant: Some(grant),
         used: Tokens(0),
     }
 }
 
-/// A batch attempt that has begun and can be asked to give way; no longer, once dropped.
-pub(crate) struct Yielding<'a> {
+/// Registers a running batch attempt as preemptible, until dropped.
+pub(crate) struct Preemptible<'a> {
     shared: &'a Shared,
     index: UpstreamIndex,
-    asked: Arc<AtomicBool>,
+    preempted: Arc<AtomicBool>,
 }
 
-impl<'a> Yielding<'a> {
-    /// Counts an attempt whose first token has come: it runs, so that its slot comes free
-    /// when it is cancelled.
-    pub(crate) fn begin(shared: &'a Shared, index: UpstreamIndex) -> Self {
-        let asked = Arc::new(AtomicBool::new(false));
+impl<'a> Preemptible<'a> {
+    /// Registers an attempt whose first token has come. Such an attempt is running, so that
+    /// cancelling it frees its slot.
+    pub(crate) fn register(shared: &'a Shared, index: UpstreamIndex) -> Self {
+        let preempted = Arc::new(AtomicBool::new(false));
         let mut table = shared.admissions.table();
-        table.yielding.entry(index).or_default().push(asked.clone());
+        table
+            .preemptible
+            .entry(index)
+            .or_default()
+            .push(preempted.clone());
         drop(table);
         lock(&shared.router).batch_started(index);
         Self {
             shared,
             index,
-            asked,
+            preempted,
         }
     }
 
-    /// Whether it should give way now.
-    pub(crate) fn is_asked(&self) -> bool {
-        self.asked.load(Ordering::Acquire)
+    /// Whether the attempt was asked to end.
+    pub(crate) fn is_preempted(&self) -> bool {
+        self.preempted.load(Ordering::Acquire)
     }
 }
 
-impl Drop for Yielding<'_> {
+impl Drop for Preemptible<'_> {
     fn drop(&mut self) {
         let mut table = self.shared.admissions.table();
-        if let Some(attempts) = table.yielding.get_mut(&self.index) {
-            attempts.retain(|other| !Arc::ptr_eq(other, &self.asked));
+        if let Some(attempts) = table.preemptible.get_mut(&self.index) {
+            attempts.retain(|other| !Arc::ptr_eq(other, &self.preempted));
             if attempts.is_empty() {
-                table.yielding.remove(&self.index);
+                table.preemptible.remove(&self.index);
             }
         }
         drop(table);
--- a/components/node/src/claims.rs
+++ b/components/node/src/claims.rs
@@ -1,8 +1,8 @@
-//! Claims of work that may run only once: a thread that packs their calls into few.
+//! Claims of work that may run only once, made in the store by a thread that batches the calls.
 //!
-//! Requests make a claim with [`Claims::claim`] and wait for it; outcomes and releases
-//! are settled behind them. The thread also keeps the lease that claims go with, and tries
-//! again what the store did not take in an outage.
+//! A request makes a claim with [`Claims::claim`] and waits for it. Outcomes and releases are
+//! settled in the background. The thread also keeps the lease that the claims are attached to, and
+//! retries settlements that the store did not take during an outage.
 
 mod worker;
 
@@ -19,32 +19,32 @@
 use types::prelude::*;
 
 use crate::shared::lock;
-use worker::Keeper;
+use worker::Worker;
 
-/// Calls and settlements that wait for the thread; more are refused as not sent.
-const JOBS_WAITING: usize = 4096;
+/// Most calls and settlements that wait for the thread. Further calls are refused as not sent.
+const MAX_WAITING_JOBS: usize = 4096;
 
-/// What the thread is asked for.
+/// A job for the thread.
 enum Job {
-    /// A call, and who waits for its outcome.
+    /// A call of the store, and where its outcome is awaited.
     Call(Request, flume::Sender<Outcome>),
-    /// A claim to settle, beginning with this call.
+    /// A claim to settle, starting with this call.
     Settle(Settle, Request),
-    /// The store may not have this lease any more.
+    /// The store may no longer have this lease.
     Forget(LeaseId),
-    /// Settle what is left and end.
+    /// Settle what is left, then end the thread.
     Stop,
 }
 
-/// Whose claims, and for how long they last.
+/// Identity of the claiming daemon, and the lifetime of claims.
 pub(crate) struct Config {
-    /// This daemon.
+    /// This daemon's id.
     pub(crate) daemon: DaemonId,
-    /// Its restart.
+    /// Distinguishes this start of the daemon from others.
     pub(crate) incarnation: Incarnation,
-    /// Of the claims' keys.
+    /// Prefix of the claims' keys in the store.
     pub(crate) prefix: String,
-    /// How long claims last.
+    /// Lifetimes of claims and of their lease.
     pub(crate) windows: Windows,
 }
 
@@ -55,39 +55,45 @@
     clock: Clock,
     cfg: Config,
     counter: AtomicU64,
-    /// Settlements that wait out an outage, as the thread counts them.
-    later: Arc<AtomicUsize>,
+    /// Settlements deferred during an outage, as the thread counts them.
+    deferred: Arc<AtomicUsize>,
 }
 
 impl Claims {
     /// Starts the thread.
     ///
     /// # Errors
-    /// When it cannot be started.
+    /// When the thread cannot be started.
     pub(crate) fn start(
         store: &Arc<dyn Store>,
         clock: Clock,
         cfg: Config,
     ) -> std::io::Result<(Self, JoinHandle<()>)> {
-        let (jobs, rx) = flume::bounded(JOBS_WAITING);
+        let (jobs, rx) = flume::bounded(MAX_WAITING_JOBS);
         let lease = Arc::new(Mutex::new(None));
-        let later = Arc::new(AtomicUsize::new(0));
-        let counts = later.clone();
-        let keeper = Keeper::new(store.clone(), clock, cfg.windows, lease.clone(), counts);
+        let deferred = Arc::new(AtomicUsize::new(0));
+        let deferred_count = deferred.clone();
+        let worker = Worker::new(
+            store.clone(),
+            clock,
+            cfg.windows,
+            lease.clone(),
+            deferred_count,
+        );
         let thread = std::thread::Builder::new().name("claims".to_owned());
-        let thread = thread.spawn(move || keeper.run(&rx))?;
+        let thread = thread.spawn(move || worker.run(&rx))?;
         let claims = Self {
             jobs,
             lease,
             clock,
             cfg,
             counter: AtomicU64::new(0),
-            later,
+            deferred,
         };
         Ok((claims, thread))
     }
 
-    /// Claims a request and waits until that is settled one way or the other.
+    /// Claims a request, and waits until the claim is made or refused.
     pub(crate) async fn claim(&self, facts: &Facts, fingerprint: u64) -> ClaimStep {
         let now = self.clock.now();
         let lease = lock(&self.lease).filter(|lease| now < lease.use_until);
@@ -107,30 +113,30 @@
         }
     }
 
-    /// Records the answer of a claimed request, for repeats.
+    /// Records the answer of a claimed request for replays, in the background.
     pub(crate) fn record(&self, held: Held, recorded: Recorded) {
         self.settle(Settle::record(held, recorded));
     }
 
-    /// Releases the claim of a request that certainly did not run.
+    /// Releases the claim of a request that certainly did not run, in the background.
     pub(crate) fn release(&self, held: Held) {
         self.settle(Settle::release(held));
     }
 
-    /// How full it is, for the dump.
+    /// Queue lengths, their bounds and the lease's remaining time, for the dump.
     pub(crate) fn dump(&self, now: Time) -> serde_json::Value {
         let lease = lock(&self.lease).map(|lease| now.until(lease.use_until));
         serde_json::json!({
             "claimed": self.counter.load(Ordering::Relaxed),
             "waiting": self.jobs.len(),
-            "most_waiting": JOBS_WAITING,
-            "unsettled": self.later.load(Ordering::Relaxed),
-            "most_unsettled": worker::MAX_LATER,
+            "most_waiting": MAX_WAITING_JOBS,
+            "unsettled": self.deferred.load(Ordering::Relaxed),
+            "most_unsettled": worker::MAX_DEFERRED,
             "lease_used_for": lease,
         })
     }
 
-    /// Has the thread settle what is left and end.
+    /// Tells the thread to settle what is left and end.
     pub(crate) fn stop(&self) {
         let _ = self.jobs.send(Job::Stop);
     }
@@ -154,14 +160,15 @@
         if self.jobs.try_send(Job::Call(request, tx)).is_err() {
             return Err(CallError::NotSent("too many claims wait".to_owned()));
         }
-        let going = || CallError::Unknown("this daemon is going".to_owned());
-        rx.recv_async().await.unwrap_or_else(|_| Err(going()))
+        let stopping = || CallError::Unknown("this daemon is going".to_owned());
+        rx.recv_async().await.unwrap_or_else(|_| Err(stopping()))
     }
 
-    /// One that finds no room stays open: repeats are told "outcome unknown", which is safe.
+    /// A settlement that finds the queue full is dropped. Its claim stays open, and retries are
+    /// told "outcome unknown", which is safe.
     fn settle(&self, (settle, call): (Settle, Request)) {
         if self.jobs.try_send(Job::Settle(settle, call)).is_err() {
-            tracing::warn!("claims: too many wait to be settled, one is left open");
+            tracing::warn!("claims: the queue of settlements is full, one is left open");
         }
     }
 }
--- a/components/node/src/claims/worker.rs
+++ b/components/node/src/claims/worker.rs
@@ -1,4 +1,4 @@
-//! The thread behind [`super::Claims`].
+//! The thread behind [`super::Claims`]: batches calls of the store and keeps the claims' lease.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -13,24 +13,25 @@
 use super::Job;
 use crate::shared::lock;
 
-/// The lease is looked after at least so often.
-const TICK: Duration = Duration::from_millis(200);
-/// Batches that are not full begin so far apart: nine daemons make at most 180 such calls a
-/// second.
-const GAP: Span = Span::from_millis(50);
-/// Pause before settlements that the store did not take are tried again.
-const SETTLE_AGAIN: Span = Span::from_secs(1);
-/// Settlements that wait out an outage; the oldest is left open when there are more.
-pub(super) const MAX_LATER: usize = 4096;
-/// At the end, settlements are tried for so long.
-const LAST_TRIES: Span = Span::from_secs(3);
+/// Longest interval between two checks of the lease.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval between the starts of batches that are not full: nine daemons make at most 180 such
+/// calls a second.
+const BATCH_INTERVAL: Span = Span::from_millis(50);
+/// Pause before settlements that the store did not take are retried.
+const SETTLE_RETRY_PAUSE: Span = Span::from_secs(1);
+/// Most settlements deferred during an outage. Beyond it the oldest is dropped, and its claim
+/// stays open.
+pub(super) const MAX_DEFERRED: usize = 4096;
+/// How long settlements are retried when the thread is told to stop.
+const STOP_TIMEOUT: Span = Span::from_secs(3);
 
 enum Waiter {
     Traffic(flume::Sender<Outcome>),
     Settle(Settle),
 }
 
-pub(super) struct Keeper {
+pub(super) struct Worker {
     store: Arc<dyn Store>,
     clock: Clock,
     slots: LeaseSlots,
@@ -38,31 +39,31 @@
     batcher: Batcher,
     waiting: BTreeMap<Ticket, Waiter>,
     next_ticket: u64,
-    later: VecDeque<Settle>,
-    later_count: Arc<AtomicUsize>,
-    later_at: Time,
+    deferred: VecDeque<Settle>,
+    deferred_count: Arc<AtomicUsize>,
+    retry_at: Time,
     is_stopping: bool,
 }
 
-impl Keeper {
+impl Worker {
     pub(super) fn new(
         store: Arc<dyn Store>,
         clock: Clock,
         windows: Windows,
         lease: Arc<Mutex<Option<ClaimLease>>>,
-        later_count: Arc<AtomicUsize>,
+        deferred_count: Arc<AtomicUsize>,
     ) -> Self {
         Self {
             store,
             clock,
             slots: LeaseSlots::new(windows),
             lease,
-            batcher: Batcher::new(GAP),
+            batcher: Batcher::new(BATCH_INTERVAL),
             waiting: BTreeMap::new(),
             next_ticket: 0,
-            later: VecDeque::new(),
-            later_count,
-            later_at: Time::ZERO,
+            deferred: VecDeque::new(),
+            deferred_count,
+            retry_at: Time::ZERO,
             is_stopping: false,
         }
     }
@@ -70,25 +71,26 @@
     pub(super) fn run(mut self, jobs: &flume::Receiver<Job>) {
         while !self.is_stopping {
             self.keep_lease();
-            match jobs.recv_timeout(self.wait()) {
-                Ok(job) => self.take(job),
+            match jobs.recv_timeout(self.next_wait()) {
+                Ok(job) => self.handle(job),
                 Err(flume::RecvTimeoutError::Timeout) => {}
                 Err(flume::RecvTimeoutError::Disconnected) => break,
             }
-            self.settle_later();
+            self.settle_deferred();
             self.call_all(jobs);
-            self.later_count.store(self.later.len(), Ordering::Relaxed);
+            self.deferred_count
+                .store(self.deferred.len(), Ordering::Relaxed);
         }
         self.finish(jobs);
     }
 
-    fn wait(&self) -> Duration {
+    fn next_wait(&self) -> Duration {
         let due = self.batcher.due_at();
         let left = due.map(|due| self.clock.now().until(due).to_duration());
-        left.map_or(TICK, |left| left.min(TICK))
+        left.map_or(LEASE_CHECK_INTERVAL, |left| left.min(LEASE_CHECK_INTERVAL))
     }
 
-    fn take(&mut self, job: Job) {
+    fn handle(&mut self, job: Job) {
         match job {
             Job::Call(request, tx) => self.push(request, Waiter::Traffic(tx)),
             Job::Settle(settle, request) => self.push(request, Waiter::Settle(settle)),
@@ -107,15 +109,16 @@
             Ok(()) => {
                 self.waiting.insert(ticket, waiter);
             }
-            Err(error) => self.hand_on(waiter, Err(CallError::NotSent(error.to_string()))),
+            Err(error) => self.deliver(waiter, Err(CallError::NotSent(error.to_string()))),
         }
     }
 
-    /// Makes batches until nothing waits; what comes meanwhile goes into the next.
+    /// Calls the store batch by batch until no batch is due; jobs that come in the meantime go into
+    /// the next one.
     fn call_all(&mut self, jobs: &flume::Receiver<Job>) {
         loop {
             for job in jobs.try_iter() {
-                self.take(job);
+                self.handle(job);
             }
             let Some(call) = self.batcher.next_call(self.clock.now()) else {
                 return;
@@ -123,13 +126,13 @@
             let outcome = self.store.call(call);
             for (ticket, outcome) in self.batcher.on_outcome(outcome) {
                 if let Some(waiter) = self.waiting.remove(&ticket) {
-                    self.hand_on(waiter, outcome);
+                    self.deliver(waiter, outcome);
                 }
             }
         }
     }
 
-    fn hand_on(&mut self, waiter: Waiter, outcome: Outcome) {
+    fn deliver(&mut self, waiter: Waiter, outcome: Outcome) {
         let mut settle = match waiter {
             Waiter::Traffic(tx) => {
                 let _ = tx.send(outcome);
@@ -139,7 +142,7 @@
         };
         match settle.on_outcome(outcome) {
             SettleStep::Call(next) => self.push(next, Waiter::Settle(settle)),
-            SettleStep::Later => self.put_off(settle),
+            SettleStep::Later => self.defer(settle),
             SettleStep::Done => {}
             SettleStep::Superseded => {
                 tracing::warn!("claims: a claim lapsed before its outcome was recorded");
@@ -147,20 +150,20 @@
         }
     }
 
-    fn put_off(&mut self, settle: Settle) {
-        if self.later.len() >= MAX_LATER {
-            self.later.pop_front();
-            tracing::warn!("claims: the store takes no outcomes, one is left open");
+    fn defer(&mut self, settle: Settle) {
+        if self.deferred.len() >= MAX_DEFERRED {
+            self.deferred.pop_front();
+            tracing::warn!("claims: too many outcomes wait for the store, one is left open");
         }
-        self.later.push_back(settle);
-        self.later_at = self.clock.now() + SETTLE_AGAIN;
+        self.deferred.push_back(settle);
+        self.retry_at = self.clock.now() + SETTLE_RETRY_PAUSE;
     }
 
-    fn settle_later(&mut self) {
-        if !self.clock.now().has_reached(self.later_at) {
+    fn settle_deferred(&mut self) {
+        if !self.clock.now().has_reached(self.retry_at) {
             return;
         }
-        for mut settle in std::mem::take(&mut self.later) {
+        for mut settle in std::mem::take(&mut self.deferred) {
             let call = settle.again();
             self.push(call, Waiter::Settle(settle));
         }
@@ -179,7 +182,7 @@
     }
 
     fn has_work(&self) -> bool {
-        !self.later.is_empty() || !self.waiting.is_empty()
+        !self.deferred.is_empty() || !self.waiting.is_empty()
     }
 
     fn publish_lease(&self) {
@@ -187,16 +190,16 @@
     }
 
     fn finish(&mut self, jobs: &flume::Receiver<Job>) {
-        let until = self.clock.now() + LAST_TRIES;
+        let until = self.clock.now() + STOP_TIMEOUT;
         self.call_all(jobs);
         while self.has_work() && !self.clock.now().has_reached(until) {
-            std::thread::sleep(self.wait());
-            self.settle_later();
+            std::thread::sleep(self.next_wait());
+            self.settle_deferred();
             self.call_all(jobs);
         }
         if self.has_work() {
-            let left = self.later.len() + self.waiting.len();
-            tracing::warn!("claims: {left} outcomes are not recorded, repeats are told unknown");
+            let left = self.deferred.len() + self.waiting.len();
+            tracing::warn!("claims: {left} outcomes are not recorded, retries are told unknown");
         }
     }
 }
--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -14,10 +14,10 @@
 use crate::outbound::Calling;
 use crate::shared::{Shared, lock};
 use crate::snapshot::{Readiness, Snapshot};
-use crate::store_pool::Storage;
+use crate::store_pool::StorePool;
 use crate::systems;
 use crate::systems::catalogue::Action;
-use crate::watching::Watching;
+use crate::watching::Watcher;
 
 mod billing;
 mod evidence;
@@ -28,8 +28,8 @@
 /// The tables and what they reach out through.
 pub(crate) struct Control {
     shared: Arc<Shared>,
-    storage: Storage,
-    watching: Watching,
+    store_pool: StorePool,
+    watcher: Watcher,
     catalogue: systems::catalogue::Table,
     ledger: systems::ledger::Table,
     /// Told once all bills are sealed.
@@ -49,13 +49,13 @@
     /// When the thread that makes its calls cannot be started.
     pub(crate) fn new(
         shared: Arc<Shared>,
-        storage: Storage,
+        store_pool: StorePool,
         peers: peers::Handle,
     ) -> std::io::Result<Self> {
         let settings = &shared.settings;
         let keys = catalogue::head::Keys::new(&settings.cluster);
         let prefix = keys.all().to_owned();
-        let watching = Watching::new(shared.store.clone(), prefix, shared.events.clone());
+        let watcher = Watcher::new(shared.store.clone(), prefix, shared.events.clone());
         let catalogue = systems::catalogue::Table::new(settings, rand::random());
         let ledger = systems::ledger::Table::new(settings, shared.incarnation);
         let incarnation = shared.incarnation;
@@ -64,8 +64,8 @@
         let calling = Calling::start(shared.clone())?;
         Ok(Self {
             shared,
-            storage,
-            watching,
+            store_pool,
+            watcher,
             catalogue,
             ledger,
             sealed: None,
@@ -177,10 +177,10 @@
         let mut changed = false;
         for action in actions {
             match action {
-                Action::Store(used, request) => self.storage.call(used, request),
+                Action::Store(used, request) => self.store_pool.call(used, request),
                 Action::Send(to, body) => self.members.send(&to, Part::Catalogue, body),
-                Action::Watch => self.watching.start(),
-                Action::StopWatch => self.watching.stop(),
+                Action::Watch => self.watcher.start(),
+                Action::StopWatch => self.watcher.stop(),
                 Action::Changed => changed = true,
             }
         }
--- a/components/node/src/control/billing.rs
+++ b/components/node/src/control/billing.rs
@@ -34,7 +34,7 @@
     pub(super) fn perform_ledger(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Store(id, request) => self.storage.call(StoreUse::Ledger(id), request),
+                Action::Store(id, request) => self.store_pool.call(StoreUse::Ledger(id), request),
                 Action::Send(to, message) => {
                     self.members.send(&to, Part::Ledger, message.to_bytes());
                 }
--- a/components/node/src/control/commands.rs
+++ b/components/node/src/control/commands.rs
@@ -62,7 +62,7 @@
             match task {
                 Task::Store(ticket, request) => {
                     let used = crate::event::StoreUse::Rollout(ticket);
-                    self.storage.call(used, request);
+                    self.store_pool.call(used, request);
                 }
                 Task::Call(call) => self.calling.call(call),
                 Task::Edit(name, entry, revision) => {
@@ -182,13 +182,13 @@
             "uptime": now.since(Time::ZERO),
             "readiness": format!("{:?}", self.readiness(self.view.revision)),
             "in_flight": {"requests": shared.in_flight.count(), "most": shared.settings.callers.max_in_flight},
-            "events": {"waiting": shared.events.len(), "most": crate::event::EVENTS_WAITING},
+            "events": {"waiting": shared.events.len(), "most": crate::event::MAX_WAITING_EVENTS},
             "catalogue": self.catalogue.dump(now),
             "ledger": self.ledger.fill(),
             "membership": self.members.dump(now),
             "rollouts": self.rollouts.dump(now),
             "quality": lock(&shared.quality).dump(),
-            "barred": shared.barring.dump(now),
+            "barred": shared.quarantine.dump(now),
             "limits": self.dump_loads(),
             "claims": shared.claims.dump(now),
             "sessions": shared.sessions.dump(),
--- a/components/node/src/control/loads.rs
+++ b/components/node/src/control/loads.rs
@@ -51,7 +51,7 @@
         let mut table = self.shared.admissions.table();
         table.limiter.fleet(now, &live, reach);
         let fact = table.limiter.tick(now);
-        table.pump(now);
+        table.deliver_verdicts(now);
         drop(table);
         if let Some(fact) = fact {
             let value = Bytes::from(fact.to_bytes());
@@ -106,7 +106,7 @@
         });
         serde_json::json!({
             "fill": table.limiter.fill(),
-            "can_give_way": table.yielding(),
+            "can_give_way": table.preemptible(),
             "cut_off": table.limiter.shares().is_cut_off(),
             "lanes": lanes.collect::<Vec<_>>(),
         })
--- a/components/node/src/control/quarantine.rs
+++ b/components/node/src/control/quarantine.rs
@@ -17,7 +17,7 @@
     /// Adds up what a peer tells, and hands on at once what is news.
     pub(super) fn add_up(&mut self, now: Time, from: &DaemonId, body: &Bytes) {
         match Words::decode(body) {
-            Ok(words) => drop(self.shared.barring.suspects.lock().take(now, words)),
+            Ok(words) => drop(self.shared.quarantine.suspects.lock().take(now, words)),
             Err(e) => tracing::warn!("peers: {from}: {e}"),
         }
         self.tell_words(now);
@@ -27,12 +27,12 @@
     pub(super) fn tick_barring(&mut self, now: Time) {
         let daemons = self.members.membership().fleet_size();
         let upstreams = lock(&self.shared.router).upstreams().count();
-        self.shared.barring.tidy(now, daemons, upstreams);
+        self.shared.quarantine.expire(now, daemons, upstreams);
         self.tell_words(now);
     }
 
     fn tell_words(&mut self, now: Time) {
-        let mut suspects = self.shared.barring.suspects.lock();
+        let mut suspects = self.shared.quarantine.suspects.lock();
         let (words, changes) = (suspects.news(now), suspects.changes());
         drop(suspects);
         changes.iter().for_each(log);
--- a/components/node/src/control/upkeep.rs
+++ b/components/node/src/control/upkeep.rs
@@ -5,7 +5,7 @@
 use types::prelude::*;
 
 use super::Control;
-use crate::event::EVENTS_WAITING;
+use crate::event::MAX_WAITING_EVENTS;
 use crate::shared::lock;
 use crate::snapshot::Readiness;
 
@@ -38,7 +38,7 @@
         metrics.set_queue_fill("bills", fill.own, fill.capacity);
         metrics.set_queue_fill("bills_for_others", fill.custody, fill.custody_capacity);
         self.measure_members();
-        metrics.set_queue_fill("events", self.shared.events.len(), EVENTS_WAITING);
+        metrics.set_queue_fill("events", self.shared.events.len(), MAX_WAITING_EVENTS);
         let most = self.shared.settings.callers.max_in_flight;
         metrics.set_queue_fill("requests", self.shared.in_flight.count(), most);
         let not_ready = match self.readiness(self.view.revision) {
--- a/components/node/src/error.rs
+++ b/components/node/src/error.rs
@@ -1,24 +1,24 @@
-//! Why a daemon could not start.
+//! Errors at the start of a daemon.
 
-/// Why a daemon could not start.
+/// Reason why a daemon could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeError {
-    /// Callers' address cannot be listened on.
+    /// The callers' address cannot be listened on.
     #[error(transparent)]
     Callers(#[from] callers::CallersError),
     /// A thread cannot be started.
     #[error("node: cannot start a thread: {0}")]
     Thread(#[from] std::io::Error),
-    /// The key-value service's addresses cannot be used.
+    /// The addresses of the key-value service cannot be used.
     #[error("store: {0}")]
     Store(String),
-    /// Keys cannot be used.
+    /// The keys in `peers.keys` cannot be used.
     #[error("peers.keys: {0}")]
     Keys(String),
-    /// Operators' API cannot be started.
+    /// The operators' API cannot be started.
     #[error(transparent)]
     Operators(#[from] operators::StartError),
-    /// Connections between daemons cannot be started.
+    /// The listener for other daemons cannot be started.
     #[error("peers: {0}")]
     Peers(String),
 }
--- a/components/node/src/event.rs
+++ b/components/node/src/event.rs
@@ -1,53 +1,53 @@
-//! What other threads tell the control thread.
+//! Events that other threads send to the control thread.
 
 use externals::Host;
 use keyvalue::{Outcome, WatchEvent};
 use ledger::{Bill, CallId};
 use operators::command::Command;
 
-use crate::systems::rollout::Called;
+use crate::systems::rollout::CallResult;
 
-/// Where the release of an answer's end goes.
+/// Signals that an answer's end may be sent.
 pub type ReleaseTo = flume::Sender<()>;
 
-/// Events that wait for the control thread. A sender that finds the queue full waits,
-/// which slows traffic rather than losing a bill or a rating.
-pub const EVENTS_WAITING: usize = 4096;
+/// Most events that wait for the control thread. A sender that finds the queue full waits, which
+/// slows traffic rather than losing a bill or a rating.
+pub const MAX_WAITING_EVENTS: usize = 4096;
 
 /// Something that happened outside the control thread.
 #[derive(Debug)]
 pub enum Event {
     /// A call of the store ended.
     Store(StoreUse, Outcome),
-    /// Watched keys changed; without changes, a watch began.
+    /// Watched keys changed; an empty list says that a watch began.
     Watch(Vec<WatchEvent>),
-    /// An answer is whole; its end waits for the release.
+    /// An answer is whole; its end is held back until the release.
     Bill(Box<Bill>, ReleaseTo),
-    /// Another daemon sent something.
+    /// A message or question of another daemon.
     Peer(peers::Inbound),
-    /// The platform's list of hosts.
+    /// The platform's list of hosts, newly read.
     Hosts(Vec<Host>),
-    /// An operator asks.
+    /// An operator's command.
     Operator(Command),
     /// A call of an engine or of the weight store ended.
-    Called(Called),
-    /// Stop taking part: the process is leaving.
+    Called(CallResult),
+    /// The process is shutting down: leave the fleet.
     Leave,
-    /// Seal all bills as soon as may be and say when there is none left.
+    /// Seal all bills as soon as possible, and signal when none is left.
     SealBills(flume::Sender<()>),
-    /// Stop now.
+    /// End the control thread now.
     Stop,
 }
 
-/// Which part called the store.
+/// The part of the daemon that called the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreUse {
-    /// Reading the catalogue.
+    /// A read of the catalogue.
     Catalogue,
     /// A step of an edit.
     Edit,
-    /// A batch of bills or a roll-up.
+    /// A batch of bills or a roll-up of batches.
     Ledger(CallId),
-    /// A roll-out's lease, with a ticket.
+    /// A call for a roll-out's lease, by its ticket.
     Rollout(u64),
 }
--- a/components/node/src/hosts.rs
+++ b/components/node/src/hosts.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's list of hosts, on a thread of its own.
+//! Reads the platform's list of hosts regularly, on a thread of its own.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,10 +7,10 @@
 
 use crate::event::Event;
 
-/// Time between two reads.
-const INTERVAL: Duration = Duration::from_secs(1);
+/// Pause between two reads.
+const READ_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Starts the reader; it ends with the control thread.
+/// Starts the thread; it ends once the control thread has ended.
 ///
 /// # Errors
 /// When the thread cannot be started.
@@ -34,6 +34,6 @@
         if let Ok(hosts) = read {
             let _ = events.send(Event::Hosts(hosts));
         }
-        std::thread::sleep(INTERVAL);
+        std::thread::sleep(READ_INTERVAL);
     }
 }
--- a/components/node/src/latency.rs
+++ b/components/node/src/latency.rs
@@ -1,33 +1,33 @@
-//! How long each version's answers take, as this daemon sees them.
+//! Mean latency of each version's answers, as this daemon sees them.
 
 use std::collections::BTreeMap;
 
 use types::prelude::*;
 
-/// Weight of the newest answer.
-const NEWEST: f64 = 0.05;
-/// Versions remembered, at most; the catalogue's own bound is lower.
+/// Weight of the newest answer in the moving average.
+const NEWEST_WEIGHT: f64 = 0.05;
+/// Most versions kept; the catalogue's own bound is lower.
 const MAX_VERSIONS: usize = 1024;
 
-/// Mean times to the end of an answer.
+/// Exponential moving averages of the time to a whole answer, by version.
 #[derive(Debug, Default)]
-pub(crate) struct Paces {
+pub(crate) struct Latencies {
     means: BTreeMap<VersionId, f64>,
 }
 
-impl Paces {
-    /// The mean, once an answer was seen.
+impl Latencies {
+    /// The mean of a version's answers, or `None` before the first.
     pub(crate) fn of(&self, version: &VersionId) -> Option<Span> {
         self.means
             .get(version)
             .map(|mean| Span::from_secs_f64(*mean))
     }
 
-    /// Takes an answer's time.
-    pub(crate) fn note(&mut self, version: &VersionId, took: Span) {
+    /// Adds an answer that took `took`.
+    pub(crate) fn record(&mut self, version: &VersionId, took: Span) {
         let took = took.as_secs_f64();
         if let Some(mean) = self.means.get_mut(version) {
-            *mean += NEWEST * (took - *mean);
+            *mean += NEWEST_WEIGHT * (took - *mean);
             return;
         }
         if self.means.len() >= MAX_VERSIONS {
--- a/components/node/src/lib.rs
+++ b/components/node/src/lib.rs
@@ -1,8 +1,8 @@
-//! The daemon assembled: tables, systems and threads.
+//! Assembles the daemon from its state tables, the systems that update them, and threads.
 //!
-//! Data flows one way: settings are loaded and checked, a [`Node`] is built from them
-//! and serves. The control thread owns the tables and publishes a [`snapshot::Snapshot`];
-//! traffic reads it and tells the control thread what happened as [`event::Event`]s.
+//! Data flows one way: settings are loaded and checked, and a [`Node`] is built from them and
+//! serves. The control thread owns the tables and publishes a [`snapshot::Snapshot`]. The threads
+//! that serve callers read it and report back to the control thread with [`event::Event`]s.
 
 mod admission;
 mod claims;
--- a/components/node/src/measured.rs
+++ b/components/node/src/measured.rs
@@ -1,4 +1,4 @@
-//! What is counted where: outcomes by their labels, tokens' times, calls of the store.
+//! Feeds metrics: labels of outcomes, times of streamed tokens, calls of the store.
 
 use std::sync::Arc;
 
@@ -9,8 +9,8 @@
 use telemetry::metrics::{Metrics, OfferMetrics};
 use types::prelude::*;
 
-/// How a request that was refused counts.
-pub(crate) fn refused(run: RunState) -> Outcome {
+/// The outcome label of a refused request.
+pub(crate) fn refusal_label(run: RunState) -> Outcome {
     match run {
         RunState::No => Outcome::Refused,
         RunState::Unknown => Outcome::Unknown,
@@ -18,8 +18,8 @@
     }
 }
 
-/// How an attempt counts.
-pub(crate) fn attempted(end: &AttemptEnd) -> AttemptOutcome {
+/// The outcome label of an attempt.
+pub(crate) fn attempt_label(end: &AttemptEnd) -> AttemptOutcome {
     match end {
         AttemptEnd::Whole { .. } => AttemptOutcome::Answered,
         AttemptEnd::NotSent | AttemptEnd::RefusedNotRun { .. } => AttemptOutcome::NotRun,
@@ -32,7 +32,7 @@
     }
 }
 
-/// Times of one stream's tokens.
+/// Records the times between one request's tokens.
 pub(crate) struct TokenTimes {
     offer: Arc<OfferMetrics>,
     arrived: Time,
@@ -40,7 +40,7 @@
 }
 
 impl TokenTimes {
-    /// Of a request that arrived then.
+    /// Starts with the arrival of a request for an offer.
     pub(crate) fn new(metrics: &Metrics, offer: &EntryName, arrived: Time) -> Self {
         Self {
             offer: metrics.offer(offer.as_str()),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// A token came.
+    /// Records that a token came.
     pub(crate) fn token(&mut self, now: Time) {
         match self.last.replace(now) {
             None => self.offer.first_token(now.since(self.arrived)),
@@ -57,47 +57,47 @@
         }
     }
 
-    /// The request ended.
+    /// Records how the request ended.
     pub(crate) fn ended(&self, outcome: Outcome) {
         self.offer.ended(outcome);
     }
 }
 
-/// The store with its calls counted.
-pub(crate) struct Counted<S> {
+/// Wraps a store and counts its calls in the metrics.
+pub(crate) struct CountedStore<S> {
     store: S,
     metrics: Arc<Metrics>,
 }
 
-impl<S> Counted<S> {
-    /// Counts the calls of a store.
+impl<S> CountedStore<S> {
+    /// Wraps a store.
     pub(crate) fn new(store: S, metrics: Arc<Metrics>) -> Self {
         Self { store, metrics }
     }
 }
 
-impl<S: Store> Store for Counted<S> {
+impl<S: Store> Store for CountedStore<S> {
     fn call(&self, req: Request) -> keyvalue::Outcome {
         let kind = kind_of(&req);
         let outcome = self.store.call(req);
-        let counted = match &outcome {
+        let label = match &outcome {
             Ok(_) => StoreOutcome::Ok,
             Err(CallError::NotSent(_)) => StoreOutcome::NotSent,
             Err(CallError::Unknown(_)) => StoreOutcome::Unknown,
             Err(CallError::Refused(_)) => StoreOutcome::Refused,
         };
-        self.metrics.store_call(kind, counted);
+        self.metrics.store_call(kind, label);
         outcome
     }
 
     fn watch(&self, watch: &Watch, sink: &mut Sink<'_>) -> WatchEnd {
         let end = self.store.watch(watch, sink);
-        let counted = match &end {
+        let label = match &end {
             WatchEnd::Broken(_) => StoreOutcome::Unknown,
             WatchEnd::Compacted(_) => StoreOutcome::Refused,
             WatchEnd::Stopped | WatchEnd::Idle => StoreOutcome::Ok,
         };
-        self.metrics.store_call(StoreCall::Watch, counted);
+        self.metrics.store_call(StoreCall::Watch, label);
         end
     }
 }
--- a/components/node/src/outbound.rs
+++ b/components/node/src/outbound.rs
@@ -12,7 +12,7 @@
 use crate::polls::poll;
 use crate::pool::Pool;
 use crate::shared::Shared;
-use crate::systems::rollout::{Call, Called};
+use crate::systems::rollout::{Call, CallResult};
 use ::rollout::{Order, OrderKind};
 use routing::UpstreamIndex;
 
@@ -92,10 +92,10 @@
             let answer = slot(&shared, &version);
             let _ = shared
                 .events
-                .send(Event::Called(Called::Slot(version.model, answer)));
+                .send(Event::Called(CallResult::Slot(version.model, answer)));
         });
         if run.is_err() {
-            let answer = Called::Slot(model, Err(ASK_AGAIN));
+            let answer = CallResult::Slot(model, Err(ASK_AGAIN));
             let _ = self.shared.events.try_send(Event::Called(answer));
         }
     }
@@ -121,7 +121,7 @@
 async fn run(shared: &Shared, client: &Client, job: Job) {
     let called = match job {
         Job::Read(model, id, address) => match client.load_report(address, TIMEOUT).await {
-            Ok(report) => Some(Called::Report(model, id, report)),
+            Ok(report) => Some(CallResult::Report(model, id, report)),
             Err(e) => {
                 tracing::debug!("rollout: {id} gave no load report: {e}");
                 None
@@ -145,7 +145,7 @@
     model: ModelName,
     order: &Order,
     address: std::net::SocketAddr,
-) -> Option<Called> {
+) -> Option<CallResult> {
     // The last look at the lease before the order leaves: this thread may have waited, or
     // the process been paused, since the driver decided.
     if shared.now().has_reached(order.not_after) {
@@ -173,7 +173,7 @@
         Ok(()) => None,
         Err(OrderError::Refused {
             status: NO_ROOM, ..
-        }) => Some(Called::Full(model, order.engine.clone())),
+        }) => Some(CallResult::Full(model, order.engine.clone())),
         Err(e) => {
             tracing::warn!("rollout: {} did not take its order: {e}", order.engine);
             None
--- a/components/node/src/polls.rs
+++ b/components/node/src/polls.rs
@@ -1,4 +1,4 @@
-//! Asking engines for their load.
+//! Polls engines for their load reports, for routing.
 
 use engine::Client;
 use routing::{LoadReport, Target, UpstreamIndex};
@@ -6,10 +6,10 @@
 
 use crate::shared::{Shared, lock};
 
-/// Longest wait for a report.
+/// Timeout of a poll.
 const POLL_TIMEOUT: Span = Span::from_secs(1);
 
-/// Asks one engine; plain services report nothing.
+/// Polls one engine; does nothing for plain services, which report no load.
 pub(crate) async fn poll(shared: &Shared, client: &Client, index: UpstreamIndex) {
     let found = {
         let router = lock(&shared.router);
@@ -28,14 +28,14 @@
     let Some((id, address, true)) = found else {
         return;
     };
-    let answer = client.load_report(address, POLL_TIMEOUT).await;
+    let result = client.load_report(address, POLL_TIMEOUT).await;
     let mut router = lock(&shared.router);
-    // The number may have gone to another upstream while the engine was asked.
+    // The index may have been given to another upstream during the poll.
     let Some(index) = router.index_of(&id) else {
         return;
     };
     let now = shared.now();
-    match answer {
+    match result {
         Ok(report) => {
             let versions = report.versions.into_iter().map(Target::Version);
             let loaded = versions.filter_map(|version| router.target_index(&version));
--- a/components/node/src/pool.rs
+++ b/components/node/src/pool.rs
@@ -1,13 +1,13 @@
-//! Threads for calls that block, one each, bounded in number.
+//! A bounded pool of threads for calls that block, one call to a thread.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Resident memory of a thread is what it touches; this only bounds its address space.
+/// Bounds the address space of a thread; only the part of a stack that is touched is resident.
 const STACK_BYTES: usize = 256 << 10;
-/// A thread without work for so long ends.
-const IDLE: Duration = Duration::from_secs(20);
+/// A thread ends after this time without work.
+const THREAD_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 type Job = Box<dyn FnOnce() + Send>;
 
@@ -27,12 +27,12 @@
     load: AtomicUsize,
 }
 
-/// All threads are busy.
+/// Error: all threads are busy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Full;
 
 impl Pool {
-    /// A pool of at most `max` threads.
+    /// Creates a pool of at most `max` threads.
     #[must_use]
     pub fn new(max: usize) -> Self {
         let (jobs, rx) = flume::bounded(max);
@@ -47,7 +47,7 @@
     /// Runs a job on a thread of its own.
     ///
     /// # Errors
-    /// When as many jobs as threads allowed are in flight; the job has not run.
+    /// When as many jobs are in flight as there may be threads; the job has not run.
     pub fn run(&self, job: impl FnOnce() + Send + 'static) -> Result<(), Full> {
         let load = self.counts.load.fetch_add(1, Ordering::AcqRel) + 1;
         let sent = load <= self.max
@@ -57,13 +57,13 @@
             self.counts.load.fetch_sub(1, Ordering::AcqRel);
             return Err(Full);
         }
-        // The thread counted on may have left between the count and the send; a job
-        // with no thread would wait for the next request. Counting again closes the gap.
+        // The thread counted on may have ended between the count and the send, and the job would
+        // then wait for the next one to start a thread. Counting again closes the gap.
         self.ensure_thread(load);
         Ok(())
     }
 
-    /// Starts a thread if there are fewer than jobs; false if none could be had at all.
+    /// Starts a thread if there are fewer than jobs; false if the pool has none at all.
     fn ensure_thread(&self, load: usize) -> bool {
         let threads = self.counts.threads.load(Ordering::Acquire);
         if threads >= load.min(self.max) {
@@ -74,7 +74,7 @@
         let thread = std::thread::Builder::new()
             .name("traffic".to_owned())
             .stack_size(STACK_BYTES);
-        let spawned = thread.spawn(move || work(&rx, &counts));
+        let spawned = thread.spawn(move || run_worker(&rx, &counts));
         if let Err(error) = &spawned {
             self.counts.threads.fetch_sub(1, Ordering::AcqRel);
             tracing::warn!("traffic: cannot start a thread: {error}");
@@ -83,14 +83,14 @@
     }
 }
 
-fn work(rx: &flume::Receiver<Job>, counts: &Counts) {
+fn run_worker(rx: &flume::Receiver<Job>, counts: &Counts) {
     loop {
-        match rx.recv_timeout(IDLE) {
+        match rx.recv_timeout(THREAD_IDLE_TIMEOUT) {
             Ok(job) => run_job(job, counts),
             Err(flume::RecvTimeoutError::Disconnected) => break,
             Err(flume::RecvTimeoutError::Timeout) => {
-                // Leaving while a job waits for this thread would strand the job, so
-                // the count goes down first and the queue is looked at once more.
+                // A job sent while this thread ends would be stranded, so the count goes down
+                // first and the queue is checked once more.
                 counts.threads.fetch_sub(1, Ordering::AcqRel);
                 match rx.try_recv() {
                     Ok(job) => {
@@ -106,8 +106,8 @@
 }
 
 fn run_job(job: Job, counts: &Counts) {
-    // A panic in one request must neither end the pool's thread nor be counted as
-    // work in flight for ever; the caller sees its connection cut.
+    // A panic in one job must neither end the pool's thread nor leave the job counted as in
+    // flight for ever.
     let outcome = std::panic::catch_unwind(std::panic::AssertUnwindSafe(job));
     counts.load.fetch_sub(1, Ordering::AcqRel);
     if outcome.is_err() {
--- a/components/node/src/quarantine.rs
+++ b/components/node/src/quarantine.rs
@@ -1,4 +1,5 @@
-//! Requests that end the upstreams which run them: noted, told to other daemons, refused.
+//! Quarantine of requests that crash upstreams: crash detection here, and the refusals that
+//! follow. The other daemons learn of it through the control thread.
 
 use std::sync::{Arc, Mutex};
 
@@ -14,19 +15,19 @@
 use types::prelude::*;
 
 use crate::shared::lock;
-use crate::traffic::Taken;
+use crate::traffic::PickedUpstream;
 
-/// Ends of one upstream within these ms are one.
-const SAME_END_MS: u64 = 4_000;
-/// A customer's content on its way.
+/// Crashes of one upstream within this many milliseconds count as one.
+const CRASH_WINDOW_MS: u64 = 4_000;
+/// A request's content and the customer that sent it.
 #[derive(Debug, Clone)]
-pub(crate) struct Asked {
+pub(crate) struct CustomerContent {
     pub(crate) content: Content,
     pub(crate) customer: Arc<str>,
 }
 
-impl Asked {
-    /// Of a request.
+impl CustomerContent {
+    /// Identifies a request's content by its customer, method, target and body.
     pub(crate) fn of(customer: &CustomerId, req: &Request, body: &[u8]) -> Self {
         let target = match req.query.as_str() {
             "" => req.path.clone(),
@@ -40,15 +41,15 @@
     }
 }
 
-/// What is known of requests under which upstreams end.
+/// The contents suspected of crashing upstreams, and the attempts in flight at each upstream.
 #[derive(Debug)]
-pub(crate) struct Barring {
+pub(crate) struct Quarantine {
     clock: Clock,
     pub(crate) suspects: SharedSuspects,
     runs: Mutex<Runs<UpstreamIndex>>,
 }
 
-impl Barring {
+impl Quarantine {
     pub(crate) fn new(me: &DaemonId, clock: Clock) -> Self {
         let suspects = Suspects::new(PoisonPolicy::default(), me.as_str());
         Self {
@@ -58,63 +59,70 @@
         }
     }
 
-    /// How long a content is barred still, if it is. Takes the trial of one whose bar lapses.
+    /// How long a content stays quarantined, if it is. Takes the trial once the quarantine has
+    /// expired.
     ///
-    /// Guards against a request that ends each upstream which begins to run it: without this
-    /// look before every attempt it ends as many as its attempts and repeats reach.
-    pub(crate) fn barred_for(&self, asked: &Asked) -> Option<Span> {
+    /// Called before every attempt: a request that crashes each upstream which starts it would
+    /// otherwise crash as many as its attempts and retries reach.
+    pub(crate) fn quarantined_for(&self, content: &CustomerContent) -> Option<Span> {
         let now = self.clock.now();
         let mut suspects = self.suspects.lock();
-        match suspects.admission(now, asked.content) {
+        match suspects.admission(now, content.content) {
             Admission::Open => None,
             Admission::Barred { until } => Some(now.until(until)),
             Admission::Trial => {
-                suspects.tried(now, asked.content);
+                suspects.tried(now, content.content);
                 None
             }
         }
     }
 
-    /// Notes that a content goes to an upstream.
-    pub(crate) fn sent(&self, taken: &Taken, asked: &Asked) -> Run {
+    /// Records that a content is sent to an upstream.
+    pub(crate) fn run_started(&self, picked: &PickedUpstream, content: &CustomerContent) -> Run {
         let now = self.clock.now();
-        let customer = Some(Arc::clone(&asked.customer));
-        lock(&self.runs).sent(now, taken.index, asked.content, customer)
+        let customer = Some(Arc::clone(&content.customer));
+        lock(&self.runs).sent(now, picked.index, content.content, customer)
     }
 
-    /// Notes how a run was over; where it broke, waits until it is known whether its upstream has
-    /// ended, for a fifth of a second at most.
-    pub(crate) async fn over(&self, taken: &Taken, asked: &Asked, run: Run, end: &AttemptEnd) {
+    /// Records how a run ended. If its connection broke, waits until it is known whether the
+    /// upstream crashed, for a fifth of a second at most.
+    pub(crate) async fn run_ended(
+        &self,
+        picked: &PickedUpstream,
+        content: &CustomerContent,
+        run: Run,
+        end: &AttemptEnd,
+    ) {
         let now = self.clock.now();
-        let how = run_end(end);
-        if how == RunEnd::Whole {
-            self.suspects.lock().whole(now, asked.content);
+        let kind = run_end(end);
+        if kind == RunEnd::Whole {
+            self.suspects.lock().whole(now, content.content);
         }
-        let under = lock(&self.runs).over(now, taken.index, run, how);
+        let under = lock(&self.runs).over(now, picked.index, run, kind);
         if let Some(under) = under {
-            return self.ended(taken, &[under]);
+            return self.record_crash(picked, &[under]);
         }
-        if how == RunEnd::Broken && refuses(taken.address).await {
-            let under = lock(&self.runs).ended(self.clock.now(), taken.index, Time::ZERO);
-            self.ended(taken, &under.unwrap_or_default());
+        if kind == RunEnd::Broken && refuses(picked.address).await {
+            let under = lock(&self.runs).ended(self.clock.now(), picked.index, Time::ZERO);
+            self.record_crash(picked, &under.unwrap_or_default());
         }
     }
 
-    fn ended(&self, taken: &Taken, under: &[Under]) {
+    fn record_crash(&self, picked: &PickedUpstream, under: &[Under]) {
         tracing::warn!(
-            "traffic: upstream {} ended under {} requests",
-            taken.id,
+            "traffic: upstream {} crashed with {} requests in flight",
+            picked.id,
             under.len()
         );
         let upstream = UpstreamRun {
-            id: taken.id.clone(),
-            started_at: Some(about(self.clock.wall())),
+            id: picked.id.clone(),
+            started_at: Some(rounded(self.clock.wall())),
         };
         let mut suspects = self.suspects.lock();
         suspects.ended(self.clock.now(), &upstream, under);
     }
 
-    /// What is barred, for operators.
+    /// The quarantined contents, for the dump.
     pub(crate) fn dump(&self, now: Time) -> serde_json::Value {
         let barred = self.suspects.lock().barred();
         let barred = barred.into_iter().map(|bar| {
@@ -131,8 +139,8 @@
         barred.collect()
     }
 
-    /// Forgets what is too old, and takes how large the fleet is.
-    pub(crate) fn tidy(&self, now: Time, daemons: usize, upstreams: usize) {
+    /// Drops expired records, and sets the size of the fleet.
+    pub(crate) fn expire(&self, now: Time, daemons: usize, upstreams: usize) {
         lock(&self.runs).tidy(now);
         let mut suspects = self.suspects.lock();
         suspects.set_fleet(daemons, upstreams);
@@ -140,13 +148,14 @@
     }
 }
 
-/// The same moment for all daemons that see one end: upstreams of the catalogue keep their name over
-/// a restart and do not tell when they started, and a restart takes longer than this.
-fn about(wall: WallTime) -> WallTime {
-    WallTime(wall.0 - wall.0 % SAME_END_MS)
+/// Rounds the time of a crash, so that all daemons that see the crash give it the same one.
+/// Upstreams of the catalogue keep their id over a restart and do not report when they started;
+/// a restart takes longer than the rounding.
+fn rounded(wall: WallTime) -> WallTime {
+    WallTime(wall.0 - wall.0 % CRASH_WINDOW_MS)
 }
 
-/// What an attempt's end says of the upstream.
+/// What an attempt's end says about its upstream.
 fn run_end(end: &AttemptEnd) -> RunEnd {
     match end {
         AttemptEnd::Whole { .. } => RunEnd::Whole,
--- a/components/node/src/rating.rs
+++ b/components/node/src/rating.rs
@@ -1,7 +1,7 @@
-//! Has a sample of the answers rated, on threads of its own.
+//! Has a sample of the answers rated, on threads of their own.
 //!
-//! A rating blocks for as long as the rater lags, so several are under way at once. A
-//! sample that finds no thread free is dropped: ratings are evidence, not work owed.
+//! A rating blocks until the rater replies, so several are in flight at once. A sample that finds
+//! no thread free is dropped: ratings are statistical evidence, and none of them is required.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,30 +12,30 @@
 use crate::pool::Pool;
 use crate::shared::{Shared, lock};
 
-/// Ratings under way at once.
+/// Most ratings in flight at once.
 const MAX_RATINGS: usize = 64;
-/// Longest text sent to the rater, of prompt and answer each.
-const MAX_TEXT: usize = 64 << 10;
-/// Pause after a rating failed.
+/// Longest text sent to the rater, in characters, for the prompt and the answer each.
+const MAX_TEXT_CHARS: usize = 64 << 10;
+/// Pause of all ratings after one failed.
 const FAILED_PAUSE: Span = Span::from_secs(2);
 
 /// What is known of an answer before it is rated.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Stated {
-    /// How sure the engine said it was.
+pub(crate) struct AnswerInfo {
+    /// The engine's stated confidence.
     pub(crate) confidence: Option<quality::Confidence>,
-    /// Another version's answer was discarded for it.
+    /// Whether another version's answer was discarded for this one.
     pub(crate) escalated: bool,
 }
 
-/// Has answers rated.
-pub(crate) struct Rating {
+/// Sends answers to the rater.
+pub(crate) struct RatingPool {
     rater: Option<Rater>,
     pool: Pool,
 }
 
-impl Rating {
-    /// Through the rater at an address; without one nothing is rated.
+impl RatingPool {
+    /// Uses the rater at `address`; without one nothing is rated.
     pub(crate) fn new(address: Option<SocketAddr>) -> Self {
         Self {
             rater: address.map(Rater::new),
@@ -44,62 +44,62 @@
     }
 }
 
-/// Whether an answer of a version is to be rated; a yes counts against the rater's rate.
-pub(crate) fn wants(
+/// Whether to rate an answer of a version; a yes counts against the rater's rate limit.
+pub(crate) fn should_rate(
     shared: &Shared,
     class: &ClassName,
     version: &VersionId,
-    stated: Stated,
+    info: AnswerInfo,
 ) -> bool {
     let now = shared.now();
     let mut quality = lock(&shared.quality);
     shared.rating.rater.is_some()
-        && quality.should_rate(now, class, version, stated.escalated, &mut rand::rng())
+        && quality.should_rate(now, class, version, info.escalated, &mut rand::rng())
 }
 
-/// Has an answer rated.
-pub(crate) fn send(shared: &Arc<Shared>, sample: Sample, stated: Stated) {
+/// Has an answer rated on a thread of the pool, or drops the sample if none is free.
+pub(crate) fn submit(shared: &Arc<Shared>, sample: Sample, info: AnswerInfo) {
     let Some(rater) = shared.rating.rater else {
         return;
     };
-    let shared_too = shared.clone();
-    let sample = shortened(sample);
+    let task_shared = shared.clone();
+    let sample = truncated(sample);
     let dropped = shared
         .rating
         .pool
-        .run(move || rate(&shared_too, rater, &sample, stated));
+        .run(move || rate(&task_shared, rater, &sample, info));
     if dropped.is_err() {
-        tracing::debug!("quality: a sample found no thread free");
+        tracing::debug!("quality: a sample was dropped, all rating threads are busy");
     }
 }
 
-fn shortened(sample: Sample) -> Sample {
-    let cut = |text: String| match text.char_indices().nth(MAX_TEXT) {
+fn truncated(sample: Sample) -> Sample {
+    let truncate = |text: String| match text.char_indices().nth(MAX_TEXT_CHARS) {
         Some((at, _)) => text[..at].to_owned(),
         None => text,
     };
     Sample {
-        prompt: cut(sample.prompt),
-        answer: cut(sample.answer),
+        prompt: truncate(sample.prompt),
+        answer: truncate(sample.answer),
         ..sample
     }
 }
 
-fn rate(shared: &Shared, rater: Rater, sample: &Sample, stated: Stated) {
-    let rated = rater.rate(sample);
+fn rate(shared: &Shared, rater: Rater, sample: &Sample, info: AnswerInfo) {
+    let result = rater.rate(sample);
     let now = shared.now();
     let mut quality = lock(&shared.quality);
-    match rated {
+    match result {
         Ok(adequate) => {
             let rating = quality::Rating {
                 adequate,
-                confidence: stated.confidence,
-                escalated: stated.escalated,
+                confidence: info.confidence,
+                escalated: info.escalated,
             };
             let rng = &mut rand::rng();
-            let taken = quality.record_rating(now, &sample.class, &sample.version, rating, rng);
-            if let Err(error) = taken {
-                tracing::warn!("quality: a rating is lost: {error}");
+            let recorded = quality.record_rating(now, &sample.class, &sample.version, rating, rng);
+            if let Err(error) = recorded {
+                tracing::warn!("quality: a rating could not be recorded: {error}");
             }
         }
         Err(PlatformError::Later(pause)) => quality.pause_rating(now + pause),
--- a/components/node/src/sessions.rs
+++ b/components/node/src/sessions.rs
@@ -1,8 +1,8 @@
-//! Pins of named sessions: this daemon's table, and the way to a session's home daemons.
+//! Pins of named sessions: this daemon's table, and the exchange with a session's home daemons.
 //!
-//! The first request of a session at a daemon asks the session's homes; later ones find the
-//! pin in the daemon's own table. With all homes out of reach the session is served from what
-//! is chosen here, and pinned where that is possible.
+//! The first request of a session at a daemon asks the session's homes for its pin; later ones
+//! find the pin in the daemon's own table. While all homes are unreachable, the session is served
+//! from the version that this daemon chooses, and pinned at the daemons that can be reached.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, OnceLock};
@@ -18,85 +18,85 @@
 
 use crate::shared::lock;
 
-/// A home answers within.
-const PATIENCE: Span = Span::from_millis(150);
-/// A pin goes when unused for so long.
-const IDLE: Span = Span::from_secs(3600);
-/// Idle pins dropped in one tick, at most.
-const EXPIRED_EACH_TICK: usize = 500;
+/// How long a home's reply is waited for.
+const HOME_TIMEOUT: Span = Span::from_millis(150);
+/// A pin expires after this time without use.
+const PIN_IDLE_TTL: Span = Span::from_secs(3600);
+/// Most idle pins dropped in one tick.
+const MAX_EXPIRED_PER_TICK: usize = 500;
 
-/// A live daemon.
+/// A live daemon and its address.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Live {
+pub(crate) struct LiveDaemon {
     pub(crate) member: Member,
     pub(crate) address: SocketAddr,
 }
 
-/// What is known of a session's pin.
+/// Result of a lookup of a session's pin.
 #[derive(Debug, Default)]
-pub(crate) struct Found {
+pub(crate) struct FoundPin {
     /// The pin, if any daemon holds one.
     pub(crate) pin: Option<Pin>,
-    /// Homes that answered and hold none.
-    lacking: Vec<DaemonId>,
+    /// Homes that answered that they hold no pin.
+    missing_at: Vec<DaemonId>,
 }
 
-impl Found {
-    /// A pin that is known.
+impl FoundPin {
+    /// A pin known without a lookup at the homes.
     pub(crate) fn of(pin: Pin) -> Self {
         Self {
             pin: Some(pin),
-            lacking: Vec::new(),
+            missing_at: Vec::new(),
         }
     }
 }
 
-/// Pins and the way to their homes.
+/// This daemon's table of pins and its connections to the homes of sessions.
 pub(crate) struct Sessions {
     me: DaemonId,
     pins: Mutex<Pins>,
-    live: ArcSwap<Vec<Live>>,
+    live: ArcSwap<Vec<LiveDaemon>>,
     peers: OnceLock<Handle>,
 }
 
 impl Sessions {
-    /// An empty table; no other daemon is known yet.
+    /// Creates an empty table; no other daemon is known yet.
     pub(crate) fn new(me: DaemonId) -> Self {
         Self {
             me,
-            pins: Mutex::new(Pins::new(IDLE)),
+            pins: Mutex::new(Pins::new(PIN_IDLE_TTL)),
             live: ArcSwap::default(),
             peers: OnceLock::new(),
         }
     }
 
-    /// Gives the way to other daemons, once.
+    /// Sets the connections to other daemons; only the first call counts.
     pub(crate) fn set_peers(&self, peers: Handle) {
         let _ = self.peers.set(peers);
     }
 
-    /// Notes which daemons live, this one included.
-    pub(crate) fn set_members(&self, live: Vec<Live>) {
+    /// Sets the live daemons, this one included.
+    pub(crate) fn set_members(&self, live: Vec<LiveDaemon>) {
         let members = live.iter().map(|live| live.member.clone());
         lock(&self.pins).set_members(members.collect());
         self.live.store(live.into());
     }
 
-    /// Finds a session's pin, here or at its homes.
-    pub(crate) async fn find(&self, key: &SessionKey, now: Time) -> Found {
+    /// Finds a session's pin in this table or at its homes.
+    pub(crate) async fn find(&self, key: &SessionKey, now: Time) -> FoundPin {
         if let Some(pin) = lock(&self.pins).get(key, now) {
-            return Found::of(pin);
+            return FoundPin::of(pin);
         }
         let found = self.ask_homes(key).await;
         if let Some(pin) = &found.pin {
-            let copies = found.lacking.iter();
+            let copies = found.missing_at.iter();
             copies.for_each(|home| self.send(home, &Message::Pin(pin.clone())));
             lock(&self.pins).pin(pin.clone(), now);
         }
         found
     }
 
-    async fn ask_homes(&self, key: &SessionKey) -> Found {
+    async fn ask_homes(&self, key: &SessionKey) -> FoundPin {
         let (mut lookup, asks) = Lookup::start(key.clone(), self.homes(key));
         let asked = asks.into_iter().map(|(home, message)| {
             let answer = (home != self.me)
@@ -113,21 +113,24 @@
                 read_reply(answer).await
             };
             step = lookup.on_reply(&home, reply);
-            if let LookupStep::Found(pin, lacking) = step {
+            if let LookupStep::Found(pin, missing_at) = step {
                 let pin = Some(pin);
-                return Found { pin, lacking };
+                return FoundPin { pin, missing_at };
             }
         }
-        let lacking = match step {
-            LookupStep::New(lacking) => lacking,
+        let missing_at = match step {
+            LookupStep::New(missing_at) => missing_at,
             LookupStep::Wait | LookupStep::Found(..) => Vec::new(),
         };
-        Found { pin: None, lacking }
+        FoundPin {
+            pin: None,
+            missing_at,
+        }
     }
 
-    /// Holds a pin here and at the session's homes, and gives the one that stands: of two
-    /// first requests at once, one chooses for both.
-    pub(crate) async fn hold(&self, pin: Pin, found: Found, now: Time) -> Pin {
+    /// Stores a pin here and at the session's homes, and returns the one in force: of two first
+    /// requests at once, one chooses the version for both.
+    pub(crate) async fn store_pin(&self, pin: Pin, found: FoundPin, now: Time) -> Pin {
         let is_known = found.pin.is_some_and(|held| held.version == pin.version);
         if is_known {
             return pin;
@@ -135,15 +138,15 @@
         // A pin that replaces another must reach every home, or the old one would come back.
         let homes = match &pin.over {
             Some(_) => self.homes(&pin.key),
-            None => found.lacking,
+            None => found.missing_at,
         };
         let mut homes = homes.into_iter();
-        let mut standing = pin;
+        let mut in_force = pin;
         if let Some(first) = homes.next() {
-            standing = self.pin_at(&first, standing, now).await;
+            in_force = self.pin_at(&first, in_force, now).await;
         }
-        homes.for_each(|home| self.send(&home, &Message::Pin(standing.clone())));
-        lock(&self.pins).pin(standing, now)
+        homes.for_each(|home| self.send(&home, &Message::Pin(in_force.clone())));
+        lock(&self.pins).pin(in_force, now)
     }
 
     async fn pin_at(&self, home: &DaemonId, pin: Pin, now: Time) -> Pin {
@@ -152,26 +155,26 @@
         }
         let answer = self.ask(home, &Message::Pin(pin.clone()));
         match read_reply(answer).await {
-            Some(Reply::Found(standing)) if standing.key == pin.key => Pin {
+            Some(Reply::Found(in_force)) if in_force.key == pin.key => Pin {
                 over: pin.over,
-                ..standing
+                ..in_force
             },
             _ => pin,
         }
     }
 
-    /// Answers another daemon; nothing, if its message cannot be read.
+    /// Answers another daemon's message; `None` if it cannot be decoded.
     pub(crate) fn answer(&self, body: &Bytes, now: Time) -> Option<Payload> {
         let message = serde_json::from_slice::<Message>(body).ok()?;
         let reply = lock(&self.pins).answer(message, now);
         payload(&reply)
     }
 
-    /// Drops idle pins, and gives those to send to daemons that became their homes.
+    /// Drops idle pins, and sends pins to daemons that became their homes.
     pub(crate) fn tick(&self, now: Time) {
         let moved = {
             let mut pins = lock(&self.pins);
-            pins.expire(now, EXPIRED_EACH_TICK);
+            pins.expire(now, MAX_EXPIRED_PER_TICK);
             pins.rehome(&self.me, now)
         };
         for (home, pin) in moved {
@@ -179,7 +182,7 @@
         }
     }
 
-    /// How full the table is, for the dump.
+    /// Number of pins and their bound, for the dump.
     pub(crate) fn dump(&self) -> serde_json::Value {
         serde_json::json!({"pins": lock(&self.pins).len(), "most_pins": MAX_PINS})
     }
@@ -196,9 +199,9 @@
         found.map(|live| live.address)
     }
 
-    fn ask(&self, home: &DaemonId, message: &Message) -> Option<Answer> {
+    fn ask(&self, home: &DaemonId, message: &Message) -> Option<PendingReply> {
         let peers = self.peers.get()?;
-        Some(peers.ask(self.address(home)?, payload(message)?, PATIENCE))
+        Some(peers.ask(self.address(home)?, payload(message)?, HOME_TIMEOUT))
     }
 
     fn send(&self, home: &DaemonId, message: &Message) {
@@ -210,7 +213,7 @@
     }
 }
 
-type Answer = flume::Receiver<Result<Payload, peers::AskError>>;
+type PendingReply = flume::Receiver<Result<Payload, peers::AskError>>;
 
 fn payload(content: &impl serde::Serialize) -> Option<Payload> {
     let body = Bytes::from(serde_json::to_vec(content).ok()?);
@@ -218,7 +221,7 @@
     Some(Payload::Part { part, body })
 }
 
-async fn read_reply(answer: Option<Answer>) -> Option<Reply> {
+async fn read_reply(answer: Option<PendingReply>) -> Option<Reply> {
     match answer?.recv_async().await.ok()?.ok()? {
         Payload::Part {
             part: Part::Session,
--- a/components/node/src/shared.rs
+++ b/components/node/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the threads of a daemon share.
+//! State shared by the threads of a daemon.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -16,32 +16,32 @@
 use crate::admission::Admissions;
 use crate::claims::Claims;
 use crate::event::Event;
-use crate::latency::Paces;
-use crate::quarantine::Barring;
-use crate::rating::Rating;
+use crate::latency::Latencies;
+use crate::quarantine::Quarantine;
+use crate::rating::RatingPool;
 use crate::sessions::Sessions;
 use crate::snapshot::Snapshot;
 use crate::traffic::InFlight;
 
-/// Entries with a retry budget, at most; the catalogue's own bound is lower.
+/// Most entries with a retry budget; the catalogue's own bound is lower.
 const MAX_BUDGETS: usize = 4096;
 
-/// What the threads of a daemon share. Locks are held for microseconds, never across
-/// a call of anything outside the process.
+/// State shared by the threads of a daemon. Locks are held for microseconds, never across a call
+/// out of the process.
 pub(crate) struct Shared {
-    /// As loaded.
+    /// The settings as loaded.
     pub(crate) settings: Settings,
     /// The process's clocks.
     pub(crate) clock: Clock,
-    /// Tells this start of the daemon from others.
+    /// Distinguishes this start of the daemon from others.
     pub(crate) incarnation: Incarnation,
-    /// What requests are served from; replaced by the control thread.
+    /// The state that requests are served from; replaced by the control thread.
     pub(crate) snapshot: ArcSwap<Snapshot>,
-    /// The picture of the upstreams.
+    /// Load and health of the upstreams, and the choice among them.
     pub(crate) router: Mutex<Router>,
-    /// Limits, and what waits for leave to start.
+    /// The limiter and the requests that wait for admission.
     pub(crate) admissions: Admissions,
-    /// Requests in flight.
+    /// Counter of requests in flight.
     pub(crate) in_flight: InFlight,
     /// Keys that sign session tokens.
     pub(crate) session_keys: sessions::token::Keys,
@@ -51,32 +51,32 @@
     pub(crate) sessions: Sessions,
     /// Claims of work that runs only once.
     pub(crate) claims: Claims,
-    /// To the control thread.
+    /// Sends events to the control thread.
     pub(crate) events: flume::Sender<Event>,
-    /// What probes read.
+    /// Health as the probes report it.
     pub(crate) health: Arc<Health>,
-    /// What is measured.
+    /// The daemon's metrics.
     pub(crate) metrics: Arc<Metrics>,
-    /// What is known of the versions' answers.
+    /// Evidence on the quality of the versions' answers.
     pub(crate) quality: Mutex<Quality>,
-    /// How long versions' answers take.
-    pub(crate) paces: Mutex<Paces>,
-    /// Has answers rated.
-    pub(crate) rating: Rating,
-    /// Requests under which upstreams end.
-    pub(crate) barring: Barring,
-    /// Retry budgets by entry.
+    /// Mean time to a whole answer, by version.
+    pub(crate) latencies: Mutex<Latencies>,
+    /// Has a sample of the answers rated.
+    pub(crate) rating: RatingPool,
+    /// Quarantine of requests that crash upstreams.
+    pub(crate) quarantine: Quarantine,
+    /// Retry budgets by catalogue entry.
     pub(crate) budgets: Mutex<BTreeMap<EntryName, RetryBudget>>,
 }
 
 impl Shared {
-    /// The present moment.
+    /// The current time.
     #[must_use]
     pub(crate) fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// Retries that each entry has saved up, for the dump.
+    /// Retries saved up by each entry, for the dump.
     pub(crate) fn retries_left(&self) -> BTreeMap<EntryName, f64> {
         let budgets = lock(&self.budgets);
         let saved = budgets.iter();
@@ -85,7 +85,7 @@
             .collect()
     }
 
-    /// Acts on an entry's retry budget.
+    /// Runs `act` on an entry's retry budget, which is created on first use.
     pub(crate) fn with_budget<T>(
         &self,
         entry: &EntryName,
@@ -102,8 +102,8 @@
     }
 }
 
-/// Locks a table. A panic elsewhere does not make the table unusable: each change to a
-/// table is a step that leaves it whole.
+/// Locks a table, ignoring lock poisoning: each change leaves a table consistent, so a panic of
+/// another thread does not make it unusable.
 pub(crate) fn lock<T>(table: &Mutex<T>) -> MutexGuard<'_, T> {
     table.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/components/node/src/snapshot.rs
+++ b/components/node/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! What traffic threads read: unchanging, replaced as a whole by the control thread.
+//! The immutable state that callers are served from, replaced as a whole by the control thread.
 
 use std::sync::Arc;
 
@@ -10,12 +10,12 @@
 /// Whether this daemon takes requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Readiness {
-    /// No catalogue is held yet: nothing is served.
+    /// No catalogue is loaded yet: nothing is served.
     #[default]
     Starting,
-    /// Serving.
+    /// Requests are served.
     Ready,
-    /// Leaving: `/readyz` says no, requests are still served.
+    /// The daemon is shutting down: `/readyz` reports not ready, requests are still served.
     Leaving,
 }
 
@@ -24,21 +24,22 @@
 pub struct Snapshot {
     /// Whether this daemon takes requests.
     pub readiness: Readiness,
-    /// So many bills wait for the store that no more may come.
+    /// Whether so many bills wait for the store that no more work may start.
     pub is_ledger_full: bool,
     /// The catalogue.
     pub view: Arc<View>,
-    /// The moment of which the catalogue was last known to be current.
+    /// The last time at which the catalogue was known to be current.
     pub confirmed: Option<Time>,
-    /// The part of the fleet that this daemon is in touch with.
+    /// The part of the fleet that this daemon can reach.
     pub reach: Reach,
 }
 
 impl Snapshot {
-    /// Why an entry with this rule is refused now since the catalogue may be out of date.
+    /// The reason to refuse an entry with this freshness rule because the catalogue may be out of
+    /// date, if there is one.
     ///
-    /// Decided for each request: a snapshot ages while the control thread is held up or
-    /// the process is paused, and must not pass for fresh afterwards.
+    /// Decided for each request: a snapshot ages while the control thread is held up or the
+    /// process is paused, and must not pass for fresh afterwards.
     #[must_use]
     pub fn stale(&self, now: Time, rule: &Freshness) -> Option<String> {
         match decide(now, rule, self.confirmed, self.reach) {
--- a/components/node/src/start.rs
+++ b/components/node/src/start.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping a daemon.
+//! Starts and stops a daemon.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,22 +23,22 @@
 use crate::claims::{self, Claims};
 use crate::control::Control;
 use crate::error::NodeError;
-use crate::event::{EVENTS_WAITING, Event};
-use crate::measured::Counted;
-use crate::quarantine::Barring;
-use crate::rating::Rating;
+use crate::event::{Event, MAX_WAITING_EVENTS};
+use crate::measured::CountedStore;
+use crate::quarantine::Quarantine;
+use crate::rating::RatingPool;
 use crate::sessions::Sessions;
 use crate::shared::Shared;
 use crate::snapshot::Snapshot;
-use crate::store_pool::Storage;
+use crate::store_pool::StorePool;
 use crate::systems;
 use crate::traffic::{InFlight, Traffic};
 
-/// Pause between two looks at what is still under way.
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
+/// Interval between two checks for requests still in flight at a shutdown.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A leaving daemon waits so long for the store to take its bills.
-const SEAL_PATIENCE: Span = Span::from_secs(10);
+/// How long a leaving daemon waits for the store to take its bills.
+const SEAL_TIMEOUT: Span = Span::from_secs(10);
 
 /// A running daemon.
 pub struct Node {
@@ -51,12 +51,12 @@
 }
 
 impl Node {
-    /// Builds a daemon from checked settings and serves.
+    /// Builds a daemon from checked settings and starts to serve.
     ///
     /// # Errors
     /// When an address cannot be listened on or a thread cannot be started.
     pub fn start(settings: Settings) -> Result<Self, NodeError> {
-        let (events, events_rx) = flume::bounded(EVENTS_WAITING);
+        let (events, events_rx) = flume::bounded(MAX_WAITING_EVENTS);
         let (shared, claims) = build(settings, events.clone())?;
         let shared = Arc::new(shared);
         if let Some(list) = shared.settings.platform.hosts {
@@ -67,16 +67,16 @@
         let clock = shared.clock;
         let peers = systems::membership::start_peers(&shared.settings, incarnation, clock, sink)?;
         let peers_address = peers.address();
-        let storage = Storage::start(&shared.store, events)?;
+        let store_pool = StorePool::start(&shared.store, events)?;
         shared.sessions.set_peers(peers.clone());
-        let control = Control::new(shared.clone(), storage, peers)?;
+        let control = Control::new(shared.clone(), store_pool, peers)?;
         let thread = std::thread::Builder::new().name("control".to_owned());
         let control = thread.spawn(move || control.run(&events_rx))?;
         let operators = start_operators(&shared)?;
-        let made = shared.clone();
-        let make = move || Traffic::new(made.clone());
+        let traffic_shared = shared.clone();
+        let make_traffic = move || Traffic::new(traffic_shared.clone());
         let cfg = &shared.settings.callers;
-        let callers = Callers::start(cfg.listen, cfg.threads, limits(cfg), make)?;
+        let callers = Callers::start(cfg.listen, cfg.threads, limits(cfg), make_traffic)?;
         tracing::info!(
             "node: {} serves callers on {}",
             shared.settings.daemon,
@@ -92,25 +92,25 @@
         })
     }
 
-    /// Where callers are served.
+    /// The address on which callers are served.
     #[must_use]
     pub fn callers_address(&self) -> SocketAddr {
         self.callers.address()
     }
 
-    /// Where other daemons reach this one.
+    /// The address on which other daemons reach this one.
     #[must_use]
     pub fn peers_address(&self) -> SocketAddr {
         self.peers_address
     }
 
-    /// Where operators are served.
+    /// The address on which operators are served.
     #[must_use]
     pub fn operators_address(&self) -> SocketAddr {
         self.operators.address()
     }
 
-    /// Stops without handing anything on or saying goodbye, as a crash would.
+    /// Stops without a handover or a notice to the other daemons, as a crash would.
     pub fn abandon(self) {
         let _ = self.shared.events.send(Event::Stop);
         let _ = self.control.join();
@@ -119,8 +119,8 @@
         self.shared.claims.stop();
     }
 
-    /// Leaves: readiness off, serves on while the balancer notices, ends what is in
-    /// flight, then goes. Says how many connections the deadline cut.
+    /// Shuts down: reports not ready, serves on while load balancers notice, drains the requests in
+    /// flight, then stops. Returns how many connections were cut at the deadline.
     #[must_use]
     pub fn shutdown(self) -> usize {
         let _ = self.shared.events.send(Event::Leave);
@@ -130,39 +130,39 @@
             .callers
             .close(self.shared.settings.shutdown.deadline.to_duration());
         if cut > 0 {
-            tracing::warn!("node: the deadline came with {cut} connections open, cut");
+            tracing::warn!("node: {cut} open connections were cut at the shutdown deadline");
         }
-        end_requests(&self.shared, deadline);
+        drain_requests(&self.shared, deadline);
         self.shared.claims.stop();
         let _ = self.claims.join();
         seal_bills(&self.shared, deadline);
         self.operators.stop();
         let _ = self.shared.events.send(Event::Stop);
         let _ = self.control.join();
-        tracing::info!("node: gone");
+        tracing::info!("node: stopped");
         cut
     }
 }
 
 /// Waits for requests whose callers have left: work that runs only once goes on, and its
-/// outcome is recorded for the caller's repeat.
-fn end_requests(shared: &Shared, deadline: Time) {
+/// outcome is recorded for the caller's retry.
+fn drain_requests(shared: &Shared, deadline: Time) {
     while shared.in_flight.count() > 0 && !shared.now().has_reached(deadline) {
-        std::thread::sleep(LOOK_AGAIN);
+        std::thread::sleep(DRAIN_POLL_INTERVAL);
     }
     let left = shared.in_flight.count();
     if left > 0 {
-        tracing::warn!("node: the deadline came with {left} requests under way, cut");
+        tracing::warn!("node: {left} requests in flight were cut at the shutdown deadline");
     }
 }
 
-/// Waits until all bills are in the store. While it is down they stay with the daemon that
-/// holds them beside this one, which seals them in its place.
+/// Waits until all bills are in the store. While the store is down they stay with the daemon
+/// that holds a second copy, which seals them in place of this one.
 fn seal_bills(shared: &Shared, deadline: Time) {
     let (tx, rx) = flume::bounded(1);
     let _ = shared.events.send(Event::SealBills(tx));
-    let patience = shared.now().until(deadline).min(SEAL_PATIENCE);
-    if rx.recv_timeout(patience.to_duration()).is_err() {
+    let timeout = shared.now().until(deadline).min(SEAL_TIMEOUT);
+    if rx.recv_timeout(timeout.to_duration()).is_err() {
         tracing::warn!("ledger: the store did not take all bills, the second holder has them");
     }
 }
@@ -213,9 +213,9 @@
             incarnation,
             clock.now(),
         )),
-        paces: Mutex::default(),
-        rating: Rating::new(settings.platform.rater),
-        barring: Barring::new(&settings.daemon, clock),
+        latencies: Mutex::default(),
+        rating: RatingPool::new(settings.platform.rater),
+        quarantine: Quarantine::new(&settings.daemon, clock),
         budgets: Mutex::new(BTreeMap::new()),
         settings,
     };
@@ -246,7 +246,7 @@
     let mut cfg = store::Config::new(settings.store.endpoints.clone());
     cfg.call_timeout = settings.store.timeout;
     let client = EtcdClient::new(cfg).map_err(|error| NodeError::Store(error.to_string()))?;
-    Ok(Arc::new(Counted::new(client, metrics)))
+    Ok(Arc::new(CountedStore::new(client, metrics)))
 }
 
 fn session_keys(settings: &Settings) -> Result<Keys, NodeError> {
--- a/components/node/src/store_pool.rs
+++ b/components/node/src/store_pool.rs
@@ -1,4 +1,4 @@
-//! Threads that call the key-value service for the control thread.
+//! Threads that call the key-value service for the control thread, which never blocks.
 
 use std::sync::Arc;
 
@@ -7,20 +7,21 @@
 
 use crate::event::{Event, StoreUse};
 
-/// Calls that wait; the control thread is told "not sent" for more.
-const CALLS_WAITING: usize = 256;
-/// Calls under way at once: a slow service must not hold back every part behind one.
+/// Most calls that wait for a thread; further ones are reported as not sent.
+const MAX_WAITING_CALLS: usize = 256;
+/// Calls in flight at once. With a single thread, one slow call would hold up those of every
+/// part of the daemon.
 const THREADS: usize = 3;
 
-/// Takes calls from the control thread.
+/// Hands calls of the control thread to the threads.
 #[derive(Clone)]
-pub(crate) struct Storage {
+pub(crate) struct StorePool {
     calls: flume::Sender<(StoreUse, Request)>,
     events: flume::Sender<Event>,
 }
 
-impl Storage {
-    /// Starts the threads; they end when the last `Storage` goes.
+impl StorePool {
+    /// Starts the threads; they end when the last `StorePool` is dropped.
     ///
     /// # Errors
     /// When a thread cannot be started.
@@ -28,25 +29,25 @@
         store: &Arc<dyn Store>,
         events: flume::Sender<Event>,
     ) -> std::io::Result<Self> {
-        let (calls, rx) = flume::bounded::<(StoreUse, Request)>(CALLS_WAITING);
+        let (calls, rx) = flume::bounded::<(StoreUse, Request)>(MAX_WAITING_CALLS);
         for index in 0..THREADS {
             let (rx, store, events) = (rx.clone(), store.clone(), events.clone());
             let thread = std::thread::Builder::new().name(format!("store-{index}"));
             thread.spawn(move || {
-                for (used, request) in rx {
+                for (purpose, request) in rx {
                     let outcome = store.call(request);
-                    let _ = events.send(Event::Store(used, outcome));
+                    let _ = events.send(Event::Store(purpose, outcome));
                 }
             })?;
         }
         Ok(Self { calls, events })
     }
 
-    /// Makes a call; its outcome comes as an event.
-    pub(crate) fn call(&self, used: StoreUse, request: Request) {
-        if self.calls.try_send((used, request)).is_err() {
+    /// Queues a call; its outcome comes as an event.
+    pub(crate) fn call(&self, purpose: StoreUse, request: Request) {
+        if self.calls.try_send((purpose, request)).is_err() {
             let full = CallError::NotSent("too many calls wait".to_owned());
-            let _ = self.events.try_send(Event::Store(used, Err(full)));
+            let _ = self.events.try_send(Event::Store(purpose, Err(full)));
         }
     }
 }
--- a/components/node/src/systems/membership.rs
+++ b/components/node/src/systems/membership.rs
@@ -12,7 +12,7 @@
 use types::prelude::*;
 
 use crate::error::NodeError;
-use crate::sessions::Live;
+use crate::sessions::LiveDaemon;
 
 /// Starts the peers' thread.
 ///
@@ -155,17 +155,19 @@
     }
 
     /// The live daemons with their addresses, as homes of sessions.
-    pub(crate) fn homes(&self) -> Vec<Live> {
+    pub(crate) fn homes(&self) -> Vec<LiveDaemon> {
         let others = self.membership.members().map(|member| &member.record);
         let present = others.filter(|record| record.state.is_present());
-        let homes = present.chain([self.membership.me()]).map(|record| Live {
-            member: sessions::homes::Member {
-                id: record.id.clone(),
-                domain: record.failure_domain.clone(),
-                run: record.stamp.incarnation,
-            },
-            address: record.address,
-        });
+        let homes = present
+            .chain([self.membership.me()])
+            .map(|record| LiveDaemon {
+                member: sessions::homes::Member {
+                    id: record.id.clone(),
+                    domain: record.failure_domain.clone(),
+                    run: record.stamp.incarnation,
+                },
+                address: record.address,
+            });
         homes.collect()
     }
 
@@ -231,7 +233,7 @@
     events: flume::Sender<crate::event::Event>,
 ) -> impl Fn(Inbound) -> bool + Send + Sync + 'static {
     move |inbound| {
-        let has_room = events.len() < crate::event::EVENTS_WAITING / 2;
+        let has_room = events.len() < crate::event::MAX_WAITING_EVENTS / 2;
         has_room && events.try_send(crate::event::Event::Peer(inbound)).is_ok()
     }
 }
--- a/components/node/src/systems/rollout.rs
+++ b/components/node/src/systems/rollout.rs
@@ -50,7 +50,7 @@
 
 /// How a call ended.
 #[derive(Debug)]
-pub enum Called {
+pub enum CallResult {
     /// An engine's report.
     Report(ModelName, UpstreamId, LoadReport),
     /// An engine refused a load for want of room.
@@ -223,17 +223,19 @@
     }
 
     /// Takes the end of a call of an engine or of the weight store.
-    pub(crate) fn on_called(&mut self, now: Time, called: Called) {
+    pub(crate) fn on_called(&mut self, now: Time, called: CallResult) {
         let name = match &called {
-            Called::Report(name, ..) | Called::Full(name, _) | Called::Slot(name, _) => name,
+            CallResult::Report(name, ..)
+            | CallResult::Full(name, _)
+            | CallResult::Slot(name, _) => name,
         };
         let Some(driven) = self.driven.get_mut(name) else {
             return;
         };
         match called {
-            Called::Report(_, id, report) => driven.seen.report(now, id, report),
-            Called::Full(_, id) => driven.seen.full(now, id),
-            Called::Slot(_, answer) => driven.driver.on_slot(now, answer),
+            CallResult::Report(_, id, report) => driven.seen.report(now, id, report),
+            CallResult::Full(_, id) => driven.seen.full(now, id),
+            CallResult::Slot(_, answer) => driven.driver.on_slot(now, answer),
         }
     }
 
--- a/components/node/src/traffic.rs
+++ b/components/node/src/traffic.rs
@@ -1,8 +1,8 @@
-//! The path of a request: read, permitted, admitted, attempted, answered.
+//! Handles callers' requests: parsing, authentication, admission, upstream attempts, the answer.
 //!
-//! Everything here runs on the event loop of the caller's connection. All it reads is a
-//! [`Snapshot`], and all it writes are small tables behind locks that are held for
-//! microseconds and never over a wait.
+//! Everything here runs on the event loop of the caller's connection. It reads the published
+//! [`Snapshot`] and writes only small tables behind locks, which are held for microseconds and
+//! never across an await.
 
 mod billing;
 mod chat;
@@ -26,22 +26,22 @@
 use crate::snapshot::{Readiness, Snapshot};
 pub(crate) use in_flight::InFlight;
 use refusal::Refusal;
-pub(crate) use upstream::Taken;
+pub(crate) use upstream::PickedUpstream;
 
 const CHAT: &str = "/v1/chat/completions";
 const MODELS: &str = "/v1/models";
 const SERVICES: &str = "/services/";
-const LEDGER_RETRY: Span = Span::from_secs(5);
-const STARTING_RETRY: Span = Span::from_secs(1);
+const LEDGER_FULL_RETRY_AFTER: Span = Span::from_secs(5);
+const STARTING_RETRY_AFTER: Span = Span::from_secs(1);
 
-/// Takes callers' requests on one event loop.
+/// Serves callers' requests on one event loop.
 pub(crate) struct Traffic {
     shared: Arc<Shared>,
     client: Client,
 }
 
 impl Traffic {
-    /// Serves from what the control thread shares.
+    /// Creates the handler for one event loop, with an upstream client of its own.
     pub(crate) fn new(shared: Arc<Shared>) -> Self {
         Self {
             shared,
@@ -51,7 +51,7 @@
 
     async fn route(&self, req: &Request) -> Result<(), Refusal> {
         let snapshot = self.shared.snapshot.load_full();
-        let customer = admitted_customer(&snapshot, req)?;
+        let customer = authenticate(&snapshot, req)?;
         let is_work = req.path == CHAT || req.path.starts_with(SERVICES);
         if snapshot.is_ledger_full && is_work {
             return Err(ledger_full());
@@ -88,7 +88,7 @@
     }
 }
 
-/// What every request needs.
+/// State that every request handler needs.
 pub(crate) struct Context {
     pub(crate) shared: Arc<Shared>,
     pub(crate) client: Client,
@@ -96,19 +96,23 @@
     pub(crate) customer: CustomerId,
 }
 
-fn admitted_customer(snapshot: &Snapshot, req: &Request) -> Result<CustomerId, Refusal> {
+fn authenticate(snapshot: &Snapshot, req: &Request) -> Result<CustomerId, Refusal> {
     if snapshot.readiness == Readiness::Starting {
         let message = "this daemon holds no catalogue yet";
-        return Err(Refusal::unavailable("starting", message, STARTING_RETRY));
+        return Err(Refusal::unavailable(
+            "starting",
+            message,
+            STARTING_RETRY_AFTER,
+        ));
     }
     let key = params::bearer(&req.headers).ok_or_else(Refusal::unauthorized)?;
     let customer = snapshot.view.customer_of_key(key);
     customer.cloned().ok_or_else(Refusal::unauthorized)
 }
 
-/// Guards against lost bills in a long outage of the store: their memory is bounded, and
-/// past the bound work is refused before any of it has run.
+/// Refuses work before any of it has run while too many bills wait for the store. The memory for
+/// waiting bills is bounded; without this check a long outage of the store would lose bills.
 fn ledger_full() -> Refusal {
     let message = "too many bills wait for the store";
-    Refusal::unavailable("ledger_full", message, LEDGER_RETRY)
+    Refusal::unavailable("ledger_full", message, LEDGER_FULL_RETRY_AFTER)
 }
--- a/components/node/src/traffic/billing.rs
+++ b/components/node/src/traffic/billing.rs
@@ -1,4 +1,4 @@
-//! Between an answer and its end: the bill.
+//! Bills an answer before its end is sent.
 
 use flume::bounded;
 use ledger::{Bill, BillId, Item};
@@ -8,14 +8,14 @@
 use crate::event::Event;
 use crate::shared::Shared;
 
-/// The control thread is gone, so that no bill can be kept and no answer may end.
+/// The control thread has ended: no bill can be recorded and no answer may end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct NotBilled;
 
-/// Records a bill and waits until it is safe; then the answer may end.
+/// Records a bill and waits until it is safe; the answer's end may be sent only then.
 ///
-/// Guards against an answer that nobody bills: were the end sent first, this host's loss in
-/// the next seconds would leave the caller with a whole answer and the ledger without it.
+/// Were the end sent first, the loss of this host in the next seconds would leave the caller
+/// with a whole answer that is never billed.
 pub(crate) async fn bill(shared: &Shared, bill: Bill) -> Result<(), NotBilled> {
     let (end, released) = bounded(1);
     let event = Event::Bill(Box::new(bill), end);
@@ -24,7 +24,7 @@
     released.recv_async().await.map_err(|_| NotBilled)
 }
 
-/// The bill of an answer that ends now.
+/// Creates the bill of an answer that ends now.
 pub(crate) fn bill_of(
     shared: &Shared,
     facts: BillFacts,
--- a/components/node/src/traffic/chat/answer.rs
+++ b/components/node/src/traffic/chat/answer.rs
@@ -1,4 +1,4 @@
-//! Carries the answer of an engine to the caller, whole or as a stream.
+//! Relays an engine's answer to the caller, whole or as a stream.
 
 use std::net::SocketAddr;
 
@@ -19,39 +19,39 @@
 use super::run::outcome_of;
 use super::transcript::Transcript;
 use super::version::Chosen;
-use super::{Job, STALL};
+use super::{Job, STALL_TIMEOUT};
 use crate::measured::{self, TokenTimes};
-use crate::rating::{self, Stated};
-use crate::traffic::claim::listed;
+use crate::rating::{self, AnswerInfo};
+use crate::traffic::claim::header_list;
 use crate::traffic::refusal::{Refusal, set};
-use crate::traffic::upstream::{end_of, left};
+use crate::traffic::upstream::{attempt_end, cancelled_by_caller};
 
-/// The answer under way, over all attempts.
+/// A caller's answer in progress, over all attempts.
 pub(crate) struct Relay<'a> {
     pub(super) job: &'a Job,
     pub(super) responder: &'a Responder,
-    /// Whom to ask.
+    /// The version that attempts go to.
     trying: &'a Chosen,
-    /// Whose answer is at hand.
+    /// The version whose answer is held.
     chosen: &'a Chosen,
     confidence: Option<Confidence>,
     client: Client,
     attempts: u32,
-    whole: Option<Answer>,
+    held: Option<Answer>,
     pub(super) usage: Usage,
     pub(super) load: Option<EngineLoad>,
-    /// Text that the caller has seen.
-    pub(super) text: String,
-    pub(super) pieces: u64,
+    /// Text relayed to the caller so far; a resumed attempt continues it.
+    pub(super) delivered_text: String,
+    pub(super) delivered_chunks: u64,
     pub(super) has_begun: bool,
     pub(super) not_loaded: bool,
     pub(super) first_token: Option<Time>,
     pub(super) times: TokenTimes,
     pub(super) transcript: Transcript,
     pub(super) caller_left: bool,
-    /// Where the attempt runs.
-    pub(super) at: Option<UpstreamIndex>,
-    pub(super) has_given_way: bool,
+    /// The upstream of the attempt.
+    pub(super) upstream: Option<UpstreamIndex>,
+    pub(super) was_preempted: bool,
 }
 
 impl<'a> Relay<'a> {
@@ -66,50 +66,50 @@
             confidence: None,
             client: job.cx.client.clone(),
             attempts: 0,
-            whole: None,
+            held: None,
             usage: Usage::default(),
             load: None,
-            text: String::new(),
-            pieces: 0,
+            delivered_text: String::new(),
+            delivered_chunks: 0,
             has_begun: false,
             not_loaded: false,
             first_token: None,
             times,
             transcript: Transcript::new(job.head.non_idempotent),
             caller_left: false,
-            at: None,
-            has_given_way: false,
+            upstream: None,
+            was_preempted: false,
         }
     }
 
-    /// Whom to ask.
+    /// The version that attempts go to.
     pub(crate) fn trying(&self) -> &'a Chosen {
         self.trying
     }
 
-    /// Whose answer is at hand.
+    /// The version whose answer is held.
     pub(crate) fn chosen(&self) -> &'a Chosen {
         self.chosen
     }
 
-    /// Whether a whole answer is at hand, to be given when no better one can be had.
-    pub(crate) fn has_answer(&self) -> bool {
-        self.whole.is_some()
+    /// Whether a whole answer is held, to be sent if no better one can be had.
+    pub(crate) fn holds_answer(&self) -> bool {
+        self.held.is_some()
     }
 
-    /// Asks the next version of the cascade from now on.
+    /// Sends further attempts to the next version of the cascade.
     pub(crate) fn escalate(&mut self) {
-        if let Some(next) = &self.trying.next {
-            self.trying = &next.chosen;
+        if let Some(step) = &self.trying.next {
+            self.trying = &step.chosen;
         }
     }
 
-    /// Tokens of the answer at hand.
+    /// Token counts of the answer held.
     pub(crate) fn usage(&self) -> Usage {
         self.usage
     }
 
-    /// The engine's load, for routing.
+    /// The load that the engine reported with its answer.
     pub(crate) fn load(&self) -> Option<LoadReport> {
         let load = self.load?;
         let (running, waiting, slots) = (load.running, load.waiting, load.slots);
@@ -122,24 +122,24 @@
         })
     }
 
-    /// Notes where the next attempt runs.
+    /// Sets the upstream of the next attempt.
     pub(crate) fn set_upstream(&mut self, index: UpstreamIndex) {
-        self.at = Some(index);
+        self.upstream = Some(index);
     }
 
-    /// Whether the attempt was cancelled for an interactive request.
-    pub(crate) fn has_given_way(&self) -> bool {
-        self.has_given_way
+    /// Whether the attempt was preempted by an interactive request.
+    pub(crate) fn was_preempted(&self) -> bool {
+        self.was_preempted
     }
 
-    /// Tokens that the caller has.
+    /// Tokens relayed to the caller, counted in text chunks.
     pub(crate) fn received(&self) -> Tokens {
-        Tokens(self.pieces)
+        Tokens(self.delivered_chunks)
     }
 
-    /// What routing learns from the attempt's end.
+    /// The attempt's outcome for routing.
     pub(crate) fn outcome(&self, end: &AttemptEnd, began: Time) -> Outcome {
-        if self.has_given_way {
+        if self.was_preempted {
             return Outcome::Cancelled;
         }
         if self.not_loaded {
@@ -152,7 +152,7 @@
         outcome_of(end, first.since(began), per_token)
     }
 
-    /// Makes one attempt; a stream goes to the caller as it comes.
+    /// Makes one attempt; a stream is relayed to the caller as it arrives.
     pub(crate) async fn attempt(
         &mut self,
         address: SocketAddr,
@@ -161,16 +161,20 @@
         self.attempts += 1;
         self.first_token = None;
         self.not_loaded = false;
-        self.has_given_way = false;
+        self.was_preempted = false;
         let shared = &self.job.cx.shared;
         let name = format!(
             "{}.{}.{}",
             self.job.head.request, shared.incarnation, self.attempts
         );
         let deadline = request.time_left(shared.now());
-        let stall = if self.job.ask.stream { STALL } else { deadline };
+        let stall = if self.job.params.stream {
+            STALL_TIMEOUT
+        } else {
+            deadline
+        };
         let body = self.body();
-        let stream = self.job.ask.stream;
+        let stream = self.job.params.stream;
         let call = ChatRequest {
             attempt: &name,
             body,
@@ -183,28 +187,34 @@
         let answered = tokio::select! {
             biased;
             answered = client.chat(address, &call) => answered,
-            () = left(self.responder, request.facts()) => return AttemptEnd::CallerGone,
+            () = cancelled_by_caller(self.responder, request.facts()) => return AttemptEnd::CallerGone,
         };
         match answered {
             Ok(ChatAnswer::Whole(answer)) => self.take_whole(answer, &name),
             Ok(ChatAnswer::Stream(stream)) => {
                 self.load = stream.load();
-                self.take_stream(stream, &name, request).await
+                self.relay_stream(stream, &name, request).await
             }
-            Err(error) => self.failed(&error),
+            Err(error) => self.failed_end(&error),
         }
     }
 
     fn body(&self) -> Bytes {
-        let offered = self.job.resolved.offer.max_output;
+        let offer_max = self.job.resolved.offer.max_output;
         let max = self
             .job
-            .ask
+            .params
             .max_output
-            .map_or(offered, |asked| asked.min(offered));
-        let left = Tokens(max.0.saturating_sub(self.pieces).max(1));
-        let (ask, trying) = (&self.job.ask, self.trying);
-        engine_body(ask, trying, left, self.job.priority, &self.text)
+            .map_or(offer_max, |caller_max| caller_max.min(offer_max));
+        let remaining = Tokens(max.0.saturating_sub(self.delivered_chunks).max(1));
+        let (params, trying) = (&self.job.params, self.trying);
+        engine_body(
+            params,
+            trying,
+            remaining,
+            self.job.priority,
+            &self.delivered_text,
+        )
     }
 
     fn take_whole(&mut self, answer: Answer, attempt: &str) -> AttemptEnd {
@@ -216,29 +226,33 @@
         self.load = answer.load;
         let body = engine::rewrite_id(&answer.body, attempt, &self.answer_id());
         self.confidence = answer.confidence.and_then(Confidence::new);
-        let added = self.trying.is_judged && !self.job.ask.wants_logprobs();
-        let body = if added { without_logprobs(body) } else { body };
+        let remove_logprobs = self.trying.asks_confidence && !self.job.params.wants_logprobs();
+        let body = if remove_logprobs {
+            without_logprobs(body)
+        } else {
+            body
+        };
         self.chosen = self.trying;
-        self.whole = Some(Answer { body, ..answer });
+        self.held = Some(Answer { body, ..answer });
         AttemptEnd::Whole {
             usage,
             adequate: self.trying.accepts(self.confidence),
         }
     }
 
-    /// What a failed attempt says of the work.
-    pub(super) fn failed(&mut self, error: &AttemptError) -> AttemptEnd {
+    /// Records a failed attempt and classifies its end.
+    pub(super) fn failed_end(&mut self, error: &AttemptError) -> AttemptEnd {
         tracing::debug!("traffic: an attempt failed: {error}");
         self.not_loaded = matches!(error, AttemptError::NotLoaded);
-        end_of(error, Tokens(self.pieces), self.has_begun)
+        attempt_end(error, Tokens(self.delivered_chunks), self.has_begun)
     }
 
-    /// The id that the caller sees, the same over all attempts.
+    /// The answer's id, the same to the caller over all attempts.
     pub(super) fn answer_id(&self) -> String {
         format!("chatcmpl-{}", self.job.head.request)
     }
 
-    /// The head of an answer of success.
+    /// The response head of a successful answer.
     pub(super) fn head(&self, kind: &'static str) -> Head {
         let mut headers = HeaderMap::new();
         headers.insert(header::CONTENT_TYPE, header::HeaderValue::from_static(kind));
@@ -261,7 +275,7 @@
         }
     }
 
-    /// What the answer costs.
+    /// The cost of the answer.
     pub(super) fn cost(&self, usage: Usage) -> Cost {
         let view = &self.job.cx.snapshot.view;
         let id = &self.chosen.version;
@@ -273,44 +287,47 @@
         price.map_or(Cost(0), |price| price.of(usage.input, usage.output))
     }
 
-    /// The answer as it is rated, if this one is to be.
-    pub(crate) fn sample(&self) -> Option<(Sample, Stated)> {
+    /// The sample to have rated, if this answer is chosen for rating.
+    pub(crate) fn sample(&self) -> Option<(Sample, AnswerInfo)> {
         let class = &self.job.resolved.offer.class;
         let version = &self.chosen.version;
-        let stated = Stated {
+        let info = AnswerInfo {
             confidence: self.confidence,
             escalated: self.chosen.escalated,
         };
-        if !rating::wants(&self.job.cx.shared, class, version, stated) {
+        if !rating::should_rate(&self.job.cx.shared, class, version, info) {
             return None;
         }
-        let prompt = self.job.ask.fields.get("messages").map(Value::to_string);
-        let answer = self.whole.as_ref().map_or(&self.text, |whole| &whole.text);
+        let prompt = self.job.params.fields.get("messages").map(Value::to_string);
+        let answer = self
+            .held
+            .as_ref()
+            .map_or(&self.delivered_text, |held| &held.text);
         let sample = Sample {
             class: class.clone(),
             version: version.clone(),
             prompt: prompt.unwrap_or_default(),
             answer: answer.clone(),
         };
-        Some((sample, stated))
+        Some((sample, info))
     }
 
-    /// Gives the caller the end of its answer, and the answer as it is kept for a repeat.
+    /// Sends the end of the answer, and returns the answer as recorded for replays.
     pub(crate) async fn finish(mut self, usage: Usage, attempts: usize) -> Recorded {
         self.times.ended(telemetry::labels::Outcome::Answered);
         let cost = self.cost(usage);
-        if let Some(answer) = self.whole.take() {
+        if let Some(answer) = self.held.take() {
             let mut head = self.head("application/json");
             set(&mut head.headers, "x-cost", &cost.to_string());
-            let headers = listed(&head.headers);
-            // Billed and recorded for a repeat, whether or not the caller is still there.
+            let headers = header_list(&head.headers);
+            // Fails only if the caller is gone; the answer is billed and recorded all the same.
             let _ = self.responder.answer(head, answer.body.clone()).await;
             return Recorded::new(StatusCode::OK.as_u16(), headers, answer.body);
         }
         if self.finish_stream(usage, attempts, cost).await.is_err() {
             tracing::debug!("traffic: the caller of {} left", self.job.head.request);
         }
-        let headers = listed(&self.head("text/event-stream").headers);
+        let headers = header_list(&self.head("text/event-stream").headers);
         self.transcript.into_recorded(headers)
     }
 
@@ -320,7 +337,7 @@
         attempts: usize,
         cost: Cost,
     ) -> Result<(), Gone> {
-        let last = event(&self.last_chunk(usage, attempts, cost));
+        let last = event(&self.usage_chunk(usage, attempts, cost));
         let end = Bytes::from_static(b"data: [DONE]\n\n");
         self.transcript.push(&last);
         self.transcript.push(&end);
@@ -329,7 +346,7 @@
         self.responder.send(Frame::End).await
     }
 
-    fn last_chunk(&self, usage: Usage, attempts: usize, cost: Cost) -> Value {
+    fn usage_chunk(&self, usage: Usage, attempts: usize, cost: Cost) -> Value {
         let total = usage.input + usage.output;
         json!({
             "id": self.answer_id(),
@@ -350,13 +367,13 @@
         })
     }
 
-    /// Tells the caller no: as a status if it has seen nothing, else as the stream's end.
+    /// Sends a refusal: as a response if the caller has got nothing yet, else as the stream's end.
     pub(crate) async fn refuse(&self, refusal: &requests::refusal::Refusal) {
         let refusal = Refusal::from_decision(refusal);
         self.job.cx.shared.metrics.refusal(refusal.code);
-        self.times.ended(measured::refused(refusal.run));
+        self.times.ended(measured::refusal_label(refusal.run));
         if self.has_begun {
-            // A caller that is gone needs no end.
+            // Fails only if the caller is gone.
             let _ = refusal.end_stream(self.responder).await;
         } else {
             let id = &self.job.head.request;
@@ -370,7 +387,7 @@
     Bytes::from(format!("data: {data}\n\n"))
 }
 
-/// The body as it would be had the caller's own request gone to the engine.
+/// Removes the log probabilities, which the router asked for and the caller did not.
 fn without_logprobs(body: Bytes) -> Bytes {
     let Ok(mut parsed) = serde_json::from_slice::<Value>(&body) else {
         return body;
--- a/components/node/src/traffic/chat/body.rs
+++ b/components/node/src/traffic/chat/body.rs
@@ -1,31 +1,31 @@
-//! The body that goes to an engine, and the hashes of its prompt's beginnings.
+//! The request body for an engine, and the prefix hashes of its prompt.
 
 use super::version::Chosen;
-use crate::traffic::params::ChatAsk;
+use crate::traffic::params::ChatParams;
 use bytes::Bytes;
 use routing::PrefixHash;
 use serde_json::{Map, Value, json};
 use types::prelude::*;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Beginnings of a prompt that are hashed, at most.
+/// Most prefixes of a prompt that are hashed.
 const MAX_PREFIXES: usize = 16;
-/// Engines serve lower numbers first.
+/// Priority numbers of the engines' API; lower numbers are served first.
 const INTERACTIVE: u32 = 0;
 const BATCH: u32 = 1;
 
-/// The caller's body with the fields that the router sets replaced; `resume_from` is
-/// the part of a broken answer that the caller already has.
+/// Creates the engine's request body: the caller's body with the fields that the router sets
+/// replaced. `resume_from` is the part of a broken answer that the caller already has.
 pub(crate) fn engine_body(
-    ask: &ChatAsk,
-    chosen: &Chosen,
+    params: &ChatParams,
+    target: &Chosen,
     max_output: Tokens,
     priority: Priority,
     resume_from: &str,
 ) -> Bytes {
-    let mut fields = ask.fields.clone();
-    fields.insert("model".to_owned(), json!(chosen.version));
-    if chosen.is_judged {
+    let mut fields = params.fields.clone();
+    fields.insert("model".to_owned(), json!(target.version));
+    if target.asks_confidence {
         fields.insert("logprobs".to_owned(), json!(true));
     }
     fields.remove("max_completion_tokens");
@@ -55,7 +55,7 @@
     fields.insert("add_generation_prompt".to_owned(), json!(false));
 }
 
-/// Hashes of ever longer beginnings of the prompt, one a message, shortest first.
+/// Hashes of the prompt's prefixes, one for each message, shortest first.
 pub(crate) fn prefix_hashes(fields: &Map<String, Value>) -> Vec<PrefixHash> {
     let messages = fields.get("messages").and_then(Value::as_array);
     let mut hasher = Xxh3::new();
--- a/components/node/src/traffic/chat/run.rs
+++ b/components/node/src/traffic/chat/run.rs
@@ -18,15 +18,15 @@
 use crate::rating;
 use crate::shared::{Shared, lock};
 use crate::traffic::billing;
-use crate::traffic::claim::{self, Entry};
+use crate::traffic::claim::{self, Claimed};
 use crate::traffic::limited;
 use crate::traffic::refusal::Refusal;
-use crate::traffic::upstream::Taken;
+use crate::traffic::upstream::PickedUpstream;
 
-/// Pause that a caller is told when no version or upstream can take the work.
-const NO_UPSTREAM_RETRY: Span = Span::from_secs(1);
+/// Retry-After that a caller is told when no version can take the request.
+const NO_VERSION_RETRY_AFTER: Span = Span::from_secs(1);
 
-/// Tokens of an answer that are reserved until its length is known.
+/// Output tokens reserved from token limits until the answer's length is known.
 const EXPECTED_OUTPUT: Tokens = Tokens(256);
 
 /// Runs a request to its end.
@@ -35,33 +35,34 @@
         Ok(chosen) => chosen,
         Err(reason) => return refuse(job, responder, &no_version(reason)).await,
     };
-    let prefix = prefix_hashes(&job.ask.fields);
+    let prefix = prefix_hashes(&job.params.fields);
     let run = Run {
         job,
         prefix: &prefix,
     };
     let relay = Relay::new(job, &chosen, responder);
-    match claim::enter(&job.cx.shared, job.admit(), fingerprint(job)).await {
-        Entry::Ready(ready) => run.attempts(ready, relay).await,
-        Entry::Repeat(recorded) => claim::replay(responder, recorded).await,
-        Entry::Refused(refusal) => relay.refuse(&refusal).await,
+    match claim::claim(&job.cx.shared, job.admit(), fingerprint(job)).await {
+        Claimed::Ready(ready) => run.run_attempts(ready, relay).await,
+        Claimed::Replay(recorded) => claim::replay(responder, recorded).await,
+        Claimed::Refused(refusal) => relay.refuse(&refusal).await,
     }
 }
 
 fn no_version(reason: NoVersion) -> Refusal {
     let (code, message) = match reason {
-        NoVersion::NoneOpen => ("no_version", "no permitted version takes new work"),
-        NoVersion::Behind => (
+        NoVersion::NoneAvailable => ("no_version", "no permitted version takes new work"),
+        NoVersion::CatalogueBehind => (
             "stale_catalogue",
             "the session's version is newer than this daemon's catalogue",
         ),
     };
-    Refusal::unavailable(code, message, NO_UPSTREAM_RETRY)
+    Refusal::unavailable(code, message, NO_VERSION_RETRY_AFTER)
 }
 
-/// The same for a repeat: what is asked, without how it is asked.
+/// Hash of the body, the same for a retry. Headers do not count: they say how the work is
+/// asked for, not what it is.
 fn fingerprint(job: &Job) -> u64 {
-    let body = serde_json::to_vec(&job.ask.fields).unwrap_or_default();
+    let body = serde_json::to_vec(&job.params.fields).unwrap_or_default();
     xxhash_rust::xxh3::xxh3_64(&body)
 }
 
@@ -69,7 +70,7 @@
     let metrics = &job.cx.shared.metrics;
     metrics.refusal(refusal.code);
     let offer = metrics.offer(job.resolved.name.as_str());
-    offer.ended(measured::refused(refusal.run));
+    offer.ended(measured::refusal_label(refusal.run));
     refusal.send(responder, Some(&job.head.request)).await;
 }
 
@@ -83,46 +84,46 @@
         &self.job.cx.shared
     }
 
-    async fn attempts(&self, mut ready: Request<Waiting>, mut relay: Relay<'_>) {
-        let wanted = self.leave_wanted(&relay.trying().version);
-        let mut leave = match admission::enter(self.shared(), wanted).await {
-            Ok(leave) => leave,
-            Err(why) => return self.refuse_limited(ready, &relay, why).await,
+    async fn run_attempts(&self, mut ready: Request<Waiting>, mut relay: Relay<'_>) {
+        let ask = self.admission_ask(&relay.trying().version);
+        let mut guard = match admission::acquire(self.shared(), ask).await {
+            Ok(guard) => guard,
+            Err(refusal) => return self.refuse_limited(ready, &relay, refusal).await,
         };
         let mut avoid = Vec::new();
         loop {
-            if let Some(wait) = self.shared().barring.barred_for(&self.job.asked) {
-                return self.refuse_barred(ready, relay, wait).await;
+            if let Some(retry_after) = self.shared().quarantine.quarantined_for(&self.job.content) {
+                return self.refuse_quarantined(ready, relay, retry_after).await;
             }
             let version = &relay.trying().version;
             let permitted = self.is_still_permitted(version);
-            let taken = if permitted {
-                self.take_upstream(version, &avoid)
+            let picked = if permitted {
+                self.pick_upstream(version, &avoid)
             } else {
                 None
             };
-            let Some(taken) = taken else {
-                return self.give_up(ready, relay).await;
+            let Some(picked) = picked else {
+                return self.answer_or_refuse(ready, relay).await;
             };
-            let request = ready.attempt(taken.id.clone());
-            let (request, end) = self.attempt(request, &taken, &mut relay).await;
-            let request = match self.pause(request, &taken, &relay) {
+            let request = ready.attempt(picked.id.clone());
+            let (request, end) = self.attempt(request, &picked, &mut relay).await;
+            let request = match self.pause(request, &picked, &relay) {
                 Ok(paused) => {
                     ready = paused;
-                    if let Err(why) = leave.wait_again(self.job.deadline).await {
-                        return self.refuse_limited(ready, &relay, why).await;
+                    if let Err(refusal) = guard.reacquire(self.job.deadline).await {
+                        return self.refuse_limited(ready, &relay, refusal).await;
                     }
                     continue;
                 }
                 Err(request) => request,
             };
-            avoid.push(taken.index);
-            ready = match self.end(request, &taken, &end) {
+            avoid.push(picked.index);
+            ready = match self.end_attempt(request, &picked, &end) {
                 Next::Retry(request, _) => request,
                 Next::Answered(request) => {
-                    leave.used(request.usage().input + request.usage().output);
-                    drop(leave);
-                    return self.answer(request, relay).await;
+                    guard.used(request.usage().input + request.usage().output);
+                    drop(guard);
+                    return self.send_answer(request, relay).await;
                 }
                 Next::Refused(request) => return self.refuse(request, &relay).await,
                 Next::Unknown(request) => return relay.refuse(&request.refusal()).await,
@@ -136,15 +137,15 @@
         }
     }
 
-    /// Makes an attempt that gave way one that waits.
+    /// Returns a preempted request to waiting, or gives any other request back as the error.
     fn pause(
         &self,
         request: Request<Attempted>,
-        taken: &Taken,
+        picked: &PickedUpstream,
         relay: &Relay<'_>,
     ) -> Result<Request<Waiting>, Request<Attempted>> {
-        if relay.has_given_way() {
-            request.pause(&taken.id, relay.received())
+        if relay.was_preempted() {
+            request.pause(&picked.id, relay.received())
         } else {
             Err(request)
         }
@@ -154,54 +155,63 @@
         &self,
         ready: Request<Waiting>,
         relay: &Relay<'_>,
-        why: limits::Refusal,
+        refusal: limits::Refusal,
     ) {
-        let refused = ready.refuse(limited::code_of(why));
-        let refusal = claim::refused(self.shared(), refused);
-        let refusal = refusal.with_retry_after(Some(why.retry_after));
-        relay.refuse(&refusal).await;
+        let refused = ready.refuse(limited::code_of(refusal));
+        let decision = claim::release_refused(self.shared(), refused);
+        let decision = decision.with_retry_after(Some(refusal.retry_after));
+        relay.refuse(&decision).await;
     }
 
-    /// No upstream is to run it: the weaker version's answer serves if there is one.
-    async fn refuse_barred(&self, ready: Request<Waiting>, relay: Relay<'_>, wait: Span) {
-        if relay.has_answer() {
-            return self.answer(ready.answer(relay.usage()), relay).await;
+    /// Ends a quarantined request: with the weaker version's answer if one is held, else with a
+    /// refusal.
+    async fn refuse_quarantined(
+        &self,
+        ready: Request<Waiting>,
+        relay: Relay<'_>,
+        retry_after: Span,
+    ) {
+        if relay.holds_answer() {
+            return self.send_answer(ready.answer(relay.usage()), relay).await;
         }
         let refused = ready.refuse(Code::Barred);
-        let refusal = claim::refused(self.shared(), refused);
-        relay.refuse(&refusal.with_retry_after(Some(wait))).await;
+        let refusal = claim::release_refused(self.shared(), refused);
+        relay
+            .refuse(&refusal.with_retry_after(Some(retry_after)))
+            .await;
     }
 
-    /// What the request wants of the limits. Tokens are settled at its end.
-    fn leave_wanted(&self, version: &VersionId) -> Ask {
+    /// What the limiter is asked for. The tokens used are settled when the request ends.
+    fn admission_ask(&self, version: &VersionId) -> Ask {
         let job = self.job;
         let view = &job.cx.snapshot.view;
         let model = view.models.get(&version.model);
         let pool = model.and_then(|model| short_name(&model.service, SERVICES));
-        let output = job.ask.max_output.unwrap_or(EXPECTED_OUTPUT);
+        let output = job.params.max_output.unwrap_or(EXPECTED_OUTPUT);
         Ask {
             customer: job.cx.customer.clone(),
             offer: job.resolved.name.clone(),
             pool: pool.unwrap_or_else(|| job.resolved.name.clone()),
             priority: job.priority,
-            tokens: job.ask.input + output.min(EXPECTED_OUTPUT),
+            tokens: job.params.input + output.min(EXPECTED_OUTPUT),
             deadline: job.deadline,
         }
     }
 
-    /// Nobody can be asked: the weaker version's answer serves if there is one.
-    async fn give_up(&self, ready: Request<Waiting>, relay: Relay<'_>) {
-        if relay.has_answer() {
-            self.answer(ready.answer(relay.usage()), relay).await;
+    /// Ends a request that no upstream can take: with the weaker version's answer if one is held,
+    /// else with a refusal.
+    async fn answer_or_refuse(&self, ready: Request<Waiting>, relay: Relay<'_>) {
+        if relay.holds_answer() {
+            self.send_answer(ready.answer(relay.usage()), relay).await;
         } else {
             let refused = ready.refuse(Code::NoUpstream);
             self.refuse(refused, &relay).await;
         }
     }
 
-    /// Guards against new work for a version withdrawn, or taken from the customer, while the
-    /// request waited for its claim or for another attempt: the catalogue is read again, its
-    /// offer included, not the copy from the request's arrival.
+    /// Whether the version still serves the customer. A version may be withdrawn, or taken from the
+    /// customer, while the request waits for its claim or for another attempt; so this reads the
+    /// current catalogue, the offer included, not the copy from the request's arrival.
     fn is_still_permitted(&self, version: &VersionId) -> bool {
         let view = &self.shared().snapshot.load().view;
         let offer = view.offers.get(&self.job.resolved.name);
@@ -210,33 +220,44 @@
     }
 
     async fn refuse(&self, request: Request<Refused>, relay: &Relay<'_>) {
-        relay.refuse(&claim::refused(self.shared(), request)).await;
+        relay
+            .refuse(&claim::release_refused(self.shared(), request))
+            .await;
     }
 
-    fn end(&self, request: Request<Attempted>, taken: &Taken, end: &AttemptEnd) -> Next {
+    fn end_attempt(
+        &self,
+        request: Request<Attempted>,
+        picked: &PickedUpstream,
+        end: &AttemptEnd,
+    ) -> Next {
         let now = self.shared().now();
         let entry = &self.job.resolved.name;
         self.shared()
-            .with_budget(entry, |budget| request.end(&taken.id, end, now, budget))
+            .with_budget(entry, |budget| request.end(&picked.id, end, now, budget))
     }
 
-    fn take_upstream(&self, version: &VersionId, avoid: &[UpstreamIndex]) -> Option<Taken> {
+    fn pick_upstream(
+        &self,
+        version: &VersionId,
+        avoid: &[UpstreamIndex],
+    ) -> Option<PickedUpstream> {
         let now = self.shared().now();
         let mut router = lock(&self.shared().router);
         let target = router.target_index(&Target::Version(version.clone()))?;
         let fresh = router.pick(now, &self.demand(target, avoid), &mut rand::rng());
-        // Better one that failed before than none: its fault may have passed.
-        let mut again = || router.pick(now, &self.demand(target, &[]), &mut rand::rng());
-        let index = fresh.or_else(|_| again()).ok()?;
+        // An upstream that failed before is better than none: its fault may have passed.
+        let mut pick_any = || router.pick(now, &self.demand(target, &[]), &mut rand::rng());
+        let index = fresh.or_else(|_| pick_any()).ok()?;
         let demand = self.demand(target, avoid);
-        let is_person = self.job.priority == Priority::Interactive;
-        let must_give_way = is_person && router.must_give_way(now, index);
-        let taken = Taken::start(&mut router, index, &demand)?;
+        let is_interactive = self.job.priority == Priority::Interactive;
+        let must_preempt = is_interactive && router.must_give_way(now, index);
+        let picked = PickedUpstream::start(&mut router, index, &demand)?;
         drop(router);
-        if must_give_way {
-            self.shared().admissions.ask_to_give_way(index);
+        if must_preempt {
+            self.shared().admissions.preempt(index);
         }
-        Some(taken)
+        Some(picked)
     }
 
     fn demand<'a>(&'a self, target: TargetIndex, avoid: &'a [UpstreamIndex]) -> Demand<'a> {
@@ -251,32 +272,32 @@
     async fn attempt(
         &self,
         mut request: Request<Attempted>,
-        taken: &Taken,
+        picked: &PickedUpstream,
         relay: &mut Relay<'_>,
     ) -> (Request<Attempted>, AttemptEnd) {
         let began = self.shared().now();
-        relay.set_upstream(taken.index);
-        let (barring, asked) = (&self.shared().barring, &self.job.asked);
-        let run = barring.sent(taken, asked);
-        let end = relay.attempt(taken.address, &mut request).await;
-        barring.over(taken, asked, run, &end).await;
-        self.shared().metrics.attempt(measured::attempted(&end));
+        relay.set_upstream(picked.index);
+        let (quarantine, content) = (&self.shared().quarantine, &self.job.content);
+        let run = quarantine.run_started(picked, content);
+        let end = relay.attempt(picked.address, &mut request).await;
+        quarantine.run_ended(picked, content, run, &end).await;
+        self.shared().metrics.attempt(measured::attempt_label(&end));
         let outcome = relay.outcome(&end, began);
         let now = self.shared().now();
         let mut router = lock(&self.shared().router);
         if let Some(load) = relay.load() {
-            router.report(now, taken.index, &load);
+            router.report(now, picked.index, &load);
         }
-        router.finished(now, taken.index, taken.target, outcome, &mut rand::rng());
+        router.finished(now, picked.index, picked.target, outcome, &mut rand::rng());
         (request, end)
     }
 
-    fn note_pace(&self, version: &VersionId) {
+    fn record_latency(&self, version: &VersionId) {
         let took = self.shared().now().since(self.job.arrived);
-        lock(&self.shared().paces).note(version, took);
+        lock(&self.shared().latencies).record(version, took);
     }
 
-    async fn answer(&self, request: Request<Answered>, relay: Relay<'_>) {
+    async fn send_answer(&self, request: Request<Answered>, relay: Relay<'_>) {
         let usage: Usage = request.usage();
         let attempts = request.progress().attempts();
         let (billed, facts) = request.bill();
@@ -285,7 +306,7 @@
             facts.request
         );
         let (version, cost) = (&relay.chosen().version, relay.cost(usage));
-        self.note_pace(version);
+        self.record_latency(version);
         let bill = billing::bill_of(self.shared(), facts, Some(version), cost, attempts);
         if billing::bill(self.shared(), bill).await.is_err() {
             let cut = requests::refusal::Refusal::ran(Code::ShuttingDown);
@@ -293,14 +314,14 @@
         }
         let sample = relay.sample();
         let recorded = relay.finish(usage, attempts).await;
-        if let Some((sample, stated)) = sample {
-            rating::send(&self.job.cx.shared, sample, stated);
+        if let Some((sample, info)) = sample {
+            rating::submit(&self.job.cx.shared, sample, info);
         }
-        claim::answered(self.shared(), billed, recorded);
+        claim::record_answer(self.shared(), billed, recorded);
     }
 }
 
-/// What routing learns from the end of an attempt.
+/// The outcome for routing of an attempt that ended.
 pub(crate) fn outcome_of(end: &AttemptEnd, first_token: Span, per_token: Span) -> Outcome {
     match end {
         AttemptEnd::Whole { .. } => Outcome::Answered {
--- a/components/node/src/traffic/chat/stream.rs
+++ b/components/node/src/traffic/chat/stream.rs
@@ -1,4 +1,4 @@
-//! Relays a stream, event by event.
+//! Relays an engine's stream to the caller, event by event.
 
 use bytes::{Bytes, BytesMut};
 use callers::{Frame, Gone};
@@ -9,38 +9,38 @@
 use types::prelude::*;
 
 use super::answer::Relay;
-use crate::admission::Yielding;
-use crate::traffic::upstream::left;
+use crate::admission::Preemptible;
+use crate::traffic::upstream::cancelled_by_caller;
 
 const DATA: &[u8] = b"data: ";
 const END: &[u8] = b"\n\n";
 
 impl<'a> Relay<'a> {
-    /// Passes a stream on. Its end marker is held back: that is sent once the answer
-    /// is known to be whole and billed.
-    pub(super) async fn take_stream(
+    /// Relays a stream. Its end marker is held back: it is sent once the answer is known to be
+    /// whole and is billed.
+    pub(super) async fn relay_stream(
         &mut self,
         mut stream: Box<Stream>,
         attempt: &str,
         request: &mut Request<Attempted>,
     ) -> AttemptEnd {
-        let before = self.pieces;
+        let before = self.delivered_chunks;
         let id = self.answer_id();
-        let mut yielding = None;
+        let mut preemptible = None;
         loop {
             let next = tokio::select! {
                 biased;
                 next = stream.next_event() => next,
-                () = left(self.responder, request.facts()) => return AttemptEnd::CallerGone,
+                () = cancelled_by_caller(self.responder, request.facts()) => return AttemptEnd::CallerGone,
             };
-            let taken = match next {
+            let forwarded = match next {
                 Ok(Event::Delta { data, text }) => {
                     let data = engine::rewrite_id(&data, attempt, &id);
-                    self.pass(&data, &text, request).await
+                    self.forward_event(&data, &text, request).await
                 }
                 Ok(Event::Finish { data, text, .. }) => {
                     let data = engine::rewrite_id(&data, attempt, &id);
-                    self.pass(&data, &text, request).await
+                    self.forward_event(&data, &text, request).await
                 }
                 Ok(Event::Usage { usage, .. }) => {
                     let output = Tokens(before) + usage.completion;
@@ -50,45 +50,47 @@
                     };
                     Ok(())
                 }
-                Ok(Event::Done) => return self.whole_stream(),
-                Err(error) => return self.failed(&error),
+                Ok(Event::Done) => return self.whole_stream_end(),
+                Err(error) => return self.failed_end(&error),
             };
-            if taken.is_err() {
+            if forwarded.is_err() {
                 return AttemptEnd::CallerGone;
             }
-            if yielding.is_none() {
-                yielding = self.begin_yielding(request);
+            if preemptible.is_none() {
+                preemptible = self.register_preemptible(request);
             }
-            if yielding.as_ref().is_some_and(Yielding::is_asked) {
-                return self.give_way();
+            if preemptible.as_ref().is_some_and(Preemptible::is_preempted) {
+                return self.preempted_end();
             }
         }
     }
 
-    /// Batch work that may be resumed can give way once it runs.
-    fn begin_yielding(&self, request: &Request<Attempted>) -> Option<Yielding<'a>> {
+    /// Registers batch work that may be resumed as preemptible, once its first token has come.
+    fn register_preemptible(&self, request: &Request<Attempted>) -> Option<Preemptible<'a>> {
         let job = self.job;
-        let may = job.priority == Priority::Batch && request.facts().idempotent;
+        let may_resume = job.priority == Priority::Batch && request.facts().idempotent;
         let has_begun = self.first_token.is_some();
-        let index = self.at.filter(|_| may && has_begun)?;
-        Some(Yielding::begin(&job.cx.shared, index))
+        let index = self.upstream.filter(|_| may_resume && has_begun)?;
+        Some(Preemptible::register(&job.cx.shared, index))
     }
 
-    /// Leaves the engine, which cancels the work there; it goes on from the tokens passed on.
-    fn give_way(&mut self) -> AttemptEnd {
-        self.has_given_way = true;
+    /// Ends the attempt for interactive work. Closing the stream cancels the work at the engine;
+    /// the next attempt resumes after the tokens relayed so far.
+    fn preempted_end(&mut self) -> AttemptEnd {
+        self.was_preempted = true;
         AttemptEnd::Truncated {
-            received: Tokens(self.pieces),
+            received: Tokens(self.delivered_chunks),
             shown: self.has_begun,
         }
     }
 
-    /// An engine that counts nothing is billed by the pieces that it sent.
-    fn whole_stream(&mut self) -> AttemptEnd {
+    /// Ends the attempt with a whole answer. If the engine reported no usage, the chunks that it
+    /// sent are billed as tokens.
+    fn whole_stream_end(&mut self) -> AttemptEnd {
         if self.usage.output == Tokens(0) {
             self.usage = Usage {
-                input: self.job.ask.input,
-                output: Tokens(self.pieces),
+                input: self.job.params.input,
+                output: Tokens(self.delivered_chunks),
             };
         }
         AttemptEnd::Whole {
@@ -97,7 +99,7 @@
         }
     }
 
-    async fn pass(
+    async fn forward_event(
         &mut self,
         data: &Bytes,
         text: &str,
@@ -105,7 +107,7 @@
     ) -> Result<(), Gone> {
         if !self.has_begun {
             let head = Frame::Head(self.head("text/event-stream"));
-            self.give(head, request).await?;
+            self.send_frame(head, request).await?;
             self.has_begun = true;
             request.show();
         }
@@ -113,8 +115,8 @@
             let now = self.job.cx.shared.now();
             self.times.token(now);
             self.first_token.get_or_insert(now);
-            self.pieces += 1;
-            self.text.push_str(text);
+            self.delivered_chunks += 1;
+            self.delivered_text.push_str(text);
         }
         let mut event = BytesMut::with_capacity(DATA.len() + data.len() + END.len());
         event.extend_from_slice(DATA);
@@ -122,12 +124,12 @@
         event.extend_from_slice(END);
         let event = event.freeze();
         self.transcript.push(&event);
-        self.give(Frame::Data(event), request).await
+        self.send_frame(Frame::Data(event), request).await
     }
 
-    /// Sends a frame. Work that runs only once goes on when its caller has left, so that
-    /// the caller's repeat finds its outcome; other work is cancelled.
-    async fn give(&mut self, frame: Frame, request: &Request<Attempted>) -> Result<(), Gone> {
+    /// Sends a frame. Work that runs only once goes on when its caller has left, so that the
+    /// caller's retry finds its outcome; other work is cancelled.
+    async fn send_frame(&mut self, frame: Frame, request: &Request<Attempted>) -> Result<(), Gone> {
         let sent = if self.caller_left {
             Err(Gone)
         } else {
--- a/components/node/src/traffic/chat/transcript.rs
+++ b/components/node/src/traffic/chat/transcript.rs
@@ -1,19 +1,19 @@
-//! The stream that a caller is sent, kept while it is short enough to be recorded.
+//! Keeps a copy of the stream sent to a caller, if it is short enough to be recorded.
 
 use bytes::{Bytes, BytesMut};
 use callers::StatusCode;
 use requests::claim::{MAX_BODY, Recorded};
 
-/// What was sent so far; nothing once it is too long, or for work that may run again.
+/// The events sent so far; `None` once they are too long, or if nothing is to be recorded.
 pub(crate) struct Transcript(Option<BytesMut>);
 
 impl Transcript {
-    /// Keeps what is sent if `kept` says so.
+    /// Creates an empty transcript; it records nothing unless `kept` is set.
     pub(crate) fn new(kept: bool) -> Self {
         Self(kept.then(BytesMut::new))
     }
 
-    /// Adds an event.
+    /// Appends an event.
     pub(crate) fn push(&mut self, data: &Bytes) {
         let kept = self.0.take();
         self.0 = kept.filter(|kept| kept.len() + data.len() <= MAX_BODY.as_usize());
@@ -22,7 +22,7 @@
         }
     }
 
-    /// The answer as it is recorded.
+    /// The recorded form of the answer, without a body if the transcript was not kept.
     pub(crate) fn into_recorded(self, headers: Vec<(String, String)>) -> Recorded {
         match self.0 {
             Some(body) => Recorded::new(StatusCode::OK.as_u16(), headers, body.freeze()),
--- a/components/node/src/traffic/chat/version.rs
+++ b/components/node/src/traffic/chat/version.rs
@@ -1,4 +1,4 @@
-//! Which version serves a request.
+//! Chooses the version that serves a request.
 
 use catalogue::entry::{Model, Offer, Version, VersionState};
 use quality::{Candidate, ChoiceInput, Confidence, OfferTerms, RolloutShare};
@@ -11,73 +11,73 @@
 use types::prelude::*;
 
 use super::Job;
-use crate::sessions::Found;
+use crate::sessions::FoundPin;
 use crate::shared::lock;
 
-/// Length of an answer assumed when the caller does not bound it, for estimates only.
-const USUAL_OUTPUT: Tokens = Tokens(256);
+/// Answer length in tokens assumed when the caller does not bound it, for cost estimates only.
+const ASSUMED_OUTPUT: Tokens = Tokens(256);
 
-/// The version chosen and the session it belongs to.
+/// The version chosen, and the session that the request belongs to.
 pub(crate) struct Chosen {
-    /// The version.
+    /// The version that serves the request.
     pub(crate) version: VersionId,
-    /// Token for the caller's next request.
+    /// Session token for the caller's next request.
     pub(crate) token: Option<String>,
-    /// The version that the session had and lost.
+    /// The version that the session was pinned to and lost.
     pub(crate) moved_from: Option<VersionId>,
-    /// The engine is asked how sure it is, so that its answer can be judged.
-    pub(crate) is_judged: bool,
-    /// Another version's answer was discarded for this one's.
+    /// Whether the engine is asked for log probabilities, to judge the answer's confidence.
+    pub(crate) asks_confidence: bool,
+    /// Whether another version's answer was discarded for this one's.
     pub(crate) escalated: bool,
-    /// Whom to ask next if the engine is not sure enough.
-    pub(crate) next: Option<Next>,
+    /// The version to escalate to on a low-confidence answer.
+    pub(crate) next: Option<EscalationStep>,
 }
 
-/// A step of a cascade.
-pub(crate) struct Next {
-    /// Go on when the stated confidence is lower, or none was stated.
-    below: Confidence,
+/// An escalation step of a cascade.
+pub(crate) struct EscalationStep {
+    /// Escalate when the stated confidence is lower, or none was stated.
+    min_confidence: Confidence,
     /// The stronger version.
     pub(crate) chosen: Box<Chosen>,
 }
 
 impl Chosen {
-    /// Whether an answer is good enough to be the last, by what the engine says of it.
+    /// Whether an answer of this confidence is final, that is, needs no escalation.
     pub(crate) fn accepts(&self, confidence: Option<Confidence>) -> bool {
-        let Some(next) = &self.next else { return true };
-        confidence.is_some_and(|stated| stated >= next.below)
+        let Some(step) = &self.next else { return true };
+        confidence.is_some_and(|stated| stated >= step.min_confidence)
     }
 }
 
 /// Why no version was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum NoVersion {
-    /// None that is permitted takes new work.
-    NoneOpen,
-    /// The session is pinned by a newer catalogue than this daemon has.
-    Behind,
+    /// No permitted version takes new work.
+    NoneAvailable,
+    /// The session was pinned under a newer catalogue than this daemon has.
+    CatalogueBehind,
 }
 
-/// Chooses by what is known of the versions' answers, within the session's pin.
+/// Chooses a version by what is known of the versions' answers, within the session's pin.
 pub(crate) async fn choose_version(job: &Job) -> Result<Chosen, NoVersion> {
     let shared = &job.cx.shared;
     let header = job.head.session.as_deref();
     let sent = read_header(&shared.session_keys, &job.cx.customer, header);
-    let found = pinned(job, &sent).await;
+    let found = find_pin(job, &sent).await;
     let pin = found.pin.as_ref().map(|pin| (&pin.version, pin.revision));
     let revision = job.cx.snapshot.view.revision;
     let pin = match Pinning::of(pin, &job.resolved.versions, revision) {
         Pinning::New => None,
         Pinning::Kept(version) | Pinning::Moved(version) => Some(version),
-        Pinning::Behind => return Err(NoVersion::Behind),
+        Pinning::Behind => return Err(NoVersion::CatalogueBehind),
     };
     let candidates = candidates(job);
-    let terms = terms(&job.resolved.name, &job.resolved.offer);
+    let terms = offer_terms(&job.resolved.name, &job.resolved.offer);
     let now = shared.now();
-    // Only an answer that is held back whole can be discarded, and only work that may run
+    // Only an answer that is held back whole can be discarded, and only for work that may run
     // again; a session keeps to one version.
     let is_new = sent == Sent::Nothing;
-    let may_escalate = is_new && !job.ask.stream && !job.head.non_idempotent;
+    let may_escalate = is_new && !job.params.stream && !job.head.non_idempotent;
     let input = ChoiceInput {
         offer: &terms,
         candidates: &candidates,
@@ -86,18 +86,18 @@
         may_escalate,
         time_left: now.until(job.deadline),
     };
-    let mut rng = draws(job, &sent);
+    let mut rng = choice_rng(job, &sent);
     let plan = lock(&shared.quality).choose(now, &input, &mut rng);
-    let plan = plan.ok_or(NoVersion::NoneOpen)?;
+    let plan = plan.ok_or(NoVersion::NoneAvailable)?;
     let moved_from = pin.filter(|pin| **pin != plan.first).cloned();
-    let version = hold(job, &sent, plan.first, found).await;
-    let next = plan.escalation.map(|step| Next {
-        below: step.below,
+    let version = store_pin(job, &sent, plan.first, found).await;
+    let next = plan.escalation.map(|step| EscalationStep {
+        min_confidence: step.below,
         chosen: Box::new(Chosen {
             token: token_for(job, &sent, &step.to),
             version: step.to,
             moved_from: None,
-            is_judged: false,
+            asks_confidence: false,
             escalated: true,
             next: None,
         }),
@@ -106,17 +106,17 @@
         token: token_for(job, &sent, &version),
         version,
         moved_from,
-        is_judged: may_escalate,
+        asks_confidence: may_escalate,
         escalated: false,
         next,
     })
 }
 
-/// The session's pin: in its token, or by its name here or at its homes.
-async fn pinned(job: &Job, sent: &Sent) -> Found {
+/// Finds the session's pin: in its token, or for a named session here or at its homes.
+async fn find_pin(job: &Job, sent: &Sent) -> FoundPin {
     match sent {
-        Sent::Token(pinned) if pinned.offer == job.resolved.name => Found::of(Pin {
-            key: key(job, &pinned.session),
+        Sent::Token(pinned) if pinned.offer == job.resolved.name => FoundPin::of(Pin {
+            key: session_key(job, &pinned.session),
             version: pinned.version.clone(),
             revision: pinned.revision,
             age: Span::ZERO,
@@ -124,36 +124,39 @@
         }),
         Sent::Name(name) => {
             let shared = &job.cx.shared;
-            shared.sessions.find(&key(job, name), shared.now()).await
+            shared
+                .sessions
+                .find(&session_key(job, name), shared.now())
+                .await
         }
-        _ => Found::default(),
+        _ => FoundPin::default(),
     }
 }
 
-/// Holds a named session's pin for its next request, and gives the version that stands.
-async fn hold(job: &Job, sent: &Sent, version: VersionId, found: Found) -> VersionId {
+/// Stores a named session's pin for its next request, and returns the version in force.
+async fn store_pin(job: &Job, sent: &Sent, version: VersionId, found: FoundPin) -> VersionId {
     let Sent::Name(name) = sent else {
         return version;
     };
     let before = found.pin.as_ref().map(|pin| pin.version.clone());
     let pin = Pin {
-        key: key(job, name),
+        key: session_key(job, name),
         version: version.clone(),
         revision: job.cx.snapshot.view.revision,
         age: Span::ZERO,
         over: before.filter(|before| *before != version),
     };
     let shared = &job.cx.shared;
-    let held = shared.sessions.hold(pin, found, shared.now()).await;
-    let standing = held.version;
-    if job.resolved.versions.contains(&standing) {
-        standing
+    let stored = shared.sessions.store_pin(pin, found, shared.now()).await;
+    let in_force = stored.version;
+    if job.resolved.versions.contains(&in_force) {
+        in_force
     } else {
         version
     }
 }
 
-fn key(job: &Job, session: &SessionId) -> SessionKey {
+fn session_key(job: &Job, session: &SessionId) -> SessionKey {
     SessionKey {
         customer: job.cx.customer.clone(),
         offer: job.resolved.name.clone(),
@@ -161,16 +164,16 @@
     }
 }
 
-/// Chance; for a named session the same at every daemon, so that its version follows from
-/// its name where its pin is not known.
-fn draws(job: &Job, sent: &Sent) -> StdRng {
+/// The random source of the choice. For a named session it is seeded by the name, so that every
+/// daemon chooses the same version where the session's pin is not known.
+fn choice_rng(job: &Job, sent: &Sent) -> StdRng {
     match sent {
-        Sent::Name(name) => StdRng::seed_from_u64(key(job, name).hash64()),
+        Sent::Name(name) => StdRng::seed_from_u64(session_key(job, name).hash64()),
         _ => StdRng::from_rng(&mut rand::rng()),
     }
 }
 
-fn terms(name: &EntryName, offer: &Offer) -> OfferTerms {
+fn offer_terms(name: &EntryName, offer: &Offer) -> OfferTerms {
     OfferTerms {
         name: name.clone(),
         class: offer.class.clone(),
@@ -205,15 +208,15 @@
         share: rollout.share(),
     });
     let output = job
-        .ask
+        .params
         .max_output
-        .unwrap_or(USUAL_OUTPUT)
+        .unwrap_or(ASSUMED_OUTPUT)
         .min(job.resolved.offer.max_output);
     Candidate {
         version: id.clone(),
         takes_new: version.state == VersionState::Offered,
-        cost: version.price.of(job.ask.input, output),
-        latency: lock(&job.cx.shared.paces).of(id).unwrap_or_default(),
+        cost: version.price.of(job.params.input, output),
+        latency: lock(&job.cx.shared.latencies).of(id).unwrap_or_default(),
         expected: version
             .expected_quality
             .get(&job.resolved.offer.class)
@@ -222,7 +225,7 @@
     }
 }
 
-/// A session begins with any request, so that the caller can keep its version.
+/// Signs a session token. Every request gets one, so that its caller can keep the version.
 fn token_for(job: &Job, sent: &Sent, version: &VersionId) -> Option<String> {
     let shared = &job.cx.shared;
     let (session, start) = match sent {
--- a/components/node/src/traffic/claim.rs
+++ b/components/node/src/traffic/claim.rs
@@ -1,4 +1,4 @@
-//! The claim of a request that may run only once, and the answer to its repeat.
+//! Claims requests that may run only once, and replays recorded answers.
 
 use callers::{Head, HeaderMap, Responder, StatusCode};
 use requests::claim::{ClaimStep, Recorded, Standing};
@@ -7,52 +7,58 @@
 
 use crate::shared::Shared;
 
-/// Marks an answer that was recorded when the request first ran.
+/// Header of a replayed answer: one that was recorded when the request first ran.
 const REPLAYED: &str = "x-replayed";
 
-/// What became of a request that wants to go to an upstream.
-pub(crate) enum Entry {
-    /// It may.
+/// Whether a request may go to an upstream.
+pub(crate) enum Claimed {
+    /// It may: it is claimed, or needs no claim.
     Ready(Request<Waiting>),
-    /// It ran before: answer so again.
-    Repeat(Recorded),
-    /// Tell the caller no.
+    /// It ran before; this answer was recorded then.
+    Replay(Recorded),
+    /// It may not.
     Refused(Refusal),
 }
 
-/// Claims a request that may run only once, and waits for it; others are ready at once.
-pub(crate) async fn enter(shared: &Shared, request: Request<Admitted>, fingerprint: u64) -> Entry {
+/// Claims a request that may run only once and waits for the claim; others need none.
+pub(crate) async fn claim(
+    shared: &Shared,
+    request: Request<Admitted>,
+    fingerprint: u64,
+) -> Claimed {
     let request = match request.ready() {
-        Ok(ready) => return Entry::Ready(ready),
+        Ok(ready) => return Claimed::Ready(ready),
         Err(request) => request,
     };
     match shared.claims.claim(request.facts(), fingerprint).await {
-        ClaimStep::Mine(held) => Entry::Ready(request.claim(held).ready()),
+        ClaimStep::Mine(held) => Claimed::Ready(request.claim(held).ready()),
         ClaimStep::Duplicate(Standing::Recorded(recorded)) if recorded.body.is_some() => {
-            Entry::Repeat(recorded)
+            Claimed::Replay(recorded)
         }
         ClaimStep::Duplicate(Standing::Recorded(_)) => {
-            Entry::Refused(Refusal::ran(Code::AnswerNotKept))
+            Claimed::Refused(Refusal::ran(Code::AnswerNotKept))
+        }
+        // A retry may reuse the id with another wording of the same work. Told "not run", its
+        // caller would send the work again under a new id.
+        ClaimStep::Duplicate(Standing::Reused) => {
+            Claimed::Refused(Refusal::unknown(Code::IdReused))
         }
-        // A repeat that was put into words anew looks like another request: "not run" would
-        // have its caller book again under a new id.
-        ClaimStep::Duplicate(Standing::Reused) => Entry::Refused(Refusal::unknown(Code::IdReused)),
         ClaimStep::Duplicate(Standing::Open) => {
-            Entry::Refused(Refusal::unknown(Code::OutcomeUnknown))
+            Claimed::Refused(Refusal::unknown(Code::OutcomeUnknown))
         }
         ClaimStep::Unavailable(doubtful) => {
             if let Some(held) = doubtful {
                 shared.claims.release(held);
             }
-            Entry::Refused(request.refuse(Code::ClaimUnavailable).refusal())
+            Claimed::Refused(request.refuse(Code::ClaimUnavailable).refusal())
         }
         // `Claims::claim` makes all calls itself and returns only when none is left.
-        ClaimStep::Call(_) => Entry::Refused(request.refuse(Code::ClaimUnavailable).refusal()),
+        ClaimStep::Call(_) => Claimed::Refused(request.refuse(Code::ClaimUnavailable).refusal()),
     }
 }
 
-/// Gives the claim of work that did not run back, and says what the caller is told.
-pub(crate) fn refused(shared: &Shared, request: Request<Refused>) -> Refusal {
+/// Releases the claim of a request that did not run, and returns the refusal for its caller.
+pub(crate) fn release_refused(shared: &Shared, request: Request<Refused>) -> Refusal {
     let refusal = request.refusal();
     if let Some(held) = request.into_claim_to_release() {
         shared.claims.release(held);
@@ -60,14 +66,14 @@
     refusal
 }
 
-/// Records the answer of a request that was claimed.
-pub(crate) fn answered(shared: &Shared, request: Request<Billed>, recorded: Recorded) {
+/// Records the answer of a claimed request for replays; does nothing for other requests.
+pub(crate) fn record_answer(shared: &Shared, request: Request<Billed>, recorded: Recorded) {
     if let Some(held) = request.into_claim() {
         shared.claims.record(held, recorded);
     }
 }
 
-/// Answers a repeat with the answer of the first run.
+/// Answers a retry with the recorded answer of the first run.
 pub(crate) async fn replay(responder: &Responder, recorded: Recorded) {
     let mut headers = HeaderMap::new();
     let marker = (REPLAYED.to_owned(), "true".to_owned());
@@ -79,12 +85,12 @@
     }
     let status = StatusCode::from_u16(recorded.status).unwrap_or(StatusCode::OK);
     let body = recorded.body.unwrap_or_default();
-    // A caller that is gone needs no answer.
+    // Fails only if the caller is gone.
     let _ = responder.answer(Head { status, headers }, body).await;
 }
 
-/// Headers in the form in which they are recorded.
-pub(crate) fn listed(headers: &HeaderMap) -> Vec<(String, String)> {
+/// Headers in the form in which they are recorded; those that are not plain text are left out.
+pub(crate) fn header_list(headers: &HeaderMap) -> Vec<(String, String)> {
     let text = |value: &callers::header::HeaderValue| value.to_str().map(str::to_owned);
     let pairs = headers.iter();
     pairs
--- a/components/node/src/traffic/in_flight.rs
+++ b/components/node/src/traffic/in_flight.rs
@@ -1,4 +1,4 @@
-//! Requests in flight, bounded in number.
+//! Counts the requests in flight and bounds their number.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
@@ -6,22 +6,22 @@
 
 use super::refusal::Refusal;
 
-/// Pause that a caller is told when as many requests are in flight as may be.
-const BUSY_RETRY: Span = Span::from_secs(1);
+/// Retry-After that a caller is told when the bound is reached.
+const OVERLOADED_RETRY_AFTER: Span = Span::from_secs(1);
 
-/// Counts requests in flight over all event loops.
+/// Counter of requests in flight, shared by all event loops.
 #[derive(Debug)]
 pub(crate) struct InFlight {
     count: AtomicUsize,
     max: usize,
 }
 
-/// One of them, until dropped.
+/// Counts one request as in flight until dropped.
 #[derive(Debug)]
-pub(crate) struct Entered<'a>(&'a InFlight);
+pub(crate) struct InFlightGuard<'a>(&'a InFlight);
 
 impl InFlight {
-    /// At most so many at once.
+    /// Creates a counter that admits at most `max` requests at once.
     pub(crate) fn new(max: usize) -> Self {
         Self {
             count: AtomicUsize::new(0),
@@ -29,26 +29,30 @@
         }
     }
 
-    /// How many there are.
+    /// Number of requests in flight.
     pub(crate) fn count(&self) -> usize {
         self.count.load(Ordering::Acquire)
     }
 
-    /// Counts one more.
+    /// Counts one more request.
     ///
     /// # Errors
-    /// When there are as many as may be; nothing of it has run.
-    pub(crate) fn enter(&self) -> Result<Entered<'_>, Refusal> {
-        let entered = Entered(self);
+    /// A 503 when `max` requests are in flight; nothing of the request has run.
+    pub(crate) fn enter(&self) -> Result<InFlightGuard<'_>, Refusal> {
+        let guard = InFlightGuard(self);
         if self.count.fetch_add(1, Ordering::AcqRel) < self.max {
-            return Ok(entered);
+            return Ok(guard);
         }
         let message = "this daemon has as many requests in flight as it may";
-        Err(Refusal::unavailable("overloaded", message, BUSY_RETRY))
+        Err(Refusal::unavailable(
+            "overloaded",
+            message,
+            OVERLOADED_RETRY_AFTER,
+        ))
     }
 }
 
-impl Drop for Entered<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         self.0.count.fetch_sub(1, Ordering::AcqRel);
     }
--- a/components/node/src/traffic/limited.rs
+++ b/components/node/src/traffic/limited.rs
@@ -1,9 +1,9 @@
-//! What callers are told of limits and overload.
+//! Maps the limiter's refusals to the codes that callers are told.
 
 use limits::Refusal;
 use requests::refusal::Code;
 
-/// A limit is the caller's to keep to; overload is ours.
+/// The code for a refusal: reached limits concern the caller, overload concerns the service.
 pub(crate) fn code_of(refusal: Refusal) -> Code {
     match refusal.code {
         limits::Code::CustomerLimit | limits::Code::OfferLimit => Code::Limited,
--- a/components/node/src/traffic/models.rs
+++ b/components/node/src/traffic/models.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/models`: what a customer may name.
+//! `GET /v1/models`: the names that a customer may use as `model`.
 
 use std::collections::BTreeMap;
 
@@ -23,17 +23,17 @@
     owned_by: String,
 }
 
-/// Everything that the customer may name: offers, models, versions.
+/// Lists every name that the customer may use: offers, models, versions.
 pub(crate) async fn list(cx: &Context, req: &Request) -> Result<(), Refusal> {
     let list = List {
         object: "list",
         data: items(cx).into_values().collect(),
     };
-    answer(req, &list).await;
+    send_json(req, &list).await;
     Ok(())
 }
 
-/// One of them.
+/// Answers with a single name of the list.
 pub(crate) async fn get(cx: &Context, req: &Request) -> Result<(), Refusal> {
     let id = req.path.trim_start_matches("/v1/models/");
     let unknown = || {
@@ -42,7 +42,7 @@
     };
     let items = items(cx);
     let item = items.get(id).ok_or_else(unknown)?;
-    answer(req, item).await;
+    send_json(req, item).await;
     Ok(())
 }
 
@@ -70,7 +70,7 @@
     items
 }
 
-async fn answer(req: &Request, body: &impl Serialize) {
+async fn send_json(req: &Request, body: &impl Serialize) {
     let mut headers = HeaderMap::new();
     let json = callers::header::HeaderValue::from_static("application/json");
     headers.insert(header::CONTENT_TYPE, json);
@@ -79,6 +79,6 @@
         status: StatusCode::OK,
         headers,
     };
-    // A caller that is gone needs no answer.
+    // Fails only if the caller is gone.
     let _ = req.responder.answer(head, Bytes::from(body)).await;
 }
--- a/components/node/src/traffic/params.rs
+++ b/components/node/src/traffic/params.rs
@@ -1,4 +1,4 @@
-//! What a caller asks for, read from its head and body.
+//! Parameters of a caller's request, parsed from its headers and its body.
 
 use callers::HeaderMap;
 use serde_json::{Map, Value};
@@ -6,56 +6,57 @@
 
 use super::refusal::Refusal;
 
-/// What the headers say of any request.
+/// Parameters in the headers of any request.
 #[derive(Debug, Clone)]
-pub struct HeadAsk {
-    /// The request's id, given or made.
+pub struct RequestParams {
+    /// The request's idempotency key: as the caller sent it, or a random one.
     pub request: RequestId,
-    /// The session, as the caller sent it.
+    /// The session header as the caller sent it: a name or a session token.
     pub session: Option<String>,
-    /// Which offer is meant.
+    /// The offer to use where several offers have the model.
     pub offer: Option<EntryName>,
-    /// Asks to be treated as less urgent.
+    /// The priority that the caller asks for; capped by that of the offer.
     pub priority: Option<Priority>,
-    /// Time that the caller gives.
+    /// How long the caller waits for the answer.
     pub deadline: Option<Span>,
-    /// Must run at most once.
+    /// Whether the work must run at most once.
     pub non_idempotent: bool,
 }
 
-impl HeadAsk {
+impl RequestParams {
     /// Reads the headers.
     ///
     /// # Errors
-    /// Names the header that is malformed.
+    /// A 400 that names the malformed header.
     pub fn from_headers(headers: &HeaderMap) -> Result<Self, Refusal> {
-        let id = text(headers, "idempotency-key")?.or(text(headers, "x-request-id")?);
+        let id = header_text(headers, "idempotency-key")?.or(header_text(headers, "x-request-id")?);
         let request = match id {
             Some(id) => parse("Idempotency-Key", id)?,
             None => RequestId::random(&mut rand::rng()),
         };
-        let offer = text(headers, "x-offer")?
+        let offer = header_text(headers, "x-offer")?
             .map(|text| parse("X-Offer", text))
             .transpose()?;
-        let priority = text(headers, "x-priority")?;
+        let priority = header_text(headers, "x-priority")?;
         let priority = priority.map(|text| parse("X-Priority", text)).transpose()?;
-        let deadline = text(headers, "x-deadline-ms")?;
+        let deadline = header_text(headers, "x-deadline-ms")?;
         let deadline = deadline
             .map(|text| parse::<u64>("X-Deadline-Ms", text))
             .transpose()?;
-        let mark = text(headers, "x-non-idempotent")?;
+        let non_idempotent = header_text(headers, "x-non-idempotent")?;
         Ok(Self {
             request,
-            session: text(headers, "x-session-id")?.map(str::to_owned),
+            session: header_text(headers, "x-session-id")?.map(str::to_owned),
             offer,
             priority,
             deadline: deadline.map(Span::from_millis),
-            non_idempotent: mark.map_or(Ok(false), |text| parse("X-Non-Idempotent", text))?,
+            non_idempotent: non_idempotent
+                .map_or(Ok(false), |text| parse("X-Non-Idempotent", text))?,
         })
     }
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Refusal> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Refusal> {
     let value = headers.get(name).map(|value| value.to_str());
     value
         .transpose()
@@ -71,7 +72,7 @@
         .map_err(|error| Refusal::bad_request(format!("{name}: {error}")))
 }
 
-/// The bearer key of a head.
+/// The key in the `Authorization: Bearer` header.
 #[must_use]
 pub fn bearer(headers: &HeaderMap) -> Option<&str> {
     let value = headers.get("authorization")?.to_str().ok()?;
@@ -81,29 +82,28 @@
 
 /// The body of `POST /v1/chat/completions`.
 #[derive(Debug, Clone)]
-pub struct ChatAsk {
-    /// `model` as sent.
+pub struct ChatParams {
+    /// The `model` field as sent.
     pub model: String,
-    /// Answer as a stream of events.
+    /// Whether to answer as a stream of server-sent events.
     pub stream: bool,
-    /// Longest answer, if the caller bounds it.
+    /// Longest answer in tokens, if the caller bounds it.
     pub max_output: Option<Tokens>,
-    /// The whole body, passed on with the fields that we set replaced.
+    /// The whole body; it goes to the engine with the fields that the router sets replaced.
     pub fields: Map<String, Value>,
-    /// Estimated length of the prompt.
+    /// Estimated length of the prompt in tokens.
     pub input: Tokens,
 }
 
-/// Bytes of text that a token stands for on the average, for estimates made
-/// before the engine has counted.
+/// Average bytes of text per token, for estimates made before the engine has counted.
 const BYTES_PER_TOKEN: u64 = 4;
 const MAX_MESSAGES: usize = 4096;
 
-impl ChatAsk {
+impl ChatParams {
     /// Reads the body.
     ///
     /// # Errors
-    /// Says which field is missing or of the wrong kind.
+    /// A 400 that names the field that is missing or of the wrong type.
     pub fn from_body(body: &[u8]) -> Result<Self, Refusal> {
         let parsed: Value = serde_json::from_slice(body)
             .map_err(|error| Refusal::bad_request(format!("the body is not JSON: {error}")))?;
@@ -124,16 +124,16 @@
             .or_else(|| fields.get("max_tokens"));
         Ok(Self {
             model: model.to_owned(),
-            stream: flag(&fields, "stream")?,
-            max_output: limit.map(count).transpose()?,
+            stream: bool_field(&fields, "stream")?,
+            max_output: limit.map(positive_tokens).transpose()?,
             input: Tokens((text as u64).div_ceil(BYTES_PER_TOKEN)),
             fields,
         })
     }
 }
 
-impl ChatAsk {
-    /// Whether the caller itself asked for the tokens' probabilities.
+impl ChatParams {
+    /// Whether the caller itself asked for the log probabilities of the tokens.
     #[must_use]
     pub fn wants_logprobs(&self) -> bool {
         self.fields.get("logprobs").and_then(Value::as_bool) == Some(true)
@@ -151,7 +151,7 @@
     }
 }
 
-fn flag(fields: &Map<String, Value>, name: &str) -> Result<bool, Refusal> {
+fn bool_field(fields: &Map<String, Value>, name: &str) -> Result<bool, Refusal> {
     match fields.get(name) {
         None | Some(Value::Null) => Ok(false),
         Some(Value::Bool(flag)) => Ok(*flag),
@@ -161,7 +161,7 @@
     }
 }
 
-fn count(value: &Value) -> Result<Tokens, Refusal> {
+fn positive_tokens(value: &Value) -> Result<Tokens, Refusal> {
     let count = value.as_u64().filter(|count| *count > 0);
     count
         .map(Tokens)
--- a/components/node/src/traffic/plain.rs
+++ b/components/node/src/traffic/plain.rs
@@ -1,4 +1,4 @@
-//! `ANY /services/ENTRY/PATH`: plain services, passed through.
+//! `ANY /services/ENTRY/PATH`: requests passed through to plain services.
 
 use bytes::Bytes;
 use callers::{Head, Method, Request, Responder, StatusCode};
@@ -14,41 +14,41 @@
 
 use super::Context;
 use super::billing;
-use super::claim::{self, Entry, listed};
+use super::claim::{self, Claimed, header_list};
 use super::limited;
-use super::params::HeadAsk;
+use super::params::RequestParams;
 use super::refusal::{Refusal, set};
-use super::upstream::{Taken, end_of, left};
+use super::upstream::{PickedUpstream, attempt_end, cancelled_by_caller};
 use crate::admission;
 use crate::measured;
-use crate::quarantine::Asked;
+use crate::quarantine::CustomerContent;
 use crate::shared::{Shared, lock};
 use crate::systems::limits::account_of_service;
 
-const BUSY_RETRY: Span = Span::from_secs(1);
+const STALE_CATALOGUE_RETRY_AFTER: Span = Span::from_secs(1);
 
-/// A call ready to run.
+/// A checked request with all that its run needs.
 struct Job {
     cx: Context,
-    head: HeadAsk,
+    head: RequestParams,
     service: EntryName,
     call: PlainRequest,
     idempotent: bool,
     deadline: Time,
-    /// What is asked, whoever carries it.
-    asked: Asked,
+    /// The request's content, by which a request that crashes upstreams is recognised.
+    content: CustomerContent,
 }
 
-/// Checks a call and runs it.
+/// Checks a request and runs it to its end.
 pub(crate) async fn serve(cx: Context, req: &Request) -> Result<(), Refusal> {
     let job = prepare(cx, req)?;
-    let _entered = job.cx.shared.in_flight.enter()?;
+    let _in_flight = job.cx.shared.in_flight.enter()?;
     run(&job, &req.responder).await;
     Ok(())
 }
 
 fn prepare(cx: Context, req: &Request) -> Result<Job, Refusal> {
-    let head = HeadAsk::from_headers(&req.headers)?;
+    let head = RequestParams::from_headers(&req.headers)?;
     let rest = req.path.trim_start_matches(super::SERVICES);
     let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
     let unknown = || Refusal::not_found("service_not_found", format!("there is no service {name}"));
@@ -68,10 +68,14 @@
         return Err(Refusal::forbidden(message));
     }
     if let Some(reason) = cx.snapshot.stale(cx.shared.now(), &service.freshness) {
-        return Err(Refusal::unavailable("stale_catalogue", reason, BUSY_RETRY));
+        return Err(Refusal::unavailable(
+            "stale_catalogue",
+            reason,
+            STALE_CATALOGUE_RETRY_AFTER,
+        ));
     }
-    let safe = matches!(req.method, Method::GET | Method::HEAD | Method::OPTIONS);
-    let idempotent = (safe || service.idempotent) && !head.non_idempotent;
+    let is_safe = matches!(req.method, Method::GET | Method::HEAD | Method::OPTIONS);
+    let idempotent = (is_safe || service.idempotent) && !head.non_idempotent;
     let timeout = head
         .deadline
         .unwrap_or(service.timeout)
@@ -91,9 +95,9 @@
         body: req.body.clone(),
         timeout,
     };
-    let asked = Asked::of(&cx.customer, req, &req.body);
+    let content = CustomerContent::of(&cx.customer, req, &req.body);
     Ok(Job {
-        asked,
+        content,
         cx,
         head,
         service: name,
@@ -112,16 +116,16 @@
         resumable: false,
         deadline: job.deadline,
     });
-    match claim::enter(&job.cx.shared, admitted, job.fingerprint()).await {
-        Entry::Ready(ready) => attempts(job, ready, responder).await,
-        Entry::Repeat(recorded) => claim::replay(responder, recorded).await,
-        Entry::Refused(refusal) => refuse(job, responder, &refusal).await,
+    match claim::claim(&job.cx.shared, admitted, job.fingerprint()).await {
+        Claimed::Ready(ready) => run_attempts(job, ready, responder).await,
+        Claimed::Replay(recorded) => claim::replay(responder, recorded).await,
+        Claimed::Refused(refusal) => refuse(job, responder, &refusal).await,
     }
 }
 
 impl Job {
-    /// What the call wants of the limits.
-    fn leave_wanted(&self) -> Ask {
+    /// What the limiter is asked for.
+    fn admission_ask(&self) -> Ask {
         Ask {
             customer: self.cx.customer.clone(),
             offer: account_of_service(&self.service),
@@ -132,7 +136,8 @@
         }
     }
 
-    /// The same for a repeat: what is asked, without how it is asked.
+    /// Hash of the method, path and body, the same for a retry. Headers do not count: they say
+    /// how the work is asked for, not what it is.
     fn fingerprint(&self) -> u64 {
         let mut hasher = Xxh3::new();
         for part in [self.call.method.as_str(), &self.call.path] {
@@ -144,51 +149,55 @@
     }
 }
 
-async fn attempts(job: &Job, mut ready: requests::life::Request<Waiting>, responder: &Responder) {
-    let _leave = match admission::enter(&job.cx.shared, job.leave_wanted()).await {
-        Ok(leave) => leave,
-        Err(why) => {
-            let refused = ready.refuse(limited::code_of(why));
-            let refusal = claim::refused(&job.cx.shared, refused);
-            let refusal = refusal.with_retry_after(Some(why.retry_after));
-            return refuse(job, responder, &refusal).await;
+async fn run_attempts(
+    job: &Job,
+    mut ready: requests::life::Request<Waiting>,
+    responder: &Responder,
+) {
+    let _guard = match admission::acquire(&job.cx.shared, job.admission_ask()).await {
+        Ok(guard) => guard,
+        Err(refusal) => {
+            let refused = ready.refuse(limited::code_of(refusal));
+            let decision = claim::release_refused(&job.cx.shared, refused);
+            let decision = decision.with_retry_after(Some(refusal.retry_after));
+            return refuse(job, responder, &decision).await;
         }
     };
     let mut avoid = Vec::new();
     loop {
-        if let Some(wait) = job.cx.shared.barring.barred_for(&job.asked) {
-            let refusal = claim::refused(&job.cx.shared, ready.refuse(Code::Barred));
-            let refusal = refusal.with_retry_after(Some(wait));
+        if let Some(retry_after) = job.cx.shared.quarantine.quarantined_for(&job.content) {
+            let refusal = claim::release_refused(&job.cx.shared, ready.refuse(Code::Barred));
+            let refusal = refusal.with_retry_after(Some(retry_after));
             return refuse(job, responder, &refusal).await;
         }
-        let taken = is_still_permitted(job).then(|| take_upstream(job, &avoid));
-        let Some(taken) = taken.flatten() else {
-            return refused(job, responder, ready.refuse(Code::NoUpstream)).await;
+        let picked = is_still_permitted(job).then(|| pick_upstream(job, &avoid));
+        let Some(picked) = picked.flatten() else {
+            return refuse_unrun(job, responder, ready.refuse(Code::NoUpstream)).await;
         };
-        let request = ready.attempt(taken.id.clone());
-        let run = job.cx.shared.barring.sent(&taken, &job.asked);
+        let request = ready.attempt(picked.id.clone());
+        let run = job.cx.shared.quarantine.run_started(&picked, &job.content);
         let time_left = request.time_left(job.cx.shared.now());
         let (end, answer) = tokio::select! {
             biased;
-            attempted = attempt(job, &taken, time_left) => attempted,
-            () = left(responder, request.facts()) => {
-                finished(&job.cx.shared, &taken, &AttemptEnd::CallerGone, Time::ZERO);
+            attempted = attempt(job, &picked, time_left) => attempted,
+            () = cancelled_by_caller(responder, request.facts()) => {
+                record_outcome(&job.cx.shared, &picked, &AttemptEnd::CallerGone, Time::ZERO);
                 (AttemptEnd::CallerGone, None)
             }
         };
-        let barring = &job.cx.shared.barring;
-        barring.over(&taken, &job.asked, run, &end).await;
-        avoid.push(taken.index);
+        let quarantine = &job.cx.shared.quarantine;
+        quarantine.run_ended(&picked, &job.content, run, &end).await;
+        avoid.push(picked.index);
         let now = job.cx.shared.now();
         let next = job.cx.shared.with_budget(&job.service, |budget| {
-            request.end(&taken.id, &end, now, budget)
+            request.end(&picked.id, &end, now, budget)
         });
         ready = match (next, answer) {
             (Next::Answered(request), Some(answer)) => {
-                return answered(job, responder, answer, &taken.id, request).await;
+                return send_answer(job, responder, answer, &picked.id, request).await;
             }
             (Next::Retry(waiting, _), _) => waiting,
-            (Next::Refused(request), _) => return refused(job, responder, request).await,
+            (Next::Refused(request), _) => return refuse_unrun(job, responder, request).await,
             (Next::Unknown(request), _) => {
                 return refuse(job, responder, &request.refusal()).await;
             }
@@ -197,27 +206,31 @@
     }
 }
 
-/// Guards against new work for a customer that lost the service while its request waited for
-/// its claim or for another attempt: the catalogue is read again.
+/// Whether the customer may still use the service. It may lose the service while its request
+/// waits for its claim or for another attempt, so this reads the current catalogue.
 fn is_still_permitted(job: &Job) -> bool {
     let snapshot = job.cx.shared.snapshot.load();
     let service = snapshot.view.services.get(&job.service);
     service.is_some_and(|service| service.customers.contains(&job.cx.customer))
 }
 
-async fn attempt(job: &Job, taken: &Taken, time_left: Span) -> (AttemptEnd, Option<PlainAnswer>) {
+async fn attempt(
+    job: &Job,
+    picked: &PickedUpstream,
+    time_left: Span,
+) -> (AttemptEnd, Option<PlainAnswer>) {
     let shared = &job.cx.shared;
     let began = shared.now();
     let call = PlainRequest {
         timeout: time_left,
         ..job.call.clone()
     };
-    let result = job.cx.client.plain(taken.address, &call).await;
+    let result = job.cx.client.plain(picked.address, &call).await;
     let (end, answer) = match result {
-        Ok(answer) if says_not_run(&answer) => {
+        Ok(answer) if is_not_run(&answer) => {
             (AttemptEnd::RefusedNotRun { retry_after: None }, None)
         }
-        // A gateway's error on a call that may be repeated is worth another upstream.
+        // A gateway error on a request that may be repeated is worth a retry at another upstream.
         Ok(answer) if answer.status >= 502 && job.idempotent => {
             (AttemptEnd::UpstreamError(answer.status), None)
         }
@@ -228,13 +241,13 @@
             },
             Some(answer),
         ),
-        Err(error) => (end_of(&error, Tokens(0), false), None),
+        Err(error) => (attempt_end(&error, Tokens(0), false), None),
     };
-    finished(shared, taken, &end, began);
+    record_outcome(shared, picked, &end, began);
     (end, answer)
 }
 
-fn says_not_run(answer: &PlainAnswer) -> bool {
+fn is_not_run(answer: &PlainAnswer) -> bool {
     answer.status == 503
         && answer
             .headers
@@ -242,7 +255,7 @@
             .is_some_and(|value| value == "true")
 }
 
-fn finished(shared: &Shared, taken: &Taken, end: &AttemptEnd, began: Time) {
+fn record_outcome(shared: &Shared, picked: &PickedUpstream, end: &AttemptEnd, began: Time) {
     let now = shared.now();
     let outcome = match end {
         AttemptEnd::Whole { .. } => Outcome::Answered {
@@ -254,12 +267,12 @@
         AttemptEnd::CallerGone => Outcome::Cancelled,
         _ => Outcome::Failed,
     };
-    shared.metrics.attempt(measured::attempted(end));
+    shared.metrics.attempt(measured::attempt_label(end));
     let mut router = lock(&shared.router);
-    router.finished(now, taken.index, taken.target, outcome, &mut rand::rng());
+    router.finished(now, picked.index, picked.target, outcome, &mut rand::rng());
 }
 
-fn take_upstream(job: &Job, avoid: &[UpstreamIndex]) -> Option<Taken> {
+fn pick_upstream(job: &Job, avoid: &[UpstreamIndex]) -> Option<PickedUpstream> {
     let shared = &job.cx.shared;
     let mut router = lock(&shared.router);
     let target = router.target_index(&Target::Service(job.service.clone()))?;
@@ -270,10 +283,10 @@
         avoid,
     };
     let index = router.pick(shared.now(), &demand, &mut rand::rng()).ok()?;
-    Taken::start(&mut router, index, &demand)
+    PickedUpstream::start(&mut router, index, &demand)
 }
 
-async fn answered(
+async fn send_answer(
     job: &Job,
     responder: &Responder,
     answer: PlainAnswer,
@@ -294,16 +307,16 @@
     set(&mut headers, "x-served-by", upstream.as_str());
     set(&mut headers, "x-attempts", &attempts.to_string());
     let body: Bytes = answer.body;
-    let recorded = Recorded::new(answer.status, listed(&headers), body.clone());
+    let recorded = Recorded::new(answer.status, header_list(&headers), body.clone());
     let offer = shared.metrics.offer(job.service.as_str());
     offer.ended(telemetry::labels::Outcome::Answered);
-    // Billed and recorded for a repeat, whether or not the caller is still there.
+    // Fails only if the caller is gone; the answer is billed and recorded all the same.
     let _ = responder.answer(Head { status, headers }, body).await;
-    claim::answered(&job.cx.shared, billed, recorded);
+    claim::record_answer(&job.cx.shared, billed, recorded);
 }
 
-async fn refused(job: &Job, responder: &Responder, request: requests::life::Request<Refused>) {
-    let refusal = claim::refused(&job.cx.shared, request);
+async fn refuse_unrun(job: &Job, responder: &Responder, request: requests::life::Request<Refused>) {
+    let refusal = claim::release_refused(&job.cx.shared, request);
     refuse(job, responder, &refusal).await;
 }
 
@@ -312,6 +325,6 @@
     let metrics = &job.cx.shared.metrics;
     metrics.refusal(refusal.code);
     let offer = metrics.offer(job.service.as_str());
-    offer.ended(measured::refused(refusal.run));
+    offer.ended(measured::refusal_label(refusal.run));
     refusal.send(responder, Some(&job.head.request)).await;
 }
--- a/components/node/src/traffic/refusal.rs
+++ b/components/node/src/traffic/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals and errors, in OpenAI's published shape with our `run` beside it.
+//! Refusals and errors, in the error format that OpenAI publishes, with our `run` field added.
 
 use bytes::Bytes;
 use callers::{Frame, Gone, Head, HeaderMap, Responder, StatusCode, header};
@@ -7,20 +7,20 @@
 
 use callers::header::HeaderValue;
 
-/// Why a request got no answer.
+/// An error response to a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
     /// HTTP status.
     pub status: u16,
-    /// OpenAI's `type`.
+    /// The `type` field of OpenAI's format.
     pub kind: &'static str,
-    /// OpenAI's `code`: stable, for programs.
+    /// The `code` field of OpenAI's format: stable, for programs.
     pub code: &'static str,
-    /// For people: what is wrong and what to do.
+    /// Explanation for people: what is wrong and what to do.
     pub message: String,
-    /// Whether any of the work was done.
+    /// Whether any of the work has run.
     pub run: RunState,
-    /// When to come back.
+    /// Pause before a retry is worthwhile.
     pub retry_after: Option<Span>,
 }
 
@@ -51,13 +51,13 @@
         }
     }
 
-    /// The request is malformed.
+    /// 400: the request is malformed.
     #[must_use]
     pub fn bad_request(message: impl Into<String>) -> Self {
         Self::not_run(400, "invalid_request_error", "bad_request", message.into())
     }
 
-    /// No key, or one that no customer has.
+    /// 401: there is no key, or no customer has it.
     #[must_use]
     pub fn unauthorized() -> Self {
         let message = "the key is missing or unknown; send Authorization: Bearer KEY";
@@ -69,19 +69,19 @@
         )
     }
 
-    /// The customer may not use it.
+    /// 403: the customer may not use the model, offer or service.
     #[must_use]
     pub fn forbidden(message: impl Into<String>) -> Self {
         Self::not_run(403, "permission_error", "permission_denied", message.into())
     }
 
-    /// No such model, offer, service or path.
+    /// 404: there is no such model, offer, service or path.
     #[must_use]
     pub fn not_found(code: &'static str, message: impl Into<String>) -> Self {
         Self::not_run(404, "invalid_request_error", code, message.into())
     }
 
-    /// A limit is reached; come back later.
+    /// 429: a rate limit is reached.
     #[must_use]
     pub fn too_many(message: impl Into<String>, retry_after: Span) -> Self {
         let refusal = Self::not_run(
@@ -96,7 +96,7 @@
         }
     }
 
-    /// This daemon or its upstreams cannot take it now.
+    /// 503: this daemon or its upstreams cannot take the request now.
     #[must_use]
     pub fn unavailable(code: &'static str, message: impl Into<String>, retry_after: Span) -> Self {
         let refusal = Self::not_run(503, "server_error", code, message.into());
@@ -106,7 +106,7 @@
         }
     }
 
-    /// The deadline passed or cannot be met.
+    /// 504: the deadline passed or cannot be met.
     #[must_use]
     pub fn past_deadline(run: RunState) -> Self {
         let message = "the deadline passed before an answer was whole".to_owned();
@@ -114,7 +114,7 @@
         Self { run, ..refusal }
     }
 
-    /// Upstreams failed after work may have been done.
+    /// 502: upstreams failed after work may have been done.
     #[must_use]
     pub fn upstream_failed(message: impl Into<String>, run: RunState) -> Self {
         Self {
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Non-idempotent work whose outcome is not known.
+    /// 504: the outcome of non-idempotent work is not known.
     #[must_use]
     pub fn outcome_unknown(message: impl Into<String>) -> Self {
         let refusal = Self::not_run(504, "server_error", "outcome_unknown", message.into());
@@ -133,7 +133,7 @@
         }
     }
 
-    /// As JSON.
+    /// The JSON body.
     #[must_use]
     pub fn body(&self) -> Bytes {
         let error = ErrorFields {
@@ -147,13 +147,13 @@
         Bytes::from(text.unwrap_or_default())
     }
 
-    /// Answers a request that has had no other answer.
+    /// Sends the refusal as the whole response; nothing of another answer may have been sent.
     pub async fn send(&self, responder: &Responder, request_id: Option<&RequestId>) {
-        // A caller that is gone needs no answer.
+        // Fails only if the caller is gone.
         let _ = responder.answer(self.head(request_id), self.body()).await;
     }
 
-    /// Ends a stream that has begun: an error event and no `[DONE]`.
+    /// Ends a stream that has begun, with an error event and no `[DONE]`.
     ///
     /// # Errors
     /// When the caller is gone.
@@ -177,7 +177,7 @@
             set(&mut headers, "x-request-id", id.as_str());
         }
         if let Some(span) = self.retry_after {
-            // Whole seconds, rounded up: coming back earlier would be refused again.
+            // Whole seconds, rounded up: an earlier retry would be refused again.
             let seconds = span.as_micros().div_ceil(1_000_000).max(1);
             set(&mut headers, "retry-after", &seconds.to_string());
         }
@@ -188,7 +188,7 @@
     }
 }
 
-/// Sets a header if the text can be one.
+/// Sets a header; does nothing if the text is not a valid header value.
 pub fn set(headers: &mut HeaderMap, name: &'static str, text: &str) {
     if let Ok(value) = HeaderValue::from_str(text) {
         headers.insert(name, value);
@@ -196,10 +196,10 @@
 }
 
 impl Refusal {
-    /// What the decision on a request's life comes to in HTTP.
+    /// The HTTP error for a refusal decided in the request's life cycle.
     #[must_use]
     pub fn from_decision(decision: &requests::refusal::Refusal) -> Self {
-        let (status, kind, code, message) = words(decision.code());
+        let (status, kind, code, message) = error_texts(decision.code());
         Self {
             status,
             kind,
@@ -211,17 +211,17 @@
     }
 }
 
-/// Pause told with statuses that are worth a repeat when nothing better is known.
+/// Retry-After for statuses that are worth a retry, where no better pause is known.
 fn default_retry(status: u16) -> Option<Span> {
     (status == 503 || status == 429).then_some(Span::from_secs(1))
 }
 
-type Words = (u16, &'static str, &'static str, &'static str);
+type ErrorTexts = (u16, &'static str, &'static str, &'static str);
 
 const INVALID: &str = "invalid_request_error";
 const SERVER: &str = "server_error";
 
-fn words(code: requests::refusal::Code) -> Words {
+fn error_texts(code: requests::refusal::Code) -> ErrorTexts {
     use requests::refusal::Code;
     match code {
         Code::Invalid => (400, INVALID, "bad_request", "the request is malformed"),
@@ -258,11 +258,11 @@
         ),
         Code::IdReused => (409, INVALID, "id_reused", "the id names another request"),
         Code::CallerGone => (499, INVALID, "caller_gone", "the caller left"),
-        other => server_words(other),
+        other => server_error_texts(other),
     }
 }
 
-fn server_words(code: requests::refusal::Code) -> Words {
+fn server_error_texts(code: requests::refusal::Code) -> ErrorTexts {
     use requests::refusal::Code;
     let (status, name, message) = match code {
         Code::Overloaded => (503, "overloaded", "too much work waits"),
--- a/components/node/src/traffic/resolve.rs
+++ b/components/node/src/traffic/resolve.rs
@@ -1,4 +1,4 @@
-//! From a model's name and a customer to an offer and the versions permitted.
+//! Resolves a model's name for a customer to an offer and the versions permitted.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -9,22 +9,23 @@
 
 use super::refusal::Refusal;
 
-/// What a request may be served from.
+/// The offer and versions that a request may be served from.
 #[derive(Debug, Clone)]
 pub struct Resolved {
-    /// Name of the offer.
+    /// The offer's name.
     pub name: EntryName,
     /// The offer.
     pub offer: Arc<Offer>,
-    /// Versions permitted; draining ones only serve the sessions they have.
+    /// Versions permitted; those that drain only serve the sessions they have.
     pub versions: BTreeSet<VersionId>,
 }
 
-/// Finds the offer and versions that a customer means by a name: an offer, a model or
-/// a version. `wanted` narrows it where several offers have the model.
+/// Finds the offer and versions that a customer means by `model`: the name of an offer, a
+/// model or a version. `wanted` picks the offer where several have the model.
 ///
 /// # Errors
-/// 404 for a name that nothing has, 403 for what the customer may not use.
+/// 404 for an unknown or withdrawn name, 403 for one that the customer may not use, 503 when no
+/// version may serve now.
 pub fn resolve(
     view: &View,
     customer: &CustomerId,
@@ -33,9 +34,9 @@
 ) -> Result<Resolved, Refusal> {
     if let Some((name, offer)) = by_offer_name(view, model) {
         let versions = view.permitted(offer, customer);
-        return found(view, name, offer, versions, customer);
+        return checked(view, name, offer, versions, customer);
     }
-    let only = only_versions(view, model)?;
+    let named = versions_named(view, model)?;
     let offers = view
         .offers
         .iter()
@@ -43,11 +44,11 @@
     for (name, offer) in offers {
         let permitted = view.permitted(offer, customer);
         let versions = permitted
-            .intersection(&only)
+            .intersection(&named)
             .cloned()
             .collect::<BTreeSet<_>>();
         if !versions.is_empty() {
-            return found(view, name, offer, versions, customer);
+            return checked(view, name, offer, versions, customer);
         }
     }
     Err(Refusal::forbidden(format!(
@@ -60,8 +61,8 @@
     view.offers.get_key_value(&name)
 }
 
-/// The versions that a model's or version's name covers.
-fn only_versions(view: &View, text: &str) -> Result<BTreeSet<VersionId>, Refusal> {
+/// The versions covered by the name of a model or version, withdrawn ones left out.
+fn versions_named(view: &View, text: &str) -> Result<BTreeSet<VersionId>, Refusal> {
     let unknown = || Refusal::not_found("model_not_found", format!("there is no model {text}"));
     let permit: catalogue::entry::Permit = text.parse().map_err(|_| unknown())?;
     let name = permit.model();
@@ -87,7 +88,7 @@
     Ok(usable)
 }
 
-fn found(
+fn checked(
     view: &View,
     name: &EntryName,
     offer: &Arc<Offer>,
