--- a/components/node/src/traffic/upstream.rs
+++ b/components/node/src/traffic/upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream taken for an attempt, and what its failure says of the work.
+//! The upstream picked for an attempt, and what its failure means for the request.
 
 use std::net::SocketAddr;
 
@@ -10,16 +10,16 @@
 use routing::{Demand, Router, TargetIndex, UpstreamIndex};
 use types::prelude::*;
 
-/// An upstream taken for an attempt.
-pub(crate) struct Taken {
+/// An upstream at which an attempt was started.
+pub(crate) struct PickedUpstream {
     pub(crate) index: UpstreamIndex,
     pub(crate) target: TargetIndex,
     pub(crate) id: UpstreamId,
     pub(crate) address: SocketAddr,
 }
 
-impl Taken {
-    /// Counts an attempt at a picked upstream as begun.
+impl PickedUpstream {
+    /// Tells the router that an attempt starts at the upstream it picked.
     pub(crate) fn start(
         router: &mut Router,
         index: UpstreamIndex,
@@ -36,19 +36,19 @@
     }
 }
 
-/// Waits until the caller has left, of work that is cancelled then; else for ever.
+/// Resolves when the caller is gone, for work that is cancelled then; never for other work.
 ///
-/// Guards against an upstream that works on for nobody: a caller that leaves before anything
-/// of its answer was written shows on its connection only.
-pub(crate) async fn left(responder: &Responder, facts: &Facts) {
+/// Before anything of the answer is written, only the connection shows that the caller left.
+/// Without this check the upstream would go on working for nobody.
+pub(crate) async fn cancelled_by_caller(responder: &Responder, facts: &Facts) {
     match on_caller_gone(facts) {
         OnCallerGone::Cancel => responder.gone().await,
         OnCallerGone::Finish => std::future::pending().await,
     }
 }
 
-/// What a failed attempt says of the work; `received` and `shown` are of its answer so far.
-pub(crate) fn end_of(error: &AttemptError, received: Tokens, shown: bool) -> AttemptEnd {
+/// Classifies a failed attempt; `received` and `shown` tell how much of its answer has come.
+pub(crate) fn attempt_end(error: &AttemptError, received: Tokens, shown: bool) -> AttemptEnd {
     match error {
         AttemptError::NotSent(_) => AttemptEnd::NotSent,
         AttemptError::NotRun { retry_after, .. } => AttemptEnd::RefusedNotRun {
--- a/components/node/src/watching.rs
+++ b/components/node/src/watching.rs
@@ -1,5 +1,5 @@
-//! The thread that follows the catalogue's keys in the store, while this daemon is one
-//! of the watchers.
+//! A thread that watches the catalogue's keys in the store, while this daemon is one of the
+//! fleet's watchers.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -10,19 +10,19 @@
 
 use crate::event::Event;
 
-/// Pause after a watch that broke off, so that a store that is down is not besieged.
-const PAUSE: Duration = Duration::from_secs(1);
+/// Pause after a watch that broke off, so that reconnects do not overload a store that is down.
+const RECONNECT_PAUSE: Duration = Duration::from_secs(1);
 
-/// Starts and stops the thread.
-pub(crate) struct Watching {
+/// Starts and stops the thread that watches.
+pub(crate) struct Watcher {
     store: Arc<dyn Store>,
     prefix: String,
     events: flume::Sender<Event>,
     stop: Option<Arc<AtomicBool>>,
 }
 
-impl Watching {
-    /// Not watching yet.
+impl Watcher {
+    /// Creates a watcher that is not started.
     #[must_use]
     pub(crate) fn new(store: Arc<dyn Store>, prefix: String, events: flume::Sender<Event>) -> Self {
         Self {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Begins to watch, from now on.
+    /// Starts to watch for changes from now on.
     pub(crate) fn start(&mut self) {
         self.stop();
         let stop = Arc::new(AtomicBool::new(false));
@@ -46,13 +46,13 @@
         let thread = std::thread::Builder::new().name("watch".to_owned());
         match thread.spawn(move || follow(store.as_ref(), &watch, &events)) {
             Ok(_) => self.stop = Some(stop),
-            // Reading the head now and then goes on and finds what changed.
+            // The regular reads of the catalogue's head go on and find what changed.
             Err(e) => tracing::error!("store: cannot watch: {e}"),
         }
     }
 
-    /// Stops watching. The thread ends at the watch's next sign of life; until then it
-    /// tells of changes that are known already, which does no harm.
+    /// Stops watching. The thread ends at the watch's next message; until then it may report
+    /// changes that are known already, which does no harm.
     pub(crate) fn stop(&mut self) {
         if let Some(stop) = self.stop.take() {
             stop.store(true, Ordering::Relaxed);
@@ -60,17 +60,17 @@
     }
 }
 
-impl Drop for Watching {
+impl Drop for Watcher {
     fn drop(&mut self) {
         self.stop();
     }
 }
 
-/// Watches anew whenever a watch ends, until told to stop.
+/// Restarts the watch whenever it ends, until told to stop.
 fn follow(store: &dyn Store, watch: &Watch, events: &flume::Sender<Event>) {
     let mut sink = |batch: store::WatchBatch| {
-        let told = events.send(Event::Watch(batch.events));
-        told.is_ok() && !watch.stop.load(Ordering::Relaxed)
+        let delivered = events.send(Event::Watch(batch.events));
+        delivered.is_ok() && !watch.stop.load(Ordering::Relaxed)
     };
     loop {
         match store.watch(watch, &mut sink) {
@@ -78,7 +78,7 @@
             WatchEnd::Idle | WatchEnd::Compacted(_) => {}
             WatchEnd::Broken(reason) => {
                 tracing::warn!("store: the watch broke off: {reason}");
-                std::thread::sleep(PAUSE);
+                std::thread::sleep(RECONNECT_PAUSE);
             }
         }
     }
