--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -1,4 +1,4 @@
-//! The control thread: owns the tables, takes events, runs the systems each tick.
+//! The control thread: owns the tables, handles events and runs the systems each tick.
 
 mod commands;
 mod upkeep;
@@ -11,7 +11,7 @@
 use types::prelude::*;
 
 use crate::event::{Event, StoreUse};
-use crate::outbound::Calling;
+use crate::outbound::OutboundCalls;
 use crate::shared::{Shared, lock};
 use crate::snapshot::{Readiness, Snapshot};
 use crate::store_pool::StorePool;
@@ -25,28 +25,28 @@
 mod peering;
 mod quarantine;
 
-/// The tables and what they reach out through.
+/// The tables, and the threads that make calls for them.
 pub(crate) struct Control {
     shared: Arc<Shared>,
     store_pool: StorePool,
     watcher: Watcher,
     catalogue: systems::catalogue::Table,
     ledger: systems::ledger::Table,
-    /// Told once all bills are sealed.
+    /// Signalled once all bills are sealed.
     sealed: Option<flume::Sender<()>>,
     members: systems::membership::Table,
     rollouts: systems::rollout::Table,
-    calling: Calling,
+    outbound: OutboundCalls,
     due: loads::Due,
     view: Arc<View>,
     leaving: bool,
 }
 
 impl Control {
-    /// Empty tables.
+    /// Creates empty tables.
     ///
     /// # Errors
-    /// When the thread that makes its calls cannot be started.
+    /// When the thread that makes outbound calls cannot be started.
     pub(crate) fn new(
         shared: Arc<Shared>,
         store_pool: StorePool,
@@ -61,7 +61,7 @@
         let incarnation = shared.incarnation;
         let members = systems::membership::Table::new(settings, incarnation, peers, rand::random());
         let rollouts = systems::rollout::Table::new(&settings.cluster, &settings.daemon);
-        let calling = Calling::start(shared.clone())?;
+        let outbound = OutboundCalls::start(shared.clone())?;
         Ok(Self {
             shared,
             store_pool,
@@ -71,21 +71,21 @@
             sealed: None,
             members,
             rollouts,
-            calling,
+            outbound,
             due: loads::Due::default(),
             view: Arc::default(),
             leaving: false,
         })
     }
 
-    /// Runs until told to stop.
+    /// Handles events and ticks until told to stop.
     pub(crate) fn run(mut self, events: &flume::Receiver<Event>) {
         let tick = self.shared.settings.control.tick.to_duration();
         let mut next_tick = Instant::now();
         loop {
             match events.recv_deadline(self.wake_at(next_tick)) {
                 Ok(Event::Stop) | Err(flume::RecvTimeoutError::Disconnected) => return,
-                Ok(event) => self.take(event),
+                Ok(event) => self.handle(event),
                 Err(flume::RecvTimeoutError::Timeout) => self.flush_ledger(),
             }
             let now = Instant::now();
@@ -96,14 +96,14 @@
         }
     }
 
-    /// The next tick, or what cannot wait for it.
+    /// Time of the next tick, or the ledger's next deadline if that is earlier.
     fn wake_at(&self, next_tick: Instant) -> Instant {
         let until = self.shared.now().until(self.ledger.next_deadline());
         let due = Instant::now().checked_add(until.to_duration());
         due.map_or(next_tick, |due| due.min(next_tick))
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let now = self.shared.now();
         let actions = match event {
             Event::Store(StoreUse::Catalogue, outcome) => self.catalogue.on_store(now, outcome),
@@ -135,7 +135,7 @@
                 return;
             }
             Event::Peer(inbound) => {
-                self.take_peer(now, inbound);
+                self.handle_peer(now, inbound);
                 return;
             }
             Event::Hosts(hosts) => {
@@ -164,12 +164,12 @@
         self.tick_ledger(now);
         let fleet = self.members.membership().fleet_size();
         systems::quality::tick(&self.shared, now, fleet);
-        self.show_quality(now);
+        self.publish_evidence(now);
         self.tick_loads(now);
         self.drive_rollouts(now);
-        self.tick_barring(now);
-        self.measure(now);
-        // Every tick: how fresh the catalogue is changes without an event.
+        self.tick_quarantine(now);
+        self.update_metrics(now);
+        // Published at every tick, since the catalogue's freshness changes without an event.
         self.publish(now);
     }
 
@@ -177,7 +177,7 @@
         let mut changed = false;
         for action in actions {
             match action {
-                Action::Store(used, request) => self.store_pool.call(used, request),
+                Action::Store(purpose, request) => self.store_pool.call(purpose, request),
                 Action::Send(to, body) => self.members.send(&to, Part::Catalogue, body),
                 Action::Watch => self.watcher.start(),
                 Action::StopWatch => self.watcher.stop(),
@@ -185,24 +185,24 @@
             }
         }
         if changed {
-            self.put_in_force(now);
+            self.apply_catalogue(now);
         }
     }
 
-    /// Serves by the catalogue as it is now.
-    fn put_in_force(&mut self, now: Time) {
+    /// Configures routing and limits from the current catalogue and publishes it.
+    fn apply_catalogue(&mut self, now: Time) {
         let view = self.catalogue.view();
         let region = &self.shared.settings.region;
         systems::routing::configure(&mut lock(&self.shared.router), &view, region);
         systems::limits::configure(&mut self.shared.admissions.table().limiter, now, &view);
         tracing::info!("catalogue: revision {} is in force", view.revision);
-        self.show_progress(now, view.revision);
+        self.publish_progress(now, view.revision);
         self.view = Arc::new(view);
-        self.count_slots(now);
+        self.update_slots(now);
         self.publish(now);
     }
 
-    /// Makes the present state what traffic reads.
+    /// Publishes the current state as the snapshot that traffic reads.
     fn publish(&self, now: Time) {
         let snapshot = Snapshot {
             readiness: self.readiness(self.view.revision),
@@ -223,7 +223,7 @@
     }
 }
 
-/// The next tick; ticks missed while the thread was held up are not made up for.
+/// Time of the next tick; ticks missed while the thread was held up are skipped.
 fn next_after(previous: Instant, now: Instant, tick: Duration) -> Instant {
     let next = previous + tick;
     if next > now { next } else { now + tick }
--- a/components/node/src/control/billing.rs
+++ b/components/node/src/control/billing.rs
@@ -1,4 +1,4 @@
-//! Carries the ledger's effects to the store and to other daemons.
+//! Performs the ledger's actions: store calls and messages to other daemons.
 
 use peers::Part;
 use types::prelude::*;
@@ -8,16 +8,17 @@
 use crate::systems::ledger::Action;
 
 impl Control {
-    /// Does what became due between two ticks.
+    /// Runs the ledger's work that became due between two ticks.
     pub(super) fn flush_ledger(&mut self) {
         let actions = self.ledger.flush(self.shared.now());
         self.perform_ledger(actions);
     }
 
-    /// Seals, rolls up, and hands on what a leaving daemon holds.
+    /// Runs the ledger's timed work. While the daemon is leaving, hastens the sealing of its bills
+    /// and signals when none is left.
     pub(super) fn tick_ledger(&mut self, now: Time) {
         if let Some(sealed) = &self.sealed
-            && self.ledger.hand_on(now)
+            && self.ledger.seal_all(now)
         {
             let _ = sealed.try_send(());
         }
@@ -30,7 +31,7 @@
         self.shared.metrics.bills_waiting.set(waiting);
     }
 
-    /// Does what the ledger wants done.
+    /// Performs the ledger's actions.
     pub(super) fn perform_ledger(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
--- a/components/node/src/control/commands.rs
+++ b/components/node/src/control/commands.rs
@@ -1,4 +1,4 @@
-//! What operators ask of the control thread.
+//! Handles operators' commands.
 
 use std::sync::Arc;
 
@@ -19,7 +19,7 @@
 const ROLLOUT_AUTHOR: &str = "rollout";
 
 impl Control {
-    /// Answers, or begins what will answer.
+    /// Answers a command, or starts the work that will answer it.
     pub(super) fn command(&mut self, now: Time, command: Command) {
         match command {
             Command::Catalogue(reply) => reply.send(self.catalogue_reply()),
@@ -56,15 +56,15 @@
         self.catalogue.edit(now, at, edit, reply);
     }
 
-    /// Does what the roll-outs' drivers want.
+    /// Performs the tasks of the roll-outs' drivers.
     pub(super) fn perform_tasks(&mut self, now: Time, tasks: impl IntoIterator<Item = Task>) {
         for task in tasks {
             match task {
                 Task::Store(ticket, request) => {
-                    let used = crate::event::StoreUse::Rollout(ticket);
-                    self.store_pool.call(used, request);
+                    let purpose = crate::event::StoreUse::Rollout(ticket);
+                    self.store_pool.call(purpose, request);
                 }
-                Task::Call(call) => self.calling.call(call),
+                Task::Call(call) => self.outbound.call(call),
                 Task::Edit(name, entry, revision) => {
                     let Ok(author) = OperatorName::new(ROLLOUT_AUTHOR) else {
                         continue;
@@ -76,7 +76,7 @@
                         author,
                         edit_id: make_id(revision, &mut rand::rng()),
                     };
-                    // The driver sees by the catalogue what became of it.
+                    // The driver learns the outcome from the catalogue.
                     let (reply, _) = ReplyTo::new();
                     self.edit(now, edit, reply);
                 }
@@ -124,7 +124,7 @@
         }
     }
 
-    /// This daemon and the others, with what they last reported.
+    /// The status of every daemon, this one included, by its last report.
     fn member_statuses(&self, now: Time) -> Vec<MemberStatus> {
         let others = self.members.membership().members();
         let others = others.map(|member| (&member.record, member.heard_at));
@@ -172,7 +172,7 @@
         listed.collect()
     }
 
-    /// The state of the daemon, a part each.
+    /// The state of every part of the daemon.
     fn dump(&self, now: Time) -> serde_json::Value {
         let shared = &self.shared;
         serde_json::json!({
@@ -196,14 +196,14 @@
         })
     }
 
-    /// Reads bills from the store on a thread that may block.
+    /// Reads bills from the store, on a thread that may block.
     fn bills(&self, query: BillsQuery, reply: ReplyTo<Result<BillsReply, String>>) {
         let shared = self.shared.clone();
         let answer = reply.clone();
-        let begun = self
-            .calling
+        let is_started = self
+            .outbound
             .run(move || answer.send(read_bills(&shared, query)));
-        if !begun {
+        if !is_started {
             reply.send(Err("too many calls are under way".to_owned()));
         }
     }
--- a/components/node/src/control/evidence.rs
+++ b/components/node/src/control/evidence.rs
@@ -1,4 +1,4 @@
-//! Shares evidence on versions and suspensions with the other daemons.
+//! Shares quality evidence and suspensions of versions with the other daemons.
 
 use bytes::Bytes;
 use membership::Topic;
@@ -8,8 +8,8 @@
 use crate::shared::lock;
 
 impl Control {
-    /// Shows what changed in this daemon's counters and suspensions.
-    pub(super) fn show_quality(&mut self, now: Time) {
+    /// Publishes what changed in this daemon's counters and suspensions.
+    pub(super) fn publish_evidence(&mut self, now: Time) {
         let cells = lock(&self.shared.quality).own_cells_changed(now, &mut rand::rng());
         for cell in cells {
             let topic = if cell.is_suspension() {
@@ -21,8 +21,8 @@
         }
     }
 
-    /// Takes a fact on versions that another daemon shows.
-    pub(super) fn take_evidence(
+    /// Merges evidence on versions that another daemon published.
+    pub(super) fn merge_evidence(
         &mut self,
         now: Time,
         origin: &DaemonId,
@@ -36,7 +36,7 @@
         let mut quality = lock(&self.shared.quality);
         let rng = &mut rand::rng();
         if let Err(error) = quality.merge(now, origin, &fact.key, &fact.value, rng) {
-            tracing::warn!("quality: a fact of {origin} is passed over: {error}");
+            tracing::warn!("quality: a fact of {origin} is ignored: {error}");
         }
     }
 }
--- a/components/node/src/control/loads.rs
+++ b/components/node/src/control/loads.rs
@@ -1,4 +1,4 @@
-//! Slots, limits and load reports, as the control thread keeps them.
+//! Updates slots, limits and load reports on the control thread.
 
 use std::collections::BTreeSet;
 
@@ -11,15 +11,15 @@
 use crate::shared::lock;
 use crate::systems::limits::slots_of;
 
-/// Time between two counts of slots.
+/// Interval between two counts of slots.
 const SLOTS_INTERVAL: Span = Span::from_secs(1);
-/// Time between two polls of an upstream of the subset, when there are few.
+/// Interval between two polls of an upstream of the subset, when there are few.
 const POLL_INTERVAL: Span = Span::from_secs(4);
-/// Time between two rounds of polls, and polls of one: five polls a second, of some 800
-/// bytes each, keep within the daemon's bytes for control whatever the fleet's size.
+/// Interval between two rounds of polls. Five polls a second, of some 800 bytes each, keep within
+/// the daemon's bytes for control whatever the fleet's size.
 const ROUND_INTERVAL: Span = Span::from_secs(1);
-const POLLS_OF_ROUND: usize = 5;
-/// When what is done seldom is due.
+const POLLS_PER_ROUND: usize = 5;
+/// When the work that does not run at every tick is due.
 #[derive(Debug, Default)]
 pub(super) struct Due {
     slots: Time,
@@ -27,11 +27,12 @@
 }
 
 impl Control {
-    /// Shares limits anew, tells the others what is asked here, ends waits.
+    /// Counts slots and polls engines when due; updates the shares of limits, publishes this daemon's
+    /// demand and delivers verdicts to waiting requests.
     pub(super) fn tick_loads(&mut self, now: Time) {
         if now.has_reached(self.due.slots) {
             self.due.slots = now + SLOTS_INTERVAL;
-            self.count_slots(now);
+            self.update_slots(now);
         }
         if now.has_reached(self.due.polls) {
             self.due.polls = now + ROUND_INTERVAL;
@@ -60,8 +61,8 @@
         }
     }
 
-    /// Takes another daemon's demand.
-    pub(super) fn take_demand(&self, origin: &DaemonId) {
+    /// Merges the demand that another daemon published.
+    pub(super) fn merge_demand(&self, origin: &DaemonId) {
         let mut facts = self.members.facts(Topic::Demand);
         let Some(fact) = facts.find(|fact| fact.origin == *origin) else {
             return;
@@ -71,12 +72,13 @@
                 let mut table = self.shared.admissions.table();
                 table.limiter.peer_fact(origin, demand);
             }
-            Err(error) => tracing::warn!("limits: {origin} sent {error}, passed over"),
+            Err(error) => tracing::warn!("limits: ignored a demand fact of {origin}: {error}"),
         }
     }
 
-    /// Tells the limiter the slots of each service; the locks are held for one at a time.
-    pub(super) fn count_slots(&self, now: Time) {
+    /// Tells the limiter the slots of each service. The router's and the limiter's lock are held one
+    /// after the other.
+    pub(super) fn update_slots(&self, now: Time) {
         for name in self.view.services.keys() {
             let slots = slots_of(&lock(&self.shared.router), &self.view, name);
             let mut table = self.shared.admissions.table();
@@ -84,16 +86,16 @@
         }
     }
 
-    /// Asks some engines for their load. Each answer brings a short report besides; a poll
-    /// tells what is loaded, and of engines that had no work from here.
+    /// Polls some engines. Every answer carries a short load report as well; a poll also reports
+    /// which versions are loaded, and covers engines that had no work from here.
     fn poll_loads(&self, now: Time) {
-        let due = lock(&self.shared.router).due_polls(now, POLL_INTERVAL, POLLS_OF_ROUND);
+        let due = lock(&self.shared.router).due_polls(now, POLL_INTERVAL, POLLS_PER_ROUND);
         for index in due {
-            self.calling.poll(index);
+            self.outbound.poll(index);
         }
     }
 
-    /// Limits and loads, for the dump.
+    /// The state of limits and load, for the dump.
     pub(super) fn dump_loads(&self) -> serde_json::Value {
         let table = self.shared.admissions.table();
         let lanes = self.view.services.keys().map(|name| {
--- a/components/node/src/control/peering.rs
+++ b/components/node/src/control/peering.rs
@@ -1,4 +1,4 @@
-//! What other daemons send, and what this one tells them.
+//! Handles messages of other daemons, and publishes this one's progress.
 
 use bytes::Bytes;
 use catalogue::sync::Reach;
@@ -10,9 +10,9 @@
 use crate::shared::lock;
 
 impl Control {
-    /// Takes what another daemon sent. Questions that no part answers are dropped, which
-    /// tells the asker to go elsewhere.
-    pub(super) fn take_peer(&mut self, now: Time, inbound: Inbound) {
+    /// Handles a message of another daemon. A question that no part answers is dropped, which tells
+    /// the asker to go elsewhere.
+    pub(super) fn handle_peer(&mut self, now: Time, inbound: Inbound) {
         let (from, payload) = match inbound {
             Inbound::Message { from, payload } => (from, payload),
             Inbound::Ask { payload, reply, .. } => {
@@ -25,7 +25,7 @@
         match payload {
             Payload::Membership(message) => {
                 let events = self.members.on_message(now, &from, message);
-                self.on_members(now, events);
+                self.on_membership_events(now, events);
             }
             Payload::Part {
                 part: Part::Catalogue,
@@ -50,9 +50,9 @@
             Payload::Part {
                 part: Part::Poison,
                 body,
-            } => self.add_up(now, &from.id, &body),
+            } => self.merge_quarantine(now, &from.id, &body),
             Payload::Part { part, .. } => {
-                tracing::debug!("node: {} sent something for {part:?}, dropped", from.id);
+                tracing::debug!("node: dropped a message of {} for {part:?}", from.id);
             }
         }
     }
@@ -67,13 +67,13 @@
         }
     }
 
-    /// Probes, tells news, and takes what that brings.
+    /// Runs the membership's timed work and handles the events that follow.
     pub(super) fn tick_members(&mut self, now: Time) {
         let events = self.members.tick(now);
-        self.on_members(now, events);
+        self.on_membership_events(now, events);
     }
 
-    fn on_members(&mut self, now: Time, events: Vec<Event>) {
+    fn on_membership_events(&mut self, now: Time, events: Vec<Event>) {
         let mut changed = false;
         for event in events {
             match event {
@@ -86,17 +86,17 @@
                     origin,
                     topic: Topic::Progress,
                     ..
-                } => self.take_progress(now, &origin),
+                } => self.merge_progress(now, &origin),
                 Event::FactChanged {
                     origin,
                     topic: topic @ (Topic::Evidence | Topic::Suspension),
                     key,
-                } => self.take_evidence(now, &origin, topic, &key),
+                } => self.merge_evidence(now, &origin, topic, &key),
                 Event::FactChanged {
                     origin,
                     topic: Topic::Demand,
                     ..
-                } => self.take_demand(&origin),
+                } => self.merge_demand(&origin),
                 _ => {}
             }
         }
@@ -107,29 +107,29 @@
         }
     }
 
-    /// Shows which revision this daemon has in force.
-    pub(super) fn show_progress(&mut self, now: Time, revision: Revision) {
+    /// Publishes the revision that this daemon has in force.
+    pub(super) fn publish_progress(&mut self, now: Time, revision: Revision) {
         let value = Bytes::copy_from_slice(&revision.0.to_le_bytes());
         self.members
             .publish(now, Topic::Progress, Bytes::new(), value);
     }
 
-    fn take_progress(&mut self, now: Time, origin: &DaemonId) {
+    fn merge_progress(&mut self, now: Time, origin: &DaemonId) {
         let mut facts = self.members.facts(Topic::Progress);
         let fact = facts.find(|fact| fact.origin == *origin);
         let revision = fact.and_then(|fact| <[u8; 8]>::try_from(&fact.value[..]).ok());
         let Some(revision) = revision.map(u64::from_le_bytes).map(Revision) else {
             return;
         };
-        // The fact may have been long on its way: what the daemon said itself since holds.
+        // The fact may have been delayed: what the daemon reported itself since then holds.
         let heard = self.catalogue.sync().heard(origin);
         if heard.is_none_or(|heard| heard.revision < revision) {
             self.catalogue.report(now, origin, revision, Span::ZERO);
         }
     }
 
-    /// The part of the fleet in reach. Membership is slow to bury hundreds when this
-    /// daemon is cut off alone; its unanswered probes tell sooner.
+    /// The part of the fleet in reach. When this daemon is cut off alone, membership takes long to
+    /// declare hundreds of others dead; its unanswered probes show it sooner.
     pub(super) fn reach(&self, now: Time) -> Reach {
         let mut reach = self.catalogue.sync().reach(now);
         reach.reached = reach.reached.min(self.members.membership().reachable());
--- a/components/node/src/control/quarantine.rs
+++ b/components/node/src/control/quarantine.rs
@@ -1,4 +1,4 @@
-//! Telling other daemons under which requests upstreams ended, and what is barred for it.
+//! Exchanges crash reports and quarantines with the other daemons.
 
 use bytes::Bytes;
 use peers::Part;
@@ -9,55 +9,57 @@
 use super::Control;
 use crate::shared::lock;
 
-/// Daemons that are told at a time: all of a small fleet. Who is told tells on, so that word is
-/// everywhere in a fleet of hundreds after some four rounds.
-const TOLD: usize = 8;
+/// Number of daemons that an update is sent to at a time: all of a small fleet. Each of them
+/// forwards it, so that it reaches a fleet of hundreds after about four rounds.
+const GOSSIP_FANOUT: usize = 8;
 
 impl Control {
-    /// Adds up what a peer tells, and hands on at once what is news.
-    pub(super) fn add_up(&mut self, now: Time, from: &DaemonId, body: &Bytes) {
+    /// Merges a peer's updates, and forwards at once those that are new.
+    pub(super) fn merge_quarantine(&mut self, now: Time, from: &DaemonId, body: &Bytes) {
         match Words::decode(body) {
-            Ok(words) => drop(self.shared.quarantine.suspects.lock().take(now, words)),
+            Ok(updates) => drop(self.shared.quarantine.suspects.lock().take(now, updates)),
             Err(e) => tracing::warn!("peers: {from}: {e}"),
         }
-        self.tell_words(now);
+        self.gossip_quarantine(now);
     }
 
-    /// Forgets what is too old, and tells what is news.
-    pub(super) fn tick_barring(&mut self, now: Time) {
+    /// Drops expired records, and gossips new updates.
+    pub(super) fn tick_quarantine(&mut self, now: Time) {
         let daemons = self.members.membership().fleet_size();
         let upstreams = lock(&self.shared.router).upstreams().count();
         self.shared.quarantine.expire(now, daemons, upstreams);
-        self.tell_words(now);
+        self.gossip_quarantine(now);
     }
 
-    fn tell_words(&mut self, now: Time) {
+    fn gossip_quarantine(&mut self, now: Time) {
         let mut suspects = self.shared.quarantine.suspects.lock();
-        let (words, changes) = (suspects.news(now), suspects.changes());
+        let (updates, changes) = (suspects.news(now), suspects.changes());
         drop(suspects);
-        changes.iter().for_each(log);
-        if words.0.is_empty() {
+        changes.iter().for_each(log_change);
+        if updates.0.is_empty() {
             return;
         }
-        let body = match words.encode() {
+        let body = match updates.encode() {
             Ok(body) => body,
             Err(e) => return tracing::error!("peers: {e}"),
         };
         let others = self.members.other_peers().into_iter();
-        for peer in others.sample(&mut rand::rng(), TOLD) {
+        for peer in others.sample(&mut rand::rng(), GOSSIP_FANOUT) {
             self.members.send(&peer.id, Part::Poison, body.clone());
         }
     }
 }
 
-fn log(change: &Change) {
+fn log_change(change: &Change) {
     match change {
         Change::Barred(bar) => tracing::warn!(
-            "traffic: request {} of {} is barred, {} upstreams ended under it",
+            "traffic: request {} of {} is quarantined, {} upstreams crashed under it",
             bar.content,
-            bar.customer.as_deref().unwrap_or("nobody known"),
+            bar.customer.as_deref().unwrap_or("an unknown customer"),
             bar.ends.len()
         ),
-        Change::Cleared(content) => tracing::info!("traffic: request {content} is barred no more"),
+        Change::Cleared(content) => {
+            tracing::info!("traffic: request {content} is no longer quarantined")
+        }
     }
 }
--- a/components/node/src/control/upkeep.rs
+++ b/components/node/src/control/upkeep.rs
@@ -1,4 +1,4 @@
-//! What the control thread does each tick beside the tables' own systems.
+//! Work of each tick that is no table's own: roll-out drivers, metrics and health.
 
 use membership::State;
 use telemetry::labels::{Direction, MemberState};
@@ -10,7 +10,7 @@
 use crate::snapshot::Readiness;
 
 impl Control {
-    /// Runs the drivers of roll-outs.
+    /// Runs the drivers of roll-outs and performs their tasks.
     pub(super) fn drive_rollouts(&mut self, now: Time) {
         let members = self.catalogue.members().iter();
         let members: Vec<DaemonId> = members.map(|member| member.id.clone()).collect();
@@ -23,8 +23,8 @@
         self.perform_tasks(now, tasks);
     }
 
-    /// Notes what metrics and probes show.
-    pub(super) fn measure(&self, now: Time) {
+    /// Updates metrics and the health that probes read.
+    pub(super) fn update_metrics(&self, now: Time) {
         let metrics = &self.shared.metrics;
         let revision = i64::try_from(self.view.revision.0).unwrap_or(i64::MAX);
         metrics.catalogue_revision.set(revision);
@@ -37,7 +37,7 @@
             .set(i64::try_from(fill.own).unwrap_or(i64::MAX));
         metrics.set_queue_fill("bills", fill.own, fill.capacity);
         metrics.set_queue_fill("bills_for_others", fill.custody, fill.custody_capacity);
-        self.measure_members();
+        self.update_member_metrics();
         metrics.set_queue_fill("events", self.shared.events.len(), MAX_WAITING_EVENTS);
         let most = self.shared.settings.callers.max_in_flight;
         metrics.set_queue_fill("requests", self.shared.in_flight.count(), most);
@@ -49,7 +49,7 @@
         self.shared.health.tick(not_ready);
     }
 
-    fn measure_members(&self) {
+    fn update_member_metrics(&self) {
         let metrics = &self.shared.metrics;
         let count = |state: State| {
             let members = self.members.membership().members();
@@ -57,7 +57,7 @@
                 .filter(|member| member.record.state == state)
                 .count()
         };
-        // This daemon counts as one that answers.
+        // Membership doesn't list this daemon, which is alive.
         metrics.set_members(MemberState::Alive, count(State::Alive) + 1);
         metrics.set_members(MemberState::Suspect, count(State::Suspect));
         metrics.set_members(MemberState::Leaving, count(State::Left));
--- a/components/node/src/outbound.rs
+++ b/components/node/src/outbound.rs
@@ -1,4 +1,4 @@
-//! Calls of engines and of the weight store for the control thread, which never blocks.
+//! Calls engines and the weight store for the control thread, which never blocks.
 
 use std::sync::Arc;
 
@@ -16,43 +16,43 @@
 use ::rollout::{Order, OrderKind};
 use routing::UpstreamIndex;
 
-/// Calls under way at once.
+/// Most calls in flight at once, of engines and of the weight store each.
 const MAX_CALLS: usize = 16;
-const TIMEOUT: Span = Span::from_secs(2);
-/// The weight store is asked again after, when it did not say.
-const ASK_AGAIN: Span = Span::from_secs(2);
-/// Status of an engine that has no room for another version.
+const CALL_TIMEOUT: Span = Span::from_secs(2);
+/// Pause before the weight store is asked again, if it did not name one.
+const SLOT_RETRY_PAUSE: Span = Span::from_secs(2);
+/// Status with which an engine refuses a load for want of room for another version.
 const NO_ROOM: u16 = 507;
 
 /// A call of an engine.
 enum Job {
     Read(ModelName, UpstreamId, std::net::SocketAddr),
     Order(ModelName, Order, std::net::SocketAddr),
-    /// Ask for its load, for routing.
+    /// Read its load report, for routing.
     Poll(UpstreamIndex),
 }
 
-/// Makes calls off the control thread: of engines on an event loop, of the weight store on
-/// threads, since its client blocks.
-pub(crate) struct Calling {
+/// Makes calls off the control thread: of engines on an event loop, of the weight store on a
+/// thread pool, since its client blocks.
+pub(crate) struct OutboundCalls {
     shared: Arc<Shared>,
     jobs: flume::Sender<Job>,
     pool: Pool,
 }
 
-impl Calling {
-    /// Starts the event loop; it ends with this.
+impl OutboundCalls {
+    /// Starts the event loop; it ends when this value is dropped.
     ///
     /// # Errors
     /// When its thread cannot be started.
     pub(crate) fn start(shared: Arc<Shared>) -> std::io::Result<Self> {
         let (jobs, rx) = flume::bounded(MAX_CALLS);
-        let calls = shared.clone();
+        let loop_shared = shared.clone();
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()?;
         let thread = std::thread::Builder::new().name("calls".to_owned());
-        thread.spawn(move || LocalSet::new().block_on(&runtime, serve(calls, rx)))?;
+        thread.spawn(move || LocalSet::new().block_on(&runtime, serve(loop_shared, rx)))?;
         Ok(Self {
             shared,
             jobs,
@@ -60,8 +60,8 @@
         })
     }
 
-    /// Makes a call; how it ended comes as an event. One beyond the bound is dropped: a
-    /// driver wants the same again at its next tick.
+    /// Starts a call; its result comes as an event. A call beyond the bound is dropped: a driver
+    /// asks for it again at its next tick.
     pub(crate) fn call(&self, call: Call) {
         let job = match call {
             Call::Read(model, id, address) => Job::Read(model, id, address),
@@ -69,18 +69,18 @@
             Call::Slot(version) => return self.take_slot(version),
         };
         if self.jobs.try_send(job).is_err() {
-            tracing::debug!("rollout: a call is dropped, too many are under way");
+            tracing::debug!("rollout: a call is dropped, too many are in flight");
         }
     }
 
-    /// Asks an engine for its load; dropped beyond the bound, since polls come again.
+    /// Polls an engine's load. Beyond the bound a poll is dropped, since polls are repeated anyway.
     pub(crate) fn poll(&self, index: UpstreamIndex) {
         if self.jobs.try_send(Job::Poll(index)).is_err() {
-            tracing::debug!("routing: a poll is dropped, too many calls are under way");
+            tracing::debug!("routing: a poll is dropped, too many calls are in flight");
         }
     }
 
-    /// Runs other work of the control thread that may block.
+    /// Runs a blocking job of the control thread on the pool; false if no thread is free.
     pub(crate) fn run(&self, job: impl FnOnce() + Send + 'static) -> bool {
         self.pool.run(job).is_ok()
     }
@@ -89,25 +89,25 @@
         let shared = self.shared.clone();
         let model = version.model.clone();
         let run = self.pool.run(move || {
-            let answer = slot(&shared, &version);
+            let answer = request_slot(&shared, &version);
             let _ = shared
                 .events
                 .send(Event::Called(CallResult::Slot(version.model, answer)));
         });
         if run.is_err() {
-            let answer = CallResult::Slot(model, Err(ASK_AGAIN));
+            let answer = CallResult::Slot(model, Err(SLOT_RETRY_PAUSE));
             let _ = self.shared.events.try_send(Event::Called(answer));
         }
     }
 }
 
-/// Runs jobs side by side, at most so many as may be under way.
+/// Runs jobs concurrently, at most [`MAX_CALLS`] at once.
 async fn serve(shared: Arc<Shared>, jobs: flume::Receiver<Job>) {
     let client = Client::default();
-    let under_way = Arc::new(Semaphore::new(MAX_CALLS));
+    let in_flight = Arc::new(Semaphore::new(MAX_CALLS));
     while let Ok(job) = jobs.recv_async().await {
         // The semaphore is never closed.
-        let Ok(permit) = Arc::clone(&under_way).acquire_owned().await else {
+        let Ok(permit) = Arc::clone(&in_flight).acquire_owned().await else {
             return;
         };
         let (shared, client) = (shared.clone(), client.clone());
@@ -119,34 +119,36 @@
 }
 
 async fn run(shared: &Shared, client: &Client, job: Job) {
-    let called = match job {
-        Job::Read(model, id, address) => match client.load_report(address, TIMEOUT).await {
+    let result = match job {
+        Job::Read(model, id, address) => match client.load_report(address, CALL_TIMEOUT).await {
             Ok(report) => Some(CallResult::Report(model, id, report)),
             Err(e) => {
                 tracing::debug!("rollout: {id} gave no load report: {e}");
                 None
             }
         },
-        Job::Order(model, order, address) => send(shared, client, model, &order, address).await,
+        Job::Order(model, order, address) => {
+            send_order(shared, client, model, &order, address).await
+        }
         Job::Poll(index) => {
             poll(shared, client, index).await;
             None
         }
     };
-    if let Some(called) = called {
-        // The control thread may have ended before this one.
-        let _ = shared.events.send_async(Event::Called(called)).await;
+    if let Some(result) = result {
+        // Fails only if the control thread has ended.
+        let _ = shared.events.send_async(Event::Called(result)).await;
     }
 }
 
-async fn send(
+async fn send_order(
     shared: &Shared,
     client: &Client,
     model: ModelName,
     order: &Order,
     address: std::net::SocketAddr,
 ) -> Option<CallResult> {
-    // The last look at the lease before the order leaves: this thread may have waited, or
+    // The lease is checked once more before the order is sent: this thread may have waited, or
     // the process been paused, since the driver decided.
     if shared.now().has_reached(order.not_after) {
         tracing::warn!(
@@ -159,12 +161,14 @@
     let sent = match order.kind {
         OrderKind::Load => {
             let fencing = order.fencing;
-            client.order_load(address, &version, fencing, TIMEOUT).await
+            client
+                .order_load(address, &version, fencing, CALL_TIMEOUT)
+                .await
         }
         OrderKind::Unload => {
             let fencing = order.fencing;
             client
-                .order_unload(address, &version, fencing, TIMEOUT)
+                .order_unload(address, &version, fencing, CALL_TIMEOUT)
                 .await
         }
     };
@@ -181,8 +185,8 @@
     }
 }
 
-/// Without a weight store in the settings, loads need no leave.
-fn slot(shared: &Shared, version: &VersionId) -> Result<(), Span> {
+/// Takes a load slot from the weight store; without one in the settings, loads need no slot.
+fn request_slot(shared: &Shared, version: &VersionId) -> Result<(), Span> {
     let Some(address) = shared.settings.platform.weights else {
         return Ok(());
     };
@@ -191,7 +195,7 @@
         Err(PlatformError::Later(pause)) => Err(pause),
         Err(PlatformError::Failed(reason)) => {
             tracing::warn!("rollout: the weight store gave no answer: {reason}");
-            Err(ASK_AGAIN)
+            Err(SLOT_RETRY_PAUSE)
         }
     }
 }
--- a/components/node/src/systems.rs
+++ b/components/node/src/systems.rs
@@ -1,4 +1,4 @@
-//! The systems that run over the control thread's tables, one file each.
+//! The systems that update the control thread's tables, one file each.
 
 pub mod catalogue;
 pub mod hosts;
--- a/components/node/src/systems/catalogue.rs
+++ b/components/node/src/systems/catalogue.rs
@@ -1,6 +1,6 @@
-//! Holds the catalogue, spreads it and edits it.
+//! Holds the catalogue, synchronises it with other daemons and the store, and edits it.
 //!
-//! Tables of [`catalogue`] and what they ask for; the control thread does it.
+//! Wraps the tables of [`catalogue`] and turns their effects into actions for the control thread.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -21,49 +21,49 @@
 
 use crate::event::StoreUse;
 
-/// An edit or a question about one is settled within, or its outcome is unknown.
-const EDIT_PATIENCE: Span = Span::from_secs(10);
+/// Time limit for an edit or a query about one; after it the outcome is unknown.
+const EDIT_TIMEOUT: Span = Span::from_secs(10);
 
-/// Edits of this daemon whose entry is remembered, for questions by id.
-const MAX_REMEMBERED: usize = 1024;
+/// Most edits of this daemon whose entry is remembered, for queries by edit id.
+const MAX_REMEMBERED_EDITS: usize = 1024;
 
-/// What the tables ask the control thread to do.
+/// An action for the control thread.
 #[derive(Debug)]
 pub enum Action {
     /// Call the store.
     Store(StoreUse, Request),
-    /// Send bytes to a daemon; they may be lost.
+    /// Send a message to a daemon; it may be lost.
     Send(DaemonId, Bytes),
-    /// Begin to watch the store.
+    /// Start to watch the store.
     Watch,
-    /// Stop watching it.
+    /// Stop watching the store.
     StopWatch,
-    /// The catalogue changed.
+    /// Apply the catalogue, which changed.
     Changed,
 }
 
-/// The catalogue, its edits and who waits for them.
+/// The catalogue, its edits, and the requests that wait for their outcome.
 pub struct Table {
     keys: Keys,
-    /// Author of the markers of edits that were given up.
-    asker: OperatorName,
+    /// Author of the records which mark edits that were given up.
+    daemon_author: OperatorName,
     sync: Sync,
     editor: Editor,
     rng: StdRng,
     members: Vec<Member>,
     waiting: BTreeMap<Ticket, Waiting>,
-    tickets: u64,
+    last_ticket: u64,
     remembered: VecDeque<(EditId, EntryName)>,
 }
 
-/// Who waits for a verdict.
+/// A request that waits for the verdict on an edit.
 enum Waiting {
     Edit(EntryName, ReplyTo<EditOutcome>),
     Query(EditId, Option<EntryName>, ReplyTo<Option<EditReply>>),
 }
 
 impl Table {
-    /// Empty, for a daemon.
+    /// Creates an empty table for the daemon of these settings.
     #[must_use]
     pub fn new(settings: &Settings, seed: u64) -> Self {
         let me = Member {
@@ -72,35 +72,35 @@
         };
         Self {
             keys: Keys::new(&settings.cluster),
-            asker: asker(),
+            daemon_author: daemon_author(),
             sync: Sync::new(Config::new(me.id.clone(), &settings.cluster)),
             editor: Editor::default(),
             rng: StdRng::seed_from_u64(seed),
             members: vec![me],
             waiting: BTreeMap::new(),
-            tickets: 0,
+            last_ticket: 0,
             remembered: VecDeque::new(),
         }
     }
 
-    /// The catalogue held.
+    /// The catalogue as this daemon holds it.
     #[must_use]
     pub fn catalogue(&self) -> &Catalogue {
         self.sync.catalogue()
     }
 
-    /// Spreading and freshness.
+    /// Synchronisation with other daemons, and the catalogue's freshness.
     #[must_use]
     pub fn sync(&self) -> &Sync {
         &self.sync
     }
 
-    /// Someone waits until a revision is in force everywhere.
+    /// Notes that a caller waits, for `patience` at most, until a revision is in force everywhere.
     pub fn wait_for(&mut self, now: Time, revision: Revision, patience: Span) {
         self.sync.wait_for(revision, now + patience);
     }
 
-    /// The catalogue indexed for serving.
+    /// The catalogue indexed for serving requests.
     #[must_use]
     pub fn view(&self) -> View {
         View::from_catalogue(self.catalogue())
@@ -112,26 +112,26 @@
         &self.members
     }
 
-    /// Takes the live daemons, this one included.
+    /// Sets the live daemons, this one included.
     pub fn set_members(&mut self, members: Vec<Member>) {
         self.members = members;
     }
 
-    /// Takes another daemon's report, which came so long ago.
+    /// Records another daemon's report, received `age` ago, of the revision that it has in force.
     pub fn report(&mut self, now: Time, daemon: &DaemonId, revision: Revision, age: Span) {
         self.sync.report(now, daemon, revision, age);
     }
 
-    /// Does what is due.
+    /// Runs timed work: synchronisation and edits.
     pub fn tick(&mut self, now: Time) -> Vec<Action> {
         let effects = self.sync.tick(now, &self.members, &mut self.rng);
         let outputs = self.editor.tick(now);
         let mut actions = actions_of(effects);
-        self.take_outputs(outputs, &mut actions);
+        self.handle_outputs(outputs, &mut actions);
         actions
     }
 
-    /// Takes bytes of another daemon; what cannot be read is dropped.
+    /// Handles a message of another daemon; one that cannot be decoded is dropped.
     pub fn on_peer(&mut self, now: Time, from: &DaemonId, bytes: &[u8]) -> Vec<Action> {
         match Message::decode(bytes) {
             Ok(message) => {
@@ -145,27 +145,27 @@
         }
     }
 
-    /// Takes changes that a watch told of.
+    /// Handles changes reported by the watch.
     pub fn on_watch(&mut self, now: Time, events: &[WatchEvent]) -> Vec<Action> {
         actions_of(self.sync.on_watch(now, events, &mut self.rng))
     }
 
-    /// Takes the outcome of a read.
+    /// Handles the outcome of a read of the catalogue.
     pub fn on_store(&mut self, now: Time, outcome: Outcome) -> Vec<Action> {
         actions_of(self.sync.on_store(now, outcome, &mut self.rng))
     }
 
-    /// Takes the outcome of a step of an edit.
+    /// Handles the outcome of a step of an edit.
     pub fn on_edit_step(&mut self, now: Time, outcome: Outcome) -> Vec<Action> {
         let known = self.sync.known(now);
         let outputs = self.editor.on_outcome(now, outcome, known, &mut self.rng);
         let learned = self.editor.take_learned();
         let mut actions = actions_of(self.sync.learn(learned, &mut self.rng));
-        self.take_outputs(outputs, &mut actions);
+        self.handle_outputs(outputs, &mut actions);
         actions
     }
 
-    /// Begins an edit; its outcome is sent to whoever waits.
+    /// Starts an edit; its outcome goes to `reply`.
     pub fn edit(
         &mut self,
         now: Time,
@@ -174,7 +174,7 @@
         reply: ReplyTo<EditOutcome>,
     ) {
         let name = edit.name.clone();
-        if self.remembered.len() >= MAX_REMEMBERED {
+        if self.remembered.len() >= MAX_REMEMBERED_EDITS {
             self.remembered.pop_front();
         }
         self.remembered.push_back((edit.edit_id, name.clone()));
@@ -186,25 +186,25 @@
             author: edit.author,
             at,
         };
-        let edit = Edit::new(proposal, self.keys.clone(), now + EDIT_PATIENCE);
+        let edit = Edit::new(proposal, self.keys.clone(), now + EDIT_TIMEOUT);
         self.submit(Task::Edit(Box::new(edit)), Waiting::Edit(name, reply));
     }
 
-    /// Asks what became of an edit; the answer is sent to whoever waits.
+    /// Queries the state of an edit; the answer goes to `reply`.
     pub fn edit_state(&mut self, now: Time, id: EditId, reply: ReplyTo<Option<EditReply>>) {
         let mut remembered = self.remembered.iter();
         let name = remembered
             .find(|(edit, _)| *edit == id)
             .map(|(_, name)| name.clone());
-        let asker = (self.asker.clone(), WallTime::default());
-        let until = now + EDIT_PATIENCE;
-        let query = Query::new(id, name.clone(), asker, self.keys.clone(), until);
+        let daemon_author = (self.daemon_author.clone(), WallTime::default());
+        let until = now + EDIT_TIMEOUT;
+        let query = Query::new(id, name.clone(), daemon_author, self.keys.clone(), until);
         self.submit(Task::Query(query), Waiting::Query(id, name, reply));
     }
 
     fn submit(&mut self, task: Task, waiting: Waiting) {
-        self.tickets += 1;
-        let ticket = Ticket(self.tickets);
+        self.last_ticket += 1;
+        let ticket = Ticket(self.last_ticket);
         if self.editor.submit(ticket, task) {
             self.waiting.insert(ticket, waiting);
         } else {
@@ -213,7 +213,7 @@
         }
     }
 
-    fn take_outputs(&mut self, outputs: Vec<Output>, actions: &mut Vec<Action>) {
+    fn handle_outputs(&mut self, outputs: Vec<Output>, actions: &mut Vec<Action>) {
         for output in outputs {
             match output {
                 Output::Call(req) => actions.push(Action::Store(StoreUse::Edit, req)),
@@ -253,7 +253,7 @@
         }
     }
 
-    /// The tables' state, for the dump.
+    /// The table's state, for the dump.
     #[must_use]
     pub fn dump(&self, now: Time) -> serde_json::Value {
         let catalogue = self.catalogue();
@@ -307,7 +307,7 @@
     }
 }
 
-/// The daemons themselves, as an author.
-fn asker() -> OperatorName {
-    OperatorName::new("buckthorncross").expect("letters are a name")
+/// The daemons' own name as the author of a record.
+fn daemon_author() -> OperatorName {
+    OperatorName::new("buckthorncross").expect("the literal is a valid operator name")
 }
--- a/components/node/src/systems/hosts.rs
+++ b/components/node/src/systems/hosts.rs
@@ -1,4 +1,4 @@
-//! Tells the router which upstreams the platform's list has as leaving.
+//! Tells the router which upstreams the platform's list of hosts marks as leaving.
 
 use std::collections::HashMap;
 
@@ -7,8 +7,8 @@
 
 use externals::{Host, HostState};
 
-/// Applies a list. An upstream that it does not name is left as it is: the list lags, and a
-/// new host is served before it is listed.
+/// Applies a list. An upstream that is not on it keeps its state: the list lags, and a new host
+/// takes requests before it is listed.
 pub fn apply(router: &mut Router, now: Time, hosts: &[Host]) {
     let states: HashMap<_, _> = hosts
         .iter()
--- a/components/node/src/systems/ledger.rs
+++ b/components/node/src/systems/ledger.rs
@@ -1,4 +1,4 @@
-//! Records bills, releases the ends of answers and carries the ledger's effects.
+//! Records bills, releases the ends of answers, and turns the ledger's effects into actions.
 
 use std::collections::BTreeMap;
 
@@ -9,32 +9,32 @@
 
 use crate::event::ReleaseTo;
 
-/// How often a log line repeats that bills are held by this daemon alone.
-const ALONE_LOG_INTERVAL: Span = Span::from_secs(60);
+/// Least interval between two log lines saying that only this daemon holds its bills.
+const SOLE_HOLDER_LOG_INTERVAL: Span = Span::from_secs(60);
 
-/// What the ledger wants done.
+/// An action for the control thread.
 #[derive(Debug)]
 pub enum Action {
-    /// Call the store; the outcome comes back by the number.
+    /// Call the store; the outcome comes back with the call's id.
     Store(CallId, Request),
-    /// Send to another daemon.
+    /// Send a message to another daemon.
     Send(DaemonId, Message),
 }
 
-/// The ledger and the answers whose ends it holds back.
+/// The ledger, and the answers whose ends are held back.
 #[derive(Debug)]
 pub struct Table {
     ledger: Ledger,
-    ends: BTreeMap<Receipt, ReleaseTo>,
+    held_ends: BTreeMap<Receipt, ReleaseTo>,
     members: Vec<Peer>,
-    /// Requests that may be in flight at once, each of which may still bring a bill.
+    /// Most requests in flight at once, each of which may still bring a bill.
     max_in_flight: usize,
     log_alone_at: Time,
     was_full: bool,
 }
 
 impl Table {
-    /// Empty, for one run of a daemon.
+    /// Creates an empty table for one run of a daemon.
     #[must_use]
     pub fn new(settings: &Settings, incarnation: Incarnation) -> Self {
         let me = Peer {
@@ -45,7 +45,7 @@
         };
         Self {
             ledger: Ledger::new(Config::new(me, &prefix(&settings.cluster))),
-            ends: BTreeMap::new(),
+            held_ends: BTreeMap::new(),
             members: Vec::new(),
             max_in_flight: settings.callers.max_in_flight,
             log_alone_at: Time::ZERO,
@@ -53,39 +53,39 @@
         }
     }
 
-    /// Takes the other daemons that live and do not leave.
+    /// Sets the other daemons that are live and not leaving.
     pub fn set_members(&mut self, members: Vec<Peer>) {
         self.ledger.set_members(&members);
         self.members = members;
     }
 
-    /// Takes the bill of an answer; its end is released once the bill is safe.
+    /// Records the bill of an answer; the answer's end is released once the bill is safe.
     pub fn record(&mut self, now: Time, bill: Bill, end: ReleaseTo) -> Vec<Action> {
         let receipt = self.ledger.record(now, bill);
-        self.ends.insert(receipt, end);
+        self.held_ends.insert(receipt, end);
         self.flush(now)
     }
 
-    /// Does what became due between two ticks.
+    /// Runs work that became due between two ticks.
     pub fn flush(&mut self, now: Time) -> Vec<Action> {
         let effects = self.ledger.flush(now);
         self.perform(now, effects)
     }
 
-    /// Does what is due.
+    /// Runs timed work: sealing, roll-ups and the exchange with other daemons.
     pub fn tick(&mut self, now: Time, wall: WallTime) -> Vec<Action> {
         self.log_full();
         let effects = self.ledger.tick(now, wall, &self.members);
         self.perform(now, effects)
     }
 
-    /// Takes the outcome of a call.
+    /// Handles the outcome of a store call.
     pub fn on_store(&mut self, now: Time, id: CallId, outcome: Outcome) -> Vec<Action> {
         let effects = self.ledger.on_store(now, id, outcome);
         self.perform(now, effects)
     }
 
-    /// Takes a message of another daemon.
+    /// Handles a message of another daemon; one that cannot be decoded is dropped.
     pub fn on_peer(&mut self, now: Time, from: &DaemonId, bytes: &[u8]) -> Vec<Action> {
         match Message::from_bytes(bytes) {
             Ok(message) => {
@@ -93,7 +93,7 @@
                 self.perform(now, effects)
             }
             Err(error) => {
-                tracing::warn!("ledger: a message of {from} is passed over: {error}");
+                tracing::warn!("ledger: dropped a message of {from}: {error}");
                 Vec::new()
             }
         }
@@ -107,7 +107,7 @@
 
     /// Whether no more requests may start.
     ///
-    /// Counted with as many in flight as there may ever be, so that none of them finds the
+    /// Counts the largest possible number of requests as in flight, so that none of them finds the
     /// ledger full when its answer ends.
     #[must_use]
     pub fn is_full(&self) -> bool {
@@ -127,15 +127,15 @@
         self.was_full = is_full;
     }
 
-    /// Has everything sealed as soon as may be; says whether nothing is left to seal.
+    /// Hastens the sealing of all bills, and returns whether none is left to seal.
     #[must_use]
-    pub fn hand_on(&mut self, now: Time) -> bool {
+    pub fn seal_all(&mut self, now: Time) -> bool {
         self.ledger.hurry(now);
         let fill = self.ledger.fill();
         fill.own == 0 && fill.adopted == 0
     }
 
-    /// What it holds.
+    /// How full the ledger is.
     #[must_use]
     pub fn fill(&self) -> Fill {
         self.ledger.fill()
@@ -154,13 +154,13 @@
     }
 
     fn release(&mut self, now: Time, upto: Receipt, alone: bool) {
-        let later = self.ends.split_off(&Receipt(upto.0 + 1));
-        for end in std::mem::replace(&mut self.ends, later).into_values() {
-            // Fails only when the traffic thread is gone; the bill stands all the same.
+        let later = self.held_ends.split_off(&Receipt(upto.0 + 1));
+        for end in std::mem::replace(&mut self.held_ends, later).into_values() {
+            // Fails only if the request's task has ended; the bill stands all the same.
             let _ = end.try_send(());
         }
         if alone && now.has_reached(self.log_alone_at) {
-            self.log_alone_at = now + ALONE_LOG_INTERVAL;
+            self.log_alone_at = now + SOLE_HOLDER_LOG_INTERVAL;
             tracing::warn!(
                 "ledger: no other daemon is in reach: bills of the last seconds would be lost \
                  with this host"
@@ -169,7 +169,7 @@
     }
 }
 
-/// Prefix of a fleet's keys in the store.
+/// Prefix of a cluster's keys in the store.
 pub(crate) fn prefix(cluster: &ClusterName) -> String {
     format!("/buckthorncross/{cluster}")
 }
--- a/components/node/src/systems/limits.rs
+++ b/components/node/src/systems/limits.rs
@@ -1,4 +1,4 @@
-//! Takes limits from the catalogue and slots from the router.
+//! Configures the limiter with the catalogue's limits, and counts the slots of services.
 
 use catalogue::entry::{Limits, Protocol};
 use catalogue::view::View;
@@ -6,10 +6,10 @@
 use routing::Router;
 use types::prelude::*;
 
-/// Prefix of a plain service's account; offers go by their short names.
+/// Prefix of a plain service's account; an offer's account is its short name.
 const SERVICE: &str = "services/";
 
-/// Sets the bounds that the catalogue says.
+/// Sets the limits of customers, offers and plain services from the catalogue.
 pub fn configure(limiter: &mut Limiter, now: Time, view: &View) {
     limiter.clear_bounds();
     for (id, customer) in &view.customers {
@@ -25,7 +25,7 @@
     }
 }
 
-/// The account of a plain service, apart from an offer of the same name.
+/// The limiter's account for a plain service, distinct from an offer of the same name.
 #[must_use]
 pub fn account_of_service(name: &EntryName) -> EntryName {
     let account = EntryName::new(&format!("{SERVICE}{name}"));
@@ -40,8 +40,8 @@
     }
 }
 
-/// Slots of a service's upstreams that are fit for work; of those ejected when there are no
-/// others, since work goes to them then.
+/// Number of slots at a service's healthy upstreams. If there are none, the slots of the ejected
+/// ones count, since work is sent to them then.
 #[must_use]
 pub fn slots_of(router: &Router, view: &View, service: &EntryName) -> u32 {
     let upstreams = view.services.get(service).map(|s| &s.upstreams);
--- a/components/node/src/systems/membership.rs
+++ b/components/node/src/systems/membership.rs
@@ -1,4 +1,4 @@
-//! Knows the other daemons, shares facts with them and carries messages between parts.
+//! Tracks the fleet's other daemons, shares facts with them and sends them messages.
 
 use bytes::Bytes;
 use catalogue::sync::Member;
@@ -14,7 +14,7 @@
 use crate::error::NodeError;
 use crate::sessions::LiveDaemon;
 
-/// Starts the peers' thread.
+/// Starts the connections to other daemons.
 ///
 /// # Errors
 /// When the keys cannot be used or the address cannot be listened on.
@@ -36,7 +36,7 @@
     Peers::start(cfg, sink).map_err(|error| NodeError::Peers(error.to_string()))
 }
 
-/// The settings' keys; the first is sent with.
+/// The keys of the settings; messages are sent under the first.
 fn keys(settings: &Settings) -> Result<Keys, NodeError> {
     let keys = settings.peers.keys.iter();
     let keys = keys.map(|key| Key::named(&key.id, Bytes::copy_from_slice(key.secret.as_bytes())));
@@ -45,7 +45,7 @@
     Keys::new(keys, sending).map_err(|error| NodeError::Keys(error.to_string()))
 }
 
-/// The other daemons, and the way to them.
+/// The fleet's other daemons and the connections to them.
 pub struct Table {
     membership: Membership,
     peers: Handle,
@@ -53,7 +53,7 @@
 }
 
 impl Table {
-    /// Knows nobody yet.
+    /// Creates a table that knows the seed addresses but no daemon yet.
     #[must_use]
     pub fn new(settings: &Settings, incarnation: Incarnation, peers: Handle, seed: u64) -> Self {
         let membership = Membership::new(Config {
@@ -73,41 +73,41 @@
         }
     }
 
-    /// Does what is due.
+    /// Runs timed work: probes and gossip.
     pub fn tick(&mut self, now: Time) -> Vec<Event> {
         let outcome = self.membership.tick(now, &mut self.rng);
-        self.act(outcome)
+        self.carry_out(outcome)
     }
 
-    /// Takes a message of membership.
+    /// Handles a membership message.
     pub fn on_message(&mut self, now: Time, from: &Sender, message: Message) -> Vec<Event> {
         let received = self.membership.receive(now, from, message, &mut self.rng);
-        self.act(received)
+        self.carry_out(received)
     }
 
-    /// Says goodbye.
+    /// Tells the other daemons that this one is leaving.
     pub fn leave(&mut self, now: Time) {
         let outcome = self.membership.leave(now, &mut self.rng);
-        self.act(outcome);
+        self.carry_out(outcome);
     }
 
-    /// Shows a fact to every daemon; urgent ones go out at once.
+    /// Publishes a fact to every daemon; facts on urgent topics are sent at once.
     pub fn publish(&mut self, now: Time, topic: Topic, key: Bytes, value: Bytes) {
         if let Err(e) = self.membership.publish(now, topic, key, value) {
-            tracing::error!("membership: a fact on {topic:?} is not shown: {e}");
+            tracing::error!("membership: a fact on {topic:?} is not published: {e}");
         }
         if topic.is_urgent() {
             let outcome = self.membership.flush(now, &mut self.rng);
-            self.act(outcome);
+            self.carry_out(outcome);
         }
     }
 
-    /// Facts on a topic by every daemon, this one included.
+    /// Facts on a topic published by every daemon, this one included.
     pub fn facts(&self, topic: Topic) -> impl Iterator<Item = Fact> {
         self.membership.facts(topic)
     }
 
-    /// Sends a part's bytes to a daemon; they may be lost.
+    /// Sends a message for a part of the daemon to another one; it may be lost.
     pub fn send(&self, to: &DaemonId, part: Part, body: Bytes) {
         if let Some(member) = self.membership.member(to) {
             let payload = Payload::Part { part, body };
@@ -115,13 +115,13 @@
         }
     }
 
-    /// The way to the other daemons.
+    /// The connections to the other daemons.
     #[must_use]
     pub fn peers(&self) -> &Handle {
         &self.peers
     }
 
-    /// What is known of the other daemons.
+    /// The membership table.
     #[must_use]
     pub fn membership(&self) -> &Membership {
         &self.membership
@@ -140,7 +140,7 @@
         members.collect()
     }
 
-    /// The other daemons that live and stay, as the ledger needs them.
+    /// The other daemons that are live and not leaving, as the ledger needs them.
     #[must_use]
     pub fn other_peers(&self) -> Vec<ledger::Peer> {
         let others = self.membership.members().map(|member| &member.record);
@@ -154,7 +154,7 @@
         peers.collect()
     }
 
-    /// The live daemons with their addresses, as homes of sessions.
+    /// The live daemons, this one included, with their addresses, as possible homes of sessions.
     pub(crate) fn homes(&self) -> Vec<LiveDaemon> {
         let others = self.membership.members().map(|member| &member.record);
         let present = others.filter(|record| record.state.is_present());
@@ -171,18 +171,18 @@
         homes.collect()
     }
 
-    fn act(&mut self, outcome: Outcome) -> Vec<Event> {
+    fn carry_out(&mut self, outcome: Outcome) -> Vec<Event> {
         for envelope in outcome.send {
             let payload = Payload::Membership(envelope.message);
             self.peers.send(envelope.to, payload);
         }
         for event in &outcome.events {
-            self.note(event);
+            self.handle_event(event);
         }
         outcome.events
     }
 
-    fn note(&self, event: &Event) {
+    fn handle_event(&self, event: &Event) {
         match event {
             Event::MemberUp { id, incarnation } => {
                 tracing::info!("membership: {id} is up, run {incarnation}");
@@ -203,7 +203,7 @@
         }
     }
 
-    /// The tables' state, for the dump.
+    /// The table's state, for the dump.
     #[must_use]
     pub fn dump(&self, now: Time) -> serde_json::Value {
         let members = self.membership.members().map(|member| {
@@ -227,8 +227,8 @@
     }
 }
 
-/// A sink that puts what arrives into the control thread's queue, up to half of it, so
-/// that peers alone cannot fill it and make traffic wait.
+/// A sink that queues messages of peers for the control thread. It fills at most half of the
+/// queue, so that peers alone cannot fill it and make traffic wait.
 pub(crate) fn sink(
     events: flume::Sender<crate::event::Event>,
 ) -> impl Fn(Inbound) -> bool + Send + Sync + 'static {
--- a/components/node/src/systems/quality.rs
+++ b/components/node/src/systems/quality.rs
@@ -1,15 +1,15 @@
-//! Runs what goes by time in the evidence and tells operators what changed.
+//! Runs the timed part of the quality evidence and logs what changed, for operators.
 
 use quality::{Change, Phase};
 use types::prelude::*;
 
 use crate::shared::{Shared, lock};
 
-/// Runs the tests and budgets for a fleet of so many live daemons.
+/// Runs the statistical tests and budgets for a fleet of `fleet` live daemons.
 pub(crate) fn tick(shared: &Shared, now: Time, fleet: usize) {
     let changes = lock(&shared.quality).tick(now, fleet, &mut rand::rng());
     for change in &changes {
-        tell(change);
+        log_change(change);
     }
     if !changes.is_empty() {
         let dump = lock(&shared.quality).dump();
@@ -24,7 +24,7 @@
     }
 }
 
-fn tell(change: &Change) {
+fn log_change(change: &Change) {
     let Change {
         class,
         version,
--- a/components/node/src/systems/rollout.rs
+++ b/components/node/src/systems/rollout.rs
@@ -1,8 +1,8 @@
-//! Drives the roll-outs that this daemon holds the lease of.
+//! Drives the roll-outs whose lease this daemon holds.
 //!
-//! One [`rollout::Driver`] for each model that has a roll-out, with the engines' reports
-//! that it has asked for. What a driver wants done is handed to the control thread, and
-//! calls of engines and of the weight store go on to threads that may block.
+//! There is one [`rollout::Driver`] for each model with a roll-out, and the engines' reports that
+//! it asked for. The effects of a driver become tasks for the control thread; calls of engines and
+//! of the weight store are made by threads that may block.
 
 mod observations;
 
@@ -21,12 +21,12 @@
 use types::prelude::*;
 use xxhash_rust::xxh3::xxh3_64;
 
-use observations::Seen;
+use observations::Observations;
 
-/// Daemons that look whether a roll-out lacks a driver; more would only load the store.
-const CANDIDATES: usize = 3;
+/// Number of daemons that stand by to drive a roll-out; more would only load the store.
+const MAX_STANDBYS: usize = 3;
 
-/// What the control thread shall do.
+/// A task for the control thread.
 #[derive(Debug)]
 pub(crate) enum Task {
     /// Call the store; the outcome comes back with the ticket.
@@ -37,46 +37,46 @@
     Call(Call),
 }
 
-/// A call that may block.
+/// A call of an engine or of the weight store.
 #[derive(Debug, Clone)]
 pub(crate) enum Call {
-    /// Read an engine's load.
+    /// Read an engine's load report.
     Read(ModelName, UpstreamId, std::net::SocketAddr),
-    /// Send an order.
+    /// Send an order to an engine.
     Order(ModelName, Order, std::net::SocketAddr),
-    /// Ask for leave to load.
+    /// Ask the weight store for a slot to load a version.
     Slot(VersionId),
 }
 
-/// How a call ended.
+/// The result of a call.
 #[derive(Debug)]
 pub enum CallResult {
-    /// An engine's report.
+    /// An engine's load report.
     Report(ModelName, UpstreamId, LoadReport),
     /// An engine refused a load for want of room.
     Full(ModelName, UpstreamId),
-    /// The weight store gave leave, or says when to ask again.
+    /// The weight store gave a slot, or the pause before it may be asked again.
     Slot(ModelName, Result<(), Span>),
 }
 
-/// Roll-outs by model.
+/// The drivers of roll-outs, by model.
 pub(crate) struct Table {
     daemon: DaemonId,
     prefix: String,
-    driven: BTreeMap<ModelName, Driven>,
+    driven: BTreeMap<ModelName, DrivenRollout>,
     tickets: BTreeMap<u64, (ModelName, u64)>,
     last_ticket: u64,
     leaving: bool,
 }
 
-struct Driven {
+struct DrivenRollout {
     driver: Driver,
-    seen: Seen,
+    observations: Observations,
     rank: Option<u32>,
 }
 
 impl Table {
-    /// No roll-outs.
+    /// Creates a table without roll-outs.
     pub(crate) fn new(cluster: &ClusterName, daemon: &DaemonId) -> Self {
         Self {
             daemon: daemon.clone(),
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Runs every driver.
+    /// Runs the drivers of all roll-outs.
     pub(crate) fn tick(
         &mut self,
         now: Time,
@@ -97,8 +97,8 @@
         members: &[DaemonId],
         quality: impl FnOnce() -> Dump,
     ) -> Vec<Task> {
-        let rolled = |model: &&ModelName| view.models[*model].rollout.is_some();
-        let models: Vec<ModelName> = view.models.keys().filter(rolled).cloned().collect();
+        let has_rollout = |model: &&ModelName| view.models[*model].rollout.is_some();
+        let models: Vec<ModelName> = view.models.keys().filter(has_rollout).cloned().collect();
         self.driven.retain(|model, _| models.contains(model));
         if models.is_empty() || self.leaving {
             return Vec::new();
@@ -106,8 +106,8 @@
         let quality = quality();
         let mut tasks = Vec::new();
         for name in &models {
-            self.add(name, members);
-            let effects = self.run(now, name, view, catalogue, &quality);
+            self.update_rank(name, members);
+            let effects = self.run_driver(now, name, view, catalogue, &quality);
             for effect in effects {
                 tasks.extend(self.task(name, view, catalogue, effect));
             }
@@ -115,18 +115,21 @@
         tasks
     }
 
-    fn add(&mut self, model: &ModelName, members: &[DaemonId]) {
-        let rank = rank(model, &self.daemon, members);
+    fn update_rank(&mut self, model: &ModelName, members: &[DaemonId]) {
+        let rank = standby_rank(model, &self.daemon, members);
         let key = format!("{}{model}", self.prefix);
-        let driven = self.driven.entry(model.clone()).or_insert_with(|| Driven {
-            driver: Driver::new(key, self.daemon.clone(), Config::default()),
-            seen: Seen::default(),
-            rank,
-        });
+        let driven = self
+            .driven
+            .entry(model.clone())
+            .or_insert_with(|| DrivenRollout {
+                driver: Driver::new(key, self.daemon.clone(), Config::default()),
+                observations: Observations::default(),
+                rank,
+            });
         driven.rank = rank;
     }
 
-    fn run(
+    fn run_driver(
         &mut self,
         now: Time,
         name: &ModelName,
@@ -142,18 +145,18 @@
         ) else {
             return Vec::new();
         };
-        driven.seen.set_upstreams(view.upstreams_of(name));
-        driven.seen.note_served(now, name, rollout, quality);
-        let engines = driven.seen.engines(now, name);
-        let seen = Observed {
+        driven.observations.set_upstreams(view.upstreams_of(name));
+        driven.observations.note_served(now, name, rollout, quality);
+        let engines = driven.observations.engines(now, name);
+        let observed = Observed {
             model,
             revision,
             engines: &engines,
             evidence: observations::evidence(name, rollout, quality),
-            demand: driven.seen.demand(now),
+            demand: driven.observations.demand(now),
             rank: driven.rank,
         };
-        driven.driver.tick(now, &seen)
+        driven.driver.tick(now, &observed)
     }
 
     fn task(
@@ -168,25 +171,25 @@
             upstreams.clone().find(|u| u.id == *id).map(|u| u.address)
         };
         match effect {
-            Effect::Store(call) => Some(self.store(name, call.number, call.request)),
+            Effect::Store(call) => Some(self.store_task(name, call.number, call.request)),
             Effect::Read(id) => {
                 let address = address(&id)?;
                 Some(Task::Call(Call::Read(name.clone(), id, address)))
             }
             Effect::Order(order) => {
                 let address = address(&order.engine)?;
-                tracing::info!("rollout: {}", describe(name, &order));
+                tracing::info!("rollout: {}", describe_order(name, &order));
                 Some(Task::Call(Call::Order(name.clone(), order, address)))
             }
             Effect::FetchSlot(version) => {
                 let version = VersionId::new(name.clone(), version);
                 Some(Task::Call(Call::Slot(version)))
             }
-            Effect::Edit { model, if_match } => edit(name, catalogue, *model, if_match),
+            Effect::Edit { model, if_match } => edit_task(name, catalogue, *model, if_match),
         }
     }
 
-    fn store(&mut self, name: &ModelName, number: u64, request: Request) -> Task {
+    fn store_task(&mut self, name: &ModelName, number: u64, request: Request) -> Task {
         self.last_ticket += 1;
         self.tickets
             .insert(self.last_ticket, (name.clone(), number));
@@ -200,13 +203,13 @@
         let mut tasks = Vec::new();
         for (name, mut driven) in driven {
             if let Some(Effect::Store(call)) = driven.driver.leave(now) {
-                tasks.push(self.store(&name, call.number, call.request));
+                tasks.push(self.store_task(&name, call.number, call.request));
             }
         }
         tasks
     }
 
-    /// Takes a store's outcome; gives the call that follows.
+    /// Handles the outcome of a store call; returns the call that follows, if any.
     pub(crate) fn on_store(
         &mut self,
         now: Time,
@@ -217,12 +220,12 @@
         let driven = self.driven.get_mut(&name)?;
         let effect = driven.driver.on_store(now, number, outcome, driven.rank);
         match effect? {
-            Effect::Store(call) => Some(self.store(&name, call.number, call.request)),
+            Effect::Store(call) => Some(self.store_task(&name, call.number, call.request)),
             _ => None,
         }
     }
 
-    /// Takes the end of a call of an engine or of the weight store.
+    /// Handles the result of a call of an engine or of the weight store.
     pub(crate) fn on_called(&mut self, now: Time, called: CallResult) {
         let name = match &called {
             CallResult::Report(name, ..)
@@ -233,13 +236,13 @@
             return;
         };
         match called {
-            CallResult::Report(_, id, report) => driven.seen.report(now, id, report),
-            CallResult::Full(_, id) => driven.seen.full(now, id),
+            CallResult::Report(_, id, report) => driven.observations.report(now, id, report),
+            CallResult::Full(_, id) => driven.observations.full(now, id),
             CallResult::Slot(_, answer) => driven.driver.on_slot(now, answer),
         }
     }
 
-    /// Roll-outs as operators see them.
+    /// The status of all roll-outs, for operators.
     pub(crate) fn reply(&self, now: Time, view: &View, catalogue: &Catalogue) -> RolloutsReply {
         let models = view.models.iter();
         let rollouts = models.filter_map(|(name, model)| {
@@ -267,14 +270,15 @@
             revision,
             driver: driver.and_then(|driver| driver.holder()).cloned(),
             fencing: held.map(|hold| hold.fencing),
-            upstreams: driven.map_or_else(Default::default, |d| d.seen.counts(name, rollout)),
+            upstreams: driven
+                .map_or_else(Default::default, |d| d.observations.counts(name, rollout)),
             waiting_for: driver
                 .and_then(|driver| driver.waiting())
                 .map(ToString::to_string),
         })
     }
 
-    /// The tables' state, for the dump.
+    /// The table's state, for the dump.
     pub(crate) fn dump(&self, now: Time) -> serde_json::Value {
         let driven = self.driven.iter().map(|(name, driven)| {
             let held = driven.driver.held(now);
@@ -284,7 +288,7 @@
                 "fencing": held.map(|hold| hold.fencing),
                 "lease_left": held.map(|hold| now.until(hold.deadline)),
                 "waits_for": driven.driver.waiting().map(ToString::to_string),
-                "engines": driven.seen.dump(now),
+                "engines": driven.observations.dump(now),
             });
             (name.to_string(), state)
         });
@@ -297,29 +301,34 @@
     Some(catalogue.record(&name)?.revision)
 }
 
-/// The entry with its model as the driver wants it.
-fn edit(name: &ModelName, catalogue: &Catalogue, model: Model, if_match: Revision) -> Option<Task> {
+/// The edit of a model's entry that a driver asks for.
+fn edit_task(
+    name: &ModelName,
+    catalogue: &Catalogue,
+    model: Model,
+    if_match: Revision,
+) -> Option<Task> {
     let name = EntryName::new(&format!("{MODELS}{name}")).ok()?;
     let owner = catalogue.entry(&name)?.owner.clone();
     let body = ::catalogue::entry::Body::Model(model);
     Some(Task::Edit(name, Arc::new(Entry { owner, body }), if_match))
 }
 
-fn describe(model: &ModelName, order: &Order) -> String {
+fn describe_order(model: &ModelName, order: &Order) -> String {
     let verb = match order.kind {
         OrderKind::Load => "load",
         OrderKind::Unload => "unload",
     };
     let (engine, version, fencing) = (&order.engine, &order.version, order.fencing);
-    format!("{engine} shall {verb} {model}@{version}, fencing number {fencing}")
+    format!("order to {engine}: {verb} {model}@{version}, fencing token {fencing}")
 }
 
-/// This daemon's turn among the few that look whether a model's roll-out lacks a driver.
-/// All daemons rank alike, and another model's roll-out ranks them otherwise.
-fn rank(model: &ModelName, me: &DaemonId, members: &[DaemonId]) -> Option<u32> {
+/// This daemon's place in a roll-out's standby order, if it is one of the standbys. All daemons
+/// compute the same order, which differs from model to model.
+fn standby_rank(model: &ModelName, me: &DaemonId, members: &[DaemonId]) -> Option<u32> {
     let weight = |daemon: &DaemonId| xxh3_64(format!("{model} {daemon}").as_bytes());
     let mine = weight(me);
-    let before = members.iter().filter(|daemon| weight(daemon) > mine);
-    let before = before.count();
-    (before < CANDIDATES).then(|| u32::try_from(before).unwrap_or(u32::MAX))
+    let ahead = members.iter().filter(|daemon| weight(daemon) > mine);
+    let ahead = ahead.count();
+    (ahead < MAX_STANDBYS).then(|| u32::try_from(ahead).unwrap_or(u32::MAX))
 }
--- a/components/node/src/systems/rollout/observations.rs
+++ b/components/node/src/systems/rollout/observations.rs
@@ -1,4 +1,4 @@
-//! What a driver sees: engines' reports, and who serves how much.
+//! A driver's observations: engines' reports, and how many requests each version was given.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,37 +9,37 @@
 use engine::LoadReport;
 use types::prelude::*;
 
-/// An engine without room is not asked again for so long.
-const FULL_FOR: Span = Span::from_secs(60);
-/// The versions' parts of the demand are those of the requests of so long.
+/// How long an engine that refused a load for want of room is left alone.
+const FULL_RETRY_PAUSE: Span = Span::from_secs(60);
+/// The demand is divided between the versions like the requests given to them in this window.
 const SERVED_WINDOW: Span = Span::from_secs(60);
-const SERVED_EVERY: Span = Span::from_secs(5);
+const SERVED_SAMPLE_INTERVAL: Span = Span::from_secs(5);
 
-/// Reports and counts of one model's roll-out.
+/// Engines' reports and request counts for one model's roll-out.
 #[derive(Debug, Default)]
-pub(crate) struct Seen {
-    engines: BTreeMap<UpstreamId, Known>,
-    served: VecDeque<Served>,
+pub(crate) struct Observations {
+    engines: BTreeMap<UpstreamId, EngineState>,
+    served: VecDeque<ServedSample>,
 }
 
 #[derive(Debug)]
-struct Known {
+struct EngineState {
     failure_domain: FailureDomain,
     slots: u32,
     report: Option<(Time, LoadReport)>,
     full_until: Time,
 }
 
-/// Requests given to the two versions so far.
+/// Requests given to the two versions up to a time.
 #[derive(Debug, Clone, Copy)]
-struct Served {
+struct ServedSample {
     at: Time,
     from: u64,
     to: u64,
 }
 
-impl Seen {
-    /// Follows the catalogue's list of engines.
+impl Observations {
+    /// Updates the engines to those of the catalogue, keeping what is known of them.
     pub(crate) fn set_upstreams(&mut self, upstreams: &[Upstream]) {
         if self.engines.len() == upstreams.len()
             && upstreams.iter().all(|u| self.engines.contains_key(&u.id))
@@ -48,45 +48,45 @@
         }
         let mut before = std::mem::take(&mut self.engines);
         for upstream in upstreams {
-            let known = before.remove(&upstream.id).unwrap_or_else(|| Known {
+            let state = before.remove(&upstream.id).unwrap_or_else(|| EngineState {
                 failure_domain: upstream.failure_domain.clone(),
                 slots: upstream.slots,
                 report: None,
                 full_until: Time::ZERO,
             });
-            self.engines.insert(upstream.id.clone(), known);
+            self.engines.insert(upstream.id.clone(), state);
         }
     }
 
-    /// Takes an engine's report.
+    /// Records an engine's report.
     pub(crate) fn report(&mut self, now: Time, id: UpstreamId, report: LoadReport) {
-        if let Some(known) = self.engines.get_mut(&id) {
-            known.report = Some((now, report));
+        if let Some(state) = self.engines.get_mut(&id) {
+            state.report = Some((now, report));
         }
     }
 
-    /// An engine has no room for another version.
+    /// Records that an engine has no room for another version.
     pub(crate) fn full(&mut self, now: Time, id: UpstreamId) {
-        if let Some(known) = self.engines.get_mut(&id) {
-            known.full_until = now + FULL_FOR;
+        if let Some(state) = self.engines.get_mut(&id) {
+            state.full_until = now + FULL_RETRY_PAUSE;
         }
     }
 
-    /// The engines as the driver takes them.
+    /// The engines in the form that the driver takes.
     pub(crate) fn engines(&self, now: Time, model: &ModelName) -> Vec<Engine> {
         let engines = self.engines.iter();
         engines
-            .map(|(id, known)| engine(now, model, id, known))
+            .map(|(id, state)| engine(now, model, id, state))
             .collect()
     }
 
-    /// What runs and waits: all of it by the engines' reports, the versions' parts by what
-    /// this daemon gave them of late.
+    /// Requests that run and wait. The total comes from the engines' reports; the versions' shares
+    /// follow the requests that this daemon recently gave to each.
     pub(crate) fn demand(&self, now: Time) -> Demand {
         let reports = self
             .engines
             .values()
-            .filter_map(|known| known.report.as_ref());
+            .filter_map(|state| state.report.as_ref());
         let work = reports.map(|(_, report)| f64::from(report.running + report.waiting));
         let total: f64 = work.sum();
         let first = self.served.front();
@@ -98,7 +98,7 @@
         };
         let to = last.to.saturating_sub(first.to) as f64;
         let from = last.from.saturating_sub(first.from) as f64;
-        // Nothing served here of late: what runs is counted for both, to be on the safe side.
+        // Nothing was served here recently: all that runs counts for both, to be on the safe side.
         if to + from == 0.0 || now.since(last.at) > SERVED_WINDOW {
             return Demand {
                 from: total,
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Notes now and then how many requests the versions were given.
+    /// Samples how many requests the versions were given, every [`SERVED_SAMPLE_INTERVAL`].
     pub(crate) fn note_served(
         &mut self,
         now: Time,
@@ -123,32 +123,32 @@
         if self
             .served
             .back()
-            .is_some_and(|last| now.since(last.at) < SERVED_EVERY)
+            .is_some_and(|last| now.since(last.at) < SERVED_SAMPLE_INTERVAL)
         {
             return;
         }
-        let given = |version: &VersionName| {
+        let count_served = |version: &VersionName| {
             let version = VersionId::new(model.clone(), version.clone());
             let streams = quality.streams.iter().filter(|s| s.version == version);
             streams.map(|stream| stream.served).sum()
         };
-        self.served.push_back(Served {
+        self.served.push_back(ServedSample {
             at: now,
-            from: given(&rollout.from),
-            to: given(&rollout.to),
+            from: count_served(&rollout.from),
+            to: count_served(&rollout.to),
         });
-        let old = |served: &Served| now.since(served.at) > SERVED_WINDOW;
+        let old = |served: &ServedSample| now.since(served.at) > SERVED_WINDOW;
         while self.served.front().is_some_and(old) {
             self.served.pop_front();
         }
     }
 
-    /// Engines by what they have of a roll-out's versions.
+    /// Counts the engines by the versions of a roll-out that they have ready or are loading.
     pub(crate) fn counts(&self, model: &ModelName, rollout: &Rollout) -> UpstreamCounts {
         let reports = || {
             self.engines
                 .values()
-                .filter_map(|known| known.report.as_ref())
+                .filter_map(|state| state.report.as_ref())
         };
         let version = |name: &VersionName| VersionId::new(model.clone(), name.clone());
         let (old, new) = (version(&rollout.from), version(&rollout.to));
@@ -162,38 +162,38 @@
 
     /// The engines' state, for the dump.
     pub(crate) fn dump(&self, now: Time) -> serde_json::Value {
-        let engines = self.engines.iter().map(|(id, known)| {
-            let report = known.report.as_ref();
-            let state = serde_json::json!({
+        let engines = self.engines.iter().map(|(id, state)| {
+            let report = state.report.as_ref();
+            let dumped = serde_json::json!({
                 "report_age": report.map(|(at, _)| now.since(*at)),
                 "versions": report.map(|(_, r)| &r.versions),
                 "loading": report.map(|(_, r)| &r.loading),
             });
-            (id.to_string(), state)
+            (id.to_string(), dumped)
         });
         serde_json::Value::Object(engines.collect())
     }
 }
 
-fn engine(now: Time, model: &ModelName, id: &UpstreamId, known: &Known) -> Engine {
-    let report = known.report.as_ref().map(|(_, report)| report);
+fn engine(now: Time, model: &ModelName, id: &UpstreamId, state: &EngineState) -> Engine {
+    let report = state.report.as_ref().map(|(_, report)| report);
     let names = |versions: &Vec<VersionId>| {
         let ours = versions.iter().filter(|v| v.model == *model);
         ours.map(|v| v.version.clone()).collect::<Vec<_>>()
     };
     Engine {
         id: id.clone(),
-        failure_domain: known.failure_domain.clone(),
-        slots: report.map_or(known.slots, |r| r.slots),
-        read_at: known.report.as_ref().map(|(at, _)| *at),
+        failure_domain: state.failure_domain.clone(),
+        slots: report.map_or(state.slots, |r| r.slots),
+        read_at: state.report.as_ref().map(|(at, _)| *at),
         ready: report.map_or_else(Vec::new, |r| names(&r.versions)),
         loading: report.map_or_else(Vec::new, |r| names(&r.loading)),
         leaving: report.is_some_and(|r| r.leaving),
-        is_full: !now.has_reached(known.full_until),
+        is_full: !now.has_reached(state.full_until),
     }
 }
 
-/// What is known of the answers of a roll-out's versions.
+/// The evidence on the answers of a roll-out's versions.
 pub(crate) fn evidence(model: &ModelName, rollout: &Rollout, quality: &Dump) -> Evidence {
     let streams = |version: &VersionName| {
         let version = VersionId::new(model.clone(), version.clone());
--- a/components/node/src/systems/routing.rs
+++ b/components/node/src/systems/routing.rs
@@ -1,12 +1,12 @@
-//! Makes the router's upstreams those of the catalogue.
+//! Configures the router with the catalogue's upstreams.
 
 use catalogue::entry::{Protocol, Service, Upstream, VersionState};
 use catalogue::view::{SERVICES, View, short_name};
 use routing::{Place, Router, Target, TargetIndex, UpstreamSpec};
 use types::prelude::*;
 
-/// Configures the router from the catalogue. An upstream without a region counts as of
-/// the daemon's own.
+/// Replaces the router's upstreams by those of the catalogue. An upstream without a region is
+/// taken to be in the daemon's own.
 pub fn configure(router: &mut Router, view: &View, own_region: &Region) {
     let mut specs = Vec::new();
     for (name, service) in &view.services {
@@ -34,8 +34,8 @@
         .collect()
 }
 
-/// Versions that a service's engines run, as far as the catalogue knows; engines'
-/// own reports are more exact and replace this.
+/// Versions that the catalogue says a service's engines run. Reports of the engines themselves
+/// are more exact and replace these.
 fn versions_on<'a>(view: &'a View, service: &'a EntryName) -> impl Iterator<Item = VersionId> + 'a {
     let models = view.models.iter();
     let models = models.filter(|(_, model)| {
