--- a/components/node/src/claims.rs
+++ b/components/node/src/claims.rs
@@ -60,7 +60,7 @@
 }
 
 impl Claims {
-    /// Starts the thread.
+    /// Starts the thread that calls the store.
     ///
     /// # Errors
     /// When the thread cannot be started.
--- a/components/node/src/control/commands.rs
+++ b/components/node/src/control/commands.rs
@@ -155,7 +155,9 @@
         let classes: Vec<ClassName> = offers.map(|offer| offer.class.clone()).collect();
         let mut quality = lock(&self.shared.quality);
         let lifted = quality.lift(now, version, &classes, &mut rand::rng());
-        tracing::info!("quality: {version} is lifted in {lifted} classes by an operator");
+        tracing::info!(
+            "quality: an operator lifted the suspension of {version} in {lifted} classes"
+        );
         lifted
     }
 
--- a/components/node/src/control/loads.rs
+++ b/components/node/src/control/loads.rs
@@ -27,8 +27,8 @@
 }
 
 impl Control {
-    /// Counts slots and polls engines when due; updates the shares of limits, publishes this daemon's
-    /// demand and delivers verdicts to waiting requests.
+    /// Counts slots and polls engines when due; updates the shares of limits, publishes this
+    /// daemon's demand and delivers verdicts to waiting requests.
     pub(super) fn tick_loads(&mut self, now: Time) {
         if now.has_reached(self.due.slots) {
             self.due.slots = now + SLOTS_INTERVAL;
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Tells the limiter the slots of each service. The router's and the limiter's lock are held one
-    /// after the other.
+    /// Tells the limiter the slots of each service. The locks of the router and the limiter are
+    /// held one after the other.
     pub(super) fn update_slots(&self, now: Time) {
         for name in self.view.services.keys() {
             let slots = slots_of(&lock(&self.shared.router), &self.view, name);
--- a/components/node/src/control/peering.rs
+++ b/components/node/src/control/peering.rs
@@ -102,7 +102,9 @@
         }
         if changed {
             self.catalogue.set_members(self.members.live());
-            self.shared.sessions.set_members(self.members.homes());
+            self.shared
+                .sessions
+                .set_members(self.members.session_members());
             self.ledger.set_members(self.members.other_peers());
         }
     }
--- a/components/node/src/event.rs
+++ b/components/node/src/event.rs
@@ -14,7 +14,7 @@
 /// slows traffic rather than losing a bill or a rating.
 pub const MAX_WAITING_EVENTS: usize = 4096;
 
-/// Something that happened outside the control thread.
+/// Something that happened outside the control thread, which it handles in order.
 #[derive(Debug)]
 pub enum Event {
     /// A call of the store ended.
--- a/components/node/src/outbound.rs
+++ b/components/node/src/outbound.rs
@@ -44,7 +44,7 @@
     /// Starts the event loop; it ends when this value is dropped.
     ///
     /// # Errors
-    /// When its thread cannot be started.
+    /// When the thread or its event loop cannot be started.
     pub(crate) fn start(shared: Arc<Shared>) -> std::io::Result<Self> {
         let (jobs, rx) = flume::bounded(MAX_CALLS);
         let loop_shared = shared.clone();
@@ -179,7 +179,7 @@
             status: NO_ROOM, ..
         }) => Some(CallResult::Full(model, order.engine.clone())),
         Err(e) => {
-            tracing::warn!("rollout: {} did not take its order: {e}", order.engine);
+            tracing::warn!("rollout: the order to {} failed: {e}", order.engine);
             None
         }
     }
--- a/components/node/src/pool.rs
+++ b/components/node/src/pool.rs
@@ -111,6 +111,6 @@
     let outcome = std::panic::catch_unwind(std::panic::AssertUnwindSafe(job));
     counts.load.fetch_sub(1, Ordering::AcqRel);
     if outcome.is_err() {
-        tracing::error!("traffic: a request panicked");
+        tracing::error!("traffic: a job of the thread pool panicked");
     }
 }
--- a/components/node/src/snapshot.rs
+++ b/components/node/src/snapshot.rs
@@ -26,7 +26,7 @@
     pub readiness: Readiness,
     /// Whether so many bills wait for the store that no more work may start.
     pub is_ledger_full: bool,
-    /// The catalogue.
+    /// The catalogue indexed for serving requests.
     pub view: Arc<View>,
     /// The last time at which the catalogue was known to be current.
     pub confirmed: Option<Time>,
--- a/components/node/src/systems/ledger.rs
+++ b/components/node/src/systems/ledger.rs
@@ -118,10 +118,12 @@
         let is_full = self.is_full();
         match (self.was_full, is_full) {
             (false, true) => tracing::error!(
-                "ledger: the bound of unsealed bills is reached, work is refused as not run \
+                "ledger: too many bills are not sealed yet, requests are refused as not run \
                  until the store answers"
             ),
-            (true, false) => tracing::info!("ledger: bills are sealed again, work is taken"),
+            (true, false) => {
+                tracing::info!("ledger: bills are sealed again, requests are accepted")
+            }
             _ => {}
         }
         self.was_full = is_full;
--- a/components/node/src/systems/membership.rs
+++ b/components/node/src/systems/membership.rs
@@ -155,7 +155,7 @@
     }
 
     /// The live daemons, this one included, with their addresses, as possible homes of sessions.
-    pub(crate) fn homes(&self) -> Vec<LiveDaemon> {
+    pub(crate) fn session_members(&self) -> Vec<LiveDaemon> {
         let others = self.membership.members().map(|member| &member.record);
         let present = others.filter(|record| record.state.is_present());
         let homes = present
--- a/components/node/src/systems/rollout.rs
+++ b/components/node/src/systems/rollout.rs
@@ -106,7 +106,7 @@
         let quality = quality();
         let mut tasks = Vec::new();
         for name in &models {
-            self.update_rank(name, members);
+            self.ensure_driver(name, members);
             let effects = self.run_driver(now, name, view, catalogue, &quality);
             for effect in effects {
                 tasks.extend(self.task(name, view, catalogue, effect));
@@ -115,7 +115,7 @@
         tasks
     }
 
-    fn update_rank(&mut self, model: &ModelName, members: &[DaemonId]) {
+    fn ensure_driver(&mut self, model: &ModelName, members: &[DaemonId]) {
         let rank = standby_rank(model, &self.daemon, members);
         let key = format!("{}{model}", self.prefix);
         let driven = self
--- a/components/node/src/traffic/chat/answer.rs
+++ b/components/node/src/traffic/chat/answer.rs
@@ -18,22 +18,22 @@
 use super::body::engine_body;
 use super::run::outcome_of;
 use super::transcript::Transcript;
-use super::version::Chosen;
+use super::version::ChosenVersion;
 use super::{Job, STALL_TIMEOUT};
 use crate::measured::{self, TokenTimes};
 use crate::rating::{self, AnswerInfo};
 use crate::traffic::claim::header_list;
 use crate::traffic::refusal::{Refusal, set};
-use crate::traffic::upstream::{attempt_end, cancelled_by_caller};
+use crate::traffic::upstream::{attempt_end, cancellation};
 
 /// A caller's answer in progress, over all attempts.
 pub(crate) struct Relay<'a> {
     pub(super) job: &'a Job,
     pub(super) responder: &'a Responder,
     /// The version that attempts go to.
-    trying: &'a Chosen,
+    trying: &'a ChosenVersion,
     /// The version whose answer is held.
-    chosen: &'a Chosen,
+    chosen: &'a ChosenVersion,
     confidence: Option<Confidence>,
     client: Client,
     attempts: u32,
@@ -55,7 +55,7 @@
 }
 
 impl<'a> Relay<'a> {
-    pub(crate) fn new(job: &'a Job, chosen: &'a Chosen, responder: &'a Responder) -> Self {
+    pub(crate) fn new(job: &'a Job, chosen: &'a ChosenVersion, responder: &'a Responder) -> Self {
         let metrics = &job.cx.shared.metrics;
         let times = TokenTimes::new(metrics, &job.resolved.name, job.arrived);
         Self {
@@ -83,12 +83,12 @@
     }
 
     /// The version that attempts go to.
-    pub(crate) fn trying(&self) -> &'a Chosen {
+    pub(crate) fn trying(&self) -> &'a ChosenVersion {
         self.trying
     }
 
     /// The version whose answer is held.
-    pub(crate) fn chosen(&self) -> &'a Chosen {
+    pub(crate) fn chosen(&self) -> &'a ChosenVersion {
         self.chosen
     }
 
@@ -187,7 +187,7 @@
         let answered = tokio::select! {
             biased;
             answered = client.chat(address, &call) => answered,
-            () = cancelled_by_caller(self.responder, request.facts()) => return AttemptEnd::CallerGone,
+            () = cancellation(self.responder, request.facts()) => return AttemptEnd::CallerGone,
         };
         match answered {
             Ok(ChatAnswer::Whole(answer)) => self.take_whole(answer, &name),
--- a/components/node/src/traffic/chat/body.rs
+++ b/components/node/src/traffic/chat/body.rs
@@ -1,6 +1,6 @@
 //! The request body for an engine, and the prefix hashes of its prompt.
 
-use super::version::Chosen;
+use super::version::ChosenVersion;
 use crate::traffic::params::ChatParams;
 use bytes::Bytes;
 use routing::PrefixHash;
@@ -18,7 +18,7 @@
 /// replaced. `resume_from` is the part of a broken answer that the caller already has.
 pub(crate) fn engine_body(
     params: &ChatParams,
-    target: &Chosen,
+    target: &ChosenVersion,
     max_output: Tokens,
     priority: Priority,
     resume_from: &str,
--- a/components/node/src/traffic/chat/stream.rs
+++ b/components/node/src/traffic/chat/stream.rs
@@ -10,7 +10,7 @@
 
 use super::answer::Relay;
 use crate::admission::Preemptible;
-use crate::traffic::upstream::cancelled_by_caller;
+use crate::traffic::upstream::cancellation;
 
 const DATA: &[u8] = b"data: ";
 const END: &[u8] = b"\n\n";
@@ -31,7 +31,7 @@
             let next = tokio::select! {
                 biased;
                 next = stream.next_event() => next,
-                () = cancelled_by_caller(self.responder, request.facts()) => return AttemptEnd::CallerGone,
+                () = cancellation(self.responder, request.facts()) => return AttemptEnd::CallerGone,
             };
             let forwarded = match next {
                 Ok(Event::Delta { data, text }) => {
--- a/components/node/src/traffic/chat/version.rs
+++ b/components/node/src/traffic/chat/version.rs
@@ -18,7 +18,7 @@
 const ASSUMED_OUTPUT: Tokens = Tokens(256);
 
 /// The version chosen, and the session that the request belongs to.
-pub(crate) struct Chosen {
+pub(crate) struct ChosenVersion {
     /// The version that serves the request.
     pub(crate) version: VersionId,
     /// Session token for the caller's next request.
@@ -38,10 +38,10 @@
     /// Escalate when the stated confidence is lower, or none was stated.
     min_confidence: Confidence,
     /// The stronger version.
-    pub(crate) chosen: Box<Chosen>,
+    pub(crate) chosen: Box<ChosenVersion>,
 }
 
-impl Chosen {
+impl ChosenVersion {
     /// Whether an answer of this confidence is final, that is, needs no escalation.
     pub(crate) fn accepts(&self, confidence: Option<Confidence>) -> bool {
         let Some(step) = &self.next else { return true };
@@ -59,7 +59,7 @@
 }
 
 /// Chooses a version by what is known of the versions' answers, within the session's pin.
-pub(crate) async fn choose_version(job: &Job) -> Result<Chosen, NoVersion> {
+pub(crate) async fn choose_version(job: &Job) -> Result<ChosenVersion, NoVersion> {
     let shared = &job.cx.shared;
     let header = job.head.session.as_deref();
     let sent = read_header(&shared.session_keys, &job.cx.customer, header);
@@ -93,7 +93,7 @@
     let version = store_pin(job, &sent, plan.first, found).await;
     let next = plan.escalation.map(|step| EscalationStep {
         min_confidence: step.below,
-        chosen: Box::new(Chosen {
+        chosen: Box::new(ChosenVersion {
             token: token_for(job, &sent, &step.to),
             version: step.to,
             moved_from: None,
@@ -102,7 +102,7 @@
             next: None,
         }),
     });
-    Ok(Chosen {
+    Ok(ChosenVersion {
         token: token_for(job, &sent, &version),
         version,
         moved_from,
--- a/components/node/src/traffic/params.rs
+++ b/components/node/src/traffic/params.rs
@@ -24,7 +24,7 @@
 }
 
 impl RequestParams {
-    /// Reads the headers.
+    /// Parses the headers.
     ///
     /// # Errors
     /// A 400 that names the malformed header.
@@ -80,7 +80,7 @@
     scheme.eq_ignore_ascii_case("bearer").then_some(key.trim())
 }
 
-/// The body of `POST /v1/chat/completions`.
+/// Parameters in the body of `POST /v1/chat/completions`.
 #[derive(Debug, Clone)]
 pub struct ChatParams {
     /// The `model` field as sent.
@@ -100,7 +100,7 @@
 const MAX_MESSAGES: usize = 4096;
 
 impl ChatParams {
-    /// Reads the body.
+    /// Parses the body.
     ///
     /// # Errors
     /// A 400 that names the field that is missing or of the wrong type.
--- a/components/node/src/traffic/plain.rs
+++ b/components/node/src/traffic/plain.rs
@@ -18,7 +18,7 @@
 use super::limited;
 use super::params::RequestParams;
 use super::refusal::{Refusal, set};
-use super::upstream::{PickedUpstream, attempt_end, cancelled_by_caller};
+use super::upstream::{PickedUpstream, attempt_end, cancellation};
 use crate::admission;
 use crate::measured;
 use crate::quarantine::CustomerContent;
@@ -180,7 +180,7 @@
         let (end, answer) = tokio::select! {
             biased;
             attempted = attempt(job, &picked, time_left) => attempted,
-            () = cancelled_by_caller(responder, request.facts()) => {
+            () = cancellation(responder, request.facts()) => {
                 record_outcome(&job.cx.shared, &picked, &AttemptEnd::CallerGone, Time::ZERO);
                 (AttemptEnd::CallerGone, None)
             }
--- a/components/node/src/traffic/upstream.rs
+++ b/components/node/src/traffic/upstream.rs
@@ -40,7 +40,7 @@
 ///
 /// Before anything of the answer is written, only the connection shows that the caller left.
 /// Without this check the upstream would go on working for nobody.
-pub(crate) async fn cancelled_by_caller(responder: &Responder, facts: &Facts) {
+pub(crate) async fn cancellation(responder: &Responder, facts: &Facts) {
     match on_caller_gone(facts) {
         OnCallerGone::Cancel => responder.gone().await,
         OnCallerGone::Finish => std::future::pending().await,
--- a/components/node/tests/it.rs
+++ b/components/node/tests/it.rs
@@ -1,4 +1,4 @@
-//! The daemon over real sockets, with stand-ins for everything around it.
+//! Runs daemons over real sockets, with stand-ins for the store, the engines and the platform.
 
 mod it {
     mod bills;
--- a/components/node/tests/it/bills.rs
+++ b/components/node/tests/it/bills.rs
@@ -1,4 +1,4 @@
-//! Bills from answers to totals.
+//! Billing, from an answer to the exported totals.
 
 use keyvalue::Request;
 use ledger::{Config, Effect, Export, Ledger, Peer, Statement, Step};
@@ -7,7 +7,7 @@
 use store::{EtcdClient, Store};
 use types::prelude::*;
 
-use super::harness::{Harness, ask, events};
+use super::harness::{Harness, chat_body, events};
 
 const PREFIX: &str = "/buckthorncross/test";
 
@@ -16,7 +16,7 @@
     EtcdClient::new(store::Config::new(endpoints)).unwrap()
 }
 
-/// Rolls up what the store holds, as any daemon would in a minute, and exports it.
+/// Rolls up the bills in the store, as any daemon would within a minute, and exports them.
 fn statement(client: &EtcdClient) -> Statement {
     let me = Peer {
         id: "roller".parse().unwrap(),
@@ -47,15 +47,19 @@
     }
 }
 
-// A host is replaced right after its last answers, while their bills still wait for a
-// batch. The daemon seals them before it goes; a repeat of one of them is not billed again.
+// A daemon is shut down while the bills of its last answers still wait for a batch. It must seal
+// them before it stops, and a replayed answer must not be billed again.
 #[test]
 fn can_bill_each_request_once_though_the_daemon_leaves() {
     let mut harness = Harness::with_daemons(&PlatformConfig::default(), 2);
     for (daemon, key) in [(0, "a"), (0, "b"), (1, "b"), (0, "c"), (0, "c")] {
         let req = harness.post(daemon, "/v1/chat/completions");
         let req = req.header("idempotency-key", key);
-        let sent = req.json(&ask("answers", true, 5)).unwrap().send().unwrap();
+        let sent = req
+            .json(&chat_body("answers", true, 5))
+            .unwrap()
+            .send()
+            .unwrap();
         let (_, _, reader) = sent.split();
         assert_eq!(events(reader).last().unwrap(), "[DONE]");
     }
@@ -75,8 +79,8 @@
     assert!(rows.iter().all(|row| row.customer.as_str() == "ward"));
 }
 
-// The store is down and a host is lost. Answers still end, and their bills are with the
-// other daemon as well, so that the host's loss does not lose them.
+// While the store is down, answers must still end, and another daemon must hold a copy of their
+// bills, so that the loss of a host does not lose them.
 #[test]
 fn can_hold_bills_at_another_daemon_while_the_store_is_down() {
     let harness = Harness::with_daemons(&PlatformConfig::default(), 2);
@@ -86,7 +90,7 @@
         .store
         .set_faults(|faults| faults.down = true);
     for _ in 0..5 {
-        let (_, _, reader) = harness.chat(&ask("answers", true, 5)).split();
+        let (_, _, reader) = harness.chat(&chat_body("answers", true, 5)).split();
         assert_eq!(events(reader).last().unwrap(), "[DONE]");
     }
     let ledgers = [0, 1].map(|index| harness.status(index, "/dump")["ledger"].clone());
@@ -98,15 +102,14 @@
     assert_eq!(ledgers[1]["custody"], 5);
 }
 
-// A daemon has just met another one, and its first answers end before its next tick. Each
-// end waits until the other daemon has the bill too; the ledger hears of the other one at
-// once, so that no answer is released as by a daemon that is alone.
+// A daemon discovers another one, and its first answers end before its next tick. The ledger must
+// know of the other daemon at once, or these bills are released with no second copy.
 #[test]
 fn can_hold_bills_at_a_daemon_that_was_met_since_the_last_tick() {
     let tick = Span::from_millis(1_000);
     let harness = Harness::with_tick(&PlatformConfig::default(), 2, tick);
     harness.wait_joined();
-    let (_, _, reader) = harness.chat(&ask("answers", true, 5)).split();
+    let (_, _, reader) = harness.chat(&chat_body("answers", true, 5)).split();
     assert_eq!(events(reader).last().unwrap(), "[DONE]");
     let ledger = harness.status(0, "/dump")["ledger"].clone();
     assert_eq!(ledger["own"], 1);
--- a/components/node/tests/it/claims.rs
+++ b/components/node/tests/it/claims.rs
@@ -1,4 +1,4 @@
-//! Work that runs only once, over real sockets.
+//! Work that runs at most once, over real sockets.
 
 use std::time::Duration;
 
@@ -9,24 +9,24 @@
 use standins::platform::PlatformConfig;
 use types::prelude::*;
 
-use super::harness::{Harness, ask, events, json_of, wait_until};
+use super::harness::{Harness, chat_body, events, json_of, wait_until};
 
-/// What a caller saw of one booking.
+/// A caller's view of one booking's response.
 #[derive(Debug)]
-struct Seen {
+struct Reply {
     status: u16,
     run: Option<String>,
     replayed: bool,
     body: Value,
 }
 
-fn book(harness: &Harness, daemon: usize, id: &str) -> Seen {
+fn book(harness: &Harness, daemon: usize, id: &str) -> Reply {
     let builder = harness.post(daemon, "/services/desk/bookings");
     let builder = builder.header("Idempotency-Key", id);
     let answer = builder.text(format!("{id} at nine")).send().unwrap();
     let (status, headers, reader) = answer.split();
     let text = |name: &str| Some(headers.get(name)?.to_str().unwrap().to_owned());
-    Seen {
+    Reply {
         status: status.as_u16(),
         run: text("x-run"),
         replayed: text("x-replayed").is_some(),
@@ -34,7 +34,7 @@
     }
 }
 
-/// Daemons that hold a lease for claims.
+/// Starts daemons and waits until each holds a lease for claims.
 fn start(daemons: usize) -> Harness {
     start_with(daemons, EngineConfig::default())
 }
@@ -58,21 +58,24 @@
         .sum()
 }
 
-/// Recording is done behind the answer: waits until a repeat is answered from the record.
-fn wait_recorded(harness: &Harness, daemon: usize, id: &str) -> Seen {
+/// Books until the answer is replayed: it is recorded only after it was sent.
+fn wait_recorded(harness: &Harness, daemon: usize, id: &str) -> Reply {
     let mut seen = None;
     wait_until(|| {
         let one = book(harness, daemon, id);
-        let is_told = one.status == 200;
-        assert!(is_told || one.run.as_deref() == Some("unknown"), "{one:?}");
-        seen = is_told.then_some(one);
-        is_told
+        let is_answered = one.status == 200;
+        assert!(
+            is_answered || one.run.as_deref() == Some("unknown"),
+            "{one:?}"
+        );
+        seen = is_answered.then_some(one);
+        is_answered
     });
     seen.unwrap()
 }
 
-// Two teachers stand before one class. The caller got its answer late and repeated the booking
-// through another daemon, which ran it again. Cause: no claim, or one of a daemon only.
+// A caller that got its answer late repeats the booking through another daemon, which runs it
+// again if there is no claim, or one known to the first daemon only.
 #[test]
 fn can_book_once_through_two_daemons() {
     let harness = start(2);
@@ -84,9 +87,9 @@
     assert_eq!(effects(&harness, "b1"), 1);
 }
 
-// A booking is made and its answer lost: the desk resets the connection. The caller is told
-// "not run" or the daemon tries the other desk, and the booking is made twice. Cause: a reset
-// after the request was written taken for one before.
+// An upstream resets the connection after the request was written and the work was done. If the
+// reset counted as one from before the request, the caller would be told "not run", or the daemon
+// would retry, and the booking would be made twice.
 #[test]
 fn errors_after_a_written_request_are_unknown_and_final() {
     let harness = start(2);
@@ -100,7 +103,7 @@
     assert_eq!(effects(&harness, "b1"), 1);
 }
 
-// A desk that refuses before it begins is no reason to give up: the other one books, once.
+// A refusal from before the work started is safe to retry at another upstream, which books once.
 #[test]
 fn can_book_elsewhere_after_a_refusal_before_the_work() {
     let harness = start(1);
@@ -111,9 +114,8 @@
     assert_eq!(effects(&harness, "b1"), 1);
 }
 
-// A booking is doubled after a daemon crashed between its claim and its attempt's answer, or
-// is made although the caller was told that it was not. Cause: a claim without an outcome
-// taken for a free one.
+// A daemon crashed between its claim and the answer of its attempt. If a claim without an outcome
+// counted as free, the booking would be made again, or made after the caller was told "not run".
 #[test]
 fn errors_of_a_crashed_daemon_leave_its_claim_in_force() {
     let harness = start(1);
@@ -133,8 +135,8 @@
     assert_eq!(effects(&harness, "b1"), 0);
 }
 
-// With the store down nothing is booked, and the caller is told so truthfully; when it is back
-// the same booking goes through. A lost reply of the store is no reason to refuse.
+// With the store down no claim can be made: the caller must be told "not run", and the same booking
+// must go through once the store is back. A lost reply of the store is no reason to refuse.
 #[test]
 fn can_book_after_a_store_outage_and_through_lost_replies() {
     let harness = start(1);
@@ -158,8 +160,8 @@
     assert_eq!(effects(&harness, "b1") + effects(&harness, "b2"), 2);
 }
 
-// A placement brief that may be written once is written twice: its stream broke and was
-// resumed on another engine. Cause: resumption without a look at idempotence.
+// A stream of work that may run only once breaks. Resumed on another engine, as idempotent work
+// is, it would run twice.
 #[test]
 fn errors_of_streams_that_run_once_are_not_resumed() {
     let harness = start(1);
@@ -169,7 +171,7 @@
             .header("X-Non-Idempotent", "true")
             .header("Idempotency-Key", "c1");
         builder
-            .json(&ask("answers", true, 8))
+            .json(&chat_body("answers", true, 8))
             .unwrap()
             .send()
             .unwrap()
@@ -189,9 +191,9 @@
     assert_eq!(runs, 1);
 }
 
-// A principal's connection breaks while a brief that may be written once is under way, and the
-// daemon that writes it is replaced at that moment. The repeat is told "outcome unknown" and
-// nobody has the brief. Cause: the work was cancelled with its caller, or cut at the shutdown.
+// A caller's connection breaks while work that may run only once is in flight, and the daemon is
+// shut down. If the work were cancelled with its caller or cut by the shutdown, the caller's retry
+// would be told "outcome unknown" and nobody would have the result.
 #[test]
 fn can_finish_work_that_runs_once_after_its_caller_left() {
     let engine = EngineConfig {
@@ -205,7 +207,7 @@
             .header("X-Non-Idempotent", "true")
             .header("Idempotency-Key", "c1");
         builder
-            .json(&ask("answers", true, 40))
+            .json(&chat_body("answers", true, 40))
             .unwrap()
             .send()
             .unwrap()
@@ -222,9 +224,8 @@
     assert_eq!(runs, 1);
 }
 
-// A booking was made and answered, and its daemon replaced in a store outage. The principal's
-// app repeats it, is told "outcome unknown", and somebody books a second teacher by hand.
-// Cause: the leaving daemon took the outcome with it.
+// A booking was answered, and its daemon is shut down during a store outage. If the daemon stopped
+// without recording the outcome, the caller's retry would be told "outcome unknown".
 #[test]
 fn can_record_outcomes_that_wait_at_a_shutdown() {
     let mut harness = start(2);
--- a/components/node/tests/it/fleet.rs
+++ b/components/node/tests/it/fleet.rs
@@ -1,14 +1,16 @@
-//! Several daemons together.
+//! A fleet of several daemons.
 
 use attohttpc::Method;
 use serde_json::{Value, json};
 use standins::platform::PlatformConfig;
 
-use super::harness::{Harness, ask, ask_about, json_of, rated, wait_until};
+use super::harness::{
+    Harness, chat_body, chat_body_about, json_of, platform_with_quality, wait_until,
+};
 
 const MODEL: &str = "/catalogue/models/small";
 
-/// The entry of the model with its first version withdrawn.
+/// The model's entry with both versions withdrawn.
 fn withdrawn() -> Value {
     json!({
         "owner": "licensing", "kind": "model", "service": "services/engines",
@@ -39,7 +41,7 @@
 
 fn chat_status(harness: &Harness, index: usize) -> u16 {
     let builder = harness.post(index, "/v1/chat/completions");
-    let builder = builder.json(&ask("answers", false, 4)).unwrap();
+    let builder = builder.json(&chat_body("answers", false, 4)).unwrap();
     builder.send().unwrap().status().as_u16()
 }
 
@@ -67,8 +69,8 @@
 
 #[test]
 fn errors_for_the_second_of_two_operators() {
-    // Two operators read the same entry at two daemons and both write. The second must
-    // not be told that it won.
+    // Two operators read the same entry at two daemons and both write it. The second must not be
+    // told that its edit was applied.
     let harness = Harness::with_daemons(&PlatformConfig::default(), 2);
     harness.wait_joined();
     let tags = [etag(&harness, 0), etag(&harness, 1)];
@@ -81,8 +83,8 @@
 
 #[test]
 fn can_start_from_peers_with_the_store_down() {
-    // A host is replaced during an outage of the store. The new daemon has nothing on
-    // disk and must take the catalogue from its peers.
+    // A daemon starts during a store outage with nothing on disk. It must get the catalogue from
+    // its peers.
     let mut harness = Harness::with_daemons(&PlatformConfig::default(), 2);
     harness.wait_joined();
     harness
@@ -95,9 +97,9 @@
 
 #[test]
 fn can_suspend_at_a_daemon_that_rated_nothing() {
-    // A version is bad. Only the first daemon has traffic; the second must not serve the
-    // version afterwards, although the store is down and it has no rating of its own.
-    let harness = Harness::with_daemons(&rated(0.4), 2);
+    // A bad version has traffic at the first daemon only. The second must not serve it once it is
+    // suspended, although the store is down and it has no rating of its own.
+    let harness = Harness::with_daemons(&platform_with_quality(0.4), 2);
     harness.wait_joined();
     harness
         .platform
@@ -106,7 +108,7 @@
     let mut asked = 0;
     wait_until(|| {
         asked += 1;
-        let body = ask_about(asked, "answers", false, 8);
+        let body = chat_body_about(asked, "answers", false, 8);
         harness.chat(&body).status().as_u16() == 503
     });
     wait_until(|| chat_status(&harness, 1) == 503);
@@ -114,15 +116,15 @@
 
 #[test]
 fn can_keep_a_bill_whose_host_died() {
-    // A caller has its whole answer; the store is down, and the host dies before any
-    // batch is sealed. Its peer holds the bill and seals it once the store is back.
+    // A caller has its whole answer; the store is down, and the host dies before any batch is
+    // sealed. Another daemon must hold the bill and seal it once the store is back.
     let mut harness = Harness::with_daemons(&PlatformConfig::default(), 3);
     harness.wait_joined();
     harness
         .platform
         .store
         .set_faults(|faults| faults.down = true);
-    let answer = harness.chat(&ask("answers", false, 4));
+    let answer = harness.chat(&chat_body("answers", false, 4));
     assert!(json_of(answer.split().2)["usage"].is_object());
     harness.nodes.remove(0).abandon();
     harness
--- a/components/node/tests/it/harness.rs
+++ b/components/node/tests/it/harness.rs
@@ -1,4 +1,4 @@
-//! Daemons and a platform for one test.
+//! Starts daemons and a stand-in platform for one test, and sends requests to them.
 
 use std::io::{BufRead, BufReader, Read};
 use std::sync::Arc;
@@ -15,10 +15,10 @@
 use standins::rater::RaterConfig;
 use types::prelude::*;
 
-/// Long enough that only a failure waits for it.
-pub const PATIENCE: Duration = Duration::from_secs(120);
+/// Timeout of waits and reads; long enough that only a failing test reaches it.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// One offer on one engine service, and a plain service.
+/// A catalogue with one offer on one engine service, and a plain service.
 pub const CATALOGUE: &str = "
 entries:
   customers/ward:
@@ -60,10 +60,10 @@
     quality_target: '0.9'
 ";
 
-/// Periodic work of the tests' daemons.
+/// Interval of the daemons' periodic work.
 const TICK: Span = Span::from_millis(20);
 
-/// A platform and daemons in front of it.
+/// A stand-in platform and the daemons in front of it.
 pub struct Harness {
     pub platform: Platform,
     pub nodes: Vec<Node>,
@@ -71,28 +71,28 @@
 }
 
 impl Harness {
-    /// One daemon.
+    /// Starts one daemon.
     pub fn start(cfg: &PlatformConfig) -> Self {
         Self::with_daemons(cfg, 1)
     }
 
-    /// One daemon before engines of so many slots.
+    /// Starts one daemon; each engine has `slots` slots.
     pub fn with_slots(cfg: &PlatformConfig, slots: u32) -> Self {
         let slots = format!("slots: {slots}}}");
         Self::with_catalogue(cfg, &CATALOGUE.replace("slots: 256}", &slots), 1)
     }
 
-    /// Several daemons that know each other.
+    /// Starts several daemons that know each other.
     pub fn with_daemons(cfg: &PlatformConfig, count: usize) -> Self {
         Self::with_catalogue(cfg, CATALOGUE, count)
     }
 
-    /// Several daemons that do periodic work this seldom.
+    /// Starts several daemons with `tick` as the interval of their periodic work.
     pub fn with_tick(cfg: &PlatformConfig, count: usize, tick: Span) -> Self {
         Self::with_all(cfg, CATALOGUE, count, tick)
     }
 
-    /// Several daemons and a catalogue of the test's own.
+    /// Starts several daemons with the catalogue in `text`.
     pub fn with_catalogue(cfg: &PlatformConfig, text: &str, count: usize) -> Self {
         Self::with_all(cfg, text, count, TICK)
     }
@@ -127,7 +127,7 @@
         self.wait_ready(index);
     }
 
-    /// The first two daemons are the others' seeds.
+    /// The settings of a daemon; the first two daemons are the others' seeds.
     fn settings(&self, index: usize) -> settings::Settings {
         let platform = &self.platform;
         let seeds = self
@@ -169,12 +169,12 @@
         }
     }
 
-    /// A request to the callers' API of a daemon with the usual key.
+    /// A POST request to a daemon's API for callers, with the key of customer `ward`.
     pub fn post(&self, index: usize, path: &str) -> RequestBuilder {
         let url = format!("http://{}{path}", self.nodes[index].callers_address());
         attohttpc::post(url)
             .bearer_auth("ward-key")
-            .read_timeout(PATIENCE)
+            .read_timeout(TEST_TIMEOUT)
     }
 
     /// Writes a key of the fleet into the store.
@@ -202,14 +202,14 @@
         json_of(answer.unwrap().split().2)
     }
 
-    /// Withdraws the only version offered and waits until that is in force.
+    /// Withdraws the only version offered, and waits until the edit is in force.
     pub fn withdraw_v1(&self) {
         self.set_states(1_000, [VersionState::Withdrawn, VersionState::Withdrawn]);
         wait_until(|| !self.models(0).contains("small@v1"));
     }
 
-    /// Takes the offer from the customer and waits until that is in force.
-    pub fn forbid(&self) {
+    /// Takes the offer from its customers, and waits until the edit is in force.
+    pub fn revoke_offer(&self) {
         self.edit("offers/answers", 1_000, |body| {
             if let Body::Offer(offer) = body {
                 offer.customers.clear();
@@ -228,7 +228,7 @@
         });
     }
 
-    /// Writes an edit of an entry as the test began with it.
+    /// Writes an edit of an entry, made to its state at the start of the test.
     pub fn edit(&self, name: &str, revision: u64, change: impl FnOnce(&mut Body)) {
         let mut entry = (*self.platform.entries[&name.parse().unwrap()]).clone();
         change(&mut entry.body);
@@ -244,22 +244,22 @@
         self.put(&format!("catalogue/entries/{name}"), &value);
     }
 
-    /// What a daemon lists as models.
+    /// The body of a daemon's list of models.
     pub fn models(&self, index: usize) -> String {
         let url = format!("http://{}/v1/models", self.nodes[index].callers_address());
         let answer = attohttpc::get(&url).bearer_auth("ward-key").send().unwrap();
         answer.text().unwrap()
     }
 
-    /// A request to the operators' API of a daemon.
+    /// A request to a daemon's API for operators.
     pub fn operator(&self, index: usize, method: Method, path: &str) -> RequestBuilder {
         let url = format!("http://{}{path}", self.nodes[index].operators_address());
         RequestBuilder::new(method, url)
             .bearer_auth("test-token")
-            .read_timeout(PATIENCE)
+            .read_timeout(TEST_TIMEOUT)
     }
 
-    /// What the operators' API of a daemon gives.
+    /// The JSON that a daemon's API for operators returns for a path.
     pub fn status(&self, index: usize, path: &str) -> Value {
         json_of(
             self.operator(index, Method::GET, path)
@@ -282,7 +282,7 @@
         wait_until(|| (0..count).all(knows_all));
     }
 
-    /// Asks daemon 0 for a chat.
+    /// Sends a chat to daemon 0.
     pub fn chat(&self, body: &Value) -> Response {
         self.post(0, "/v1/chat/completions")
             .json(body)
@@ -292,17 +292,17 @@
     }
 }
 
-/// Waits for something that only a failure holds up for long.
+/// Waits for a condition, and fails if it takes longer than the timeout.
 pub fn wait_until(mut is_done: impl FnMut() -> bool) {
-    let until = std::time::Instant::now() + PATIENCE;
+    let until = std::time::Instant::now() + TEST_TIMEOUT;
     while !is_done() {
         assert!(std::time::Instant::now() < until, "waited in vain");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A chat's body.
-pub fn ask(model: &str, stream: bool, tokens: u32) -> Value {
+/// The body of a chat request.
+pub fn chat_body(model: &str, stream: bool, tokens: u32) -> Value {
     json!({
         "model": model,
         "stream": stream,
@@ -311,15 +311,15 @@
     })
 }
 
-/// The same about a salon of its own, so that prompts differ.
-pub fn ask_about(salon: usize, model: &str, stream: bool, tokens: u32) -> Value {
-    let mut body = ask(model, stream, tokens);
+/// The same with a prompt that depends on `salon`, so that prompts differ.
+pub fn chat_body_about(salon: usize, model: &str, stream: bool, tokens: u32) -> Value {
+    let mut body = chat_body(model, stream, tokens);
     body["messages"][0]["content"] = format!("What may salon {salon} charge?").into();
     body
 }
 
-/// A platform whose rater finds so many of the answers adequate, at once.
-pub fn rated(quality: f64) -> PlatformConfig {
+/// A platform whose rater finds the fraction `quality` of answers adequate, without a lag.
+pub fn platform_with_quality(quality: f64) -> PlatformConfig {
     let rater = RaterConfig {
         lag: Span::ZERO,
         default_quality: quality,
@@ -336,7 +336,7 @@
     }
 }
 
-/// The data of a stream's events, until it closes.
+/// The data of a stream's events, read until it closes.
 pub fn events(reader: ResponseReader) -> Vec<String> {
     let lines = BufReader::new(reader).lines().map_while(Result::ok);
     lines
--- a/components/node/tests/it/limits.rs
+++ b/components/node/tests/it/limits.rs
@@ -1,4 +1,4 @@
-//! Limits, queues and the choice of upstream, over real sockets.
+//! Rate limits, the admission queue, preemption and the choice of upstream, over real sockets.
 
 use std::sync::Mutex;
 use std::thread;
@@ -9,11 +9,11 @@
 use standins::platform::PlatformConfig;
 use types::prelude::*;
 
-use super::harness::{Harness, ask, ask_about, events, json_of, wait_until};
+use super::harness::{Harness, chat_body, chat_body_about, events, json_of, wait_until};
 
-/// Asks with a prompt of its own, so that not all prompts have one home by chance.
+/// Sends a chat with a prompt of its own, so that cache affinity doesn't send all to one upstream.
 fn chat(harness: &Harness, number: usize, tokens: u32, priority: &str) -> Response {
-    let body = ask_about(number, "answers", false, tokens);
+    let body = chat_body_about(number, "answers", false, tokens);
     let builder = harness.post(0, "/v1/chat/completions");
     let builder = builder.header("X-Priority", priority);
     builder.json(&body).unwrap().send().unwrap()
@@ -24,8 +24,8 @@
     engines.map(|engine| engine.counters().runs).sum()
 }
 
-// A partner's program in a loop. Its requests beyond the limit must be told when to come back
-// and that they were not run, or it books twice.
+// A program in a loop exceeds its customer's limit. Its refused requests must be reported as not
+// run, with a Retry-After, or it repeats work that it takes to have failed.
 #[test]
 fn errors_beyond_a_customers_limit_say_not_run_and_when_to_return() {
     let harness = Harness::start(&PlatformConfig::default());
@@ -52,8 +52,8 @@
     assert_eq!(runs(&harness), answered as u64);
 }
 
-// A partner's batch fills the engines and the queue before a person asks. First come, first
-// served would have the person wait for the whole batch.
+// Batch work fills the engines and the queue before an interactive request comes. In a plain FIFO
+// queue the interactive request would wait for the whole batch.
 #[test]
 fn can_answer_a_person_before_a_batch_that_waits() {
     let engine = EngineConfig {
@@ -89,8 +89,8 @@
     assert!(place.unwrap() <= 6, "{order:?}");
 }
 
-// A partner's streams hold every slot for half a minute when a person asks. The person's
-// request would wait for the first of them to end; a stream that is resumed loses nothing.
+// Batch streams hold every slot for long when interactive requests come. Without preemption these
+// would wait for the first stream to end; a preempted stream is resumed and loses nothing.
 #[test]
 fn can_give_a_batch_streams_slot_to_a_person() {
     let engine = EngineConfig {
@@ -106,7 +106,7 @@
         let stream = |number: u32| {
             let harness = &harness;
             scope.spawn(move || {
-                let mut body = ask("answers", true, 100);
+                let mut body = chat_body("answers", true, 100);
                 body["messages"][0]["content"] = format!("Revise notice {number}").into();
                 let builder = harness.post(0, "/v1/chat/completions");
                 let builder = builder.header("X-Priority", "batch").json(&body);
@@ -132,8 +132,8 @@
     });
 }
 
-// An engine's host breaks: it takes connections and closes them. Each request sent there costs
-// its caller a retry until the engine is ejected.
+// An engine accepts connections and closes them. Until it is ejected, each request sent there costs
+// its caller a retry.
 #[test]
 fn can_send_nothing_to_an_ejected_upstream() {
     let harness = Harness::start(&PlatformConfig::default());
--- a/components/node/tests/it/poison.rs
+++ b/components/node/tests/it/poison.rs
@@ -1,4 +1,4 @@
-//! Requests that end the engines which run them.
+//! Quarantine of requests that crash the engines which run them.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -7,13 +7,13 @@
 use standins::platform::PlatformConfig;
 use types::prelude::*;
 
-use super::harness::{CATALOGUE, Harness, ask, ask_about, wait_until};
+use super::harness::{CATALOGUE, Harness, chat_body, chat_body_about, wait_until};
 
-/// Engines that may end under one request, and repeats of it that may reach one afterwards.
-const ALLOWED: usize = 3;
+/// Engines that may crash under one request, and as many again for its retries afterwards.
+const MAX_CRASHES: usize = 3;
 const ENGINES: usize = 12;
 
-/// The usual catalogue before so many engines.
+/// The usual catalogue with [`ENGINES`] engines.
 fn catalogue() -> String {
     let line = |n: usize| {
         format!(
@@ -27,8 +27,8 @@
     format!("{}{engines}{}", &CATALOGUE[..first], &CATALOGUE[rest..])
 }
 
-/// Ends every engine that runs something, as their programs would under it.
-fn end_those_at_work(harness: &mut Harness, ended: &mut BTreeSet<UpstreamId>) {
+/// Stops every engine that runs a request, as if the request had crashed it.
+fn crash_busy_engines(harness: &mut Harness, ended: &mut BTreeSet<UpstreamId>) {
     for (id, engine) in &mut harness.platform.engines {
         if engine.running() > 0 && ended.insert(id.clone()) {
             engine.stop();
@@ -36,25 +36,28 @@
     }
 }
 
-/// Sends a request by a daemon while every engine that runs it ends.
-fn send_poison(harness: &mut Harness, daemon: usize, ended: &mut BTreeSet<UpstreamId>) {
+/// Sends a request through a daemon while every engine that runs it crashes.
+fn send_crashing_request(harness: &mut Harness, daemon: usize, ended: &mut BTreeSet<UpstreamId>) {
     let post = harness.post(daemon, "/v1/chat/completions");
     let sending = std::thread::spawn(move || {
-        let answer = post.json(&ask("answers", true, 2_000)).unwrap().send();
-        // How it ends is another matter; the stream is read to its end.
+        let answer = post
+            .json(&chat_body("answers", true, 2_000))
+            .unwrap()
+            .send();
+        // The stream is read to its end, however it ends.
         let _ = answer.map(|answer| answer.bytes());
     });
     while !sending.is_finished() {
-        end_those_at_work(harness, ended);
+        crash_busy_engines(harness, ended);
         std::thread::sleep(Duration::from_millis(1));
     }
     sending.join().unwrap();
 }
 
 #[test]
-fn can_bar_a_request_that_ends_its_engines() {
-    // A customer's request crashes each engine that begins to run it, by either of two daemons.
-    // Its attempts go to further engines, and its caller's repeats begin anew: all engines end.
+fn can_quarantine_a_request_that_crashes_its_engines() {
+    // A customer's request crashes each engine that starts to run it, through either of two
+    // daemons. Without quarantine its attempts, and then its caller's retries, crash all engines.
     let engine = EngineConfig {
         token_time: Span::from_millis(5),
         ..EngineConfig::default()
@@ -67,14 +70,14 @@
     harness.wait_joined();
     let mut ended = BTreeSet::new();
     for n in 0..6 {
-        send_poison(&mut harness, n % 2, &mut ended);
+        send_crashing_request(&mut harness, n % 2, &mut ended);
     }
     let ended = ended.len();
     assert!(
-        ended >= ALLOWED,
+        ended >= MAX_CRASHES,
         "{ended} engines ended: nothing was played"
     );
-    assert!(ended <= 2 * ALLOWED, "{ended} engines ended");
+    assert!(ended <= 2 * MAX_CRASHES, "{ended} engines ended");
     for daemon in 0..2 {
         wait_until(|| {
             harness.dump(daemon)["barred"]
@@ -83,13 +86,13 @@
         });
         let answer = harness
             .post(daemon, "/v1/chat/completions")
-            .json(&ask("answers", true, 2_000))
+            .json(&chat_body("answers", true, 2_000))
             .unwrap()
             .send()
             .unwrap();
         assert_eq!(answer.status().as_u16(), 503);
         assert!(answer.headers().contains_key("retry-after"));
     }
-    let other = harness.chat(&ask_about(1, "answers", false, 5));
+    let other = harness.chat(&chat_body_about(1, "answers", false, 5));
     assert_eq!(other.status().as_u16(), 200);
 }
--- a/components/node/tests/it/serve.rs
+++ b/components/node/tests/it/serve.rs
@@ -1,4 +1,4 @@
-//! Requests from end to end.
+//! Requests from end to end: answers, streams, retries, refusals and cancellation.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -8,12 +8,12 @@
 use standins::platform::PlatformConfig;
 use types::prelude::*;
 
-use super::harness::{Harness, ask, ask_about, events, json_of, text_of, wait_until};
+use super::harness::{Harness, chat_body, chat_body_about, events, json_of, text_of, wait_until};
 
 #[test]
 fn can_answer_whole() {
     let harness = Harness::start(&PlatformConfig::default());
-    let (status, headers, reader) = harness.chat(&ask("answers", false, 5)).split();
+    let (status, headers, reader) = harness.chat(&chat_body("answers", false, 5)).split();
     assert_eq!(status.as_u16(), 200);
     assert_eq!(headers["x-served-by"], "small@v1");
     let body = json_of(reader);
@@ -27,7 +27,7 @@
 #[test]
 fn can_stream_to_the_end_marker() {
     let harness = Harness::start(&PlatformConfig::default());
-    let (_, _, reader) = harness.chat(&ask("answers", true, 5)).split();
+    let (_, _, reader) = harness.chat(&chat_body("answers", true, 5)).split();
     let events = events(reader);
     assert_eq!(events.last().unwrap(), "[DONE]");
     let last: serde_json::Value = serde_json::from_str(&events[events.len() - 2]).unwrap();
@@ -37,15 +37,15 @@
 
 #[test]
 fn can_resume_a_broken_stream_with_the_same_text() {
-    // A caller reads a stream; the engine's host dies after three tokens. The answer
-    // goes on from another engine, and the caller sees the text that it would have had.
+    // The engine's host dies after three tokens of a stream. The answer must go on from another
+    // engine, with the text that the caller would have had otherwise.
     let harness = Harness::start(&PlatformConfig::default());
-    let (_, _, reader) = harness.chat(&ask("answers", true, 12)).split();
+    let (_, _, reader) = harness.chat(&chat_body("answers", true, 12)).split();
     let expected = text_of(&events(reader));
     for engine in harness.platform.engines.values() {
         engine.fail_next(EngineFault::Break(3));
     }
-    let (_, _, reader) = harness.chat(&ask("answers", true, 12)).split();
+    let (_, _, reader) = harness.chat(&chat_body("answers", true, 12)).split();
     let events = events(reader);
     assert_eq!(text_of(&events), expected);
     assert_eq!(events.last().unwrap(), "[DONE]");
@@ -54,7 +54,7 @@
 #[test]
 fn errors_for_a_withdrawn_version() {
     let harness = Harness::start(&PlatformConfig::default());
-    let (status, _, reader) = harness.chat(&ask("small@v2", false, 5)).split();
+    let (status, _, reader) = harness.chat(&chat_body("small@v2", false, 5)).split();
     assert_eq!(status.as_u16(), 404);
     assert_eq!(json_of(reader)["error"]["run"], "no");
     let runs: u64 = harness
@@ -73,7 +73,7 @@
         .post(0, "/v1/chat/completions")
         .bearer_auth("other-key");
     let answer = builder
-        .json(&ask("answers", false, 5))
+        .json(&chat_body("answers", false, 5))
         .unwrap()
         .send()
         .unwrap();
@@ -86,35 +86,40 @@
     for engine in harness.platform.engines.values() {
         engine.fail_next(EngineFault::RefuseNotRun);
     }
-    let mut statuses = (0..3).map(|_| harness.chat(&ask("answers", false, 5)).status().as_u16());
+    let mut statuses = (0..3).map(|_| {
+        harness
+            .chat(&chat_body("answers", false, 5))
+            .status()
+            .as_u16()
+    });
     assert!(statuses.all(|status| status == 200 || status == 503));
 }
 
 #[test]
 fn errors_truthfully_when_an_engine_reset_after_the_work_was_sent() {
-    // Both engines run the work and close without an answer. "Not run" would be false.
+    // Both engines run the work and close without an answer, so "not run" would be false.
     let harness = Harness::start(&PlatformConfig::default());
     for engine in harness.platform.engines.values() {
         for _ in 0..8 {
             engine.fail_next(EngineFault::ResetAfter);
         }
     }
-    let (status, headers, _) = harness.chat(&ask("answers", false, 5)).split();
+    let (status, headers, _) = harness.chat(&chat_body("answers", false, 5)).split();
     assert_eq!(status.as_u16(), 502);
     assert_ne!(headers["x-run"], "no");
 }
 
-// A version is withdrawn, or a customer loses it, while a request is at an engine, and the
-// engine's host dies. The request must not begin anew on that version elsewhere. Cause: the
-// retry used the catalogue as it was when the request arrived.
+// A version is withdrawn, or a customer loses it, while a request is at an engine whose host then
+// dies. A retry that uses the catalogue from the request's arrival would start the request again on
+// that version.
 #[test]
 fn errors_of_engines_do_not_bring_a_lost_version_back() {
-    for edit in [Harness::withdraw_v1, Harness::forbid] {
-        check_that_no_attempt_follows(edit);
+    for edit in [Harness::withdraw_v1, Harness::revoke_offer] {
+        check_no_attempt_after_edit(edit);
     }
 }
 
-fn check_that_no_attempt_follows(edit: fn(&Harness)) {
+fn check_no_attempt_after_edit(edit: fn(&Harness)) {
     let harness = Harness::start(&PlatformConfig::default());
     let engines = || harness.platform.engines.values();
     let requests = || engines().map(|engine| engine.counters().requests);
@@ -122,7 +127,12 @@
         engine.set_faults(|faults| faults.delay = Span::from_secs(60));
     }
     let status = std::thread::scope(|scope| {
-        let caller = scope.spawn(|| harness.chat(&ask("answers", false, 5)).status().as_u16());
+        let caller = scope.spawn(|| {
+            harness
+                .chat(&chat_body("answers", false, 5))
+                .status()
+                .as_u16()
+        });
         wait_until(|| requests().sum::<u64>() == 1);
         edit(&harness);
         for engine in engines() {
@@ -136,40 +146,40 @@
     assert_eq!(requests().sum::<u64>(), 1);
 }
 
-// A worker is about to be replaced and still gets new requests, which die with it. Cause: the
-// list of hosts is not read, or read once.
+// The platform lists an engine's host as leaving. If the list is not read, or read only once, the
+// engine still gets new requests, which are lost with it.
 #[test]
 fn can_leave_out_an_upstream_that_the_list_has_as_leaving() {
     let harness = Harness::start(&PlatformConfig::default());
     let leaving = &harness.platform.engines[&"e1".parse().unwrap()];
     let hosts = &harness.platform.hosts;
-    // Prompts differ, lest all have one home by chance.
+    // Prompts differ so that cache affinity doesn't send all to one upstream.
     let mut asked = 0;
-    let mut requests_of_twenty = || {
+    let mut send_twenty = || {
         let before = leaving.counters().requests;
         for _ in 0..20 {
             asked += 1;
-            let body = ask_about(asked, "answers", false, 5);
+            let body = chat_body_about(asked, "answers", false, 5);
             let (status, _, reader) = harness.chat(&body).split();
             assert_eq!(status.as_u16(), 200, "{}", json_of(reader));
         }
         leaving.counters().requests - before
     };
     hosts.set(leaving.address(), HostState::Leaving);
-    wait_until(|| requests_of_twenty() == 0);
-    assert_eq!(requests_of_twenty() + requests_of_twenty(), 0);
+    wait_until(|| send_twenty() == 0);
+    assert_eq!(send_twenty() + send_twenty(), 0);
 }
 
 #[test]
 fn can_cancel_work_of_a_caller_that_leaves_before_its_answer() {
-    // A caller gives up while an engine still makes its whole answer. Nothing was written to
-    // the caller yet, so only its connection shows that it left, and the engine's slot was
-    // taken until the answer was made.
+    // A caller leaves while an engine still makes its whole answer. Nothing was written to the
+    // caller yet, so only its connection shows that it left; unnoticed, the engine's slot stays
+    // taken until the answer is made.
     let harness = Harness::start(&PlatformConfig::default());
     for engine in harness.platform.engines.values() {
         engine.fail_next(EngineFault::Late(Span::from_secs(600)));
     }
-    let body = ask("answers", false, 5).to_string();
+    let body = chat_body("answers", false, 5).to_string();
     let mut caller = TcpStream::connect(harness.nodes[0].callers_address()).unwrap();
     let head = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer ward-key\r\n\
--- a/components/node/tests/it/sessions.rs
+++ b/components/node/tests/it/sessions.rs
@@ -5,34 +5,37 @@
 use standins::platform::PlatformConfig;
 use types::prelude::*;
 
-use super::harness::{Harness, ask, json_of, wait_until};
+use super::harness::{Harness, chat_body, json_of, wait_until};
 
-/// An answer: the version, the session's token and the version that the session lost.
-/// Nothing when it was refused as not run.
+/// Sends a chat; returns the version that served it, the session's token and the version that the
+/// session lost, or `None` if it was refused as not run.
 fn try_chat(harness: &Harness, daemon: usize, session: &str) -> Option<[String; 3]> {
     let builder = harness.post(daemon, "/v1/chat/completions");
     let builder = builder.header("X-Session-Id", session);
-    let answer = builder.json(&ask("answers", false, 5)).unwrap().send();
+    let answer = builder
+        .json(&chat_body("answers", false, 5))
+        .unwrap()
+        .send();
     let (status, headers, reader) = answer.unwrap().split();
     if status.as_u16() != 200 {
         assert_eq!(headers["x-run"], "no", "{}", json_of(reader));
         return None;
     }
-    let seen = ["x-served-by", "x-session-token", "x-session-moved-from"].map(|name| {
+    let found = ["x-served-by", "x-session-token", "x-session-moved-from"].map(|name| {
         let value = headers.get(name).map(|value| value.to_str().unwrap());
         value.unwrap_or_default().to_owned()
     });
-    Some(seen)
+    Some(found)
 }
 
 fn chat(harness: &Harness, daemon: usize, session: &str) -> [String; 3] {
     try_chat(harness, daemon, session).expect("an answer")
 }
 
-/// Waits until a session is served from the new version; a daemon that has not yet heard that
-/// engines loaded it refuses as not run.
+/// Waits until a session is served from the new version; until a daemon has heard that engines
+/// loaded it, the daemon refuses as not run.
 fn wait_for_v2(harness: &Harness, daemon: usize, session: &str) {
-    let is_v2 = |seen: [String; 3]| seen[0] == "small@v2";
+    let is_v2 = |found: [String; 3]| found[0] == "small@v2";
     wait_until(|| try_chat(harness, daemon, session).is_some_and(is_v2));
 }
 
@@ -44,20 +47,20 @@
         .unwrap();
     for engine in harness.platform.engines.values() {
         let client = Client::default();
-        let patience = Span::from_secs(5);
-        let order = client.order_load(engine.address(), &version, 1, patience);
+        let timeout = Span::from_secs(5);
+        let order = client.order_load(engine.address(), &version, 1, timeout);
         runtime.block_on(order).unwrap();
         wait_until(|| {
-            let report = client.load_report(engine.address(), patience);
+            let report = client.load_report(engine.address(), timeout);
             let report = runtime.block_on(report).unwrap();
             report.versions.contains(&version)
         });
     }
 }
 
-// Half a revision notice is written by one version and half by another. A version takes over
-// while sessions are open, callers come back through another daemon, and then the old version
-// is withdrawn. Cause: a version chosen for each request, or a pin of one daemon only.
+// A new version is offered while sessions are open, callers come back through another daemon, and
+// then the old version is withdrawn. If the version were chosen for each request, or the pin known
+// to one daemon only, a session's text would come from two versions.
 #[test]
 fn can_keep_a_session_until_its_version_is_withdrawn() {
     let harness = Harness::with_daemons(&PlatformConfig::default(), 2);
--- a/components/node/tests/it/shutdown.rs
+++ b/components/node/tests/it/shutdown.rs
@@ -1,17 +1,17 @@
-//! Leaving.
+//! Shutdown with streams open.
 
 use standins::engine::EngineConfig;
 use standins::platform::PlatformConfig;
 use types::prelude::*;
 
-use super::harness::{Harness, ask, events};
+use super::harness::{Harness, chat_body, events};
 
 const STREAMS: usize = 200;
 
 #[test]
 fn can_leave_without_cutting_a_stream() {
-    // A host is replaced while 200 callers read streams. Each stream that had begun
-    // must end with its end marker before the daemon goes.
+    // A daemon is shut down while 200 callers read streams. Each stream that had begun must reach
+    // its end marker before the daemon stops.
     let engine = EngineConfig {
         token_time: Span::from_millis(10),
         ..EngineConfig::default()
@@ -27,7 +27,7 @@
             let builder = harness.post(0, "/v1/chat/completions");
             std::thread::spawn(move || {
                 let sent = builder
-                    .json(&ask("answers", true, 40))
+                    .json(&chat_body("answers", true, 40))
                     .unwrap()
                     .send()
                     .unwrap();
