--- a/components/node/src/lib.rs
+++ b/components/node/src/lib.rs
@@ -1,27 +1,27 @@
-//! The daemon assembled: tables, systems and threads.
+//! Assembles the daemon from its state tables, the systems that update them, and threads.
 //!
-//! Data flows one way: settings are loaded and checked, a [`Node`] is built from them
-//! and serves. The control thread owns the tables and publishes a [`snapshot::Snapshot`];
-//! traffic reads it and tells the control thread what happened as [`event::Event`]s.
+//! Data flows one way: settings are loaded and checked, and a [`Node`] is built from them and
+//! serves. The control thread owns the tables and publishes a [`snapshot::Snapshot`]. The threads
+//! that serve callers read it and report back to the control thread with [`event::Event`]s.
 
 mod admission;
-mod barring;
-mod calling;
 mod claims;
 mod control;
 mod error;
 pub mod event;
 mod hosts;
+mod latency;
 mod measured;
-mod pace;
+mod outbound;
 mod polls;
 mod pool;
+mod quarantine;
 mod rating;
 mod sessions;
 mod shared;
 pub mod snapshot;
 mod start;
-mod storage;
+mod store_pool;
 pub mod systems;
 pub mod traffic;
 mod watching;
