--- a/bench/src/cmd/rollout/fleet.rs
+++ b/bench/src/cmd/rollout/fleet.rs
@@ -38,7 +38,7 @@
         let key = "rollouts/model".to_owned();
         let name = DaemonId::new(&format!("daemon-{rank}")).expect("a plain name");
         let cfg = Config {
-            claim_first: way == Way::ClaimFirst,
+            announces_fencing: way == Way::ClaimFirst,
             ..Config::default()
         };
         let mind = match way {
@@ -63,7 +63,7 @@
     /// The fencing number that it believes to be good.
     pub(super) fn fencing(&self, now: Time) -> Option<u64> {
         match &self.mind {
-            Mind::Driver(driver) => driver.held(now).map(|hold| hold.fencing),
+            Mind::Driver(driver) => driver.held(now).map(|held| held.fencing),
             Mind::Naive(naive) => naive.fencing(),
         }
     }
@@ -88,12 +88,12 @@
         evidence: Evidence,
         demand: Demand,
     ) -> Vec<Effect> {
-        let rank = Some(self.rank);
+        let standby_rank = Some(self.rank);
         let mut effects = Vec::new();
         for (number, outcome) in std::mem::take(&mut self.outcomes) {
             effects.extend(match &mut self.mind {
-                Mind::Driver(driver) => driver.on_store(now, number, outcome, rank),
-                Mind::Naive(naive) => naive.on_store(now, number, outcome, rank),
+                Mind::Driver(driver) => driver.on_store_outcome(now, number, outcome, standby_rank),
+                Mind::Naive(naive) => naive.on_store_outcome(now, number, outcome, standby_rank),
             });
         }
         let engines: Vec<Report> = self.reports.values().cloned().collect();
@@ -103,7 +103,7 @@
             engines: &engines,
             evidence,
             demand,
-            rank,
+            standby_rank,
         };
         effects.extend(match &mut self.mind {
             Mind::Driver(driver) => driver.tick(now, &seen),
@@ -113,9 +113,9 @@
     }
 
     /// Hands the weight store's answer over.
-    pub(super) fn on_slot(&mut self, now: Time, answer: Result<(), Span>) {
+    pub(super) fn on_permit(&mut self, now: Time, answer: Result<(), Span>) {
         if let Mind::Driver(driver) = &mut self.mind {
-            driver.on_slot(now, answer);
+            driver.on_permit(now, answer);
         }
     }
 }
--- a/bench/src/cmd/rollout/naive.rs
+++ b/bench/src/cmd/rollout/naive.rs
@@ -35,35 +35,35 @@
         self.fencing
     }
 
-    pub(super) fn on_store(
+    pub(super) fn on_store_outcome(
         &mut self,
         now: Time,
         number: u64,
         outcome: keyvalue::Outcome,
-        rank: Option<u32>,
+        standby_rank: Option<u32>,
     ) -> Option<Effect> {
-        let call = self.lease.on_outcome(now, number, outcome, rank);
+        let call = self.lease.on_outcome(now, number, outcome, standby_rank);
         call.map(Effect::Store)
     }
 
     pub(super) fn tick(&mut self, now: Time, seen: &Observed<'_>) -> Vec<Effect> {
-        let call = self.lease.tick(now, true, seen.rank);
+        let call = self.lease.tick(now, true, seen.standby_rank);
         let mut effects: Vec<Effect> = call.map(Effect::Store).into_iter().collect();
         // It looks at its lease when it has none, and counts on it from then on.
         if self.fencing.is_none() || effects.is_empty() {
-            self.fencing = self.lease.held(now).map(|hold| hold.fencing);
+            self.fencing = self.lease.held(now).map(|held| held.fencing);
         }
         let (Some(fencing), Some(goal)) = (self.fencing, Goal::of(seen.model)) else {
             return effects;
         };
         match goal.phase {
-            Phase::Bring { share, .. } => self.bring(now, seen, share, fencing, &mut effects),
+            Phase::Ramp { share, .. } => self.ramp(now, seen, share, fencing, &mut effects),
             Phase::Remove { .. } => self.remove(seen, &goal, fencing, &mut effects),
         }
         effects
     }
 
-    fn bring(
+    fn ramp(
         &mut self,
         now: Time,
         seen: &Observed<'_>,
--- a/bench/src/cmd/rollout/run.rs
+++ b/bench/src/cmd/rollout/run.rs
@@ -305,9 +305,9 @@
                         self.daemons[index].read(now, engine);
                     }
                 }
-                Effect::FetchSlot(version) => {
+                Effect::RequestPermit(version) => {
                     let answer = self.weights.ask(now, &version);
-                    self.daemons[index].on_slot(now, answer);
+                    self.daemons[index].on_permit(now, answer);
                 }
                 Effect::Edit { model, if_match } => {
                     if if_match == self.revision || !self.daemons[index].compares() {
--- a/bench/src/cmd/rollout/scale.rs
+++ b/bench/src/cmd/rollout/scale.rs
@@ -28,7 +28,7 @@
 }
 
 /// Microseconds a tick, and load reports read a second.
-fn measure(engines: usize, seed: u64, rank: Option<u32>) -> (f64, f64) {
+fn measure(engines: usize, seed: u64, standby_rank: Option<u32>) -> (f64, f64) {
     let daemon = DaemonId::new("daemon").expect("a plain name");
     let mut driver = Driver::new("key".to_owned(), daemon, Config::default());
     let mut store = Store::new(seed);
@@ -50,14 +50,14 @@
                 from: engines as f64,
                 to: 0.0,
             },
-            rank,
+            standby_rank,
         };
         let began = Instant::now();
         let effects = driver.tick(now, &seen);
         took += began.elapsed().as_secs_f64();
         for effect in effects {
             match effect {
-                Effect::Store(call) => settle(&mut driver, &mut store, now, call, rank),
+                Effect::Store(call) => settle(&mut driver, &mut store, now, call, standby_rank),
                 Effect::Read(id) => {
                     reads += 1;
                     if let Ok(at) = reports.binary_search_by(|e| e.id.cmp(&id)) {
@@ -65,7 +65,7 @@
                         reports[at].ready = vec![old.clone()];
                     }
                 }
-                Effect::FetchSlot(_) => driver.on_slot(now, Err(Span::from_secs(1))),
+                Effect::RequestPermit(_) => driver.on_permit(now, Err(Span::from_secs(1))),
                 Effect::Order(_) | Effect::Edit { .. } => {}
             }
         }
@@ -82,12 +82,12 @@
     store: &mut Store,
     now: Time,
     first: rollout::lease::StoreCall,
-    rank: Option<u32>,
+    standby_rank: Option<u32>,
 ) {
     let mut next = Some(first);
     while let Some(call) = next {
         let outcome = store.call(now, call.request);
-        next = match driver.on_store(now, call.number, outcome, rank) {
+        next = match driver.on_store_outcome(now, call.number, outcome, standby_rank) {
             Some(Effect::Store(call)) => Some(call),
             _ => None,
         };
--- a/components/node/src/calling.rs
+++ b/components/node/src/calling.rs
@@ -66,7 +66,7 @@
         let job = match call {
             Call::Read(model, id, address) => Job::Read(model, id, address),
             Call::Order(model, order, address) => Job::Order(model, order, address),
-            Call::Slot(version) => return self.take_slot(version),
+            Call::Permit(version) => return self.take_slot(version),
         };
         if self.jobs.try_send(job).is_err() {
             tracing::debug!("rollout: a call is dropped, too many are under way");
@@ -92,10 +92,10 @@
             let answer = slot(&shared, &version);
             let _ = shared
                 .events
-                .send(Event::Called(Called::Slot(version.model, answer)));
+                .send(Event::Called(Called::Permit(version.model, answer)));
         });
         if run.is_err() {
-            let answer = Called::Slot(model, Err(ASK_AGAIN));
+            let answer = Called::Permit(model, Err(ASK_AGAIN));
             let _ = self.shared.events.try_send(Event::Called(answer));
         }
     }
--- a/components/node/src/systems/rollout.rs
+++ b/components/node/src/systems/rollout.rs
@@ -45,7 +45,7 @@
     /// Send an order.
     Order(ModelName, Order, std::net::SocketAddr),
     /// Ask for leave to load.
-    Slot(VersionId),
+    Permit(VersionId),
 }
 
 /// How a call ended.
@@ -56,7 +56,7 @@
     /// An engine refused a load for want of room.
     Full(ModelName, UpstreamId),
     /// The weight store gave leave, or says when to ask again.
-    Slot(ModelName, Result<(), Span>),
+    Permit(ModelName, Result<(), Span>),
 }
 
 /// Roll-outs by model.
@@ -151,7 +151,7 @@
             engines: &engines,
             evidence: seen::evidence(name, rollout, quality),
             demand: driven.seen.demand(now),
-            rank: driven.rank,
+            standby_rank: driven.rank,
         };
         driven.driver.tick(now, &seen)
     }
@@ -178,9 +178,9 @@
                 tracing::info!("rollout: {}", describe(name, &order));
                 Some(Task::Call(Call::Order(name.clone(), order, address)))
             }
-            Effect::FetchSlot(version) => {
+            Effect::RequestPermit(version) => {
                 let version = VersionId::new(name.clone(), version);
-                Some(Task::Call(Call::Slot(version)))
+                Some(Task::Call(Call::Permit(version)))
             }
             Effect::Edit { model, if_match } => edit(name, catalogue, *model, if_match),
         }
@@ -199,7 +199,7 @@
         self.leaving = true;
         let mut tasks = Vec::new();
         for (name, mut driven) in driven {
-            if let Some(Effect::Store(call)) = driven.driver.leave(now) {
+            if let Some(Effect::Store(call)) = driven.driver.release_lease(now) {
                 tasks.push(self.store(&name, call.number, call.request));
             }
         }
@@ -215,7 +215,9 @@
     ) -> Option<Task> {
         let (name, number) = self.tickets.remove(&ticket)?;
         let driven = self.driven.get_mut(&name)?;
-        let effect = driven.driver.on_store(now, number, outcome, driven.rank);
+        let effect = driven
+            .driver
+            .on_store_outcome(now, number, outcome, driven.rank);
         match effect? {
             Effect::Store(call) => Some(self.store(&name, call.number, call.request)),
             _ => None,
@@ -225,7 +227,7 @@
     /// Takes the end of a call of an engine or of the weight store.
     pub(crate) fn on_called(&mut self, now: Time, called: Called) {
         let name = match &called {
-            Called::Report(name, ..) | Called::Full(name, _) | Called::Slot(name, _) => name,
+            Called::Report(name, ..) | Called::Full(name, _) | Called::Permit(name, _) => name,
         };
         let Some(driven) = self.driven.get_mut(name) else {
             return;
@@ -233,7 +235,7 @@
         match called {
             Called::Report(_, id, report) => driven.seen.report(now, id, report),
             Called::Full(_, id) => driven.seen.full(now, id),
-            Called::Slot(_, answer) => driven.driver.on_slot(now, answer),
+            Called::Permit(_, answer) => driven.driver.on_permit(now, answer),
         }
     }
 
--- a/components/rollout/src/capacity.rs
+++ b/components/rollout/src/capacity.rs
@@ -20,7 +20,7 @@
     cfg: &Config,
 ) -> f64 {
     let usable = observed.engines.iter().filter(|e| !e.leaving);
-    let usable = usable.filter(|e| e.is_fresh(now, cfg.recent));
+    let usable = usable.filter(|e| e.is_fresh(now, cfg.max_report_age));
     sum_slots(usable.filter(|e| e.has_ready(version)))
 }
 
@@ -69,7 +69,7 @@
         let margin = margin_slots(observed, cfg);
         let with_reserve = |demand: f64| demand * cfg.headroom + margin;
         match goal.phase {
-            Phase::Bring { share, next } => {
+            Phase::Ramp { share, next } => {
                 let keep = with_reserve(total * next.get()).min(all);
                 let rest = with_reserve(on_drop.max(total * (1.0 - share.get())));
                 let takes_all = next == Share::ALL;
--- a/components/rollout/src/driver.rs
+++ b/components/rollout/src/driver.rs
@@ -11,7 +11,7 @@
 use crate::capacity::Needs;
 use crate::effect::{Effect, Order, OrderKind};
 use crate::goal::{Goal, Phase};
-use crate::lease::{Hold, Lease};
+use crate::lease::{HeldLease, Lease};
 use crate::observed::{Engine, Observed};
 use crate::waiting::Waiting;
 
@@ -25,16 +25,16 @@
     /// Loads in flight at once.
     pub loads_at_once: usize,
     /// Maximum age of the report that an order to load is based on.
-    pub just_read: Span,
+    pub max_load_report_age: Span,
     /// Maximum age of a report for its engine to count as capacity.
-    pub recent: Span,
+    pub max_report_age: Span,
     /// Time after which an order without visible effect is repeated.
-    pub repeat_after: Span,
+    pub order_retry_after: Span,
     /// Maximum age of the reports once a roll-out has ended. Engines are read again then, since one
     /// may have come back from a restart with the versions it had before.
-    pub look_again: Span,
+    pub recheck_interval: Span,
     /// Whether a new holder first sends its fencing token to every engine.
-    pub claim_first: bool,
+    pub announces_fencing: bool,
 }
 
 impl Default for Config {
@@ -43,11 +43,11 @@
             headroom: 1.25,
             margin_engines: 1,
             loads_at_once: 4,
-            just_read: Span::from_secs(2),
-            recent: Span::from_secs(10),
-            repeat_after: Span::from_secs(10),
-            look_again: Span::from_secs(600),
-            claim_first: false,
+            max_load_report_age: Span::from_secs(2),
+            max_report_age: Span::from_secs(10),
+            order_retry_after: Span::from_secs(10),
+            recheck_interval: Span::from_secs(600),
+            announces_fencing: false,
         }
     }
 }
@@ -108,7 +108,7 @@
 /// Input of one tick of a driver that holds the lease.
 struct TickContext<'a> {
     now: Time,
-    hold: Hold,
+    held: HeldLease,
     observed: &'a Observed<'a>,
     goal: &'a Goal,
     needs: Needs,
@@ -133,7 +133,7 @@
 
     /// The lease, while this driver holds it.
     #[must_use]
-    pub fn held(&self, now: Time) -> Option<Hold> {
+    pub fn held(&self, now: Time) -> Option<HeldLease> {
         self.lease.held(now)
     }
 
@@ -150,19 +150,19 @@
     }
 
     /// Handles the outcome of a store call. Returns the call that follows, if any.
-    pub fn on_store(
+    pub fn on_store_outcome(
         &mut self,
         now: Time,
         number: u64,
         outcome: keyvalue::Outcome,
-        rank: Option<u32>,
+        standby_rank: Option<u32>,
     ) -> Option<Effect> {
-        let next = self.lease.on_outcome(now, number, outcome, rank);
+        let next = self.lease.on_outcome(now, number, outcome, standby_rank);
         next.map(Effect::Store)
     }
 
     /// Gives up the lease, so that another daemon need not wait for its expiry.
-    pub fn leave(&mut self, now: Time) -> Option<Effect> {
+    pub fn release_lease(&mut self, now: Time) -> Option<Effect> {
         self.lease.tick(now, false, None).map(Effect::Store)
     }
 
@@ -173,9 +173,9 @@
         let is_wanted = goal
             .as_ref()
             .is_some_and(|goal| !self.is_complete(now, goal, observed));
-        let call = self.lease.tick(now, is_wanted, observed.rank);
+        let call = self.lease.tick(now, is_wanted, observed.standby_rank);
         let mut effects: Vec<Effect> = call.map(Effect::Store).into_iter().collect();
-        let (Some(goal), Some(hold)) = (goal, self.lease.held(now)) else {
+        let (Some(goal), Some(held)) = (goal, self.lease.held(now)) else {
             self.step_start = None;
             self.pending.clear();
             self.confirming_read = None;
@@ -186,7 +186,7 @@
         let needs = Needs::of(&goal, observed, now, &self.cfg);
         let cx = TickContext {
             now,
-            hold,
+            held,
             observed,
             goal: &goal,
             needs,
@@ -205,7 +205,7 @@
         let mut serving = observed.engines.iter().filter(|e| !e.leaving);
         let removing = matches!(goal.phase, Phase::Remove { .. });
         let settled = |e: &Engine| e.has_ready(&goal.keep) && !e.has(&goal.drop);
-        removing && serving.all(|e| settled(e) && e.is_fresh(now, self.cfg.look_again))
+        removing && serving.all(|e| settled(e) && e.is_fresh(now, self.cfg.recheck_interval))
     }
 
     /// Drops pending orders whose effect was read, and those that are due to be repeated.
@@ -223,22 +223,22 @@
     /// Sends this holder's fencing token to engines, which then reject older ones, with an order
     /// that changes nothing: to load a version that is already loaded.
     fn announce_fencing(&mut self, cx: &TickContext<'_>, effects: &mut Vec<Effect>) {
-        if !self.cfg.claim_first {
+        if !self.cfg.announces_fencing {
             return;
         }
-        if self.announced.fencing != cx.hold.fencing {
+        if self.announced.fencing != cx.held.fencing {
             self.announced = Announced {
-                fencing: cx.hold.fencing,
+                fencing: cx.held.fencing,
                 ..Announced::default()
             };
         }
         let engines = cx.observed.engines.iter();
-        let fresh = engines.filter(|e| e.is_fresh(cx.now, self.cfg.just_read));
+        let fresh = engines.filter(|e| e.is_fresh(cx.now, self.cfg.max_load_report_age));
         let unannounced = fresh.filter(|e| !self.announced.engines.contains(&e.id));
         let ready = unannounced.filter_map(|e| Some((e.id.clone(), e.ready.first()?.clone())));
         let announcements: Vec<_> = ready.take(MAX_ENGINES_PER_TICK).collect();
         for (id, version) in announcements {
-            let order = Order::new(&cx.hold, &id, OrderKind::Load, &version);
+            let order = Order::new(&cx.held, &id, OrderKind::Load, &version);
             effects.push(Effect::Order(order));
             self.announced.engines.insert(id);
         }
@@ -255,17 +255,17 @@
         let order = PendingOrder {
             kind,
             version: version.clone(),
-            repeat_at: cx.now + self.cfg.repeat_after,
+            repeat_at: cx.now + self.cfg.order_retry_after,
         };
         self.pending.insert(id.clone(), order);
-        Effect::Order(Order::new(&cx.hold, id, kind, version))
+        Effect::Order(Order::new(&cx.held, id, kind, version))
     }
 
     /// Reads the engines with the oldest reports, and those with a pending order.
     fn read_stale(&self, cx: &TickContext<'_>, effects: &mut Vec<Effect>) {
-        let half = Span::from_micros(self.cfg.recent.as_micros() / 2);
+        let half = Span::from_micros(self.cfg.max_report_age.as_micros() / 2);
         let unannounced =
-            |e: &Engine| self.cfg.claim_first && !self.announced.engines.contains(&e.id);
+            |e: &Engine| self.cfg.announces_fencing && !self.announced.engines.contains(&e.id);
         let stale = |e: &&Engine| {
             !e.is_fresh(cx.now, half) || self.pending.contains_key(&e.id) || unannounced(e)
         };
--- a/components/rollout/src/driver/gates.rs
+++ b/components/rollout/src/driver/gates.rs
@@ -40,7 +40,7 @@
         let rollout = cx.observed.model.rollout.as_ref()?;
         let first = StepStart {
             step: rollout.step,
-            fencing: cx.hold.fencing,
+            fencing: cx.held.fencing,
             stay_until: cx.now + rollout.gate.stay,
             ratings: cx.observed.evidence.ratings,
         };
--- a/components/rollout/src/driver/orders.rs
+++ b/components/rollout/src/driver/orders.rs
@@ -18,7 +18,7 @@
 impl Driver {
     /// Handles the weight store's answer: a permit to load, or how long to wait before asking
     /// again.
-    pub fn on_slot(&mut self, now: Time, answer: Result<(), Span>) {
+    pub fn on_permit(&mut self, now: Time, answer: Result<(), Span>) {
         let Permit::Requested(version, _) = &self.permit else {
             return;
         };
@@ -45,7 +45,7 @@
         if !self.has_permit(cx.now, &version, effects) {
             return;
         }
-        if !engine.is_fresh(cx.now, self.cfg.just_read) {
+        if !engine.is_fresh(cx.now, self.cfg.max_load_report_age) {
             effects.push(Effect::Read(engine.id.clone()));
             return;
         }
@@ -56,7 +56,7 @@
     /// The version with less capacity than it needs; the one that serves now comes first.
     fn version_short_of_slots(&self, cx: &TickContext<'_>) -> Option<VersionName> {
         let (goal, needs) = (cx.goal, cx.needs);
-        let serving = matches!(goal.phase, Phase::Bring { .. });
+        let serving = matches!(goal.phase, Phase::Ramp { .. });
         if serving && self.slots_expected(cx, &goal.drop) < needs.drop {
             return Some(goal.drop.clone());
         }
@@ -94,7 +94,7 @@
             _ => {}
         }
         self.permit = Permit::Requested(version.clone(), now + PERMIT_KEPT);
-        effects.push(Effect::FetchSlot(version.clone()));
+        effects.push(Effect::RequestPermit(version.clone()));
         false
     }
 
@@ -143,7 +143,7 @@
         };
         let engines = cx.observed.engines.iter().filter(|e| e.has(&goal.drop));
         // An engine without a recent report must not hold up the others.
-        let engines = engines.filter(|e| e.is_fresh(cx.now, self.cfg.recent));
+        let engines = engines.filter(|e| e.is_fresh(cx.now, self.cfg.max_report_age));
         let mut engines = engines.filter(should_unload);
         engines.find(|e| !self.pending.contains_key(&e.id))
     }
--- a/components/rollout/src/effect.rs
+++ b/components/rollout/src/effect.rs
@@ -3,7 +3,7 @@
 use catalogue::entry::Model;
 use types::prelude::*;
 
-use crate::lease::{Hold, StoreCall};
+use crate::lease::{HeldLease, StoreCall};
 
 /// Something that a driver asks its caller to carry out.
 #[derive(Debug, Clone, PartialEq)]
@@ -15,7 +15,7 @@
     /// Send an order, unless its deadline has passed.
     Order(Order),
     /// Ask the weight store for a permit to load a version and return the answer.
-    FetchSlot(VersionName),
+    RequestPermit(VersionName),
     /// Write the model's entry, if it still has this revision.
     Edit {
         /// The entry to write.
@@ -52,7 +52,7 @@
 impl Order {
     /// Creates an order of the lease's holder.
     pub(crate) fn new(
-        hold: &Hold,
+        held: &HeldLease,
         engine: &UpstreamId,
         kind: OrderKind,
         version: &VersionName,
@@ -61,8 +61,8 @@
             engine: engine.clone(),
             kind,
             version: version.clone(),
-            fencing: hold.fencing,
-            not_after: hold.deadline,
+            fencing: held.fencing,
+            not_after: held.deadline,
         }
     }
 }
--- a/components/rollout/src/goal.rs
+++ b/components/rollout/src/goal.rs
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Phase {
     /// The version that stays takes over step by step.
-    Bring {
+    Ramp {
         /// Its share of new sessions.
         share: Share,
         /// Share to have capacity for: that of the next step while the roll-out runs.
@@ -43,8 +43,8 @@
             _ => (&rollout.to, &rollout.from),
         };
         let phase = match rollout.state {
-            RolloutState::Running => bring_phase(rollout, rollout.step + 1),
-            RolloutState::Paused => bring_phase(rollout, rollout.step),
+            RolloutState::Running => ramp_phase(rollout, rollout.step + 1),
+            RolloutState::Paused => ramp_phase(rollout, rollout.step),
             RolloutState::Aborted | RolloutState::Done => Phase::Remove {
                 drop_state: model.versions.get(drop)?.state,
             },
@@ -71,9 +71,9 @@
     }
 }
 
-fn bring_phase(rollout: &Rollout, next: usize) -> Phase {
+fn ramp_phase(rollout: &Rollout, next: usize) -> Phase {
     let last = rollout.steps.last().copied().unwrap_or(Share::ALL);
-    Phase::Bring {
+    Phase::Ramp {
         share: rollout.share(),
         next: rollout.steps.get(next).copied().unwrap_or(last),
     }
--- a/components/rollout/src/lease.rs
+++ b/components/rollout/src/lease.rs
@@ -22,7 +22,7 @@
 
 /// A lease that is held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Hold {
+pub struct HeldLease {
     /// Id of the store's lease.
     pub lease: LeaseId,
     /// Fencing token, larger than that of any earlier holder.
@@ -45,9 +45,9 @@
     /// The reply to the creation was lost; reading whether it took effect.
     Confirming(LeaseId, Time),
     /// Held.
-    Held(Hold),
+    Held(HeldLease),
     /// Held, with a renewal in flight since this time.
-    Renewing(Hold, Time),
+    Renewing(HeldLease, Time),
 }
 
 /// One daemon's side of the lease of a roll-out: acquires, renews and releases it.
@@ -89,9 +89,9 @@
     /// Guards against acting after a pause: the deadline is before the time at which the store can
     /// let a successor in, so a driver that wakes too late finds that it has passed.
     #[must_use]
-    pub fn held(&self, now: Time) -> Option<Hold> {
+    pub fn held(&self, now: Time) -> Option<HeldLease> {
         match self.state {
-            State::Held(hold) | State::Renewing(hold, _) if now < hold.deadline => Some(hold),
+            State::Held(held) | State::Renewing(held, _) if now < held.deadline => Some(held),
             _ => None,
         }
     }
@@ -103,21 +103,28 @@
     }
 
     /// Returns the store call to make now, if any.
-    pub fn tick(&mut self, now: Time, wanted: bool, rank: Option<u32>) -> Option<StoreCall> {
+    pub fn tick(
+        &mut self,
+        now: Time,
+        wanted: bool,
+        standby_rank: Option<u32>,
+    ) -> Option<StoreCall> {
         self.drop_expired(now);
         match self.state {
-            State::Free(read_at) if wanted && rank.is_some() && now.has_reached(read_at) => {
+            State::Free(read_at)
+                if wanted && standby_rank.is_some() && now.has_reached(read_at) =>
+            {
                 self.state = State::Reading;
                 let range = Range::key(self.key.clone());
                 Some(self.call(now, Request::Range(range)))
             }
-            State::Held(hold) if !wanted => {
+            State::Held(held) if !wanted => {
                 self.set_free(now + TTL);
-                Some(self.call(now, Request::LeaseRevoke(hold.lease)))
+                Some(self.call(now, Request::LeaseRevoke(held.lease)))
             }
-            State::Held(hold) if now.has_reached(hold.renew_at) => {
-                self.state = State::Renewing(hold, now);
-                Some(self.call(now, Request::LeaseKeepAlive(hold.lease)))
+            State::Held(held) if now.has_reached(held.renew_at) => {
+                self.state = State::Renewing(held, now);
+                Some(self.call(now, Request::LeaseKeepAlive(held.lease)))
             }
             _ => None,
         }
@@ -125,7 +132,7 @@
 
     fn drop_expired(&mut self, now: Time) {
         let has_expired = match self.state {
-            State::Held(hold) | State::Renewing(hold, _) => now.has_reached(hold.deadline),
+            State::Held(held) | State::Renewing(held, _) => now.has_reached(held.deadline),
             State::Free(_) => false,
             _ => now.has_reached(self.give_up_at),
         };
@@ -153,12 +160,12 @@
         now: Time,
         number: u64,
         outcome: Outcome,
-        rank: Option<u32>,
+        standby_rank: Option<u32>,
     ) -> Option<StoreCall> {
         if number != self.calls {
             return None;
         }
-        let wait = TTL.times(1 + u64::from(rank.unwrap_or(0)));
+        let wait = TTL.times(1 + u64::from(standby_rank.unwrap_or(0)));
         match (self.state, outcome) {
             (State::Reading, Ok(answer)) => self.on_key_read(now, &answer, wait),
             (State::Granting(since), Ok(answer)) => self.on_granted(now, since, &answer, wait),
@@ -175,8 +182,8 @@
                 self.on_confirmed(now, (lease, end), &answer, wait);
                 None
             }
-            (State::Renewing(hold, since), outcome) => {
-                self.on_renewed(now, hold, since, &outcome);
+            (State::Renewing(held, since), outcome) => {
+                self.on_renewed(now, held, since, &outcome);
                 None
             }
             (State::Held(_) | State::Free(_), _) => None,
@@ -285,7 +292,7 @@
     }
 
     fn set_held(&mut self, lease: LeaseId, fencing: u64, deadline: Time, now: Time) {
-        self.state = State::Held(Hold {
+        self.state = State::Held(HeldLease {
             lease,
             fencing,
             deadline,
@@ -294,7 +301,7 @@
         self.holder = Some(self.daemon.clone());
     }
 
-    fn on_renewed(&mut self, now: Time, hold: Hold, since: Time, outcome: &Outcome) {
+    fn on_renewed(&mut self, now: Time, held: HeldLease, since: Time, outcome: &Outcome) {
         let still_held = match outcome {
             Ok(Answer {
                 reply: Reply::LeaseKept(left),
@@ -304,17 +311,17 @@
         };
         match still_held {
             Some(true) => {
-                self.state = State::Held(Hold {
+                self.state = State::Held(HeldLease {
                     deadline: since + TTL - DEADLINE_MARGIN,
                     renew_at: since + RENEW_INTERVAL,
-                    ..hold
+                    ..held
                 });
             }
             Some(false) => self.set_free(now),
             // The renewal failed, but the lease holds until its deadline.
             None => {
                 let renew_at = now + RENEW_RETRY_AFTER;
-                self.state = State::Held(Hold { renew_at, ..hold });
+                self.state = State::Held(HeldLease { renew_at, ..held });
             }
         }
     }
--- a/components/rollout/src/observed.rs
+++ b/components/rollout/src/observed.rs
@@ -17,7 +17,7 @@
     /// Requests that run and wait, over the whole fleet.
     pub demand: Demand,
     /// This daemon's place in the standby order for the lease; nothing when it should not try.
-    pub rank: Option<u32>,
+    pub standby_rank: Option<u32>,
 }
 
 /// An engine according to its last load report.
--- a/components/rollout/tests/driver.rs
+++ b/components/rollout/tests/driver.rs
@@ -249,9 +249,9 @@
     sim.run(2);
     sim.store.loses_next_reply = true;
     sim.run(3);
-    let hold = sim.drivers[0].held(sim.now).expect("the lease is held");
+    let held = sim.drivers[0].held(sim.now).expect("the lease is held");
     let (key, _) = sim.store.key.as_ref().unwrap();
-    assert_eq!(hold.fencing, u64::try_from(key.mod_revision.0).unwrap());
+    assert_eq!(held.fencing, u64::try_from(key.mod_revision.0).unwrap());
 }
 
 /// Two daemons find the key absent and the second one creates it. The first one's attempt fails,
--- a/components/rollout/tests/support/simulation.rs
+++ b/components/rollout/tests/support/simulation.rs
@@ -177,10 +177,15 @@
 
     /// Runs a tick of one driver and returns its effects without applying them.
     pub fn tick_only(&mut self, index: usize) -> Vec<Effect> {
-        let (now, rank) = (self.now, Some(index as u32));
+        let (now, standby_rank) = (self.now, Some(index as u32));
         let mut effects = Vec::new();
         for (number, outcome) in std::mem::take(&mut self.outcomes[index]) {
-            effects.extend(self.drivers[index].on_store(now, number, outcome, rank));
+            effects.extend(self.drivers[index].on_store_outcome(
+                now,
+                number,
+                outcome,
+                standby_rank,
+            ));
         }
         let rollout = self.model.rollout.as_ref().unwrap();
         let demand_of = |version: &VersionName| self.demand[usize::from(version.as_str() == "2")];
@@ -193,7 +198,7 @@
                 from: demand_of(&rollout.from),
                 to: demand_of(&rollout.to),
             },
-            rank,
+            standby_rank,
         };
         effects.extend(self.drivers[index].tick(now, &observed));
         effects
@@ -208,7 +213,7 @@
                 }
                 Effect::Read(id) => self.read_report(index, &id),
                 Effect::Order(order) => self.apply_order(&order),
-                Effect::FetchSlot(_) => self.request_permit(index),
+                Effect::RequestPermit(_) => self.request_permit(index),
                 Effect::Edit { model, if_match }
                     if if_match == self.revision && !self.store.is_down =>
                 {
@@ -236,7 +241,7 @@
         if answer.is_ok() {
             self.next_permit_at = self.now + self.permit_interval;
         }
-        self.drivers[index].on_slot(self.now, answer);
+        self.drivers[index].on_permit(self.now, answer);
     }
 
     pub fn apply_order(&mut self, order: &Order) {
