--- a/bench/src/cmd/bad_version.rs
+++ b/bench/src/cmd/bad_version.rs
@@ -182,7 +182,7 @@
 fn candidate(text: &str, cost: u64, expected: f64) -> Candidate {
     Candidate {
         version: text.parse().expect("a constant version"),
-        takes_new: true,
+        accepts_new_sessions: true,
         cost: Cost(cost),
         latency: Span::from_millis(cost),
         expected: Some(Share::clamped(expected)),
--- a/bench/src/cmd/cascade.rs
+++ b/bench/src/cmd/cascade.rs
@@ -231,7 +231,7 @@
                 to: class.candidates[strongest].version.clone(),
                 below,
             }),
-            repinned: false,
+            session_moved: false,
         };
         if !plan.escalates(first.confidence) {
             return (first.cost, first.adequacy);
--- a/bench/src/cmd/cascade/cost.rs
+++ b/bench/src/cmd/cascade/cost.rs
@@ -54,7 +54,7 @@
 fn candidate(number: u64) -> Candidate {
     Candidate {
         version: format!("model-{number}@1").parse().expect("a version"),
-        takes_new: true,
+        accepts_new_sessions: true,
         cost: Cost(100 + 150 * number),
         latency: Span::from_millis(400 + 100 * number),
         expected: Some(Share::clamped(0.75 + 0.02 * number as f64)),
@@ -92,7 +92,10 @@
             debug_assert!(taken.is_ok());
         }
     }
-    let cells = quality.own_cells_changed(Time::ZERO, rng);
-    let bytes: usize = cells.iter().map(|c| c.key.len() + c.value.len()).sum();
-    bytes as f64 / cells.len().max(1) as f64
+    let facts = quality.take_unpublished_facts(Time::ZERO, rng);
+    let bytes: usize = facts
+        .iter()
+        .map(|fact| fact.key.len() + fact.value.len())
+        .sum();
+    bytes as f64 / facts.len().max(1) as f64
 }
--- a/bench/src/cmd/cascade/real.rs
+++ b/bench/src/cmd/cascade/real.rs
@@ -167,7 +167,7 @@
     };
     let candidates = VERSIONS.map(|(version, price, quality)| Candidate {
         version: version.parse().expect("a constant version"),
-        takes_new: true,
+        accepts_new_sessions: true,
         cost: Cost(price),
         latency: Span::from_millis(10),
         expected: Some(Share::clamped(quality)),
--- a/bench/src/cmd/cascade/workload.rs
+++ b/bench/src/cmd/cascade/workload.rs
@@ -97,7 +97,7 @@
 fn class(name: &str, share: f64, target: f64, weights: Weights, truth: [f64; 3]) -> Class {
     let candidate = |index: usize| Candidate {
         version: NAMES[index].parse().expect("a constant version"),
-        takes_new: true,
+        accepts_new_sessions: true,
         cost: Cost(COSTS[index]),
         latency: Span::from_millis(LATENCIES_MS[index]),
         expected: Some(Share::clamped(
--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -220,13 +220,16 @@
             let now = self.now;
             self.changes
                 .extend(changes.into_iter().map(|change| (now, origin, change)));
-            for cell in member.quality.own_cells_changed(self.now, &mut self.rng) {
+            for encoded in member
+                .quality
+                .take_unpublished_facts(self.now, &mut self.rng)
+            {
                 self.counter += 1;
                 let fact = Fact {
                     origin,
-                    key: cell.key.to_vec(),
+                    key: encoded.key.to_vec(),
                     number: self.counter,
-                    value: cell.value.to_vec(),
+                    value: encoded.value.to_vec(),
                 };
                 self.bytes += (fact.key.len() + fact.value.len()) as u64;
                 member.held.insert((origin, fact.key.clone()), fact.number);
@@ -276,7 +279,7 @@
         let (key, value) = (&fact.key, &fact.value);
         let merged = member
             .quality
-            .merge(self.now, &origin, key, value, &mut self.rng);
+            .merge_fact(self.now, &origin, key, value, &mut self.rng);
         debug_assert!(merged.is_ok());
         let rounds = self.surroundings.daemons.ilog2() + EXTRA_ROUNDS;
         member
@@ -288,7 +291,7 @@
     /// Instances in which a version is suspended.
     pub fn suspended_in(&self, version: &VersionId) -> usize {
         let held = self.members.iter();
-        held.filter(|member| member.quality.suspended(version))
+        held.filter(|member| member.quality.is_suspended(version))
             .count()
     }
 
--- a/components/node/src/control/evidence.rs
+++ b/components/node/src/control/evidence.rs
@@ -10,7 +10,7 @@
 impl Control {
     /// Shows what changed in this daemon's counters and suspensions.
     pub(super) fn show_quality(&mut self, now: Time) {
-        let cells = lock(&self.shared.quality).own_cells_changed(now, &mut rand::rng());
+        let cells = lock(&self.shared.quality).take_unpublished_facts(now, &mut rand::rng());
         for cell in cells {
             let topic = if cell.is_suspension() {
                 Topic::Suspension
@@ -35,7 +35,7 @@
         };
         let mut quality = lock(&self.shared.quality);
         let rng = &mut rand::rng();
-        if let Err(error) = quality.merge(now, origin, &fact.key, &fact.value, rng) {
+        if let Err(error) = quality.merge_fact(now, origin, &fact.key, &fact.value, rng) {
             tracing::warn!("quality: a fact of {origin} is passed over: {error}");
         }
     }
--- a/components/node/src/control/peering.rs
+++ b/components/node/src/control/peering.rs
@@ -80,7 +80,7 @@
                 Event::MemberUp { .. } => changed = true,
                 Event::MemberDown { id, .. } => {
                     changed = true;
-                    lock(&self.shared.quality).forget(now, &id);
+                    lock(&self.shared.quality).daemon_gone(now, &id);
                 }
                 Event::FactChanged {
                     origin,
--- a/components/quality/src/choice.rs
+++ b/components/quality/src/choice.rs
@@ -44,7 +44,7 @@
     /// The version.
     pub version: VersionId,
     /// Whether it takes new sessions; otherwise it serves only its present ones.
-    pub takes_new: bool,
+    pub accepts_new_sessions: bool,
     /// Expected cost of this class's average answer.
     pub cost: Cost,
     /// Expected time until the answer is complete, queues included.
@@ -89,7 +89,7 @@
     /// Escalation after a low-confidence answer.
     pub escalation: Option<Escalation>,
     /// Whether the session was pinned to another version, which may no longer serve it.
-    pub repinned: bool,
+    pub session_moved: bool,
 }
 
 impl Plan {
--- a/components/quality/src/estimate.rs
+++ b/components/quality/src/estimate.rs
@@ -38,13 +38,13 @@
 
     /// Mean minus `deviations` standard deviations, at least 0.
     #[must_use]
-    pub fn below(&self, deviations: f64) -> f64 {
+    pub fn lower_bound(&self, deviations: f64) -> f64 {
         (self.mean() - deviations * self.deviation()).max(0.0)
     }
 
     /// Mean plus `deviations` standard deviations, at most 1.
     #[must_use]
-    pub fn above(&self, deviations: f64) -> f64 {
+    pub fn upper_bound(&self, deviations: f64) -> f64 {
         (self.mean() + deviations * self.deviation()).min(1.0)
     }
 }
--- a/components/quality/src/quality.rs
+++ b/components/quality/src/quality.rs
@@ -164,7 +164,7 @@
 
     /// Whether a version is suspended in any class.
     #[must_use]
-    pub fn suspended(&self, version: &VersionId) -> bool {
+    pub fn is_suspended(&self, version: &VersionId) -> bool {
         let mut streams = self.streams.values();
         streams.any(|stream| {
             let name = stream.name.as_ref();
@@ -194,7 +194,7 @@
     ///
     /// Returns in how many of `classes` it was suspended. The caller lists the classes since a
     /// suspension may have been learned from peers before this daemon saw a request of that class.
-    pub fn lift(
+    pub fn lift_suspension(
         &mut self,
         now: Time,
         version: &VersionId,
@@ -216,7 +216,7 @@
 
     /// Phase and estimate of a version's direct answers in a class.
     #[must_use]
-    pub fn standing(&self, class: &ClassName, version: &VersionId) -> Option<StreamDump> {
+    pub fn stream_status(&self, class: &ClassName, version: &VersionId) -> Option<StreamDump> {
         let id = StreamId::new(class, version);
         self.streams
             .get(&id)
--- a/components/quality/src/quality/choose.rs
+++ b/components/quality/src/quality/choose.rs
@@ -47,7 +47,7 @@
         Some(Plan {
             first: pin.clone(),
             escalation: None,
-            repinned: false,
+            session_moved: false,
         })
     }
 
@@ -124,7 +124,7 @@
         Some(Plan {
             first: table.candidates[first].version.clone(),
             escalation,
-            repinned: input.pin.is_some(),
+            session_moved: input.pin.is_some(),
         })
     }
 
@@ -254,5 +254,5 @@
         .as_ref()
         .map(|rollout| rollout.share.get());
     hash.update(&share.unwrap_or(-1.0).to_le_bytes());
-    hash.update(&[u8::from(candidate.takes_new)]);
+    hash.update(&[u8::from(candidate.accepts_new_sessions)]);
 }
--- a/components/quality/src/quality/exchange.rs
+++ b/components/quality/src/quality/exchange.rs
@@ -31,7 +31,7 @@
     ///
     /// # Errors
     /// When the fact cannot be decoded or a limit on what is kept is reached; nothing changes then.
-    pub fn merge(
+    pub fn merge_fact(
         &mut self,
         now: Time,
         origin: &DaemonId,
@@ -104,7 +104,7 @@
 
     /// Notes that a daemon is gone. Its counters are kept, since they would count twice if it came
     /// back.
-    pub fn forget(&mut self, now: Time, origin: &DaemonId) {
+    pub fn daemon_gone(&mut self, now: Time, origin: &DaemonId) {
         self.suspensions.forget(origin);
         if let Some(state) = self.origins.get_mut(origin) {
             state.gone_at = Some(now);
@@ -112,7 +112,7 @@
     }
 
     /// Facts that changed and are due to be published.
-    pub fn own_cells_changed(&mut self, now: Time, rng: &mut impl Rng) -> Vec<EncodedFact> {
+    pub fn take_unpublished_facts(&mut self, now: Time, rng: &mut impl Rng) -> Vec<EncodedFact> {
         let uptime = now.since(self.started);
         let incarnation = self.incarnation;
         let next_publication = now + self.cfg.publish_every;
--- a/components/quality/src/stream.rs
+++ b/components/quality/src/stream.rs
@@ -255,7 +255,7 @@
         }
         self.reference_learned_at = self.ratings_seen;
         let (good, bad) = (self.decayed.good(), self.decayed.bad());
-        let learned = Estimate::new(0.5, 2.0, good, bad).below(REFERENCE_DEVIATIONS);
+        let learned = Estimate::new(0.5, 2.0, good, bad).lower_bound(REFERENCE_DEVIATIONS);
         let learned = learned.clamp(self.minimum_share(cfg).max(MIN_REFERENCE), 1.0);
         self.reference = learned.min(self.terms.reference());
         self.thresholds = None;
@@ -278,7 +278,7 @@
         let enough = self.decayed.sum() >= cfg.proof_ratings;
         enough
             && level < cfg.suspect_at
-            && self.estimate(cfg).below(PROOF_DEVIATIONS) >= self.minimum_share(cfg)
+            && self.estimate(cfg).lower_bound(PROOF_DEVIATIONS) >= self.minimum_share(cfg)
     }
 
     pub(crate) fn enter_phase(&mut self, phase: Phase, budget: Budget) {
--- a/components/quality/src/table.rs
+++ b/components/quality/src/table.rs
@@ -105,7 +105,7 @@
         let is_usable = |candidate: &&Candidate| {
             let id = StreamId::new(&offer.class, &candidate.version);
             let phase = streams.get(&id).map(|stream| stream.phase);
-            candidate.takes_new && phase != Some(Phase::Suspended)
+            candidate.accepts_new_sessions && phase != Some(Phase::Suspended)
         };
         let candidates: Vec<Candidate> = candidates.iter().filter(is_usable).cloned().collect();
         let id = |candidate: &Candidate, escalated| {
--- a/components/quality/tests/choice.rs
+++ b/components/quality/tests/choice.rs
@@ -27,7 +27,7 @@
 fn candidate(text: &str, cost: u64, expected: f64) -> Candidate {
     Candidate {
         version: version(text),
-        takes_new: true,
+        accepts_new_sessions: true,
         cost: Cost(cost),
         latency: Span::from_millis(cost),
         expected: Some(Share::clamped(expected)),
@@ -122,7 +122,7 @@
         }
         let offered: Vec<Candidate> = permitted
             .iter()
-            .map(|n| Candidate { takes_new: !draining.contains(n), ..all[*n].clone() })
+            .map(|n| Candidate { accepts_new_sessions: !draining.contains(n), ..all[*n].clone() })
             .collect();
         let allowed: BTreeSet<VersionId> = offered.iter().map(|one| one.version.clone()).collect();
         let pin = pin.map(|n| version(names[n]));
@@ -130,10 +130,12 @@
             let Some(plan) = fixture.choose(&offered, pin.as_ref()) else { continue };
             prop_assert!(allowed.contains(&plan.first));
             prop_assert!(plan.escalation.iter().all(|step| allowed.contains(&step.to)));
-            let standing = fixture.quality.standing(&fixture.offer.class, &plan.first);
-            prop_assert!(standing.is_some_and(|s| s.phase != quality::Phase::Suspended));
+            let status = fixture.quality.stream_status(&fixture.offer.class, &plan.first);
+            prop_assert!(status.is_some_and(|s| s.phase != quality::Phase::Suspended));
             let pinned = pin.as_ref() == Some(&plan.first);
-            let new = offered.iter().any(|one| one.version == plan.first && one.takes_new);
+            let new = offered
+                .iter()
+                .any(|one| one.version == plan.first && one.accepts_new_sessions);
             prop_assert!(pinned || new);
         }
     }
@@ -166,14 +168,14 @@
     ];
     let pin = version("large@1");
     let plan = fixture.choose(&both, Some(&pin)).expect("a plan");
-    assert_eq!((&plan.first, plan.repinned), (&pin, false));
+    assert_eq!((&plan.first, plan.session_moved), (&pin, false));
     let class = fixture.offer.class.clone();
     fixture
         .quality
         .suspend(fixture.now, &class, &pin, &mut fixture.rng)
         .expect("room");
     let plan = fixture.choose(&both, Some(&pin)).expect("a plan");
-    assert_eq!((plan.first, plan.repinned), (version("small@1"), true));
+    assert_eq!((plan.first, plan.session_moved), (version("small@1"), true));
 }
 
 // Guards against missing a deadline by choosing the better but slower version.
--- a/components/quality/tests/evidence.rs
+++ b/components/quality/tests/evidence.rs
@@ -47,7 +47,7 @@
 fn candidate(text: &str, cost: u64, expected: f64) -> Candidate {
     Candidate {
         version: version(text),
-        takes_new: true,
+        accepts_new_sessions: true,
         cost: Cost(cost),
         latency: Span::from_millis(500),
         expected: Some(Share::clamped(expected)),
@@ -81,7 +81,7 @@
         quality
             .record_rating(now, &class(), &version("small@1"), rating, &mut rng)
             .expect("room");
-        facts.extend(quality.own_cells_changed(now, &mut rng));
+        facts.extend(quality.take_unpublished_facts(now, &mut rng));
     }
     facts
 }
@@ -122,12 +122,12 @@
         let late = Time::ZERO + Span::from_secs(600);
         for (n, fact) in &deliveries {
             quality
-                .merge(late, &daemon(*n), &fact.key, &fact.value, &mut rng)
+                .merge_fact(late, &daemon(*n), &fact.key, &fact.value, &mut rng)
                 .expect("a fact");
         }
-        let standing = quality.standing(&class(), &version("small@1")).expect("known");
+        let status = quality.stream_status(&class(), &version("small@1")).expect("known");
         let expected: usize = daemons.iter().map(Vec::len).sum();
-        prop_assert!((standing.ratings - expected as f64).abs() < 1e-9);
+        prop_assert!((status.ratings - expected as f64).abs() < 1e-9);
     }
 
     // Guards against a panic of the daemon on a fact from a faulty peer or another release.
@@ -138,7 +138,7 @@
     ) {
         let mut rng = StdRng::seed_from_u64(3);
         let mut quality = new_quality(1);
-        let _ = quality.merge(Time::ZERO, &daemon(1), &key, &value, &mut rng);
+        let _ = quality.merge_fact(Time::ZERO, &daemon(1), &key, &value, &mut rng);
     }
 
     // Guards against a mixture that is dearer than needed or misses the target: compares with a
@@ -180,11 +180,11 @@
 fn errors_on_oversized_or_unknown_facts() {
     let mut rng = StdRng::seed_from_u64(3);
     let mut quality = new_quality(1);
-    let mut merge =
-        |key: &[u8], value: &[u8]| quality.merge(Time::ZERO, &daemon(1), key, value, &mut rng);
-    assert_eq!(merge(&[b'q'; 65], &[1]), Err(FactError::TooLong(65)));
-    assert_eq!(merge(b"x12345678", &[1]), Err(FactError::UnknownKey));
-    assert_eq!(merge(b"q12345678", &[1, 2]), Err(FactError::Malformed));
+    let mut merge_fact =
+        |key: &[u8], value: &[u8]| quality.merge_fact(Time::ZERO, &daemon(1), key, value, &mut rng);
+    assert_eq!(merge_fact(&[b'q'; 65], &[1]), Err(FactError::TooLong(65)));
+    assert_eq!(merge_fact(b"x12345678", &[1]), Err(FactError::UnknownKey));
+    assert_eq!(merge_fact(b"q12345678", &[1, 2]), Err(FactError::Malformed));
 }
 
 // Guards against a wrong rate of false alarms: compares the computed run length with a simulation.
@@ -218,7 +218,7 @@
         quality
             .record_rating(now, &class(), &version("small@1"), rating, rng)
             .expect("room");
-        if quality.suspended(&version("small@1")) {
+        if quality.is_suspended(&version("small@1")) {
             return n + 1;
         }
     }
@@ -247,11 +247,11 @@
     let mut quality = new_quality(1);
     describe(&mut quality, &[candidate("small@1", 1, 0.95)]);
     assert_eq!(rate_many(&mut quality, 0, 20_000, 0.85, &mut rng), 20_000);
-    let standing = quality
-        .standing(&class(), &version("small@1"))
+    let status = quality
+        .stream_status(&class(), &version("small@1"))
         .expect("known");
-    assert_eq!(standing.phase, Phase::Proved);
-    assert!((standing.quality - 0.85).abs() < 0.02);
+    assert_eq!(status.phase, Phase::Proved);
+    assert!((status.quality - 0.85).abs() < 0.02);
 }
 
 // Guards against a suspended version serving again after a host is replaced. It happens if the
@@ -267,22 +267,22 @@
     detecting
         .suspend(Time::ZERO, &class(), &version("small@1"), &mut rng)
         .expect("room");
-    for fact in detecting.own_cells_changed(Time::ZERO, &mut rng) {
-        peer.merge(Time::ZERO, &daemon(1), &fact.key, &fact.value, &mut rng)
+    for fact in detecting.take_unpublished_facts(Time::ZERO, &mut rng) {
+        peer.merge_fact(Time::ZERO, &daemon(1), &fact.key, &fact.value, &mut rng)
             .expect("a fact");
     }
-    peer.forget(Time::ZERO, &daemon(1));
+    peer.daemon_gone(Time::ZERO, &daemon(1));
     let mut joining = new_quality(3);
     describe(&mut joining, &candidates);
-    for fact in peer.own_cells_changed(Time::ZERO, &mut rng) {
+    for fact in peer.take_unpublished_facts(Time::ZERO, &mut rng) {
         joining
-            .merge(Time::ZERO, &daemon(2), &fact.key, &fact.value, &mut rng)
+            .merge_fact(Time::ZERO, &daemon(2), &fact.key, &fact.value, &mut rng)
             .expect("a fact");
     }
-    assert!(joining.suspended(&version("small@1")));
-    let lifted = joining.lift(Time::ZERO, &version("small@1"), &[class()], &mut rng);
+    assert!(joining.is_suspended(&version("small@1")));
+    let lifted = joining.lift_suspension(Time::ZERO, &version("small@1"), &[class()], &mut rng);
     assert_eq!(lifted, 1);
-    assert!(!joining.suspended(&version("small@1")));
+    assert!(!joining.is_suspended(&version("small@1")));
 }
 
 // Guards against a late fact on an old suspension suspending a version again after an operator
@@ -297,19 +297,19 @@
     detecting
         .suspend(Time::ZERO, &class(), &version("small@1"), &mut rng)
         .expect("room");
-    let old = detecting.own_cells_changed(Time::ZERO, &mut rng);
+    let old = detecting.take_unpublished_facts(Time::ZERO, &mut rng);
     let deliver = |other: &mut Quality, rng: &mut StdRng| {
         for fact in &old {
             other
-                .merge(Time::ZERO, &daemon(1), &fact.key, &fact.value, rng)
+                .merge_fact(Time::ZERO, &daemon(1), &fact.key, &fact.value, rng)
                 .expect("a fact");
         }
     };
     deliver(&mut other, &mut rng);
-    assert!(other.suspended(&version("small@1")));
-    other.lift(Time::ZERO, &version("small@1"), &[class()], &mut rng);
+    assert!(other.is_suspended(&version("small@1")));
+    other.lift_suspension(Time::ZERO, &version("small@1"), &[class()], &mut rng);
     deliver(&mut other, &mut rng);
-    assert!(!other.suspended(&version("small@1")));
+    assert!(!other.is_suspended(&version("small@1")));
 }
 
 // Guards against a new daemon that sends every request to the strongest version, since all evidence
@@ -324,9 +324,9 @@
     let mut middle = Quality::new(Config::default(), Incarnation(2), Time::ZERO);
     describe(&mut middle, &candidates);
     let late = Time::ZERO + Span::from_secs(100);
-    for fact in old.own_cells_changed(late, &mut rng) {
+    for fact in old.take_unpublished_facts(late, &mut rng) {
         middle
-            .merge(Time::ZERO, &daemon(1), &fact.key, &fact.value, &mut rng)
+            .merge_fact(Time::ZERO, &daemon(1), &fact.key, &fact.value, &mut rng)
             .expect("a fact");
     }
     let last = late + Span::from_secs(100);
@@ -336,14 +336,14 @@
         .expect("room");
     let mut joining = Quality::new(Config::default(), Incarnation(3), Time::ZERO);
     describe(&mut joining, &candidates);
-    for fact in middle.own_cells_changed(last, &mut rng) {
+    for fact in middle.take_unpublished_facts(last, &mut rng) {
         joining
-            .merge(Time::ZERO, &daemon(2), &fact.key, &fact.value, &mut rng)
+            .merge_fact(Time::ZERO, &daemon(2), &fact.key, &fact.value, &mut rng)
             .expect("a fact");
     }
-    let standing = joining
-        .standing(&class(), &version("small@1"))
+    let status = joining
+        .stream_status(&class(), &version("small@1"))
         .expect("known");
-    assert_eq!(standing.ratings, 501.0);
-    assert_eq!(standing.phase, Phase::Proved);
+    assert_eq!(status.ratings, 501.0);
+    assert_eq!(status.phase, Phase::Proved);
 }
