--- a/components/node/src/admission.rs
+++ b/components/node/src/admission.rs
@@ -233,7 +233,7 @@
             .or_default()
             .push(preempted.clone());
         drop(table);
-        lock(&shared.router).batch_started(index);
+        lock(&shared.router).preemptible_started(index);
         Self {
             shared,
             index,
@@ -257,6 +257,6 @@
             }
         }
         drop(table);
-        lock(&self.shared.router).batch_ended(self.index);
+        lock(&self.shared.router).preemptible_ended(self.index);
     }
 }
--- a/components/node/src/outbound.rs
+++ b/components/node/src/outbound.rs
@@ -66,7 +66,7 @@
         let job = match call {
             Call::Read(model, id, address) => Job::Read(model, id, address),
             Call::Order(model, order, address) => Job::Order(model, order, address),
-            Call::Slot(version) => return self.take_slot(version),
+            Call::Permit(version) => return self.take_slot(version),
         };
         if self.jobs.try_send(job).is_err() {
             tracing::debug!("rollout: a call is dropped, too many are in flight");
--- a/components/node/src/systems/rollout.rs
+++ b/components/node/src/systems/rollout.rs
@@ -181,9 +181,9 @@
                 tracing::info!("rollout: {}", describe_order(name, &order));
                 Some(Task::Call(Call::Order(name.clone(), order, address)))
             }
-            Effect::FetchSlot(version) => {
+            Effect::RequestPermit(version) => {
                 let version = VersionId::new(name.clone(), version);
-                Some(Task::Call(Call::Slot(version)))
+                Some(Task::Call(Call::Permit(version)))
             }
             Effect::Edit { model, if_match } => edit_task(name, catalogue, *model, if_match),
         }
@@ -218,7 +218,9 @@
     ) -> Option<Task> {
         let (name, number) = self.tickets.remove(&ticket)?;
         let driven = self.driven.get_mut(&name)?;
-        let effect = driven.driver.on_store(now, number, outcome, driven.rank);
+        let effect = driven
+            .driver
+            .on_store_outcome(now, number, outcome, driven.rank);
         match effect? {
             Effect::Store(call) => Some(self.store_task(&name, call.number, call.request)),
             _ => None,
--- a/components/node/src/traffic/chat/run.rs
+++ b/components/node/src/traffic/chat/run.rs
@@ -6,7 +6,7 @@
 use requests::attempt::{AttemptEnd, Usage};
 use requests::life::{Answered, Attempted, Next, Refused, Request, Waiting};
 use requests::refusal::Code;
-use routing::{Demand, Outcome, PrefixHash, Target, TargetIndex, UpstreamIndex};
+use routing::{Outcome, PrefixHash, RouteRequest, Target, TargetIndex, UpstreamIndex};
 use types::prelude::*;
 
 use super::Job;
@@ -260,12 +260,12 @@
         Some(picked)
     }
 
-    fn demand<'a>(&'a self, target: TargetIndex, avoid: &'a [UpstreamIndex]) -> Demand<'a> {
-        Demand {
+    fn demand<'a>(&'a self, target: TargetIndex, tried: &'a [UpstreamIndex]) -> RouteRequest<'a> {
+        RouteRequest {
             target,
             prefix: self.prefix,
             priority: self.job.priority,
-            avoid,
+            tried,
         }
     }
 
--- a/components/node/src/traffic/plain.rs
+++ b/components/node/src/traffic/plain.rs
@@ -8,7 +8,7 @@
 use requests::claim::Recorded;
 use requests::life::{Answered, Arrived, Facts, Next, Refused, Waiting};
 use requests::refusal::Code;
-use routing::{Demand, Outcome, Target, UpstreamIndex};
+use routing::{Outcome, RouteRequest, Target, UpstreamIndex};
 use types::prelude::*;
 use xxhash_rust::xxh3::Xxh3;
 
@@ -276,11 +276,11 @@
     let shared = &job.cx.shared;
     let mut router = lock(&shared.router);
     let target = router.target_index(&Target::Service(job.service.clone()))?;
-    let demand = Demand {
+    let demand = RouteRequest {
         target,
         prefix: &[],
         priority: Priority::Interactive,
-        avoid,
+        tried,
     };
     let index = router.pick(shared.now(), &demand, &mut rand::rng()).ok()?;
     PickedUpstream::start(&mut router, index, &demand)
