--- a/components/node/src/control/commands.rs
+++ b/components/node/src/control/commands.rs
@@ -154,7 +154,7 @@
         let offers = self.view.offers.values();
         let classes: Vec<ClassName> = offers.map(|offer| offer.class.clone()).collect();
         let mut quality = lock(&self.shared.quality);
-        let lifted = quality.lift(now, version, &classes, &mut rand::rng());
+        let lifted = quality.lift_suspension(now, version, &classes, &mut rand::rng());
         tracing::info!(
             "quality: an operator lifted the suspension of {version} in {lifted} classes"
         );
--- a/components/node/src/control/evidence.rs
+++ b/components/node/src/control/evidence.rs
@@ -10,14 +10,14 @@
 impl Control {
     /// Publishes what changed in this daemon's counters and suspensions.
     pub(super) fn publish_evidence(&mut self, now: Time) {
-        let cells = lock(&self.shared.quality).own_cells_changed(now, &mut rand::rng());
-        for cell in cells {
-            let topic = if cell.is_suspension() {
+        let facts = lock(&self.shared.quality).take_unpublished_facts(now, &mut rand::rng());
+        for fact in facts {
+            let topic = if fact.is_suspension() {
                 Topic::Suspension
             } else {
                 Topic::Evidence
             };
-            self.members.publish(now, topic, cell.key, cell.value);
+            self.members.publish(now, topic, fact.key, fact.value);
         }
     }
 
@@ -35,7 +35,7 @@
         };
         let mut quality = lock(&self.shared.quality);
         let rng = &mut rand::rng();
-        if let Err(error) = quality.merge(now, origin, &fact.key, &fact.value, rng) {
+        if let Err(error) = quality.merge_fact(now, origin, &fact.key, &fact.value, rng) {
             tracing::warn!("quality: a fact of {origin} is ignored: {error}");
         }
     }
--- a/components/node/src/outbound.rs
+++ b/components/node/src/outbound.rs
@@ -92,10 +92,10 @@
             let answer = request_slot(&shared, &version);
             let _ = shared
                 .events
-                .send(Event::Called(CallResult::Slot(version.model, answer)));
+                .send(Event::Called(CallResult::Permit(version.model, answer)));
         });
         if run.is_err() {
-            let answer = CallResult::Slot(model, Err(SLOT_RETRY_PAUSE));
+            let answer = CallResult::Permit(model, Err(SLOT_RETRY_PAUSE));
             let _ = self.shared.events.try_send(Event::Called(answer));
         }
     }
--- a/components/node/src/systems/rollout.rs
+++ b/components/node/src/systems/rollout.rs
@@ -45,7 +45,7 @@
     /// Send an order to an engine.
     Order(ModelName, Order, std::net::SocketAddr),
     /// Ask the weight store for a slot to load a version.
-    Slot(VersionId),
+    Permit(VersionId),
 }
 
 /// The result of a call.
@@ -56,7 +56,7 @@
     /// An engine refused a load for want of room.
     Full(ModelName, UpstreamId),
     /// The weight store gave a slot, or the pause before it may be asked again.
-    Slot(ModelName, Result<(), Span>),
+    Permit(ModelName, Result<(), Span>),
 }
 
 /// The drivers of roll-outs, by model.
@@ -154,7 +154,7 @@
             engines: &engines,
             evidence: observations::evidence(name, rollout, quality),
             demand: driven.observations.demand(now),
-            rank: driven.rank,
+            standby_rank: driven.rank,
         };
         driven.driver.tick(now, &observed)
     }
@@ -202,7 +202,7 @@
         self.leaving = true;
         let mut tasks = Vec::new();
         for (name, mut driven) in driven {
-            if let Some(Effect::Store(call)) = driven.driver.leave(now) {
+            if let Some(Effect::Store(call)) = driven.driver.release_lease(now) {
                 tasks.push(self.store_task(&name, call.number, call.request));
             }
         }
@@ -232,7 +232,7 @@
         let name = match &called {
             CallResult::Report(name, ..)
             | CallResult::Full(name, _)
-            | CallResult::Slot(name, _) => name,
+            | CallResult::Permit(name, _) => name,
         };
         let Some(driven) = self.driven.get_mut(name) else {
             return;
@@ -240,7 +240,7 @@
         match called {
             CallResult::Report(_, id, report) => driven.observations.report(now, id, report),
             CallResult::Full(_, id) => driven.observations.full(now, id),
-            CallResult::Slot(_, answer) => driven.driver.on_slot(now, answer),
+            CallResult::Permit(_, answer) => driven.driver.on_permit(now, answer),
         }
     }
 
--- a/components/node/src/traffic/chat/run.rs
+++ b/components/node/src/traffic/chat/run.rs
@@ -90,7 +90,7 @@
             Ok(guard) => guard,
             Err(refusal) => return self.refuse_limited(ready, &relay, refusal).await,
         };
-        let mut avoid = Vec::new();
+        let mut tried = Vec::new();
         loop {
             if let Some(retry_after) = self.shared().quarantine.quarantined_for(&self.job.content) {
                 return self.refuse_quarantined(ready, relay, retry_after).await;
@@ -98,7 +98,7 @@
             let version = &relay.trying().version;
             let permitted = self.is_still_permitted(version);
             let picked = if permitted {
-                self.pick_upstream(version, &avoid)
+                self.pick_upstream(version, &tried)
             } else {
                 None
             };
@@ -117,7 +117,7 @@
                 }
                 Err(request) => request,
             };
-            avoid.push(picked.index);
+            tried.push(picked.index);
             ready = match self.end_attempt(request, &picked, &end) {
                 Next::Retry(request, _) => request,
                 Next::Answered(request) => {
@@ -129,7 +129,7 @@
                 Next::Unknown(request) => return relay.refuse(&request.refusal()).await,
                 Next::Escalate(request) => {
                     relay.escalate();
-                    avoid.clear();
+                    tried.clear();
                     request
                 }
                 Next::Open(_) => return,
@@ -240,18 +240,18 @@
     fn pick_upstream(
         &self,
         version: &VersionId,
-        avoid: &[UpstreamIndex],
+        tried: &[UpstreamIndex],
     ) -> Option<PickedUpstream> {
         let now = self.shared().now();
         let mut router = lock(&self.shared().router);
         let target = router.target_index(&Target::Version(version.clone()))?;
-        let fresh = router.pick(now, &self.demand(target, avoid), &mut rand::rng());
+        let fresh = router.pick(now, &self.demand(target, tried), &mut rand::rng());
         // An upstream that failed before is better than none: its fault may have passed.
         let mut pick_any = || router.pick(now, &self.demand(target, &[]), &mut rand::rng());
         let index = fresh.or_else(|_| pick_any()).ok()?;
-        let demand = self.demand(target, avoid);
+        let demand = self.demand(target, tried);
         let is_interactive = self.job.priority == Priority::Interactive;
-        let must_preempt = is_interactive && router.must_give_way(now, index);
+        let must_preempt = is_interactive && router.should_preempt_batch(now, index);
         let picked = PickedUpstream::start(&mut router, index, &demand)?;
         drop(router);
         if must_preempt {
@@ -286,7 +286,7 @@
         let now = self.shared().now();
         let mut router = lock(&self.shared().router);
         if let Some(load) = relay.load() {
-            router.report(now, picked.index, &load);
+            router.record_report(now, picked.index, &load);
         }
         router.finished(now, picked.index, picked.target, outcome, &mut rand::rng());
         (request, end)
--- a/components/node/src/traffic/chat/version.rs
+++ b/components/node/src/traffic/chat/version.rs
@@ -214,7 +214,7 @@
         .min(job.resolved.offer.max_output);
     Candidate {
         version: id.clone(),
-        takes_new: version.state == VersionState::Offered,
+        accepts_new_sessions: version.state == VersionState::Offered,
         cost: version.price.of(job.params.input, output),
         latency: lock(&job.cx.shared.latencies).of(id).unwrap_or_default(),
         expected: version
--- a/components/node/src/traffic/plain.rs
+++ b/components/node/src/traffic/plain.rs
@@ -163,14 +163,14 @@
             return refuse(job, responder, &decision).await;
         }
     };
-    let mut avoid = Vec::new();
+    let mut tried = Vec::new();
     loop {
         if let Some(retry_after) = job.cx.shared.quarantine.quarantined_for(&job.content) {
             let refusal = claim::release_refused(&job.cx.shared, ready.refuse(Code::Barred));
             let refusal = refusal.with_retry_after(Some(retry_after));
             return refuse(job, responder, &refusal).await;
         }
-        let picked = is_still_permitted(job).then(|| pick_upstream(job, &avoid));
+        let picked = is_still_permitted(job).then(|| pick_upstream(job, &tried));
         let Some(picked) = picked.flatten() else {
             return refuse_unrun(job, responder, ready.refuse(Code::NoUpstream)).await;
         };
@@ -187,7 +187,7 @@
         };
         let quarantine = &job.cx.shared.quarantine;
         quarantine.run_ended(&picked, &job.content, run, &end).await;
-        avoid.push(picked.index);
+        tried.push(picked.index);
         let now = job.cx.shared.now();
         let next = job.cx.shared.with_budget(&job.service, |budget| {
             request.end(&picked.id, &end, now, budget)
@@ -272,7 +272,7 @@
     router.finished(now, picked.index, picked.target, outcome, &mut rand::rng());
 }
 
-fn pick_upstream(job: &Job, avoid: &[UpstreamIndex]) -> Option<PickedUpstream> {
+fn pick_upstream(job: &Job, tried: &[UpstreamIndex]) -> Option<PickedUpstream> {
     let shared = &job.cx.shared;
     let mut router = lock(&shared.router);
     let target = router.target_index(&Target::Service(job.service.clone()))?;
