--- a/components/peers/src/client.rs
+++ b/components/peers/src/client.rs
@@ -1,13 +1,13 @@
-//! Connections to other daemons.
+//! Outgoing connections to other daemons.
 //!
-//! One task a peer, made when there is something to say and gone when there is not for
-//! a while. What cannot be delivered is dropped: a queue that grows while a peer is away
-//! would bring it old news, and cost memory for each of hundreds of peers.
+//! Each peer has a task, which is started by the first message to it and stops when idle.
+//! A message that cannot be delivered is dropped: a queue that grows while a peer is
+//! unreachable would deliver outdated state and use memory for each of hundreds of peers.
 //!
-//! A peer that does not answer may stand still or be busy, or the connection to it carries
-//! nothing any more, which nobody says: the next connection shows which. So one on which a
-//! message or two questions in a row went unanswered is replaced, and a question ends by its
-//! deadline wherever it is by then.
+//! A peer that does not answer may be stalled or busy, or its connection may have failed
+//! silently; only a new connection tells these apart. A connection is therefore replaced
+//! after one message or two consecutive queries without an answer. A query always ends by
+//! its deadline, whatever stage it has reached.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -25,38 +25,41 @@
 use crate::counted::frames;
 use crate::handle::{AskError, Command, Shared};
 use crate::payload::{Part, Payload};
-use crate::seal::{Ends, Refusal, Sealed, Use};
-use crate::service::{Greeting, PeerClient};
+use crate::seal::{Endpoints, Purpose, Refusal, Sealed};
+use crate::service::{Handshake, PeerClient};
 use crate::silence::Silence;
 
-/// Peers with a queue at once; the one longest unused goes first.
+/// Maximum number of peers with a queue; the least recently used one is evicted.
 const MAX_PEERS: usize = 512;
-/// Messages waiting for one peer.
+/// Maximum number of messages queued for one peer.
 const MAX_QUEUED: usize = 64;
-/// Questions to one peer that wait for an answer.
-const MAX_ASKS: usize = 64;
-/// A connection must be made and greeted within.
+/// Maximum number of outstanding queries to one peer.
+const MAX_QUERIES: usize = 64;
+/// Timeout of the connect and of the handshake that follows it.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// A message must be taken within.
+/// Timeout for a peer's acknowledgement of a message.
 const DELIVER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Questions in a row that a connection may leave unanswered: a peer at work on another's may
-/// well miss one.
+/// Consecutive unanswered queries after which a connection is replaced. It is more than one,
+/// since a peer that is busy with another daemon's query may miss a single deadline.
 const MAX_UNANSWERED: u32 = 2;
-/// A peer that did not tell its clock is asked again after this.
-const MEASURE_AGAIN: Duration = Duration::from_secs(2);
-/// A connection without messages for so long is closed.
-const IDLE: Duration = Duration::from_secs(15);
-/// Pause after a first failure to connect; doubled with each more.
+/// Minimum time between clock queries on one connection.
+const MIN_MEASURE_INTERVAL: Duration = Duration::from_secs(2);
+/// An outgoing connection without messages for this long is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Delay after the first failed connect; it doubles with each further failure.
 const BACKOFF: Duration = Duration::from_millis(50);
-/// Longest pause between tries to connect.
+/// Longest delay between attempts to connect.
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
-/// What a peer's task is to do.
+/// A command to a peer's task.
 #[derive(Debug)]
 pub(crate) enum Job {
-    /// Hand over a message; after `until` it is old news.
-    Send { payload: Payload, until: Instant },
-    /// Ask a question.
+    /// Delivers a message, unless its content is outdated at `expires_at`.
+    Send {
+        payload: Payload,
+        expires_at: Instant,
+    },
+    /// Sends a query and waits for its reply.
     Ask {
         payload: Payload,
         deadline: Instant,
@@ -66,17 +69,17 @@
 
 struct Queue {
     tx: mpsc::Sender<Job>,
-    used: u64,
+    last_used: u64,
 }
 
-/// Hands jobs to the peers' tasks until all handles are gone.
+/// Routes jobs to the peers' tasks until all handles are dropped.
 pub(crate) async fn dispatch(commands: flume::Receiver<Command>, shared: Arc<Shared>) {
     let mut queues = BTreeMap::<SocketAddr, Queue>::new();
-    let mut used = 0;
+    let mut last_used = 0;
     while let Ok(command) = commands.recv_async().await {
         let (to, job) = match command {
             Command::Job { to, job } => (to, job),
-            // The tasks end with their queues, and with them their connections.
+            // Dropping the queues stops the tasks, which closes their connections.
             Command::Reconnect => {
                 queues.clear();
                 continue;
@@ -86,75 +89,75 @@
             deadline, answer, ..
         } = &job
         {
-            tokio::spawn(end_by(*deadline, answer.clone()));
+            tokio::spawn(expire_query(*deadline, answer.clone()));
         }
-        used += 1;
+        last_used += 1;
         queues.retain(|_, queue| !queue.tx.is_closed());
         if queues.len() >= MAX_PEERS && !queues.contains_key(&to) {
-            let oldest = queues.iter().min_by_key(|(_, queue)| queue.used);
+            let oldest = queues.iter().min_by_key(|(_, queue)| queue.last_used);
             let oldest = oldest.map(|(address, _)| *address);
             oldest.and_then(|address| queues.remove(&address));
         }
         let queue = queues.entry(to).or_insert_with(|| Queue {
-            tx: start(to, &shared),
-            used,
+            tx: spawn_link(to, &shared),
+            last_used,
         });
-        queue.used = used;
+        queue.last_used = last_used;
         if let Err(rejected) = queue.tx.try_send(job) {
-            give_up(rejected.into_inner(), &shared, AskError::Overloaded);
+            reject(rejected.into_inner(), &shared, AskError::Overloaded);
         }
     }
 }
 
-/// Ends a question at its deadline, however long its peer's task is held up.
+/// Fails a query at its deadline, even while its peer's task is blocked.
 ///
-/// Guards against an asker that waits for a peer which does not answer and asks nobody else: its
-/// question lay for 20 s behind messages of two seconds each.
-async fn end_by(deadline: Instant, answer: flume::Sender<Result<Payload, AskError>>) {
+/// Without this, a query can wait for 20 s behind messages that each time out after two seconds,
+/// and its sender queries no other peer in the meantime.
+async fn expire_query(deadline: Instant, answer: flume::Sender<Result<Payload, AskError>>) {
     sleep_until(deadline).await;
-    // One that was answered has no room or no receiver any more.
+    // Fails if the query was answered: its channel is full or closed.
     let _ = answer.try_send(Err(AskError::Timeout));
 }
 
-fn start(to: SocketAddr, shared: &Arc<Shared>) -> mpsc::Sender<Job> {
+fn spawn_link(to: SocketAddr, shared: &Arc<Shared>) -> mpsc::Sender<Job> {
     let (tx, rx) = mpsc::channel(MAX_QUEUED);
-    let link = Link {
+    let peer_link = PeerLink {
         to,
         shared: Arc::clone(shared),
         connection: None,
         failures: 0,
         retry_at: Instant::now(),
-        refused: false,
-        silence: Arc::new(Silence::towards(to, Arc::clone(shared))),
+        refusal_logged: false,
+        silence: Arc::new(Silence::new(to, Arc::clone(shared))),
     };
-    tokio::spawn(link.run(rx));
+    tokio::spawn(peer_link.run(rx));
     tx
 }
 
-fn give_up(job: Job, shared: &Shared, error: AskError) {
+fn reject(job: Job, shared: &Shared, error: AskError) {
     shared.counts.dropped.add(1);
     if let Job::Ask { answer, .. } = job {
         let _ = answer.try_send(Err(error));
     }
 }
 
-/// What a connection's peer said when it was asked for its clock.
+/// What is known of a peer's replies to clock queries on one connection.
 #[derive(Debug, Default)]
-struct ClockAnswer {
+struct ClockReplies {
     is_known: AtomicBool,
     is_refused: AtomicBool,
 }
 
-/// When a connection's peer is asked for its clock.
-struct ClockQuestion {
-    /// Not before.
+/// Schedule of the clock queries on one connection.
+struct ClockQuery {
+    /// Earliest time of the next query.
     measure_at: Instant,
-    answer: Arc<ClockAnswer>,
+    answer: Arc<ClockReplies>,
 }
 
-impl ClockQuestion {
-    /// Whether it is due, also where what is known of the peer's address is not old: behind a new
-    /// connection there may be another run, with another clock.
+impl ClockQuery {
+    /// Whether a clock query is due. A new connection always needs one, even if the measurement for
+    /// the peer's address is recent, because the daemon may have restarted with another clock.
     fn is_due(&self, is_old: bool) -> bool {
         let is_known = self.answer.is_known.load(Ordering::Relaxed);
         let is_refused = self.answer.is_refused.load(Ordering::Relaxed);
@@ -165,52 +168,55 @@
 /// An open connection.
 struct Connection {
     client: PeerClient,
-    ends: Ends,
+    endpoints: Endpoints,
     number: u32,
-    asks: Arc<tokio::sync::Semaphore>,
-    /// Set by a question that found the connection dead.
-    broken: Arc<AtomicBool>,
-    /// Questions in a row without an answer.
-    unanswered: Arc<AtomicU32>,
-    clock: ClockQuestion,
+    query_slots: Arc<tokio::sync::Semaphore>,
+    /// Set when a query found the connection dead.
+    is_broken: Arc<AtomicBool>,
+    /// Consecutive queries without an answer.
+    unanswered_queries: Arc<AtomicU32>,
+    clock: ClockQuery,
     shared: Arc<Shared>,
 }
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        self.shared.counts.connections_out.less();
+        self.shared.counts.connections_out.decrement();
     }
 }
 
-/// One peer: its connection, and when to try again after a failure.
-struct Link {
+/// A peer's task: its connection, and when to retry after a failure.
+struct PeerLink {
     to: SocketAddr,
     shared: Arc<Shared>,
     connection: Option<Connection>,
     failures: u32,
     retry_at: Instant,
-    /// Whether a refusal was logged; the rest are only counted.
-    refused: bool,
-    /// Whether the peer takes what it is sent.
+    /// Whether a refusal was logged; later ones are only counted.
+    refusal_logged: bool,
+    /// Whether the peer acknowledges what it is sent.
     silence: Arc<Silence>,
 }
 
-impl Link {
+impl PeerLink {
     async fn run(mut self, mut jobs: mpsc::Receiver<Job>) {
-        while let Ok(Some(job)) = timeout(IDLE, jobs.recv()).await {
+        while let Ok(Some(job)) = timeout(IDLE_TIMEOUT, jobs.recv()).await {
             if let Err(error) = self.ensure_connected().await {
-                give_up(job, &self.shared, error);
+                reject(job, &self.shared, error);
                 continue;
             }
             let now = Instant::now();
             match job {
-                Job::Send { payload, until } if now < until => self.deliver(payload).await,
+                Job::Send {
+                    payload,
+                    expires_at,
+                } if now < expires_at => self.deliver(payload).await,
                 Job::Ask {
                     payload,
                     deadline,
                     answer,
                 } if now < deadline => self.ask(payload, deadline, answer),
-                late => give_up(late, &self.shared, AskError::Timeout),
+                late => reject(late, &self.shared, AskError::Timeout),
             }
         }
     }
@@ -254,15 +260,16 @@
 
     fn note_refusal(&mut self, refusal: Refusal) {
         self.shared.counts.refused_by_peer.add(1);
-        if !std::mem::replace(&mut self.refused, true) {
+        if !std::mem::replace(&mut self.refusal_logged, true) {
             tracing::warn!("peers: {} refuses us: {refusal}", self.to);
         }
     }
 
-    /// Hands a message over, on a second connection if the first turns out dead.
+    /// Delivers a message, over a second connection if the first one turns out to be broken.
     ///
-    /// Guards against a connection that went silent and is kept: nothing would reach the peer
-    /// until the kernel gives up, after a quarter of an hour, though a new one would work at once.
+    /// A connection that has failed silently is replaced on a timeout. If it were kept, nothing
+    /// would reach the peer until the kernel gives up after a quarter of an hour, although a new
+    /// connection would work at once.
     async fn deliver(&mut self, payload: Payload) {
         let body = match payload.encode() {
             Ok(body) => body,
@@ -288,7 +295,7 @@
                     return;
                 }
                 Err(RpcError::DeadlineExceeded) => {
-                    self.silence.goes_on("message", DELIVER_TIMEOUT);
+                    self.silence.record_timeout("message", DELIVER_TIMEOUT);
                     self.connection = None;
                     break;
                 }
@@ -299,9 +306,9 @@
     }
 
     fn note_answer(&self) {
-        self.silence.ends();
+        self.silence.record_answer();
         if let Some(connection) = &self.connection {
-            connection.unanswered.store(0, Ordering::Relaxed);
+            connection.unanswered_queries.store(0, Ordering::Relaxed);
         }
     }
 
@@ -309,12 +316,12 @@
         let Some(connection) = &mut self.connection else {
             return Err(RpcError::Shutdown);
         };
-        let sealed = connection.seal(Use::Deliver, body);
-        let cx = within(DELIVER_TIMEOUT);
+        let sealed = connection.seal(Purpose::Deliver, body);
+        let cx = context_with_timeout(DELIVER_TIMEOUT);
         connection.client.deliver(cx, sealed).await
     }
 
-    /// Asks a peer that takes messages for its clock where that is due.
+    /// Queries the clock of a peer that has just acknowledged a message, if that is due.
     fn measure_clock(&mut self) {
         let (to, shared) = (self.to, Arc::clone(&self.shared));
         let Some(connection) = &mut self.connection else {
@@ -324,37 +331,39 @@
         if !connection.clock.is_due(is_old) {
             return;
         }
-        connection.clock.measure_at = Instant::now() + MEASURE_AGAIN;
-        let question = Payload::Part {
+        connection.clock.measure_at = Instant::now() + MIN_MEASURE_INTERVAL;
+        let query = Payload::Part {
             part: Part::Clock,
             body: bytes::Bytes::new(),
         };
-        let Ok(body) = question.encode() else {
+        let Ok(body) = query.encode() else {
             return;
         };
-        let sealed = connection.seal(Use::Ask, body);
-        let (client, ends) = (connection.client.clone(), connection.ends.clone());
+        let sealed = connection.seal(Purpose::Ask, body);
+        let (client, endpoints) = (connection.client.clone(), connection.endpoints.clone());
         let answer = Arc::clone(&connection.clock.answer);
         tokio::spawn(async move {
             let asked_at = shared.clock.now();
             let number = sealed.number;
-            let reply = client.ask(within(DELIVER_TIMEOUT), sealed).await;
+            let reply = client
+                .ask(context_with_timeout(DELIVER_TIMEOUT), sealed)
+                .await;
             let answered_at = shared.clock.now();
-            match read_reply(&shared, &ends, number, reply) {
+            match read_reply(&shared, &endpoints, number, reply) {
                 Ok(Payload::Part { body, .. }) => {
                     if let Ok(reading) = Reading::decode(&body) {
                         shared.clocks().note(to, reading, asked_at, answered_at);
                         answer.is_known.store(true, Ordering::Relaxed);
                     }
                 }
-                // Of a release that does not know the question.
+                // The peer's release does not support clock queries.
                 Err(AskError::Refused(_)) => answer.is_refused.store(true, Ordering::Relaxed),
                 Ok(Payload::Membership(_)) | Err(_) => {}
             }
         });
     }
 
-    /// Asks on a task of its own, so that a slow answer holds up nothing else.
+    /// Sends a query on a task of its own, so that a slow reply blocks nothing else.
     fn ask(
         &mut self,
         payload: Payload,
@@ -368,34 +377,34 @@
             let _ = answer.try_send(Err(AskError::TooLarge));
             return;
         };
-        let Ok(permit) = Arc::clone(&connection.asks).try_acquire_owned() else {
+        let Ok(permit) = Arc::clone(&connection.query_slots).try_acquire_owned() else {
             let _ = answer.try_send(Err(AskError::Overloaded));
             return;
         };
-        let sealed = connection.seal(Use::Ask, body);
+        let sealed = connection.seal(Purpose::Ask, body);
         let number = sealed.number;
-        let ends = connection.ends.clone();
+        let endpoints = connection.endpoints.clone();
         let client = connection.client.clone();
         let shared = Arc::clone(&self.shared);
-        let broken = Arc::clone(&connection.broken);
-        let unanswered = Arc::clone(&connection.unanswered);
+        let is_broken = Arc::clone(&connection.is_broken);
+        let unanswered_queries = Arc::clone(&connection.unanswered_queries);
         let silence = Arc::clone(&self.silence);
         let timeout = deadline.saturating_duration_since(Instant::now());
         tokio::spawn(async move {
-            let reply = client.ask(within(timeout), sealed).await;
+            let reply = client.ask(context_with_timeout(timeout), sealed).await;
             match &reply {
                 Ok(_) => {
-                    silence.ends();
-                    unanswered.store(0, Ordering::Relaxed);
+                    silence.record_answer();
+                    unanswered_queries.store(0, Ordering::Relaxed);
                 }
                 Err(RpcError::DeadlineExceeded) => {
-                    silence.goes_on("question", timeout);
-                    let in_a_row = unanswered.fetch_add(1, Ordering::Relaxed) + 1;
-                    broken.fetch_or(in_a_row >= MAX_UNANSWERED, Ordering::Relaxed);
+                    silence.record_timeout("question", timeout);
+                    let consecutive = unanswered_queries.fetch_add(1, Ordering::Relaxed) + 1;
+                    is_broken.fetch_or(consecutive >= MAX_UNANSWERED, Ordering::Relaxed);
                 }
-                Err(_) => broken.store(true, Ordering::Relaxed),
+                Err(_) => is_broken.store(true, Ordering::Relaxed),
             }
-            let reply = read_reply(&shared, &ends, number, reply);
+            let reply = read_reply(&shared, &endpoints, number, reply);
             shared.counts.sent.add(u64::from(reply.is_ok()));
             let _ = answer.try_send(reply);
             drop(permit);
@@ -404,42 +413,44 @@
 }
 
 impl Connection {
-    fn seal(&mut self, what: Use, body: bytes::Bytes) -> Sealed {
+    fn seal(&mut self, purpose: Purpose, body: bytes::Bytes) -> Sealed {
         self.number += 1;
         let keys = self.shared.keys();
-        self.ends.seal(&keys, what, self.number, body)
+        self.endpoints.seal(&keys, purpose, self.number, body)
     }
 
-    /// Whether it broke or its numbers are used up; a new connection begins anew.
+    /// Whether the connection broke or its sequence numbers are used up.
     fn is_dead(&self) -> bool {
-        self.number == u32::MAX || self.broken.load(Ordering::Relaxed)
+        self.number == u32::MAX || self.is_broken.load(Ordering::Relaxed)
     }
 }
 
-fn within(timeout: Duration) -> context::Context {
+fn context_with_timeout(timeout: Duration) -> context::Context {
     let mut cx = context::current();
     cx.deadline = std::time::Instant::now() + timeout;
     cx
 }
 
-/// Connects and greets.
+/// Connects to a peer and performs the handshake.
 async fn open(to: SocketAddr, shared: &Arc<Shared>) -> Result<Connection, AskError> {
     let stream = TcpStream::connect(to).await;
     let stream = stream.map_err(|_| AskError::Unreachable)?;
     let transport = frames(stream, Arc::clone(&shared.counts));
     let client = PeerClient::new(Config::default(), transport).spawn();
     let from = shared.sender();
-    let greeting = Greeting {
+    let greeting = Handshake {
         cluster: shared.cluster.clone(),
         id: from.id.clone(),
         incarnation: from.incarnation,
         address: from.address,
         to,
     };
-    let greeted = client.greet(within(CONNECT_TIMEOUT), greeting).await;
+    let greeted = client
+        .greet(context_with_timeout(CONNECT_TIMEOUT), greeting)
+        .await;
     let greeted = greeted.map_err(|_| AskError::Unreachable)?;
     let challenge = greeted?;
-    let ends = Ends {
+    let endpoints = Endpoints {
         cluster: shared.cluster.clone(),
         from,
         to,
@@ -447,12 +458,12 @@
     };
     Ok(Connection {
         client,
-        ends,
+        endpoints,
         number: 0,
-        asks: Arc::new(tokio::sync::Semaphore::new(MAX_ASKS)),
-        broken: Arc::default(),
-        unanswered: Arc::default(),
-        clock: ClockQuestion {
+        query_slots: Arc::new(tokio::sync::Semaphore::new(MAX_QUERIES)),
+        is_broken: Arc::default(),
+        unanswered_queries: Arc::default(),
+        clock: ClockQuery {
             measure_at: Instant::now(),
             answer: Arc::default(),
         },
@@ -462,7 +473,7 @@
 
 fn read_reply(
     shared: &Shared,
-    ends: &Ends,
+    endpoints: &Endpoints,
     number: u32,
     reply: Result<Result<Sealed, Refusal>, RpcError>,
 ) -> Result<Payload, AskError> {
@@ -475,7 +486,7 @@
         Err(RpcError::DeadlineExceeded) => return Err(AskError::Timeout),
         Err(_) => return Err(AskError::Broken),
     };
-    let opened = ends.open(&shared.keys(), Use::Reply, &sealed);
+    let opened = endpoints.open(&shared.keys(), Purpose::Reply, &sealed);
     if sealed.number != number {
         return Err(AskError::BadReply);
     }
--- a/components/peers/src/clocks.rs
+++ b/components/peers/src/clocks.rs
@@ -1,9 +1,9 @@
-//! How far clocks of peers are ahead of the own one, at least.
+//! Lower bounds on the offsets of peers' clocks from the local one.
 //!
-//! A peer that is asked reads its clock. When the answer is here that clock has gone on, so it is ahead
-//! of the own clock by the difference at least, however long question and answer were under way: a slow
-//! way makes the bound looser, never wrong. A moment of the own clock is so translated into one on the
-//! peer's that is not later.
+//! A queried peer reads its clock and replies. That clock has advanced by the time the reply arrives, so
+//! its offset from the local clock is at least the difference of the two readings, however long the round
+//! trip took: a slow network makes the bound looser, never wrong. With this bound a local time translates
+//! into a time on the peer's clock that is never too late.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,19 +13,19 @@
 use serde::{Deserialize, Serialize};
 use types::prelude::*;
 
-/// Clocks of two hosts drift apart by one part of so many at most.
-const DRIFT: u64 = 1_000;
-/// A bound is measured anew after this.
-const MEASURE_EVERY: Span = Span::from_secs(30);
-/// Peers remembered; the one measured longest ago goes first.
+/// Inverse of the highest assumed drift between the clocks of two hosts: one part in 1000.
+const INVERSE_MAX_DRIFT: u64 = 1_000;
+/// Time after which a bound is measured again.
+const MEASURE_INTERVAL: Span = Span::from_secs(30);
+/// Maximum number of peers remembered; the one measured longest ago is evicted.
 const MAX_CLOCKS: usize = 512;
 
-/// A daemon's clock, as it read it.
+/// A daemon's reading of its own clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reading {
-    /// The daemon's run, since whose begin the clock counts.
+    /// The incarnation of the daemon at whose start the clock began at zero.
     pub run: Incarnation,
-    /// In ms.
+    /// Milliseconds since that start.
     pub clock_ms: u64,
 }
 
@@ -40,34 +40,35 @@
     }
 }
 
-/// How far a peer's clock is ahead of the own one, at least.
+/// A lower bound on the offset of a peer's clock from the local one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClockBound {
     run: Incarnation,
-    ahead_ms: i64,
+    min_offset_ms: i64,
     measured_at: Time,
 }
 
 impl ClockBound {
-    /// From the answer to a question that was asked and answered at moments of the own clock, and the
-    /// most by which the peer's clock can be ahead.
+    /// Derives a bound from a peer's reading and the local times of the query and its reply. Also
+    /// returns the upper bound on the offset, in ms.
     #[must_use]
     pub fn measured(reading: Reading, asked_at: Time, answered_at: Time) -> (Self, i64) {
         let read_ms = i64::try_from(reading.clock_ms).unwrap_or(i64::MAX);
-        let ahead = |own_ms: u64| read_ms - own_ms as i64;
+        let offset = |local_ms: u64| read_ms - local_ms as i64;
         let bound = Self {
             run: reading.run,
-            ahead_ms: ahead(millis(answered_at) + 1),
+            min_offset_ms: offset(millis(answered_at) + 1),
             measured_at: answered_at,
         };
-        (bound, ahead(millis(asked_at)))
+        (bound, offset(millis(asked_at)))
     }
 
-    /// What the peer's clock showed at a moment of the own one, at least; nothing before its run.
+    /// Returns the earliest reading that the peer's clock can have shown at a local time, or `None` if
+    /// that is before the peer's start.
     #[must_use]
     pub fn reading_at(&self, at: Time) -> Option<Reading> {
-        let ahead_ms = self.ahead_at(at);
-        let clock_ms = ahead_ms.saturating_add(millis(at) as i64);
+        let min_offset_ms = self.min_offset_at(at);
+        let clock_ms = min_offset_ms.saturating_add(millis(at) as i64);
         let clock_ms = u64::try_from(clock_ms).ok()?;
         Some(Reading {
             run: self.run,
@@ -75,9 +76,9 @@
         })
     }
 
-    fn ahead_at(&self, at: Time) -> i64 {
-        let apart = self.measured_at.since(at).max(at.since(self.measured_at));
-        self.ahead_ms - apart.as_millis().div_ceil(DRIFT) as i64
+    fn min_offset_at(&self, at: Time) -> i64 {
+        let elapsed = self.measured_at.since(at).max(at.since(self.measured_at));
+        self.min_offset_ms - elapsed.as_millis().div_ceil(INVERSE_MAX_DRIFT) as i64
     }
 }
 
@@ -85,19 +86,19 @@
     at.since(Time::ZERO).as_millis()
 }
 
-/// The bounds of all peers' clocks.
+/// Clock offset bounds by peer address.
 #[derive(Debug, Default)]
 pub struct Clocks(HashMap<SocketAddr, ClockBound>);
 
 impl Clocks {
-    /// Takes a peer's answer, and keeps the closer bound. A clock that is ahead by less than was known
-    /// stood still or is another.
+    /// Records a peer's reading and keeps the tighter bound. The known bound is discarded if it exceeds
+    /// the measured upper bound: the peer's clock then paused or is a different one.
     pub fn note(&mut self, peer: SocketAddr, reading: Reading, asked_at: Time, answered_at: Time) {
-        let (mut bound, at_most) = ClockBound::measured(reading, asked_at, answered_at);
+        let (mut bound, max_offset_ms) = ClockBound::measured(reading, asked_at, answered_at);
         let known = self.0.get(&peer).filter(|known| known.run == reading.run);
-        let known_ahead = known.map(|known| known.ahead_at(answered_at));
-        if let Some(ahead_ms) = known_ahead.filter(|ahead| *ahead <= at_most) {
-            bound.ahead_ms = bound.ahead_ms.max(ahead_ms);
+        let known_offset = known.map(|known| known.min_offset_at(answered_at));
+        if let Some(min_offset_ms) = known_offset.filter(|offset| *offset <= max_offset_ms) {
+            bound.min_offset_ms = bound.min_offset_ms.max(min_offset_ms);
         }
         if self.0.len() >= MAX_CLOCKS && !self.0.contains_key(&peer) {
             let oldest = self.0.iter().min_by_key(|(_, bound)| bound.measured_at);
@@ -107,16 +108,16 @@
         self.0.insert(peer, bound);
     }
 
-    /// What is known of a peer's clock.
+    /// Returns the offset bound of a peer's clock, if it was measured.
     #[must_use]
     pub fn get(&self, peer: SocketAddr) -> Option<ClockBound> {
         self.0.get(&peer).copied()
     }
 
-    /// Whether a peer's clock was measured long ago, or never.
+    /// Whether a peer's clock needs a measurement: it has none, or the last one is too old.
     #[must_use]
     pub fn is_old(&self, peer: SocketAddr, now: Time) -> bool {
         let known = self.0.get(&peer);
-        known.is_none_or(|known| now.since(known.measured_at) >= MEASURE_EVERY)
+        known.is_none_or(|known| now.since(known.measured_at) >= MEASURE_INTERVAL)
     }
 }
--- a/components/peers/src/config.rs
+++ b/components/peers/src/config.rs
@@ -1,4 +1,4 @@
-//! Settings of the edge between daemons: addresses, names and keys.
+//! Settings of the connections between daemons: addresses, names and keys.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -10,36 +10,36 @@
 /// Shortest secret accepted, in bytes.
 pub const MIN_SECRET_BYTES: usize = 16;
 
-/// Settings of the edge between daemons.
+/// Settings of the connections between daemons.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// The fleet; daemons of another are refused.
+    /// The cluster of this daemon; daemons of other clusters are refused.
     pub cluster: ClusterName,
-    /// This daemon.
+    /// The id of this daemon.
     pub me: DaemonId,
-    /// Its restart.
+    /// The incarnation of this daemon, which increases with each restart.
     pub incarnation: Incarnation,
-    /// Where to listen.
+    /// Address to listen on.
     pub listen: SocketAddr,
-    /// Where others reach this daemon; the address listened on if absent.
+    /// Address at which other daemons reach this one; defaults to the address listened on.
     pub advertise: Option<SocketAddr>,
-    /// The shared keys.
+    /// Keys shared by the daemons of the cluster.
     pub keys: Keys,
-    /// This run's clock.
+    /// The clock that this daemon reports to its peers.
     pub clock: Clock,
 }
 
 /// A shared key.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Key {
-    /// Tells it from others while keys are changed; the same on every daemon.
+    /// Distinguishes keys during a key rotation; the same on every daemon.
     pub id: u16,
     /// At least [`MIN_SECRET_BYTES`] random bytes.
     pub secret: Bytes,
 }
 
 impl Key {
-    /// A key known to operators by a name; its id is made of that.
+    /// Creates a key whose id is derived from the name that operators gave it.
     #[must_use]
     pub fn named(name: &str, secret: Bytes) -> Self {
         let hash = Sha256::digest(name.as_bytes());
@@ -57,26 +57,26 @@
 /// Why keys cannot be used.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum KeyError {
-    /// Too short to be safe.
+    /// The secret is too short to be safe.
     #[error("peer key {id} has {bytes} bytes; give at least {MIN_SECRET_BYTES} random bytes")]
     TooShort {
-        /// The key.
+        /// Id of the key.
         id: u16,
-        /// Its length.
+        /// Length of its secret, in bytes.
         bytes: usize,
     },
-    /// Two secrets under one id.
+    /// Two keys have the same id.
     #[error("peer key {0} is given twice; give each key an id of its own")]
     Repeated(u16),
-    /// The key to send with is not among those given.
+    /// The sending key is not among the accepted keys.
     #[error("peer key {0} is to be sent with, but is not among the keys")]
     Unknown(u16),
 }
 
-/// The keys that are accepted, and the one that is sent with.
+/// The keys that are accepted from peers, and the one that this daemon sends with.
 ///
-/// To change keys without a stop: give every daemon the new key beside the old one,
-/// then let all send with the new one, then take the old one away.
+/// To rotate keys without downtime, first add the new key beside the old one on every
+/// daemon, then switch all daemons to sending with it, then remove the old one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Keys {
     accepted: Vec<Key>,
@@ -84,19 +84,20 @@
 }
 
 impl Keys {
-    /// Checks and wraps keys.
+    /// Creates a key set after checking it.
     ///
     /// # Errors
-    /// Says which key is at fault.
+    /// If a secret is too short, an id is repeated, or `sending` is not among the accepted
+    /// keys; the error names the key.
     pub fn new(accepted: Vec<Key>, sending: u16) -> Result<Self, KeyError> {
-        for (place, key) in accepted.iter().enumerate() {
+        for (index, key) in accepted.iter().enumerate() {
             if key.secret.len() < MIN_SECRET_BYTES {
                 return Err(KeyError::TooShort {
                     id: key.id,
                     bytes: key.secret.len(),
                 });
             }
-            if accepted[..place].iter().any(|other| other.id == key.id) {
+            if accepted[..index].iter().any(|other| other.id == key.id) {
                 return Err(KeyError::Repeated(key.id));
             }
         }
@@ -106,13 +107,13 @@
         Ok(Self { accepted, sending })
     }
 
-    /// The secret of a key that is accepted.
+    /// Returns the secret of an accepted key.
     pub(crate) fn secret(&self, id: u16) -> Option<&Bytes> {
         let key = self.accepted.iter().find(|key| key.id == id);
         key.map(|key| &key.secret)
     }
 
-    /// The id of the key that is sent with.
+    /// Returns the id of the key that this daemon sends with.
     #[must_use]
     pub fn sending(&self) -> u16 {
         self.sending
--- a/components/peers/src/counted.rs
+++ b/components/peers/src/counted.rs
@@ -1,4 +1,4 @@
-//! A socket that counts its bytes.
+//! TCP streams that count their bytes, and the framing on top of them.
 
 use std::io;
 use std::pin::Pin;
@@ -15,21 +15,21 @@
 use crate::service::MAX_FRAME_BYTES;
 use crate::stats::Counts;
 
-/// A socket that counts its bytes.
+/// A TCP stream that counts the bytes read and written.
 #[derive(Debug)]
-pub(crate) struct Counted {
+pub(crate) struct CountedStream {
     stream: TcpStream,
     counts: Arc<Counts>,
 }
 
-/// A connection that carries frames of bounded length.
+/// A transport of length-delimited frames of bounded size.
 pub(crate) type Frames<Item, SinkItem> =
-    Transport<Counted, Item, SinkItem, Bincode<Item, SinkItem>>;
+    Transport<CountedStream, Item, SinkItem, Bincode<Item, SinkItem>>;
 
-/// Wraps a socket for calls in either direction.
+/// Wraps a TCP stream into a transport for RPCs in either direction.
 ///
-/// The bound on frames guards against a peer that announces a frame of gigabytes: the
-/// buffer for it would be made before anything of it was checked.
+/// The bound on the frame size protects against a peer that announces a frame of
+/// gigabytes: its buffer would be allocated before any of the content is checked.
 pub(crate) fn frames<Item, SinkItem>(
     stream: TcpStream,
     counts: Arc<Counts>,
@@ -40,13 +40,13 @@
 {
     // Small frames must not wait for the peer's acknowledgement of earlier ones.
     let _ = stream.set_nodelay(true);
-    let counted = Counted { stream, counts };
+    let counted = CountedStream { stream, counts };
     let mut codec = LengthDelimitedCodec::builder();
     codec.max_frame_length(MAX_FRAME_BYTES);
     serde_transport::new(codec.new_framed(counted), Bincode::default())
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -60,7 +60,7 @@
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/components/peers/src/handle.rs
+++ b/components/peers/src/handle.rs
@@ -1,4 +1,4 @@
-//! What the other threads hold of the peers' thread.
+//! Start of the peers' thread, and the handle through which other threads use it.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, RwLock};
@@ -15,112 +15,113 @@
 use crate::payload::Payload;
 use crate::seal::Refusal;
 use crate::server;
-use crate::silence::Lines;
+use crate::silence::LogLimiter;
 use crate::stats::{Counts, Stats};
 
-/// A message that has waited so long for its turn is old news; a newer one says more.
-const KEEPS: Duration = Duration::from_secs(1);
-/// Commands waiting for the peers' thread.
+/// A message queued for longer than this is dropped, since a newer one supersedes it.
+const MESSAGE_TTL: Duration = Duration::from_secs(1);
+/// Maximum number of commands queued for the peers' thread.
 const MAX_COMMANDS: usize = 4_096;
 
-/// What came from another daemon.
+/// A message or query received from another daemon.
 #[derive(Debug)]
 pub enum Inbound {
-    /// A message.
+    /// A one-way message.
     Message {
-        /// Who sent it.
+        /// The daemon that sent the message.
         from: Sender,
-        /// What it says.
+        /// Content of the message.
         payload: Payload,
     },
-    /// A question.
+    /// A query that expects a reply.
     Ask {
-        /// Who asks.
+        /// The daemon that sent the query.
         from: Sender,
-        /// What is asked.
+        /// Content of the query.
         payload: Payload,
-        /// Where the answer goes; dropped without one, the asker is told to try elsewhere.
+        /// Channel for the reply; if it is dropped unused, the sender is told that this daemon
+        /// is overloaded.
         reply: Reply,
     },
 }
 
-/// The way back for one answer.
+/// One-shot channel for the reply to a query.
 #[derive(Debug)]
 pub struct Reply(pub(crate) oneshot::Sender<Payload>);
 
 impl Reply {
-    /// Answers. An asker that is gone is no matter.
+    /// Sends the reply; does nothing if the query has ended.
     pub fn send(self, payload: Payload) {
         let _ = self.0.send(payload);
     }
 }
 
-/// Why a question has no answer.
+/// Why a query has no reply.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum AskError {
-    /// No connection; the question was not sent.
+    /// There is no connection; the query was not sent.
     #[error("the peer cannot be reached")]
     Unreachable,
-    /// The connection broke; the question may have arrived.
+    /// The connection broke; the query may have arrived.
     #[error("the connection to the peer broke while it was asked")]
     Broken,
-    /// No answer in time; the question may have arrived.
+    /// The deadline passed without a reply; the query may have arrived.
     #[error("the peer did not answer in time")]
     Timeout,
-    /// The peer refused.
+    /// The peer refused the query or the handshake.
     #[error("the peer refused: {0}")]
     Refused(#[from] Refusal),
-    /// Too many wait; the question was not sent.
+    /// A queue is full or too many queries are outstanding; the query was not sent.
     #[error("too many messages wait for the peer")]
     Overloaded,
-    /// The question is too large; it was not sent.
+    /// The query is too large; it was not sent.
     #[error("the question is too large for one message; split it")]
     TooLarge,
-    /// The answer's code does not fit or it cannot be read.
+    /// The reply cannot be authenticated or decoded.
     #[error("the peer's answer is not one of a daemon with our key")]
     BadReply,
 }
 
-/// Why the edge between daemons cannot start.
+/// Why the peers' thread cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum PeersError {
-    /// The address cannot be listened on.
+    /// Listening on the address failed.
     #[error("cannot listen for peers on {address}: {source}; check the address and port")]
     Listen {
-        /// The address.
+        /// The configured listen address.
         address: SocketAddr,
-        /// Why.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The thread or its runtime cannot be made.
+    /// The thread or its runtime cannot be created.
     #[error("cannot start the peers' thread: {0}")]
     Thread(std::io::Error),
 }
 
-/// What the peers' thread is told.
+/// A command to the peers' thread.
 #[derive(Debug)]
 pub(crate) enum Command {
-    /// Do something towards a peer.
+    /// Passes a job to a peer's task.
     Job { to: SocketAddr, job: Job },
-    /// Open all connections anew.
+    /// Replaces all outgoing connections.
     Reconnect,
 }
 
-/// Takes what came in, or says that there is no room. Must not wait.
+/// Accepts an inbound message or query, or returns false if there is no room. Must not block.
 pub(crate) type Sink = Box<dyn Fn(Inbound) -> bool + Send + Sync>;
 
-/// What the tasks of the peers' thread share.
+/// State shared by the tasks of the peers' thread and the handles.
 pub(crate) struct Shared {
     pub(crate) cluster: ClusterName,
     pub(crate) address: SocketAddr,
     pub(crate) counts: Arc<Counts>,
     pub(crate) sink: Sink,
-    /// Bounds the lines about silent peers.
-    pub(crate) lines: Mutex<Lines>,
-    /// What is known of the peers' clocks.
+    /// Limits the rate of log lines about unresponsive peers.
+    pub(crate) log_limiter: Mutex<LogLimiter>,
+    /// Offset bounds of the peers' clocks.
     pub(crate) clocks: Mutex<Clocks>,
     pub(crate) clock: Clock,
-    /// The run that the own clock counts from.
+    /// The incarnation at whose start the local clock began at zero.
     run: Incarnation,
     me: DaemonId,
     incarnation: RwLock<Incarnation>,
@@ -132,7 +133,7 @@
         self.clocks.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The own clock.
+    /// Reads the local clock.
     pub(crate) fn reading(&self) -> Reading {
         Reading {
             run: self.run,
@@ -154,18 +155,18 @@
     }
 }
 
-/// The edge between daemons.
+/// The peers' thread, which owns all connections between daemons.
 #[derive(Debug)]
 pub struct Peers;
 
 impl Peers {
-    /// Listens and starts the thread. It ends when the last handle is gone.
+    /// Listens and starts the thread, which stops when the last handle is dropped.
     ///
-    /// What arrives is given to `sink`, which must not wait: it puts it into a bounded
-    /// queue, or says no when there is no room. That is refused and counted.
+    /// Inbound messages and queries are passed to `sink`, which must not block: it puts them
+    /// into a bounded queue, or returns false if there is no room. These are refused and counted.
     ///
     /// # Errors
-    /// When the address cannot be listened on or the thread cannot be made.
+    /// If listening on the address fails or the thread cannot be created.
     pub fn start(
         cfg: Config,
         sink: impl Fn(Inbound) -> bool + Send + Sync + 'static,
@@ -182,7 +183,7 @@
             address: cfg.advertise.unwrap_or(local),
             counts: Arc::new(Counts::default()),
             sink: Box::new(sink),
-            lines: Mutex::default(),
+            log_limiter: Mutex::default(),
             clocks: Mutex::default(),
             clock: cfg.clock,
             run: cfg.incarnation,
@@ -191,7 +192,7 @@
             keys: RwLock::new(Arc::new(cfg.keys)),
         });
         let (tx, rx) = flume::bounded(MAX_COMMANDS);
-        spawn(listener, rx, Arc::clone(&shared)).map_err(PeersError::Thread)?;
+        spawn_thread(listener, rx, Arc::clone(&shared)).map_err(PeersError::Thread)?;
         tracing::info!("peers: listening on {local}");
         Ok(Handle {
             commands: tx,
@@ -200,7 +201,7 @@
     }
 }
 
-fn spawn(
+fn spawn_thread(
     listener: TcpListener,
     commands: flume::Receiver<Command>,
     shared: Arc<Shared>,
@@ -223,7 +224,7 @@
     thread.spawn(move || runtime.block_on(run)).map(drop)
 }
 
-/// A handle of the peers' thread.
+/// A cloneable handle to the peers' thread.
 #[derive(Clone)]
 pub struct Handle {
     commands: flume::Sender<Command>,
@@ -237,20 +238,25 @@
 }
 
 impl Handle {
-    /// Where other daemons reach this one.
+    /// Returns the address at which other daemons reach this one.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.shared.address
     }
 
-    /// Sends a message; it may be lost.
+    /// Sends a message without waiting; it may be lost.
     pub fn send(&self, to: SocketAddr, payload: Payload) {
-        let until = Instant::now() + KEEPS;
-        self.command(to, Job::Send { payload, until });
+        let expires_at = Instant::now() + MESSAGE_TTL;
+        self.command(
+            to,
+            Job::Send {
+                payload,
+                expires_at,
+            },
+        );
     }
 
-    /// Asks a question; the answer, or why there is none, comes out of the receiver by the
-    /// deadline.
+    /// Sends a query; the receiver yields the reply or an error before `timeout` has passed.
     #[must_use]
     pub fn ask(
         &self,
@@ -271,39 +277,39 @@
     }
 
     fn command(&self, to: SocketAddr, job: Job) -> bool {
-        let taken = self.commands.try_send(Command::Job { to, job }).is_ok();
-        if !taken {
+        let is_queued = self.commands.try_send(Command::Job { to, job }).is_ok();
+        if !is_queued {
             self.shared.counts.dropped.add(1);
         }
-        taken
+        is_queued
     }
 
-    /// Changes the keys; connections stay open.
+    /// Replaces the keys; connections stay open.
     pub fn set_keys(&self, keys: Keys) {
-        let held = self.shared.keys.write();
-        *held.unwrap_or_else(PoisonError::into_inner) = Arc::new(keys);
+        let current = self.shared.keys.write();
+        *current.unwrap_or_else(PoisonError::into_inner) = Arc::new(keys);
     }
 
-    /// Goes on as a later run of this daemon; connections are opened anew.
+    /// Continues under a later incarnation of this daemon; connections are replaced.
     pub fn set_incarnation(&self, incarnation: Incarnation) {
-        let held = self.shared.incarnation.write();
-        *held.unwrap_or_else(PoisonError::into_inner) = incarnation;
+        let current = self.shared.incarnation.write();
+        *current.unwrap_or_else(PoisonError::into_inner) = incarnation;
         let _ = self.commands.try_send(Command::Reconnect);
     }
 
-    /// The run that this daemon's clock counts from.
+    /// Returns the incarnation at whose start this daemon's clock began at zero.
     #[must_use]
     pub fn run(&self) -> Incarnation {
         self.shared.run
     }
 
-    /// What is known of a peer's clock.
+    /// Returns the offset bound of a peer's clock, if it was measured.
     #[must_use]
     pub fn clock_of(&self, peer: SocketAddr) -> Option<ClockBound> {
         self.shared.clocks().get(peer)
     }
 
-    /// Counts since the start.
+    /// Returns the traffic counts since the start.
     #[must_use]
     pub fn stats(&self) -> Stats {
         self.shared.counts.stats()
--- a/components/peers/src/lib.rs
+++ b/components/peers/src/lib.rs
@@ -1,14 +1,15 @@
 //! Connections between daemons.
 //!
-//! One thread with one current-thread runtime carries all traffic to and from other
-//! daemons; the other threads talk to it over bounded queues. A connection begins with
-//! a greeting that names the sender and brings a random challenge back; from then on
-//! each message carries a number and a code (HMAC-SHA256) over the cluster's name, the
-//! challenge, both ends, the number and the content. So nothing is taken from a daemon
-//! without the shared key, nor twice, nor from another connection or another cluster.
+//! One thread with a current-thread runtime carries all traffic to and from other
+//! daemons; the other threads exchange data with it over bounded queues. A connection
+//! starts with a handshake that names the sender and returns a random challenge. Every
+//! later message carries a sequence number and an authentication tag (HMAC-SHA256) over
+//! the cluster name, the challenge, both endpoints, the sequence number and the content.
+//! The receiver therefore rejects messages from a daemon without the shared key, replayed
+//! messages, and messages recorded on another connection or in another cluster.
 //!
-//! What cannot be sent now is dropped and counted: every protocol that rides here
-//! repeats what matters.
+//! A message that cannot be sent at once is dropped and counted: every protocol carried
+//! here resends what matters.
 
 mod client;
 mod clocks;
--- a/components/peers/src/payload.rs
+++ b/components/peers/src/payload.rs
@@ -1,72 +1,72 @@
-//! What one message carries.
+//! Content of the messages between daemons, and its encoding.
 
 use bincode::Options;
 use bytes::Bytes;
 use membership::Message;
 use serde::{Deserialize, Serialize};
 
-/// Largest content of one message, in bytes.
+/// Maximum size of an encoded [`Payload`], in bytes.
 pub const MAX_BODY_BYTES: usize = 576 * 1024;
 
-/// What one message carries.
+/// Content of one message, query or reply.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Membership and facts.
+    /// Membership updates and facts.
     Membership(Message),
-    /// Bytes of another part, which checks them itself.
+    /// Opaque content of another component, which decodes and checks it.
     Part {
-        /// Whose they are.
+        /// The component that the content belongs to.
         part: Part,
-        /// What they say.
+        /// The encoded content.
         body: Bytes,
     },
 }
 
-/// Parts whose messages ride on the connections between daemons.
+/// Components that exchange messages over the connections between daemons.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Part {
     /// Records of the catalogue.
     Catalogue,
-    /// Pins of sessions.
+    /// Assignments of sessions to upstreams.
     Session,
-    /// Bills.
+    /// Bills held for other daemons.
     Ledger,
-    /// Claims of requests.
+    /// Claims on requests.
     Request,
     /// Shares of customers' limits.
     Limits,
-    /// Evidence on versions.
+    /// Evidence on the quality of versions.
     Quality,
-    /// Steps of roll-outs.
+    /// Progress of roll-outs.
     Rollout,
-    /// Questions for operators.
+    /// Queries on behalf of operators.
     Operators,
-    /// The store's keys.
+    /// Keys of the store, for daemons that mirror them.
     Mirror,
-    /// How a daemon stands, several times a second.
+    /// The state of a daemon, sent several times a second.
     Standing,
-    /// Contents under which upstreams ended.
+    /// Request contents during which upstreams crashed.
     Poison,
-    /// What a daemon's clock shows, answered by the connection's end itself.
+    /// The reading of a daemon's clock, which this crate answers itself.
     Clock,
 }
 
-/// Why bytes are no payload, or a payload makes no bytes.
+/// Why a payload cannot be encoded or decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum PayloadError {
-    /// Longer than [`MAX_BODY_BYTES`].
+    /// The encoded payload is longer than [`MAX_BODY_BYTES`].
     #[error("a message to a peer has {0} bytes, at most {MAX_BODY_BYTES} are allowed; split it")]
     TooLarge(usize),
-    /// Not of the expected form.
+    /// The bytes are not a valid payload.
     #[error("a message of a peer cannot be read: {0}")]
     Malformed(#[from] bincode::Error),
 }
 
 impl Payload {
-    /// As bytes.
+    /// Encodes the payload.
     ///
     /// # Errors
-    /// When it is too large.
+    /// If the result exceeds [`MAX_BODY_BYTES`].
     pub fn encode(&self) -> Result<Bytes, PayloadError> {
         let bytes = bincode::DefaultOptions::new().serialize(self)?;
         if bytes.len() > MAX_BODY_BYTES {
@@ -75,10 +75,10 @@
         Ok(bytes.into())
     }
 
-    /// From bytes.
+    /// Decodes a payload.
     ///
     /// # Errors
-    /// When they are too many or not of the expected form.
+    /// If `bytes` exceeds [`MAX_BODY_BYTES`] or is not a valid payload.
     pub fn decode(bytes: &[u8]) -> Result<Self, PayloadError> {
         if bytes.len() > MAX_BODY_BYTES {
             return Err(PayloadError::TooLarge(bytes.len()));
--- a/components/peers/src/seal.rs
+++ b/components/peers/src/seal.rs
@@ -1,4 +1,5 @@
-//! Codes that prove who sent a message, to whom, on which connection, and once.
+//! Authentication tags that bind a message to its sender, receiver and connection, and replay
+//! protection.
 
 use std::net::SocketAddr;
 
@@ -13,77 +14,83 @@
 
 /// Length of a challenge, in bytes.
 const CHALLENGE_BYTES: usize = 16;
-/// Length of a code, in bytes: half of HMAC-SHA256.
-const CODE_BYTES: usize = 16;
-/// Numbers below the highest that may still arrive, each once.
-const WINDOW: u32 = 128;
+/// Length of an authentication tag, in bytes: half of an HMAC-SHA256.
+const TAG_BYTES: usize = 16;
+/// Size of the replay window: how far a sequence number may lie behind the highest one received.
+const WINDOW_SIZE: u32 = 128;
 
-/// Random bytes that a receiver gives to each connection.
+/// Random bytes that the receiver chooses for each connection.
 pub(crate) type Challenge = [u8; CHALLENGE_BYTES];
 
-/// What is being sealed; a code for one is none for another.
+/// Role of a sealed message; a tag made for one role is not valid for another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Use {
+pub(crate) enum Purpose {
     Deliver = 1,
     Ask = 2,
     Reply = 3,
 }
 
-/// A message with the proof of its sender.
+/// A message with its authentication tag.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Sealed {
     key: u16,
-    /// Unique on its connection.
+    /// Sequence number, unique on its connection; a reply has that of its query.
     pub(crate) number: u32,
-    /// A payload's bytes.
+    /// An encoded payload.
     pub(crate) body: Bytes,
-    code: [u8; CODE_BYTES],
+    tag: [u8; TAG_BYTES],
 }
 
-/// Why a receiver takes nothing from a sender.
+/// Why a receiver refused a message, query or handshake.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum Refusal {
-    /// It is of another fleet.
+    /// The sender belongs to another cluster.
     #[error("the peer is of another cluster; check the cluster's name in the settings")]
     Cluster,
-    /// The message was meant for another address.
+    /// The handshake names another address than that of the receiver.
     #[error("the peer is reached at another address; check its advertised address")]
     Address,
-    /// No greeting yet, or more than one.
+    /// The connection has had no handshake, or more than one.
     #[error("the connection was not greeted once")]
     Greeting,
-    /// The key is not known there.
+    /// The receiver does not accept the key id.
     #[error("the peer does not know the key sent with; give it the key first")]
     Key,
-    /// The code does not fit.
+    /// The authentication tag does not match.
     #[error("the peer holds another secret under the same key id")]
     Code,
-    /// The number was used before.
+    /// The sequence number was used before or is too old to tell.
     #[error("the message was received before")]
     Replay,
-    /// The content cannot be read.
+    /// The content cannot be decoded.
     #[error("the peer cannot read the message; the versions may differ too far")]
     Malformed,
-    /// There is no room in the receiver's queue.
+    /// The receiver's queue is full, or a query was not answered there in time.
     #[error("the peer is overloaded")]
     Overloaded,
 }
 
-/// Both ends of a connection, as far as codes cover them.
+/// The properties of a connection that authentication tags cover.
 #[derive(Debug, Clone)]
-pub(crate) struct Ends {
+pub(crate) struct Endpoints {
     pub(crate) cluster: ClusterName,
     pub(crate) from: Sender,
     pub(crate) to: SocketAddr,
     pub(crate) challenge: Challenge,
 }
 
-impl Ends {
-    fn mac(&self, secret: &[u8], what: Use, key: u16, number: u32, body: &[u8]) -> Hmac<Sha256> {
-        // HMAC takes keys of any length.
+impl Endpoints {
+    fn mac(
+        &self,
+        secret: &[u8],
+        purpose: Purpose,
+        key: u16,
+        number: u32,
+        body: &[u8],
+    ) -> Hmac<Sha256> {
         #[expect(clippy::expect_used, reason = "HMAC takes keys of any length")]
         let mut mac = Hmac::<Sha256>::new_from_slice(secret).expect("any key length");
-        mac.update(&[what as u8]);
+        mac.update(&[purpose as u8]);
         mac.update(&key.to_le_bytes());
         mac.update(&number.to_le_bytes());
         mac.update(&self.challenge);
@@ -99,43 +106,51 @@
         mac
     }
 
-    /// Seals a body with the key in use.
-    pub(crate) fn seal(&self, keys: &Keys, what: Use, number: u32, body: Bytes) -> Sealed {
+    /// Authenticates a body with the sending key.
+    pub(crate) fn seal(&self, keys: &Keys, purpose: Purpose, number: u32, body: Bytes) -> Sealed {
         let key = keys.sending();
         let secret = keys.secret(key).cloned().unwrap_or_default();
-        let mac = self.mac(&secret, what, key, number, &body);
-        let mut code = [0; CODE_BYTES];
-        code.copy_from_slice(&mac.finalize().into_bytes()[..CODE_BYTES]);
+        let mac = self.mac(&secret, purpose, key, number, &body);
+        let mut tag = [0; TAG_BYTES];
+        tag.copy_from_slice(&mac.finalize().into_bytes()[..TAG_BYTES]);
         Sealed {
             key,
             number,
             body,
-            code,
+            tag,
         }
     }
 
-    /// Checks a sealed body against the keys accepted.
-    pub(crate) fn open(&self, keys: &Keys, what: Use, sealed: &Sealed) -> Result<(), Refusal> {
+    /// Verifies a sealed body with the accepted keys.
+    ///
+    /// # Errors
+    /// If the key is not accepted or the tag does not match.
+    pub(crate) fn open(
+        &self,
+        keys: &Keys,
+        purpose: Purpose,
+        sealed: &Sealed,
+    ) -> Result<(), Refusal> {
         let secret = keys.secret(sealed.key).ok_or(Refusal::Key)?;
-        let mac = self.mac(secret, what, sealed.key, sealed.number, &sealed.body);
-        let checked = mac.verify_truncated_left(&sealed.code);
+        let mac = self.mac(secret, purpose, sealed.key, sealed.number, &sealed.body);
+        let checked = mac.verify_truncated_left(&sealed.tag);
         checked.map_err(|_| Refusal::Code)
     }
 }
 
-/// Numbers already seen on a connection.
+/// Replay window: the sequence numbers received on a connection.
 ///
-/// Guards against a recorded message that is sent again: it would be taken twice. Asks
-/// run side by side, so numbers may arrive a little out of order.
+/// Guards against a recorded message that is sent again, which would otherwise be accepted
+/// twice. Queries run concurrently, so numbers may arrive slightly out of order.
 #[derive(Debug, Default)]
-pub(crate) struct Window {
+pub(crate) struct ReplayWindow {
     highest: u32,
     seen: u128,
 }
 
-impl Window {
-    /// Notes a number; fails if it was seen or is too old to tell.
-    pub(crate) fn take(&mut self, number: u32) -> Result<(), Refusal> {
+impl ReplayWindow {
+    /// Records a sequence number; fails if it was received before or is too old to tell.
+    pub(crate) fn accept(&mut self, number: u32) -> Result<(), Refusal> {
         if number > self.highest {
             let shift = number - self.highest;
             self.seen = self.seen.checked_shl(shift).unwrap_or(0) | 1;
@@ -143,7 +158,7 @@
             return Ok(());
         }
         let age = self.highest - number;
-        if age >= WINDOW || self.seen & (1 << age) != 0 {
+        if age >= WINDOW_SIZE || self.seen & (1 << age) != 0 {
             return Err(Refusal::Replay);
         }
         self.seen |= 1 << age;
--- a/components/peers/src/server.rs
+++ b/components/peers/src/server.rs
@@ -1,4 +1,4 @@
-//! Connections from other daemons.
+//! Incoming connections from other daemons.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -14,82 +14,82 @@
 use crate::counted::frames;
 use crate::handle::{Inbound, Reply, Shared};
 use crate::payload::{Part, Payload};
-use crate::seal::{Challenge, Ends, Refusal, Sealed, Use, Window};
-use crate::service::{Greeting, Peer, PeerResponse};
+use crate::seal::{Challenge, Endpoints, Purpose, Refusal, ReplayWindow, Sealed};
+use crate::service::{Handshake, Peer, PeerResponse};
 
-/// Connections from peers at once. Beyond it new ones are closed.
+/// Maximum number of incoming connections; further ones are closed at once.
 const MAX_CONNECTIONS: u64 = 1_024;
-/// Calls of one connection at once.
-const MAX_CALLS: usize = 16;
-/// A new connection has so long to bring its first message with a right code.
-const FIRST_MESSAGE: Duration = Duration::from_secs(5);
-/// A connection without a right message for so long is closed.
-const IDLE: Duration = Duration::from_secs(30);
-/// Pause after a failure to accept, such as for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
-
-/// What is known of one connection.
+/// Maximum number of concurrent calls on one connection.
+const MAX_CONCURRENT_CALLS: usize = 16;
+/// Timeout of a new connection's first authenticated message.
+const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_secs(5);
+/// An incoming connection without an authenticated message for this long is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Delay after a failed accept, for example when file descriptors have run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
+
+/// State of one connection.
 #[derive(Debug)]
-struct Session {
+struct ConnectionState {
     challenge: Challenge,
-    ends: Option<Ends>,
-    window: Window,
-    ends_at: Instant,
+    endpoints: Option<Endpoints>,
+    window: ReplayWindow,
+    expires_at: Instant,
 }
 
-/// The calls of one connection.
+/// RPC handler of one connection.
 #[derive(Clone)]
 struct Server {
     shared: Arc<Shared>,
-    session: Arc<Mutex<Session>>,
+    state: Arc<Mutex<ConnectionState>>,
 }
 
-/// Takes connections until the runtime ends.
+/// Accepts connections until the runtime stops.
 pub(crate) async fn accept(listener: TcpListener, shared: Arc<Shared>) {
     loop {
         match listener.accept().await {
             Ok((stream, from)) => admit(stream, from, &shared),
             Err(e) => {
                 tracing::warn!("peers: cannot accept a connection: {e}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Serves a connection on a task of its own, so that whatever a peer sends ends no other.
+/// Serves a connection on a task of its own, so that a panic there affects no other connection.
 fn admit(stream: TcpStream, from: SocketAddr, shared: &Arc<Shared>) {
     if shared.counts.connections_in.get() >= MAX_CONNECTIONS {
         shared.counts.connections_refused.add(1);
         return;
     }
     shared.counts.connections_in.add(1);
-    let open = Open(Arc::clone(shared));
+    let open = OpenConnection(Arc::clone(shared));
     tokio::spawn(async move {
         serve(stream, from, &open.0).await;
         drop(open);
     });
 }
 
-/// Counts a connection for as long as it is open, also when its task panics.
-struct Open(Arc<Shared>);
+/// Counts a connection while it is open, even if its task panics.
+struct OpenConnection(Arc<Shared>);
 
-impl Drop for Open {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
-        self.0.counts.connections_in.less();
+        self.0.counts.connections_in.decrement();
     }
 }
 
 async fn serve(stream: TcpStream, from: SocketAddr, shared: &Arc<Shared>) {
-    let session = Session {
+    let state = ConnectionState {
         challenge: rand::random(),
-        ends: None,
-        window: Window::default(),
-        ends_at: Instant::now() + FIRST_MESSAGE,
+        endpoints: None,
+        window: ReplayWindow::default(),
+        expires_at: Instant::now() + FIRST_MESSAGE_TIMEOUT,
     };
     let server = Server {
         shared: Arc::clone(shared),
-        session: Arc::new(Mutex::new(session)),
+        state: Arc::new(Mutex::new(state)),
     };
     tokio::select! {
         () = run(stream, from, server.clone()) => {}
@@ -97,12 +97,14 @@
     }
 }
 
-/// Runs the calls of a connection until it ends.
+/// Handles the calls of a connection until it ends.
 async fn run(stream: TcpStream, from: SocketAddr, server: Server) {
     let counts = Arc::clone(&server.shared.counts);
     let transport = frames::<_, tarpc::Response<PeerResponse>>(stream, Arc::clone(&counts));
     let channel = BaseChannel::with_defaults(transport);
-    let requests = channel.max_concurrent_requests(MAX_CALLS).requests();
+    let requests = channel
+        .max_concurrent_requests(MAX_CONCURRENT_CALLS)
+        .requests();
     pin_mut!(requests);
     while let Some(request) = requests.next().await {
         match request {
@@ -120,61 +122,61 @@
 }
 
 impl Server {
-    fn session(&self) -> std::sync::MutexGuard<'_, Session> {
-        self.session.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> std::sync::MutexGuard<'_, ConnectionState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits until the connection's time is up; each right message gives it more.
+    /// Waits until the connection expires; each authenticated message extends its lifetime.
     async fn expired(&self) {
         loop {
-            let ends_at = self.session().ends_at;
-            if Instant::now() >= ends_at {
+            let expires_at = self.state().expires_at;
+            if Instant::now() >= expires_at {
                 return;
             }
-            sleep_until(ends_at).await;
+            sleep_until(expires_at).await;
         }
     }
 
-    fn check_greeting(&self, greeting: &Greeting) -> Result<Challenge, Refusal> {
+    fn accept_handshake(&self, greeting: &Handshake) -> Result<Challenge, Refusal> {
         if greeting.cluster != self.shared.cluster {
             return Err(Refusal::Cluster);
         }
         if greeting.to != self.shared.address {
             return Err(Refusal::Address);
         }
-        let mut session = self.session();
-        if session.ends.is_some() {
+        let mut state = self.state();
+        if state.endpoints.is_some() {
             return Err(Refusal::Greeting);
         }
-        session.ends = Some(Ends {
+        state.endpoints = Some(Endpoints {
             cluster: greeting.cluster.clone(),
             from: greeting.sender(),
             to: greeting.to,
-            challenge: session.challenge,
+            challenge: state.challenge,
         });
-        Ok(session.challenge)
+        Ok(state.challenge)
     }
 
-    /// Checks a message's code and number, then reads it.
-    fn open(&self, what: Use, sealed: &Sealed) -> Result<(Ends, Payload), Refusal> {
+    /// Verifies a message's authentication tag and sequence number, then decodes it.
+    fn open(&self, purpose: Purpose, sealed: &Sealed) -> Result<(Endpoints, Payload), Refusal> {
         let keys = self.shared.keys();
-        let ends = self.session().ends.clone().ok_or(Refusal::Greeting)?;
-        ends.open(&keys, what, sealed)?;
-        let mut session = self.session();
-        session.window.take(sealed.number)?;
-        session.ends_at = Instant::now() + IDLE;
-        drop(session);
+        let endpoints = self.state().endpoints.clone().ok_or(Refusal::Greeting)?;
+        endpoints.open(&keys, purpose, sealed)?;
+        let mut state = self.state();
+        state.window.accept(sealed.number)?;
+        state.expires_at = Instant::now() + IDLE_TIMEOUT;
+        drop(state);
         let payload = Payload::decode(&sealed.body).map_err(|_| Refusal::Malformed)?;
-        Ok((ends, payload))
+        Ok((endpoints, payload))
     }
 
-    fn take(&self, sealed: &Sealed) -> Result<(), Refusal> {
-        let (ends, payload) = self.open(Use::Deliver, sealed)?;
-        let from = ends.from;
-        self.hand_over(Inbound::Message { from, payload })
+    fn accept_message(&self, sealed: &Sealed) -> Result<(), Refusal> {
+        let (endpoints, payload) = self.open(Purpose::Deliver, sealed)?;
+        let from = endpoints.from;
+        self.forward(Inbound::Message { from, payload })
     }
 
-    fn hand_over(&self, inbound: Inbound) -> Result<(), Refusal> {
+    fn forward(&self, inbound: Inbound) -> Result<(), Refusal> {
         if !(self.shared.sink)(inbound) {
             return Err(Refusal::Overloaded);
         }
@@ -183,16 +185,16 @@
     }
 
     async fn answer(&self, cx: &Context, sealed: &Sealed) -> Result<Sealed, Refusal> {
-        let (ends, payload) = self.open(Use::Ask, sealed)?;
+        let (endpoints, payload) = self.open(Purpose::Ask, sealed)?;
         let answer = match payload {
             Payload::Part {
                 part: Part::Clock, ..
             } => self.read_clock()?,
-            payload => self.ask_sink(cx, &ends, payload).await?,
+            payload => self.query_sink(cx, &endpoints, payload).await?,
         };
         let body = answer.encode().map_err(|_| Refusal::Malformed)?;
         let keys = self.shared.keys();
-        Ok(ends.seal(&keys, Use::Reply, sealed.number, body))
+        Ok(endpoints.seal(&keys, Purpose::Reply, sealed.number, body))
     }
 
     fn read_clock(&self) -> Result<Payload, Refusal> {
@@ -202,15 +204,15 @@
         Ok(Payload::Part { part, body })
     }
 
-    async fn ask_sink(
+    async fn query_sink(
         &self,
         cx: &Context,
-        ends: &Ends,
+        endpoints: &Endpoints,
         payload: Payload,
     ) -> Result<Payload, Refusal> {
         let (tx, rx) = oneshot::channel();
-        self.hand_over(Inbound::Ask {
-            from: ends.from.clone(),
+        self.forward(Inbound::Ask {
+            from: endpoints.from.clone(),
             payload,
             reply: Reply(tx),
         })?;
@@ -220,8 +222,8 @@
         answer.ok_or(Refusal::Overloaded)
     }
 
-    /// Counts and logs what was refused.
-    fn note<T>(&self, call: &str, result: Result<T, Refusal>) -> Result<T, Refusal> {
+    /// Counts and logs a refusal.
+    fn record_refusal<T>(&self, call: &str, result: Result<T, Refusal>) -> Result<T, Refusal> {
         if let Err(refusal) = &result {
             self.shared.counts.refuse(*refusal);
             tracing::debug!("peers: {call} refused: {refusal}");
@@ -231,18 +233,18 @@
 }
 
 impl Peer for Server {
-    async fn greet(self, _: Context, greeting: Greeting) -> Result<Challenge, Refusal> {
-        let result = self.check_greeting(&greeting);
-        self.note("greeting", result)
+    async fn greet(self, _: Context, greeting: Handshake) -> Result<Challenge, Refusal> {
+        let result = self.accept_handshake(&greeting);
+        self.record_refusal("greeting", result)
     }
 
     async fn deliver(self, _: Context, sealed: Sealed) -> Result<(), Refusal> {
-        let result = self.take(&sealed);
-        self.note("message", result)
+        let result = self.accept_message(&sealed);
+        self.record_refusal("message", result)
     }
 
     async fn ask(self, cx: Context, sealed: Sealed) -> Result<Sealed, Refusal> {
         let result = self.answer(&cx, &sealed).await;
-        self.note("question", result)
+        self.record_refusal("question", result)
     }
 }
--- a/components/peers/src/service.rs
+++ b/components/peers/src/service.rs
@@ -1,4 +1,4 @@
-//! The calls between daemons.
+//! The RPC service between daemons.
 
 use std::net::SocketAddr;
 
@@ -8,25 +8,25 @@
 
 use crate::seal::{Challenge, Refusal, Sealed};
 
-/// Longest frame on a connection, in bytes: a body with its envelope.
+/// Maximum size of a frame, in bytes: a payload and its envelope.
 pub(crate) const MAX_FRAME_BYTES: usize = crate::payload::MAX_BODY_BYTES + 1024;
 
-/// Who opens a connection, and to whom; proved by the codes that follow.
+/// Identifies the two ends of a connection. The authentication tags of later messages prove it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Greeting {
-    /// The fleet.
+pub(crate) struct Handshake {
+    /// The sender's cluster.
     pub(crate) cluster: ClusterName,
-    /// The sender.
+    /// The sender's id.
     pub(crate) id: DaemonId,
-    /// The sender's restart.
+    /// The sender's incarnation.
     pub(crate) incarnation: Incarnation,
-    /// Where the sender is reached.
+    /// The address at which the sender accepts connections.
     pub(crate) address: SocketAddr,
-    /// Where the receiver is thought to be reached.
+    /// The receiver's address, as the sender knows it.
     pub(crate) to: SocketAddr,
 }
 
-impl Greeting {
+impl Handshake {
     pub(crate) fn sender(&self) -> Sender {
         Sender {
             id: self.id.clone(),
@@ -36,13 +36,13 @@
     }
 }
 
-/// The calls between daemons.
+/// Calls from one daemon to another.
 #[tarpc::service]
 pub(crate) trait Peer {
-    /// Opens a connection; gives the challenge that its codes cover.
-    async fn greet(greeting: Greeting) -> Result<Challenge, Refusal>;
-    /// Hands over a message.
+    /// Starts the handshake; returns the challenge that authentication tags cover.
+    async fn greet(greeting: Handshake) -> Result<Challenge, Refusal>;
+    /// Delivers a one-way message.
     async fn deliver(sealed: Sealed) -> Result<(), Refusal>;
-    /// Hands over a question and waits for its answer.
+    /// Delivers a query and returns its reply.
     async fn ask(sealed: Sealed) -> Result<Sealed, Refusal>;
 }
--- a/components/peers/src/silence.rs
+++ b/components/peers/src/silence.rs
@@ -1,9 +1,9 @@
-//! Lines about peers that do not take what they are sent.
+//! Log lines about peers that do not answer.
 //!
-//! One when a peer falls silent and one when it answers again, with what was given up between:
-//! a line for each call would be the fleet's messages of a second, and leave no room for
-//! any other line. Behind a cut many fall silent at once; of these some are named and the
-//! rest are counted.
+//! One line is logged when a peer stops answering and one when it answers again, with the number
+//! of calls that timed out in between. A line for each call would match the fleet's message rate
+//! and crowd out all other lines. A network partition silences many peers at once; only some of
+//! them are named and the rest are counted.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -11,27 +11,28 @@
 
 use crate::handle::Shared;
 
-/// Lines about silent peers in [`LOG_SPAN`] at most; the next one tells how many were left out.
-const MAX_LOGGED: u32 = 4;
-/// The bound on lines is for this long.
+/// Maximum number of lines about unresponsive peers in one [`LOG_SPAN`]; the next line written
+/// reports how many were left out.
+const MAX_LINES_PER_SPAN: u32 = 4;
+/// Period of the limit on lines.
 const LOG_SPAN: Duration = Duration::from_secs(1);
 
-/// Lines written of late, by all connections of a daemon.
+/// Limits the rate of log lines, over all connections of a daemon.
 #[derive(Debug, Default)]
-pub(crate) struct Lines {
+pub(crate) struct LogLimiter {
     since: Option<Instant>,
     written: u32,
     left_out: u32,
 }
 
-impl Lines {
-    /// Whether a line may be written now, and how many were left out before it.
+impl LogLimiter {
+    /// Returns how many lines were left out before this one, or `None` if this one is left out too.
     fn next(&mut self, now: Instant) -> Option<u32> {
         if self.since.is_none_or(|since| now >= since + LOG_SPAN) {
             self.since = Some(now);
             self.written = 0;
         }
-        if self.written >= MAX_LOGGED {
+        if self.written >= MAX_LINES_PER_SPAN {
             self.left_out += 1;
             return None;
         }
@@ -41,21 +42,21 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Since {
+struct Outage {
     at: Instant,
     given_up: u64,
 }
 
-/// Whether one peer answers.
+/// Tracks whether one peer answers.
 pub(crate) struct Silence {
     peer: SocketAddr,
     shared: Arc<Shared>,
-    since: Mutex<Option<Since>>,
+    since: Mutex<Option<Outage>>,
 }
 
 impl Silence {
-    /// A peer that is taken to answer.
-    pub(crate) fn towards(peer: SocketAddr, shared: Arc<Shared>) -> Self {
+    /// Creates the state of a peer that is assumed to answer.
+    pub(crate) fn new(peer: SocketAddr, shared: Arc<Shared>) -> Self {
         Self {
             peer,
             shared,
@@ -63,15 +64,15 @@
         }
     }
 
-    /// Notes that a call was not answered within `waited`.
-    pub(crate) fn goes_on(&self, call: &str, waited: Duration) {
+    /// Records that a call was not answered within `waited`.
+    pub(crate) fn record_timeout(&self, call: &str, waited: Duration) {
         let now = Instant::now();
         let mut since = self.since.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(since) = &mut *since {
             since.given_up += 1;
             return;
         }
-        *since = Some(Since {
+        *since = Some(Outage {
             at: now.checked_sub(waited).unwrap_or(now),
             given_up: 1,
         });
@@ -79,21 +80,21 @@
         let silent = self.shared.counts.silent.get();
         if let Some(left_out) = self.shared.may_log(now) {
             let waited_ms = waited.as_millis();
-            tracing::warn!(peer = %self.peer, call, waited_ms, silent, left_out, "peers: does not answer");
+            tracing::warn!(peer = %self.peer, call, waited_ms, silent, left_out, "peers: peer does not answer");
         }
     }
 
-    /// Notes that the peer answered.
-    pub(crate) fn ends(&self) {
+    /// Records that the peer answered.
+    pub(crate) fn record_answer(&self) {
         let mut since = self.since.lock().unwrap_or_else(PoisonError::into_inner);
-        let Some(Since { at, given_up }) = since.take() else {
+        let Some(Outage { at, given_up }) = since.take() else {
             return;
         };
-        self.shared.counts.silent.less();
+        self.shared.counts.silent.decrement();
         let now = Instant::now();
         if let Some(left_out) = self.shared.may_log(now) {
             let silent_ms = now.duration_since(at).as_millis();
-            tracing::info!(peer = %self.peer, silent_ms, given_up, left_out, "peers: answers again");
+            tracing::info!(peer = %self.peer, silent_ms, given_up, left_out, "peers: peer answers again");
         }
     }
 }
@@ -102,14 +103,17 @@
     fn drop(&mut self) {
         let since = self.since.get_mut().unwrap_or_else(PoisonError::into_inner);
         if since.is_some() {
-            self.shared.counts.silent.less();
+            self.shared.counts.silent.decrement();
         }
     }
 }
 
 impl Shared {
     fn may_log(&self, now: Instant) -> Option<u32> {
-        let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
-        lines.next(now)
+        let mut log_limiter = self
+            .log_limiter
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        log_limiter.next(now)
     }
 }
--- a/components/peers/src/stats.rs
+++ b/components/peers/src/stats.rs
@@ -1,10 +1,10 @@
-//! Counts of the traffic between daemons.
+//! Counters of the traffic between daemons.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use crate::seal::Refusal;
 
-/// A count that several threads add to.
+/// A counter or gauge that several threads update.
 #[derive(Debug, Default)]
 pub(crate) struct Count(AtomicU64);
 
@@ -13,7 +13,7 @@
         self.0.fetch_add(more, Ordering::Relaxed);
     }
 
-    pub(crate) fn less(&self) {
+    pub(crate) fn decrement(&self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// The counts themselves.
+/// Live counters behind [`Stats`].
 #[derive(Debug, Default)]
 pub(crate) struct Counts {
     pub(crate) bytes_in: Count,
@@ -45,44 +45,45 @@
     pub(crate) silent: Count,
 }
 
-/// Counts since the start, and gauges where said so.
+/// Traffic counts since the start; gauges are marked as such.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Stats {
     /// Bytes read from sockets.
     pub bytes_in: u64,
     /// Bytes written to sockets.
     pub bytes_out: u64,
-    /// Messages taken.
+    /// Messages and queries received and accepted.
     pub received: u64,
-    /// Messages that a peer took.
+    /// Messages that a peer acknowledged and queries that it answered.
     pub sent: u64,
-    /// Messages given up: a full queue, no connection, no answer in time.
+    /// Messages and queries dropped: the queue was full, there was no connection, or no answer
+    /// came in time.
     pub dropped: u64,
-    /// Refused: another cluster or address.
+    /// Handshakes refused: another cluster or address.
     pub refused_cluster: u64,
-    /// Refused: an unknown key or a wrong code.
+    /// Messages refused: the key is unknown or the authentication tag is wrong.
     pub refused_key: u64,
-    /// Refused: received before.
+    /// Messages refused: received before.
     pub refused_replay: u64,
-    /// Refused: unreadable or out of order.
+    /// Messages refused: undecodable, or a handshake missing or repeated.
     pub refused_malformed: u64,
-    /// Refused: no room in the queue to the other threads.
+    /// Messages refused: the queue to the other threads is full, or a query was not answered.
     pub refused_overload: u64,
-    /// Messages of ours that a peer refused.
+    /// Messages, queries and handshakes of this daemon that a peer refused.
     pub refused_by_peer: u64,
-    /// Frames too long or unreadable; each ends its connection.
+    /// Oversized or undecodable frames; each ends its connection.
     pub bad_frames: u64,
-    /// Connections made.
+    /// Outgoing connections established.
     pub connects: u64,
-    /// Connections that could not be made.
+    /// Outgoing connections that failed to be established.
     pub connect_failures: u64,
-    /// Connections from peers at this moment.
+    /// Open incoming connections (gauge).
     pub connections_in: u64,
-    /// Connections to peers at this moment.
+    /// Open outgoing connections (gauge).
     pub connections_out: u64,
-    /// Connections from peers that were over the bound.
+    /// Incoming connections refused because too many were open.
     pub connections_refused: u64,
-    /// Peers that do not answer at this moment.
+    /// Peers that currently do not answer (gauge).
     pub silent: u64,
 }
 
--- a/components/peers/tests/peers.rs
+++ b/components/peers/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Two real ends on loopback, and what comes between them.
+//! Messages and queries proxy daemons over loopback, also with faults on the path.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,7 +10,7 @@
 };
 use types::prelude::*;
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 fn key(id: u16, byte: u8) -> Key {
     Key {
@@ -56,41 +56,42 @@
     }
 }
 
-fn next_message(rx: &flume::Receiver<Inbound>) -> (String, Payload) {
-    match rx.recv_timeout(PATIENCE).unwrap() {
+fn recv_message(rx: &flume::Receiver<Inbound>) -> (String, Payload) {
+    match rx.recv_timeout(TIMEOUT).unwrap() {
         Inbound::Message { from, payload } => (from.id.to_string(), payload),
         other => panic!("{other:?}"),
     }
 }
 
 /// Waits until a condition holds.
-fn wait(what: &str, holds: impl Fn() -> bool) {
+fn wait_until(what: &str, holds: impl Fn() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < PATIENCE, "never: {what}");
+        assert!(start.elapsed() < TIMEOUT, "never: {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
+// Messages and queries arrive over a single connection, and both sides count the same bytes.
 #[test]
 fn can_send_and_ask() {
     let (a, _) = start(config("a", keys(&[1], 1)));
     let (b, inbound) = start(config("b", keys(&[1], 1)));
     for _ in 0..3 {
         a.send(b.address(), text("hello"));
-        assert_eq!(next_message(&inbound), ("a".to_owned(), text("hello")));
+        assert_eq!(recv_message(&inbound), ("a".to_owned(), text("hello")));
     }
     let answer = a.ask(b.address(), text("who?"), Span::from_secs(5));
-    match inbound.recv_timeout(PATIENCE).unwrap() {
+    match inbound.recv_timeout(TIMEOUT).unwrap() {
         Inbound::Ask { payload, reply, .. } => {
             assert_eq!(payload, text("who?"));
             reply.send(text("b"));
         }
         other => panic!("{other:?}"),
     }
-    assert_eq!(answer.recv_timeout(PATIENCE).unwrap(), Ok(text("b")));
-    wait("counts", || a.stats().sent == 4);
-    wait("bytes", || {
+    assert_eq!(answer.recv_timeout(TIMEOUT).unwrap(), Ok(text("b")));
+    wait_until("counts", || a.stats().sent == 4);
+    wait_until("bytes", || {
         let (a, b) = (a.stats(), b.stats());
         (a.bytes_out, a.bytes_in) == (b.bytes_in, b.bytes_out)
     });
@@ -98,10 +99,10 @@
     assert_eq!((a.connects, b.received, b.connections_in), (1, 4, 1));
 }
 
-// A daemon of another cluster, or with another secret, is given this fleet's addresses
-// by mistake. Its messages must not be taken, and both sides must say so.
+// Guards against accepting messages from a daemon of another cluster, or with another secret,
+// that was configured with this cluster's addresses by mistake. Both sides must report it.
 #[test]
-fn errors_on_another_cluster_or_key() {
+fn refuses_another_cluster_or_key() {
     let (b, inbound) = start(config("b", keys(&[1, 2], 1)));
     let mut stranger = config("a", keys(&[1], 1));
     stranger.cluster = ClusterName::new("other").unwrap();
@@ -111,7 +112,7 @@
     let (wrong, _) = start(config("a", wrong));
     let ask = |from: &Handle| {
         let answer = from.ask(b.address(), text("?"), Span::from_secs(5));
-        answer.recv_timeout(PATIENCE).unwrap()
+        answer.recv_timeout(TIMEOUT).unwrap()
     };
     assert_eq!(ask(&stranger), Err(AskError::Refused(Refusal::Cluster)));
     assert_eq!(ask(&unknown), Err(AskError::Refused(Refusal::Key)));
@@ -122,8 +123,8 @@
     assert!(inbound.is_empty());
 }
 
-// The key is changed while daemons run: first all accept both, then all send with the
-// new one, then the old one goes. No message is refused on the way.
+// Guards against refused messages during a key rotation: first all daemons accept both keys,
+// then all send with the new one, then the old one is removed.
 #[test]
 fn can_change_keys_without_a_stop() {
     let (a, from_b) = start(config("a", keys(&[1], 1)));
@@ -141,19 +142,21 @@
         b.set_keys(keys_b);
         a.send(b.address(), text("to b"));
         b.send(a.address(), text("to a"));
-        assert_eq!(next_message(&from_a).1, text("to b"));
-        assert_eq!(next_message(&from_b).1, text("to a"));
+        assert_eq!(recv_message(&from_a).1, text("to b"));
+        assert_eq!(recv_message(&from_b).1, text("to a"));
     }
     assert_eq!((a.stats().connects, b.stats().connects), (1, 1));
     a.send(b.address(), text("late"));
-    assert_eq!(next_message(&from_a).1, text("late"));
+    assert_eq!(recv_message(&from_a).1, text("late"));
     b.set_keys(keys(&[3], 3));
     a.send(b.address(), text("too late"));
-    wait("refusal", || b.stats().refused_key == 1);
+    wait_until("refusal", || b.stats().refused_key == 1);
 }
 
+// Guards against short secrets, repeated key ids and a sending key that peers do not know, and
+// against secrets in debug output.
 #[test]
-fn errors_on_keys_that_cannot_be_used() {
+fn rejects_invalid_keys() {
     let short = Key {
         id: 1,
         secret: Bytes::from_static(b"short"),
@@ -166,8 +169,9 @@
     assert!(!format!("{:?}", key(1, 77)).contains("77"));
 }
 
-// Anyone who reaches the port announces a frame of gigabytes, or sends noise. The
-// connection ends without a buffer for it, and other peers are served as before.
+// Guards against memory exhaustion by anyone who can reach the port: an announced frame of
+// gigabytes, or noise, must end the connection without a buffer being allocated, and other
+// peers must be served as before.
 #[test]
 fn can_bear_bad_frames() {
     let (a, _) = start(config("a", keys(&[1], 1)));
@@ -175,7 +179,7 @@
     let noise = [0, 0, 0, 4, 0xff, 0xff, 0xff, 0xff];
     for bytes in [&[0xff; 4][..], &noise[..]] {
         let mut stream = TcpStream::connect(b.address()).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         stream.write_all(bytes).unwrap();
         let closed = stream.read(&mut [0; 16]);
         assert!(
@@ -183,14 +187,14 @@
                 || closed.is_err_and(|e| e.kind() == std::io::ErrorKind::ConnectionReset)
         );
     }
-    wait("counts", || {
+    wait_until("counts", || {
         b.stats().bad_frames == 2 && b.stats().connections_in == 0
     });
     a.send(b.address(), text("hello"));
-    assert_eq!(next_message(&inbound).1, text("hello"));
+    assert_eq!(recv_message(&inbound).1, text("hello"));
 }
 
-/// Frames of one direction, as a peer on the path sees them.
+/// Reads one frame from a stream, as an attacker on the path would.
 fn read_frame(stream: &mut TcpStream) -> Option<Vec<u8>> {
     let mut head = [0; 4];
     stream.read_exact(&mut head).ok()?;
@@ -200,63 +204,63 @@
     Some(frame)
 }
 
-/// Copies whatever comes until the end.
-fn drain(mut from: TcpStream, mut to: TcpStream) {
+/// Copies one stream to another on a thread until end of file.
+fn copy_stream(mut from: TcpStream, mut to: TcpStream) {
     std::thread::spawn(move || std::io::copy(&mut from, &mut to));
 }
 
-// Somebody on the path records a message and sends it again, on the same connection and
-// on one of its own. Without the numbers the first is taken twice; without the challenge
-// the second is, also after the receiver's restart.
+// Guards against replay by an attacker on the path who resends a recorded message on the same
+// connection and on a new one. Without sequence numbers the first replay would be accepted;
+// without the challenge the second would be, even after a restart of the receiver.
 #[test]
 fn errors_on_replayed_messages() {
-    let between = TcpListener::bind(any_port()).unwrap();
+    let proxy = TcpListener::bind(any_port()).unwrap();
     let mut cfg = config("b", keys(&[1], 1));
-    cfg.advertise = Some(between.local_addr().unwrap());
+    cfg.advertise = Some(proxy.local_addr().unwrap());
     let listener = TcpListener::bind(any_port()).unwrap();
     cfg.listen = listener.local_addr().unwrap();
     drop(listener);
-    let real = cfg.listen;
+    let listen_address = cfg.listen;
     let (b, inbound) = start(cfg);
     let (a, _) = start(config("a", keys(&[1], 1)));
     a.send(b.address(), text("pay"));
 
-    let (mut from_a, _) = between.accept().unwrap();
-    let mut to_b = TcpStream::connect(real).unwrap();
-    drain(to_b.try_clone().unwrap(), from_a.try_clone().unwrap());
+    let (mut from_a, _) = proxy.accept().unwrap();
+    let mut to_b = TcpStream::connect(listen_address).unwrap();
+    copy_stream(to_b.try_clone().unwrap(), from_a.try_clone().unwrap());
     let greeting = read_frame(&mut from_a).unwrap();
     to_b.write_all(&greeting).unwrap();
     let message = read_frame(&mut from_a).unwrap();
     to_b.write_all(&message).unwrap();
-    assert_eq!(next_message(&inbound).1, text("pay"));
+    assert_eq!(recv_message(&inbound).1, text("pay"));
 
     to_b.write_all(&message).unwrap();
-    wait("refusal", || b.stats().refused_replay == 1);
-    let mut own = TcpStream::connect(real).unwrap();
-    own.write_all(&greeting).unwrap();
-    read_frame(&mut own).unwrap();
-    own.write_all(&message).unwrap();
-    wait("refusal", || b.stats().refused_key == 1);
+    wait_until("refusal", || b.stats().refused_replay == 1);
+    let mut second_connection = TcpStream::connect(listen_address).unwrap();
+    second_connection.write_all(&greeting).unwrap();
+    read_frame(&mut second_connection).unwrap();
+    second_connection.write_all(&message).unwrap();
+    wait_until("refusal", || b.stats().refused_key == 1);
     assert_eq!(b.stats().received, 1);
     assert!(inbound.is_empty());
 }
 
-// A peer is restarted: its connections are dead, then nobody listens, then a new run
-// listens on the same port. Messages meanwhile are dropped and counted, later ones arrive.
+// A peer restarts: its connections break, then its port is closed, then a new process listens
+// on the same port. Messages sent in proxy must be dropped and counted, and later ones arrive.
 #[test]
-fn can_outlive_a_peer() {
+fn reconnects_to_a_restarted_peer() {
     let (a, _) = start(config("a", keys(&[1], 1)));
     let (b, inbound) = start(config("b", keys(&[1], 1)));
     let address = b.address();
     a.send(address, text("first"));
-    assert_eq!(next_message(&inbound).1, text("first"));
+    assert_eq!(recv_message(&inbound).1, text("first"));
     drop((b, inbound));
-    wait("drop", || {
+    wait_until("drop", || {
         a.send(address, text("lost"));
         a.stats().dropped > 0 && TcpListener::bind(address).is_ok()
     });
     let answer = a.ask(address, text("?"), Span::from_secs(1));
-    let answer = answer.recv_timeout(PATIENCE).unwrap();
+    let answer = answer.recv_timeout(TIMEOUT).unwrap();
     assert!(matches!(
         answer,
         Err(AskError::Unreachable | AskError::Broken)
@@ -264,7 +268,7 @@
     let mut cfg = config("b", keys(&[1], 1));
     cfg.listen = address;
     let (_b, inbound) = start(cfg);
-    wait("return", || {
+    wait_until("return", || {
         a.send(address, text("again"));
         inbound
             .try_iter()
@@ -272,10 +276,10 @@
     });
 }
 
-// The control thread of the receiver stalls. What does not fit its queue is refused and
-// counted rather than kept without bound, and a question is told to go elsewhere.
+// Guards against unbounded memory when the receiver's control thread stalls: what does not fit
+// into its queue must be refused and counted, and the sender of a query must be told.
 #[test]
-fn can_bound_the_queue() {
+fn refuses_messages_beyond_the_queue() {
     let (tx, _rx) = flume::bounded(2);
     let sink = move |inbound| tx.try_send(inbound).is_ok();
     let b = Peers::start(config("b", keys(&[1], 1)), sink).unwrap();
@@ -283,9 +287,9 @@
     for _ in 0..5 {
         a.send(b.address(), text("more"));
     }
-    wait("refusals", || b.stats().refused_overload == 3);
+    wait_until("refusals", || b.stats().refused_overload == 3);
     let answer = a.ask(b.address(), text("?"), Span::from_secs(5));
-    let answer = answer.recv_timeout(PATIENCE).unwrap();
+    let answer = answer.recv_timeout(TIMEOUT).unwrap();
     assert_eq!(answer, Err(AskError::Refused(Refusal::Overloaded)));
     let large = Payload::Part {
         part: Part::Ledger,
@@ -293,20 +297,22 @@
     };
     let answer = a.ask(b.address(), large, Span::from_secs(5));
     assert_eq!(
-        answer.recv_timeout(PATIENCE).unwrap(),
+        answer.recv_timeout(TIMEOUT).unwrap(),
         Err(AskError::TooLarge)
     );
 }
 
-/// A daemon that started again got no claim that its copy is current for half a minute.
+// Guards against reusing the clock offset of a daemon's previous incarnation: without a new
+// measurement the restarted daemon received no proof for half a minute that its copy of the
+// store is current.
 #[test]
-fn a_peer_that_starts_again_is_asked_for_its_clock_at_once() {
+fn measures_the_clock_of_a_restarted_peer_at_once() {
     let (a, _) = start(config("a", keys(&[1], 1)));
     let mut cfg = config("b", keys(&[1], 1));
     for run in 1..=2 {
         cfg.incarnation = Incarnation(run);
-        let deadline = Instant::now() + PATIENCE;
-        // The run before may still hold the port for a moment.
+        let deadline = Instant::now() + TIMEOUT;
+        // The previous process may still hold the port for a moment.
         let b = loop {
             match Peers::start(cfg.clone(), |_| true) {
                 Ok(b) => break b,
--- a/components/peers/tests/silence.rs
+++ b/components/peers/tests/silence.rs
@@ -1,4 +1,4 @@
-//! A peer that runs while the connection to it carries nothing any more.
+//! A live peer behind a connection that has silently stopped carrying data.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,7 +10,7 @@
 use peers::{AskError, Config, Handle, Inbound, Key, Keys, Part, Payload, Peers};
 use types::prelude::*;
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
@@ -46,83 +46,82 @@
     }
 }
 
-/// The way to a daemon; connections that are open can be muted, while new ones work.
+/// A TCP proxy in front of a daemon; it can black-hole its open connections while new ones work.
 #[derive(Clone)]
-struct Way {
+struct Proxy {
     target: SocketAddr,
-    mutings: Arc<AtomicUsize>,
+    mute_generation: Arc<AtomicUsize>,
 }
 
-impl Way {
+impl Proxy {
     fn start(target: SocketAddr) -> (Self, SocketAddr) {
         let listener = TcpListener::bind(any_port()).unwrap();
         let address = listener.local_addr().unwrap();
-        let way = Self {
+        let proxy = Self {
             target,
-            mutings: Arc::default(),
+            mute_generation: Arc::default(),
         };
-        let serving = way.clone();
+        let acceptor = proxy.clone();
         std::thread::spawn(move || {
-            for near in listener.incoming().flatten() {
-                serving.serve(near);
+            for client in listener.incoming().flatten() {
+                acceptor.serve(client);
             }
         });
-        (way, address)
+        (proxy, address)
     }
 
     fn mute(&self) {
-        self.mutings.fetch_add(1, Ordering::SeqCst);
+        self.mute_generation.fetch_add(1, Ordering::SeqCst);
     }
 
-    fn serve(&self, near: TcpStream) {
-        let far = TcpStream::connect(self.target).unwrap();
-        let born = self.mutings.load(Ordering::SeqCst);
-        let back = (far.try_clone().unwrap(), near.try_clone().unwrap());
-        for (from, to) in [(near, far), back] {
-            let way = self.clone();
-            std::thread::spawn(move || way.pump(from, to, born));
+    fn serve(&self, client: TcpStream) {
+        let server = TcpStream::connect(self.target).unwrap();
+        let generation = self.mute_generation.load(Ordering::SeqCst);
+        let reverse = (server.try_clone().unwrap(), client.try_clone().unwrap());
+        for (from, to) in [(client, server), reverse] {
+            let proxy = self.clone();
+            std::thread::spawn(move || proxy.copy_stream(from, to, generation));
         }
     }
 
-    /// Carries bytes one way; once muted it takes them and hands none on.
-    fn pump(&self, mut from: TcpStream, mut to: TcpStream, born: usize) {
-        let mut part = [0; 4_096];
-        while let Ok(read @ 1..) = from.read(&mut part) {
-            let is_muted = self.mutings.load(Ordering::SeqCst) > born;
-            if !is_muted && to.write_all(&part[..read]).is_err() {
+    /// Copies bytes in one direction; discards them once the connection is muted.
+    fn copy_stream(&self, mut from: TcpStream, mut to: TcpStream, generation: usize) {
+        let mut buf = [0; 4_096];
+        while let Ok(read @ 1..) = from.read(&mut buf) {
+            let is_muted = self.mute_generation.load(Ordering::SeqCst) > generation;
+            if !is_muted && to.write_all(&buf[..read]).is_err() {
                 return;
             }
         }
     }
 }
 
-/// A daemon, another one behind a way that can be muted, and a message that went through.
-fn connected() -> (Handle, SocketAddr, Way, Handle, flume::Receiver<Inbound>) {
+/// Starts two daemons with a proxy between them and delivers one message.
+fn start_behind_proxy() -> (Handle, SocketAddr, Proxy, Handle, flume::Receiver<Inbound>) {
     let listener = TcpListener::bind(any_port()).unwrap();
     let listen = listener.local_addr().unwrap();
     drop(listener);
-    let (way, advertise) = Way::start(listen);
+    let (proxy, advertise) = Proxy::start(listen);
     let (b, inbound) = start("b", listen, Some(advertise));
     let (a, _) = start("a", any_port(), None);
     a.send(advertise, text("before"));
-    inbound.recv_timeout(PATIENCE).unwrap();
-    (a, advertise, way, b, inbound)
+    inbound.recv_timeout(TIMEOUT).unwrap();
+    (a, advertise, proxy, b, inbound)
 }
 
 #[test]
-fn a_question_is_not_held_up_by_messages_that_nobody_takes() {
-    // Callers were refused a route that had been added up to 19 s before. The daemon knew that it was
-    // behind, and its question to a peer lay behind messages to that peer, whose connection had
-    // gone silent: each waits two seconds, and nobody else is asked meanwhile.
-    // Evidence: questions were out for 18 to 22 s at daemons of a fleet of 40 whose connections to each
-    // other had gone silent, and new ones worked; those daemons were late by as much.
-    let (a, b, way, ..) = connected();
-    way.mute();
+fn a_query_is_not_blocked_by_undelivered_messages() {
+    // Guards against a query that is blocked behind messages on a silent connection, each of which waits
+    // two seconds while no other peer is queried. In a fleet of 40 with silent connections, queries were
+    // outstanding for 18 to 22 s although new connections worked. The daemons that sent them were outdated
+    // by as much, and callers were refused a route that had been added up to 19 s before.
+    let (a, b, proxy, ..) = start_behind_proxy();
+    proxy.mute();
     for _ in 0..4 {
         a.send(b, text("lost"));
     }
     let answer = a.ask(b, text("?"), Span::from_millis(400));
-    let answer = answer.recv_timeout(PATIENCE).unwrap();
+    let answer = answer.recv_timeout(TIMEOUT).unwrap();
     let given_up = a.stats().dropped;
     assert!(
         given_up <= 1,
@@ -132,14 +131,14 @@
 }
 
 #[test]
-fn a_connection_that_went_silent_is_replaced() {
-    // The same; and since the connection was kept, nothing reached that peer any more, neither word of
-    // changes nor questions, though a new connection would have worked at once.
-    let (a, b, way, _b, inbound) = connected();
-    way.mute();
+fn replaces_a_silent_connection() {
+    // Guards against keeping a connection that has gone silent: no update or query would reach the peer,
+    // although a new connection would work at once.
+    let (a, b, proxy, _b, inbound) = start_behind_proxy();
+    proxy.mute();
     let start = Instant::now();
     while inbound.try_recv().is_err() {
-        assert!(start.elapsed() < PATIENCE, "never heard again");
+        assert!(start.elapsed() < TIMEOUT, "never heard again");
         a.send(b, text("after"));
         std::thread::sleep(Duration::from_millis(50));
     }
