--- a/components/ledger/tests/ledger.rs
+++ b/components/ledger/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! Bills through crashes, lost replies, outages and repeats.
+//! Billing under crashes, lost replies, store outages and retries.
 
 #[path = "support/counting.rs"]
 mod counting;
@@ -30,7 +30,7 @@
     )
 }
 
-fn is_held(pending: &Pending) -> bool {
+fn is_acknowledgement(pending: &Pending) -> bool {
     matches!(
         pending,
         Pending::Message {
@@ -40,8 +40,8 @@
     )
 }
 
-/// A call of one daemon that writes a batch.
-fn is_seal(pending: &Pending, of: usize) -> bool {
+/// Whether an effect is a call by which daemon `of` writes a batch.
+fn is_seal_by(pending: &Pending, of: usize) -> bool {
     match pending {
         Pending::Call {
             from,
@@ -70,7 +70,7 @@
     }
 }
 
-/// Ticks without delivering until a daemon wants a call of this kind.
+/// Ticks and delivers all other effects until one of the wanted kind is pending.
 fn run_until(fleet: &mut Fleet, wanted: impl Fn(&Pending) -> bool) -> usize {
     for _ in 0..1000 {
         if let Some(position) = fleet.position(&wanted) {
@@ -84,7 +84,7 @@
     panic!("no such call came");
 }
 
-/// The index of the daemon that holds another's charges.
+/// Returns the index of the daemon that holds the charges of daemon `index`.
 fn holder_of(fleet: &Fleet, index: usize) -> usize {
     let holder = fleet.daemons[index].ledger.fill().holder;
     let position = fleet
@@ -94,6 +94,7 @@
     position.unwrap()
 }
 
+// Without faults, each answer is billed once and no batch is left behind.
 #[test]
 fn can_bill_every_answer_once() {
     let mut fleet = fleet(3);
@@ -104,7 +105,7 @@
     let statement = fleet.export();
     assert!(!statement.pending);
     assert_eq!(fleet.answered.len(), 300);
-    assert!(fleet.weak.is_empty());
+    assert!(fleet.unreplicated.is_empty());
     let sums: Vec<_> = statement.totals().into_values().collect();
     assert_eq!(sums.len(), 300);
     assert!(
@@ -119,10 +120,11 @@
     assert!(fleet.keys("/batches/").is_empty());
 }
 
-// A caller has its whole answer, and nobody is billed: the daemon ended the answer and
-// died before the second holder had the bill. The end must wait for the acknowledgement.
+// Guards against a complete answer that is never billed: if the daemon ended the answer and
+// crashed before the second holder had the bill, the bill would be lost. The end must wait for
+// the acknowledgement.
 #[test]
-fn errors_when_an_answer_would_end_before_its_bill_is_held() {
+fn holds_back_an_answer_until_its_bill_is_replicated() {
     let mut fleet = fleet(2);
     fleet.serve(0, 1);
     fleet.tick(Span::from_millis(20));
@@ -134,10 +136,11 @@
     assert_eq!(fleet.bills_of(1), 0);
 }
 
-// The daemon dies between the second holder's taking of the bill and the end of the
-// answer. The caller has no whole answer and repeats through another daemon: one bill.
+// The daemon crashes after the second holder has received the bill and before the end of the
+// answer. The caller has no complete answer and retries through another daemon, which must not
+// lead to a second bill.
 #[test]
-fn can_bill_a_repeat_once_after_a_crash_before_the_end() {
+fn can_bill_a_retry_once_after_a_crash_before_the_end() {
     let mut fleet = fleet(3);
     fleet.serve(0, 1);
     fleet.tick(Span::from_millis(20));
@@ -151,8 +154,8 @@
     assert_eq!(fleet.bills_of(1), 1);
 }
 
-// The daemon dies right after the end of an answer, before its batch is sealed. The
-// second holder sees it leave the fleet and seals in its place.
+// Guards against a lost bill when the daemon crashes right after the end of an answer, before
+// its batch is sealed: the second holder must notice and seal in its place.
 #[test]
 fn can_seal_for_a_daemon_that_died() {
     let mut fleet = fleet(3);
@@ -160,7 +163,7 @@
     fleet.tick(Span::from_millis(20));
     let position = fleet.position(is_hold).unwrap();
     fleet.deliver(position);
-    let position = fleet.position(is_held).unwrap();
+    let position = fleet.position(is_acknowledgement).unwrap();
     fleet.deliver(position);
     assert!(fleet.answered.contains(&1));
     fleet.crash(0);
@@ -169,10 +172,10 @@
     assert_eq!(fleet.bills_of(1), 1);
 }
 
-// The daemon and then its holder die during a store outage. Once its keeper was gone the
-// holder had given the bill to a third daemon, so that it outlives the holder as well.
+// The daemon and then its holder crash during a store outage. When the daemon is gone, the
+// holder must replicate the bill to a third daemon, so that it survives the second crash.
 #[test]
-fn can_keep_bills_through_two_losses_in_an_outage() {
+fn can_keep_bills_when_two_hosts_are_lost_in_an_outage() {
     let mut fleet = fleet(4);
     fleet.is_store_down = true;
     fleet.serve(0, 1);
@@ -186,31 +189,31 @@
     assert_eq!(fleet.bills_of(1), 1);
 }
 
-// A batch takes effect and its reply is lost. The daemon writes it again: the mark has
-// moved, so that the second write does nothing.
+// Guards against a batch written twice when the reply to the first write is lost: the mark has
+// advanced, so the retry must have no effect.
 #[test]
 fn can_seal_once_when_the_reply_is_lost() {
     let mut fleet = fleet(2);
     fleet.serve(0, 1);
-    let position = run_until(&mut fleet, |pending| is_seal(pending, 0));
+    let position = run_until(&mut fleet, |pending| is_seal_by(pending, 0));
     fleet.lose_reply(position, false);
     fleet.settle();
     assert_eq!(fleet.bills_of(1), 1);
     assert_eq!(fleet.daemons[0].ledger.fill().own, 0);
 }
 
-// A batch seems lost, is written again, rolled up and deleted. Then the first write takes
-// effect after all. Were batches only created if absent, it would be there once more, and
-// billed once more when the fingerprints have been dropped.
+// A write of a batch seems lost; the batch is written again, rolled up and deleted, and then
+// the first write takes effect after all. If the write depended only on the absence of the
+// batch, the batch would be created again and, once the fingerprints have expired, billed twice.
 #[test]
-fn can_seal_once_when_the_effect_comes_after_the_roll_up() {
+fn can_seal_once_when_a_delayed_write_follows_the_roll_up() {
     let mut fleet = fleet(2);
     fleet.serve(0, 1);
-    let position = run_until(&mut fleet, |pending| is_seal(pending, 0));
+    let position = run_until(&mut fleet, |pending| is_seal_by(pending, 0));
     fleet.lose_reply(position, true);
     fleet.run(SECOND.times(60));
     assert_eq!(fleet.bills_of(1), 1);
-    drop_fingerprints(&mut fleet);
+    expire_fingerprints(&mut fleet);
     fleet.settle();
     assert_eq!(fleet.bills_of(1), 1);
     let repeats: u64 = fleet
@@ -221,24 +224,24 @@
     assert_eq!(repeats, 0);
 }
 
-/// As if the retry window had passed.
-fn drop_fingerprints(fleet: &mut Fleet) {
+/// Deletes all fingerprints, as if the retry window had passed.
+fn expire_fingerprints(fleet: &mut Fleet) {
     let keys = [fleet.keys("/seen/"), fleet.keys("/shards/")].concat();
-    fleet.spoil(keys.into_iter().map(keyvalue::Op::Delete));
+    fleet.write_directly(keys.into_iter().map(keyvalue::Op::Delete));
 }
 
-// A daemon is paused with a batch on its way. Its holder seals in its place, the batch is
-// rolled up. The daemon wakes, its call goes out, and finds the mark moved.
+// A daemon is paused with a batch in flight, and its holder seals in its place; the batch is
+// rolled up. When the daemon resumes, its call must find the mark advanced and have no effect.
 #[test]
-fn can_seal_once_when_a_paused_daemon_wakes() {
+fn can_seal_once_when_a_paused_daemon_resumes() {
     let mut fleet = fleet(3);
     fleet.serve(0, 1);
-    let position = run_until(&mut fleet, |pending| is_seal(pending, 0));
+    let position = run_until(&mut fleet, |pending| is_seal_by(pending, 0));
     let call = fleet.pending.remove(position);
     fleet.daemons[0].is_paused = true;
     fleet.run(SECOND.times(60));
     assert_eq!(fleet.bills_of(1), 1);
-    drop_fingerprints(&mut fleet);
+    expire_fingerprints(&mut fleet);
     fleet.daemons[0].is_paused = false;
     fleet.pending.push(call);
     fleet.serve(0, 2);
@@ -247,8 +250,8 @@
     assert_eq!(fleet.daemons[0].ledger.fill().own, 0);
 }
 
-// A daemon reaches its peers and not the store. Its holder does and seals in its place, long
-// before the callers' retry window and the fingerprints of a repeat are over.
+// A daemon can reach its peers but not the store. Its holder must seal in its place long before
+// the callers' retry window ends and the fingerprints that detect a retry expire.
 #[test]
 fn can_seal_for_a_daemon_that_is_cut_off_from_the_store() {
     let mut fleet = fleet(3);
@@ -258,20 +261,22 @@
     assert_eq!(fleet.bills_of(1), 1);
 }
 
-// The outcome of a call gets lost inside the process. The batch is sealed all the same.
+// Guards against an origin that is never sealed again because the outcome of a call was lost
+// inside the process.
 #[test]
-fn can_seal_when_an_outcome_gets_lost() {
+fn can_seal_after_an_outcome_is_lost() {
     let mut fleet = fleet(2);
     fleet.serve(0, 1);
-    let position = run_until(&mut fleet, |pending| is_seal(pending, 0));
+    let position = run_until(&mut fleet, |pending| is_seal_by(pending, 0));
     fleet.pending.remove(position);
     fleet.run(SECOND.times(45));
     assert_eq!(fleet.daemons[0].ledger.fill().own, 0);
 }
 
-// Marks of runs that ended more than a week ago go; that of a live daemon stays.
+// Guards against an unbounded number of marks: those of incarnations that ended more than a week
+// ago are deleted, while that of a live daemon stays.
 #[test]
-fn can_bound_the_marks_of_past_runs() {
+fn can_delete_the_marks_of_past_incarnations() {
     let mut fleet = fleet(2);
     fleet.serve(0, 1);
     fleet.run(SECOND.times(60));
@@ -284,8 +289,8 @@
     assert_eq!(fleet.keys("/origins/").len(), 1);
 }
 
-// A holder is replaced while it is slow, and both it and the new one hold bills when the
-// daemon dies. Both seal; the mark moves once.
+// A slow holder is replaced, and both holders have bills when the daemon crashes. Both seal them;
+// the mark must advance only once.
 #[test]
 fn can_seal_once_when_two_hold_for_a_dead_daemon() {
     let mut fleet = fleet(4);
@@ -300,11 +305,11 @@
     fleet.crash(0);
     fleet.settle();
     assert_eq!((fleet.bills_of(1), fleet.bills_of(2)), (1, 1));
-    assert!(fleet.weak.is_empty());
+    assert!(fleet.unreplicated.is_empty());
 }
 
-// The second holder restarts and has forgotten everything, then the daemon dies. The
-// holder's next acknowledgement told the daemon, which gave all its bills again.
+// The second holder restarts and loses its copy, then the daemon crashes. The holder's next
+// acknowledgement must make the daemon send all its bills again.
 #[test]
 fn can_keep_bills_when_the_holder_restarts() {
     let mut fleet = fleet(2);
@@ -319,11 +324,12 @@
     fleet.crash(0);
     fleet.settle();
     assert_eq!((fleet.bills_of(1), fleet.bills_of(2)), (1, 1));
-    assert!(fleet.weak.is_empty());
+    assert!(fleet.unreplicated.is_empty());
 }
 
-// A daemon restarts under its name during an outage of the store; then the holder of its
-// earlier run's bills dies. The holder had seen a later run, and given them to another.
+// A daemon restarts under the same name during a store outage; then the holder of the earlier
+// incarnation's bills crashes. The holder must have noticed the later incarnation and replicated
+// the bills to another daemon.
 #[test]
 fn can_keep_bills_when_a_daemon_restarts_under_its_name() {
     let mut fleet = fleet(4);
@@ -336,12 +342,12 @@
     fleet.run(SECOND);
     fleet.crash(holder);
     fleet.settle();
-    assert!(fleet.weak.is_empty());
+    assert!(fleet.unreplicated.is_empty());
     assert_eq!(fleet.bills_of(1), 1);
 }
 
-// The second holder restarts, and membership has not noticed when the daemon dies. The new
-// run's acknowledgement told the daemon that everything before it is forgotten.
+// The second holder restarts, and membership has not noticed it by the time the daemon crashes.
+// The acknowledgement of the new incarnation must tell the daemon that the earlier copy is lost.
 #[test]
 fn can_keep_bills_when_the_holder_restarts_unnoticed() {
     let mut fleet = fleet(2);
@@ -358,7 +364,7 @@
         fleet.tick_with(holder, std::slice::from_ref(&daemon));
         fleet.deliver_all();
     }
-    assert!(fleet.answered.contains(&2) && fleet.weak.is_empty());
+    assert!(fleet.answered.contains(&2) && fleet.unreplicated.is_empty());
     fleet.crash(0);
     fleet.settle();
     assert_eq!((fleet.bills_of(1), fleet.bills_of(2)), (1, 1));
--- a/components/ledger/tests/support/counting.rs
+++ b/components/ledger/tests/support/counting.rs
@@ -1,9 +1,9 @@
-//! Repeats, bounds, roll-ups and exports.
+//! Tests of retries, capacity limits, roll-ups and exports.
 
 use super::*;
 
-// An impatient caller repeats through another daemon while the first still answers. Both
-// answer, both record a bill, one counts.
+// Guards against billing a request twice: a caller retries through another daemon while the first
+// is still answering, and both record a bill.
 #[test]
 fn can_bill_once_when_two_daemons_answer() {
     let mut fleet = fleet(3);
@@ -14,9 +14,10 @@
     assert_eq!(fleet.bills_of(1), 1);
 }
 
-// A caller repeats minutes after its request was rolled up. The fingerprint is still kept.
+// Guards against billing a retry that comes minutes after the request was rolled up; the
+// fingerprint must still be kept then.
 #[test]
-fn can_bill_once_when_the_repeat_follows_the_roll_up() {
+fn can_bill_once_when_the_retry_follows_the_roll_up() {
     let mut fleet = fleet(3);
     fleet.serve(0, 1);
     fleet.run(SECOND.times(120));
@@ -26,11 +27,12 @@
     assert_eq!(fleet.bills_of(1), 1);
 }
 
-// One daemon's bill is rolled up before an outage that outlasts the retry window; the
-// repeat's bill waits it out with another daemon, and comes after the first roll-ups that
-// follow the outage. They have not forgotten the bill: the fingerprints' clock stood still.
+// A bill is rolled up before an outage that is longer than the retry window. The bill of its
+// retry waits on another daemon during the outage and is sealed after the first roll-ups that
+// follow. The fingerprint must not have expired by then, since the shard's clock stops in an
+// outage.
 #[test]
-fn can_bill_once_when_the_repeat_waits_out_an_outage() {
+fn can_bill_once_when_the_retry_waits_during_an_outage() {
     let mut fleet = fleet(4);
     fleet.serve(0, 1);
     fleet.run(SECOND.times(60));
@@ -45,7 +47,7 @@
     for number in 100..300 {
         fleet.serve(other, number);
     }
-    let is_late = |pending: &Pending| is_seal(pending, 1) || is_seal(pending, holder);
+    let is_late = |pending: &Pending| is_seal_by(pending, 1) || is_seal_by(pending, holder);
     let mut late = Vec::new();
     for _ in 0..240 {
         fleet.tick(Span::from_millis(250));
@@ -60,10 +62,10 @@
     assert_eq!(fleet.bills_of(1), 1);
 }
 
-// The store is down for longer than the bound. New work is refused before a bill is lost,
-// requests in flight still find room, and all bills arrive when the store is back.
+// The store is down until the ledger's capacity is used up. New requests must be refused before a
+// bill is lost, those in flight must still find room, and all bills must be sealed afterwards.
 #[test]
-fn errors_when_an_outage_outlasts_the_bound() {
+fn refuses_requests_when_an_outage_exhausts_the_capacity() {
     let mut fleet = Fleet::new(2, |cfg| cfg.capacity = 100);
     fleet.is_store_down = true;
     fleet.tick(SECOND);
@@ -83,7 +85,7 @@
     assert_eq!(fleet.export().totals().len(), 100);
 }
 
-// The second holder has no room left. The daemon gives its bills to another one.
+// The second holder has no room left, so the daemon must choose another one.
 #[test]
 fn can_choose_another_holder_when_one_is_full() {
     let mut fleet = Fleet::new(3, |cfg| cfg.custody_capacity = 50);
@@ -110,11 +112,11 @@
     assert_eq!(fleet.export().totals().len(), 100);
 }
 
-// A roll-up's write seems lost and is done again; more batches are rolled up. Then the first
-// write takes effect after all. It would put back the totals of then, and bills would be
-// missing; its compares fail.
+// A roll-up's write seems lost and is retried, and more batches are rolled up; then the first
+// write takes effect after all. Its compares must fail, or it would restore older totals and
+// bills would be missing.
 #[test]
-fn can_roll_up_once_when_the_effect_comes_late() {
+fn can_roll_up_once_when_a_write_is_delayed() {
     let mut fleet = fleet(3);
     fleet.serve(0, 1);
     let position = run_until(&mut fleet, is_commit);
@@ -129,9 +131,10 @@
     assert!(totals.len() == 199 && totals.values().all(|sum| sum.requests == 1));
 }
 
-// Two daemons see different fleets, so that both roll up a shard at once.
+// Two daemons disagree about the members of the fleet and both roll up all shards. Each bill must
+// still count once.
 #[test]
-fn can_roll_up_by_two_at_once() {
+fn can_roll_up_on_two_daemons_at_once() {
     let mut fleet = fleet(2);
     for number in 0..100 {
         fleet.serve(number as usize % 2, number);
@@ -155,10 +158,10 @@
     assert_eq!(rolled, 100);
 }
 
-// A slow holder was replaced in a long outage. If it kept its copies, each replacement would
-// leave one more, and the memory of all would fill up.
+// Guards against memory that fills up with copies in a long outage: a slow holder that was
+// replaced must drop its copy, or each replacement would leave one more.
 #[test]
-fn can_forget_what_another_holds() {
+fn drops_copies_that_another_daemon_holds() {
     let mut fleet = fleet(4);
     fleet.is_store_down = true;
     fleet.serve(0, 1);
@@ -173,9 +176,10 @@
     assert_eq!(fleet.daemons[holder].ledger.fill().custody, 1);
 }
 
-// Many bills wait for the store and there is one peer. It holds up to its bound, no more.
+// Guards against unbounded memory on a holder: many bills wait for the store and there is only
+// one peer, which must not exceed its capacity.
 #[test]
-fn errors_when_a_holder_is_full() {
+fn a_holder_never_exceeds_its_capacity() {
     let mut fleet = Fleet::new(2, |cfg| cfg.custody_capacity = 10);
     fleet.is_store_down = true;
     fleet.tick(SECOND);
@@ -186,31 +190,31 @@
     }
 }
 
-// A batch that cannot be read does not stop the shard's roll-ups; it is put aside.
+// Guards against an undecodable batch that blocks its shard's roll-ups; it must be moved aside.
 #[test]
 fn can_roll_up_beside_a_damaged_batch() {
     let mut fleet = fleet(2);
     for number in 0..100 {
         fleet.serve(0, number);
     }
-    let position = run_until(&mut fleet, |pending| is_seal(pending, 0));
+    let position = run_until(&mut fleet, |pending| is_seal_by(pending, 0));
     fleet.deliver(position);
     let damage = keyvalue::Put {
         key: fleet.keys("/batches/").remove(0),
         value: bytes::Bytes::from_static(b"\x01\xff\xff"),
         lease: None,
     };
-    fleet.spoil([keyvalue::Op::Put(damage)].into_iter());
+    fleet.write_directly([keyvalue::Op::Put(damage)].into_iter());
     fleet.settle();
     let counted = fleet.export().totals().len();
     assert!((50..100).contains(&counted));
     assert_eq!(fleet.keys("/damaged/").len(), 1);
 }
 
-// An operator exports and drains while a late batch of the same hour is rolled up. What
-// grew after the export stays; both exports together have every bill once.
+// An operator exports and drains while a late batch of the same hour is rolled up. Totals that
+// changed after the export must stay, so that both exports together contain every bill once.
 #[test]
-fn can_drain_without_losing_what_came_late() {
+fn can_drain_without_losing_late_bills() {
     let mut fleet = fleet(2);
     for number in 0..100 {
         fleet.serve(0, number);
@@ -238,10 +242,9 @@
     assert!(second.len() < 110);
 }
 
-// A peer sends bytes that are not charges, or charges past the bound: they are counted,
-// and nothing else happens.
+// A peer sends undecodable or oversized charges. They must be counted and otherwise ignored.
 #[test]
-fn errors_when_a_peer_sends_rubbish() {
+fn counts_and_ignores_undecodable_charges() {
     let mut fleet = fleet(2);
     let hold = |charges: Vec<u8>| Message::Hold {
         origin: Origin {
--- a/components/ledger/tests/support/fleet.rs
+++ b/components/ledger/tests/support/fleet.rs
@@ -1,4 +1,5 @@
-//! A few ledgers with a queue of pending effects, fast time and a fake store.
+//! A simulated fleet: several ledgers with a queue of pending effects, simulated time and a fake
+//! store.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,7 +9,7 @@
 use types::prelude::*;
 
 pub(crate) const PREFIX: &str = "/buckthorncross/test";
-const START: u64 = 1_800_000_000_000;
+const START_MS: u64 = 1_800_000_000_000;
 
 #[derive(Debug, Clone)]
 pub(crate) enum Pending {
@@ -33,10 +34,10 @@
 pub(crate) struct Daemon {
     pub(crate) peer: Peer,
     pub(crate) ledger: Ledger,
-    /// Crashed daemons stay in the table: the index names one run of one host.
+    /// Crashed daemons stay in the list, so that an index identifies one incarnation of one host.
     pub(crate) is_alive: bool,
     pub(crate) is_paused: bool,
-    /// Reaches its peers and not the store.
+    /// Whether the daemon can reach its peers but not the store.
     pub(crate) is_cut_off: bool,
     waiting: BTreeMap<Receipt, u32>,
 }
@@ -48,14 +49,14 @@
     pub(crate) is_store_down: bool,
     pub(crate) daemons: Vec<Daemon>,
     pub(crate) pending: Vec<Pending>,
-    /// Writes that take effect after their caller was told that there is no reply.
+    /// Writes that take effect after their caller was told that the reply was lost.
     pub(crate) delayed: Vec<Request>,
-    /// Requests whose whole answer was released.
+    /// Requests whose complete answer was released.
     pub(crate) answered: BTreeSet<u32>,
-    /// Released while no second daemon was in reach.
-    pub(crate) weak: BTreeSet<u32>,
+    /// Requests whose answer was released without a second holder of its bill.
+    pub(crate) unreplicated: BTreeSet<u32>,
     configure: fn(&mut Config),
-    runs: u64,
+    incarnations: u64,
 }
 
 pub(crate) fn peer(index: usize) -> Peer {
@@ -67,7 +68,8 @@
     }
 }
 
-/// The bill of request `number`; the customer's name tells the request in the totals.
+/// Creates the bill of request `number`. Each request has its own customer, by which it can be
+/// found in the totals.
 pub(crate) fn bill(number: u32, at: WallTime) -> Bill {
     Bill {
         id: BillId {
@@ -96,9 +98,9 @@
             pending: Vec::new(),
             delayed: Vec::new(),
             answered: BTreeSet::new(),
-            weak: BTreeSet::new(),
+            unreplicated: BTreeSet::new(),
             configure,
-            runs: 0,
+            incarnations: 0,
         };
         for index in 0..size {
             fleet.start(peer(index));
@@ -106,10 +108,10 @@
         fleet
     }
 
-    /// Starts a run of a host with an empty ledger.
+    /// Starts a new incarnation of a host with an empty ledger.
     pub(crate) fn start(&mut self, mut peer: Peer) -> usize {
-        self.runs += 1;
-        peer.incarnation = Incarnation(self.runs);
+        self.incarnations += 1;
+        peer.incarnation = Incarnation(self.incarnations);
         let mut cfg = Config::new(peer.clone(), PREFIX);
         (self.configure)(&mut cfg);
         self.daemons.push(Daemon {
@@ -124,24 +126,24 @@
     }
 
     pub(crate) fn wall(&self) -> WallTime {
-        WallTime(START + self.now.0 / 1000)
+        WallTime(START_MS + self.now.0 / 1000)
     }
 
-    fn runs(&self, index: usize) -> bool {
+    fn is_running(&self, index: usize) -> bool {
         self.daemons[index].is_alive && !self.daemons[index].is_paused
     }
 
-    /// Serves a request and records its bill; the end of the answer is not yet released.
+    /// Records the bill of a served request; the end of the answer is not yet released.
     pub(crate) fn serve(&mut self, index: usize, number: u32) {
         let bill = bill(number, self.wall());
         let daemon = &mut self.daemons[index];
         let receipt = daemon.ledger.record(self.now, bill);
         daemon.waiting.insert(receipt, number);
         let effects = daemon.ledger.flush(self.now);
-        self.take(index, effects);
+        self.queue_effects(index, effects);
     }
 
-    fn take(&mut self, from: usize, effects: Vec<Effect>) {
+    fn queue_effects(&mut self, from: usize, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Send { to, message } => {
@@ -162,12 +164,12 @@
         for number in released.into_values() {
             self.answered.insert(number);
             if alone {
-                self.weak.insert(number);
+                self.unreplicated.insert(number);
             }
         }
     }
 
-    /// Lets time pass and every running daemon do what is due.
+    /// Advances the time and ticks every running daemon.
     pub(crate) fn tick(&mut self, span: Span) {
         self.now = self.now + span;
         let wall = self.wall();
@@ -177,7 +179,7 @@
     }
 
     fn tick_one(&mut self, index: usize, wall: WallTime) {
-        if !self.runs(index) {
+        if !self.is_running(index) {
             return;
         }
         let me = &self.daemons[index].peer.id;
@@ -192,15 +194,16 @@
             ledger.next_deadline() > self.now,
             "nothing would be waited for"
         );
-        self.take(index, effects);
+        self.queue_effects(index, effects);
     }
 
-    /// Delivers one pending effect. Those of paused daemons wait, those of dead ones go.
+    /// Delivers one pending effect. Those for paused daemons stay pending; those for crashed daemons
+    /// are dropped.
     pub(crate) fn deliver(&mut self, position: usize) {
         let pending = self.pending.remove(position);
         match &pending {
             Pending::Message { from, to, message } => {
-                let Some(index) = self.running(to) else {
+                let Some(index) = self.find_alive(to) else {
                     return;
                 };
                 if self.daemons[index].is_paused {
@@ -209,7 +212,7 @@
                 let from = self.daemons[*from].peer.id.clone();
                 let ledger = &mut self.daemons[index].ledger;
                 let effects = ledger.on_peer(self.now, &from, message.clone());
-                self.take(index, effects);
+                self.queue_effects(index, effects);
             }
             Pending::Call { from, id, request } => {
                 let outcome = match self.is_store_down || self.daemons[*from].is_cut_off {
@@ -226,20 +229,20 @@
                 if self.daemons[*to].is_alive {
                     let ledger = &mut self.daemons[*to].ledger;
                     let effects = ledger.on_store(self.now, *id, outcome.clone());
-                    self.take(*to, effects);
+                    self.queue_effects(*to, effects);
                 }
             }
         }
     }
 
-    fn running(&self, id: &DaemonId) -> Option<usize> {
+    fn find_alive(&self, id: &DaemonId) -> Option<usize> {
         let found = self.daemons.iter();
         found
             .clone()
             .position(|daemon| daemon.is_alive && daemon.peer.id == *id)
     }
 
-    /// A call takes effect now or later, and its caller hears nothing of it.
+    /// Loses the reply of a pending call, which takes effect now or later.
     pub(crate) fn lose_reply(&mut self, position: usize, takes_effect_late: bool) {
         if let Pending::Call { from, id, request } = self.pending[position].clone() {
             self.pending.remove(position);
@@ -253,7 +256,7 @@
         }
     }
 
-    /// Delivers everything that can be delivered.
+    /// Delivers all effects that can be delivered, and those that result.
     pub(crate) fn deliver_all(&mut self) {
         let mut left = 10_000;
         while let Some(position) = self.deliverable() {
@@ -266,14 +269,14 @@
     fn deliverable(&self) -> Option<usize> {
         self.pending.iter().position(|pending| match pending {
             Pending::Message { to, .. } => self
-                .running(to)
+                .find_alive(to)
                 .is_none_or(|index| !self.daemons[index].is_paused),
             Pending::Call { .. } => true,
             Pending::Outcome { to, .. } => !self.daemons[*to].is_paused,
         })
     }
 
-    /// Ticks and delivers for a while.
+    /// Ticks and delivers repeatedly for a time span.
     pub(crate) fn run(&mut self, span: Span) {
         let until = self.now + span;
         let step = Span(span.as_micros() / 1000).max(Span::from_millis(250));
@@ -283,12 +286,12 @@
         }
     }
 
-    /// The host and all that it holds are gone; what it had sent may still arrive.
+    /// Crashes a host, which loses its ledger; effects already pending may still be delivered.
     pub(crate) fn crash(&mut self, index: usize) {
         self.daemons[index].is_alive = false;
     }
 
-    /// Everything heals, and all bills reach the totals.
+    /// Ends all faults and runs until all bills are rolled up.
     pub(crate) fn settle(&mut self) {
         self.is_store_down = false;
         for daemon in &mut self.daemons {
@@ -305,15 +308,15 @@
         self.store.call(self.now, request)
     }
 
-    /// Keys of the store that hold a part.
+    /// Returns the keys of the store that contain `part`.
     pub(crate) fn keys(&self, part: &str) -> Vec<String> {
         let (items, _) = self.store.range(PREFIX, Some("/c"), 0);
         let keys = items.into_iter().map(|(key, _)| key);
         keys.filter(|key| key.contains(part)).collect()
     }
 
-    /// Deletes or overwrites keys behind the ledgers' backs.
-    pub(crate) fn spoil(&mut self, ops: impl Iterator<Item = keyvalue::Op>) {
+    /// Writes to the store directly, without the ledgers.
+    pub(crate) fn write_directly(&mut self, ops: impl Iterator<Item = keyvalue::Op>) {
         for op in ops {
             let txn = keyvalue::Txn {
                 success: vec![op],
@@ -324,7 +327,7 @@
     }
 
     pub(crate) fn export(&mut self) -> Statement {
-        let span = (WallTime(0), WallTime(START * 2));
+        let span = (WallTime(0), WallTime(START_MS * 2));
         let mut export = Export::new(PREFIX, span.0, span.1);
         let mut request = export.start();
         loop {
@@ -335,14 +338,14 @@
         }
     }
 
-    /// Bills counted for a request.
+    /// Returns how many bills were counted for a request.
     pub(crate) fn bills_of(&mut self, number: u32) -> u64 {
         let customer = bill(number, WallTime(0)).id.customer;
         let totals = self.export().totals();
-        let of = totals
+        let matching = totals
             .iter()
             .filter(|(account, _)| account.customer == customer);
-        of.map(|(_, sum)| sum.requests).sum()
+        matching.map(|(_, sum)| sum.requests).sum()
     }
 
     pub(crate) fn position(&self, wanted: impl Fn(&Pending) -> bool) -> Option<usize> {
@@ -351,10 +354,10 @@
 }
 
 impl Fleet {
-    /// Ticks a daemon that believes these to be the others.
+    /// Ticks one daemon with a given view of the other members.
     pub(crate) fn tick_with(&mut self, index: usize, members: &[Peer]) {
         let wall = self.wall();
         let effects = self.daemons[index].ledger.tick(self.now, wall, members);
-        self.take(index, effects);
+        self.queue_effects(index, effects);
     }
 }
--- a/components/ledger/tests/support/fuzz.rs
+++ b/components/ledger/tests/support/fuzz.rs
@@ -1,4 +1,5 @@
-//! Stateful fuzz: a few ledgers under faults against a count of bills for each request.
+//! Stateful property test: ledgers under random faults must bill each request at most once, and
+//! exactly once if its answer was released with a replicated bill.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -9,27 +10,27 @@
 
 const DAEMONS: usize = 4;
 const REQUESTS: u32 = 16;
-/// Longer than a holder that failed is avoided.
+/// Time to find new holders; longer than a failed holder is avoided.
 const RECOVERY: Span = Span::from_secs(6);
 
 #[derive(Debug, Clone)]
 pub(crate) enum Step {
-    /// A daemon answers a request, perhaps one that another has answered.
+    /// A daemon answers a request, which another one may have answered before.
     Serve(usize, u32),
     Deliver(usize),
     DeliverAll,
     Tick(u64),
-    /// A reply of the store is lost; the write takes effect now, or later.
+    /// A reply of the store is lost; the write takes effect now or later.
     LoseReply(usize, bool),
     DropMessage(usize),
     /// One of the delayed writes takes effect.
-    TakeEffect,
+    ApplyDelayed,
     Store(bool),
-    /// A daemon reaches its peers and not the store, or reaches it again.
+    /// A daemon loses or regains its connection to the store, but not to its peers.
     CutOff(usize, bool),
     Pause(usize),
     Resume(usize),
-    /// A host is lost and replaced.
+    /// A host crashes and is replaced.
     Replace(usize),
 }
 
@@ -53,7 +54,7 @@
             6 => (1..4000_u64).prop_map(Step::Tick),
             2 => (pick.clone(), any::<bool>()).prop_map(|(at, late)| Step::LoseReply(at, late)),
             1 => pick.prop_map(Step::DropMessage),
-            1 => Just(Step::TakeEffect),
+            1 => Just(Step::ApplyDelayed),
             1 => any::<bool>().prop_map(Step::Store),
             1 => (daemon.clone(), any::<bool>()).prop_map(|(on, is)| Step::CutOff(on, is)),
             1 => daemon.clone().prop_map(Step::Pause),
@@ -66,11 +67,11 @@
     fn apply((): (), _: &Step) {}
 }
 
-/// The fleet and which run stands for each host.
+/// The fleet, with the index of each host's current incarnation.
 pub(crate) struct Hosts {
     fleet: Fleet,
     runs: [usize; DAEMONS],
-    /// A host was lost and some bills may be held once.
+    /// A host has crashed, so some bills may have only one copy.
     is_recovering: bool,
 }
 
@@ -80,8 +81,8 @@
         (count > 0).then(|| number % count)
     }
 
-    /// Loses a host. Bills outlive one host's loss: before the next one the fleet has
-    /// time to find new holders.
+    /// Crashes and replaces a host. Bills survive only one crash at a time, so the fleet gets time
+    /// to find new holders before the next one.
     fn replace(&mut self, host: usize) {
         let any_paused = self
             .runs
@@ -142,14 +143,14 @@
                 }
             }
             Step::DropMessage(number) => state.drop_message(number),
-            Step::TakeEffect => {
+            Step::ApplyDelayed => {
                 if let Some(request) = fleet.delayed.pop() {
                     let _ = fleet.call(&request);
                 }
             }
             Step::Store(is_down) => fleet.is_store_down = is_down,
             Step::CutOff(host, is) => fleet.daemons[state.runs[host]].is_cut_off = is,
-            // One host away at a time: a lost one beside a paused holder is a second loss.
+            // Only one host may fail at a time: pausing a holder after a crash would be a second failure.
             Step::Pause(_) if state.is_recovering => {}
             Step::Pause(host) => fleet.daemons[state.runs[host]].is_paused = true,
             Step::Resume(host) => fleet.daemons[state.runs[host]].is_paused = false,
@@ -163,10 +164,10 @@
         for number in 0..REQUESTS {
             let bills = state.fleet.bills_of(number);
             assert!(bills <= 1, "request {number} has {bills} bills");
-            let must =
-                state.fleet.answered.contains(&number) && !state.fleet.weak.contains(&number);
+            let must_be_billed = state.fleet.answered.contains(&number)
+                && !state.fleet.unreplicated.contains(&number);
             assert!(
-                bills == 1 || !must,
+                bills == 1 || !must_be_billed,
                 "request {number} was answered and not billed"
             );
         }
