--- a/components/keyvalue/src/lib.rs
+++ b/components/keyvalue/src/lib.rs
@@ -1,56 +1,57 @@
 //! Requests and replies of the platform's key-value service.
 //!
-//! Decisions that need the service return a [`Request`] and are later given its
-//! [`Outcome`]; they never call it. The subset is etcd's: ranges, transactions of
-//! compares, puts and deletes, and leases. A transaction may hold transactions, each
-//! with compares of its own, so that one call can carry many independent steps.
+//! Decision logic that needs the service returns a [`Request`] and later receives its
+//! [`Outcome`]; it never calls the service itself. The types cover a subset of etcd: ranges,
+//! transactions of compares, puts and deletes, and leases. Transactions can be nested, each
+//! with its own compares, so that one call can carry many independent steps.
 
 use bytes::Bytes;
 use types::prelude::Span;
 
-/// One call of the service.
+/// A call to the service.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Request {
-    /// Read keys.
+    /// Reads keys.
     Range(Range),
-    /// Compare, then write and read.
+    /// Compares keys, then writes and reads others atomically.
     Txn(Txn),
-    /// Make a lease.
+    /// Creates a lease.
     LeaseGrant {
-        /// It lapses this long after its last renewal.
+        /// Time after the last renewal at which the lease expires.
         ttl: Span,
     },
-    /// Renew a lease.
+    /// Renews a lease.
     LeaseKeepAlive(LeaseId),
-    /// End a lease and delete its keys.
+    /// Revokes a lease and deletes its keys.
     LeaseRevoke(LeaseId),
 }
 
-/// A lease of the service.
+/// Id of a lease, assigned by the service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseId(pub i64);
 
-/// The service's own revision, of a key or as a whole.
+/// A revision of the service: of a key's last write, or of the service as a whole.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ModRevision(pub i64);
 
-/// Keys to read.
+/// Specifies the keys to read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Range {
-    /// The key, or the first of them.
+    /// The key to read, or the prefix of the keys if `prefix` is set.
     pub key: String,
-    /// Read all keys that begin with `key`.
+    /// Whether to read all keys that start with `key`.
     pub prefix: bool,
-    /// At most so many, 0 for all.
+    /// Maximum number of keys to return; 0 for no limit.
     pub limit: u32,
-    /// Read only keys after this one (for reading in pages), still within the prefix.
+    /// Returns only keys after this one and within the prefix; used to read in pages.
     pub after: Option<String>,
-    /// The answer may be some seconds old: a replica gives it, which costs the service less.
+    /// Whether the result may be some seconds old, so that any replica can serve it at a lower
+    /// cost.
     pub serializable: bool,
 }
 
 impl Range {
-    /// One key.
+    /// Creates a range of one key.
     #[must_use]
     pub fn key(key: impl Into<String>) -> Self {
         Self {
@@ -62,7 +63,7 @@
         }
     }
 
-    /// All keys that begin so.
+    /// Creates a range of all keys that start with `key`.
     #[must_use]
     pub fn prefix(key: impl Into<String>) -> Self {
         Self {
@@ -75,14 +76,14 @@
     }
 }
 
-/// If all compares hold then `success`, else `failure`.
+/// A transaction, which carries out `success` if all compares hold and `failure` otherwise.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Txn {
-    /// All must hold.
+    /// The conditions.
     pub compare: Vec<Compare>,
-    /// Done when they do.
+    /// Operations carried out if all conditions hold.
     pub success: Vec<Op>,
-    /// Done when one does not.
+    /// Operations carried out if any condition does not hold.
     pub failure: Vec<Op>,
 }
 
@@ -91,106 +92,107 @@
 pub enum Compare {
     /// The key is absent.
     Absent(String),
-    /// The key's last write was this one. [`ModRevision`] 0: the key is absent.
+    /// The key's last write has this revision; 0 means that the key is absent.
     ModRevision(String, ModRevision),
 }
 
-/// A step of a transaction.
+/// An operation of a transaction.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Op {
-    /// Write a key.
+    /// Writes a key.
     Put(Put),
-    /// Delete a key.
+    /// Deletes a key.
     Delete(String),
-    /// Read.
+    /// Reads keys.
     Range(Range),
-    /// A transaction inside, with its own compares.
+    /// Runs a nested transaction with its own compares.
     Txn(Txn),
 }
 
-/// A write.
+/// A write of one key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Put {
-    /// Where.
+    /// The key to write.
     pub key: String,
-    /// What.
+    /// The new value.
     pub value: Bytes,
-    /// Goes when the lease ends.
+    /// Lease at whose end the key is deleted.
     pub lease: Option<LeaseId>,
 }
 
-/// A key as it stands.
+/// A key with its current value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyValue {
-    /// Its name.
+    /// The key.
     pub key: String,
-    /// Its value.
+    /// The current value.
     pub value: Bytes,
-    /// Its last write.
+    /// Revision of the last write.
     pub mod_revision: ModRevision,
-    /// The lease that it goes with.
+    /// Lease at whose end the key is deleted.
     pub lease: Option<LeaseId>,
 }
 
-/// What a step of a transaction gave.
+/// The result of an operation of a transaction.
 #[derive(Debug, Clone, PartialEq)]
 pub enum OpReply {
-    /// Written.
+    /// The key was written.
     Put,
-    /// Deleted so many.
+    /// Number of keys deleted.
     Delete(u64),
-    /// Read.
+    /// The keys read.
     Range(Vec<KeyValue>),
-    /// An inner transaction's own reply.
+    /// The result of a nested transaction.
     Txn(TxnReply),
 }
 
-/// What a transaction did.
+/// The result of a transaction.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TxnReply {
     /// Whether all compares held.
     pub succeeded: bool,
-    /// One for each step of the branch taken.
+    /// Results of the operations carried out, in their order.
     pub replies: Vec<OpReply>,
 }
 
-/// What a call gave.
+/// The result of a call.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Reply {
-    /// Of a range.
+    /// The keys read by [`Request::Range`].
     Range(Vec<KeyValue>),
-    /// Of a transaction.
+    /// The result of [`Request::Txn`].
     Txn(TxnReply),
-    /// Of a grant.
+    /// The lease created by [`Request::LeaseGrant`].
     LeaseGranted(LeaseId),
-    /// Of a renewal: time left, or nothing when the lease is gone.
+    /// The remaining time of the lease after [`Request::LeaseKeepAlive`]; `None` if the lease has
+    /// ended.
     LeaseKept(Option<Span>),
-    /// Of a revocation.
+    /// The lease was revoked.
     LeaseRevoked,
 }
 
-/// A reply with the service's revision at the time.
+/// A reply and the revision of the service at that time.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Answer {
-    /// The service's revision.
+    /// Revision of the service.
     pub revision: ModRevision,
-    /// What the call gave.
+    /// The result of the call.
     pub reply: Reply,
 }
 
-/// How a call ended.
+/// The answer to a call, or why there is none.
 pub type Outcome = Result<Answer, CallError>;
 
-/// Why a call gave nothing.
+/// Why a call has no answer.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// Never reached the service: certainly without effect.
+    /// The call never reached the service and certainly had no effect.
     #[error("not sent: {0}")]
     NotSent(String),
-    /// Sent, and no reply: may have taken effect or may do so later.
+    /// The call was sent and no usable reply arrived; it may have taken effect or may do so later.
     #[error("no reply: {0}")]
     Unknown(String),
-    /// The service said no and did nothing.
+    /// The service refused the call and did nothing.
     #[error("refused: {0}")]
     Refused(String),
 }
@@ -198,10 +200,10 @@
 /// A change of a watched key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WatchEvent {
-    /// The service's revision of the change.
+    /// Revision of the change.
     pub revision: ModRevision,
-    /// The key.
+    /// The key that changed.
     pub key: String,
-    /// Its new state, or nothing once deleted.
+    /// The new value; `None` if the key was deleted.
     pub value: Option<KeyValue>,
 }
--- a/components/store/src/etcd.rs
+++ b/components/store/src/etcd.rs
@@ -1,4 +1,4 @@
-//! The published etcd v3 JSON gateway, over HTTP.
+//! Client of the public etcd v3 JSON gateway over HTTP.
 
 mod body;
 mod client;
--- a/components/store/src/etcd/body.rs
+++ b/components/store/src/etcd/body.rs
@@ -1,4 +1,4 @@
-//! A request body that remembers whether it began to leave.
+//! A request body that records whether its transmission has started.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -6,30 +6,30 @@
 
 use attohttpc::body::{Body, BodyKind};
 
-/// Bytes to send, and a mark set as soon as the first is handed to the connection.
+/// A request body with a flag that is set before its first byte is written to the connection.
 ///
-/// Guards against calling a write "not sent" that the service may have read: without
-/// the mark, a reset or timeout looks the same before and after the body. While the
-/// mark is off the service holds at most a head without its body, which it cannot
-/// act upon.
-pub(crate) struct MarkedBody {
+/// The flag prevents a write that the service may have read from being reported as "not
+/// sent": without it, a reset or timeout looks the same before and after the body. While the
+/// flag is unset, the service has received at most the head of the request, on which it
+/// cannot act.
+pub(crate) struct TrackedBody {
     bytes: Vec<u8>,
-    begun: Arc<AtomicBool>,
+    has_started: Arc<AtomicBool>,
 }
 
-impl MarkedBody {
-    pub(crate) fn new(bytes: Vec<u8>, begun: Arc<AtomicBool>) -> Self {
-        Self { bytes, begun }
+impl TrackedBody {
+    pub(crate) fn new(bytes: Vec<u8>, has_started: Arc<AtomicBool>) -> Self {
+        Self { bytes, has_started }
     }
 }
 
-impl Body for MarkedBody {
+impl Body for TrackedBody {
     fn kind(&mut self) -> io::Result<BodyKind> {
         Ok(BodyKind::KnownLength(self.bytes.len() as u64))
     }
 
     fn write<W: Write>(&mut self, mut writer: W) -> io::Result<()> {
-        self.begun.store(true, Ordering::Relaxed);
+        self.has_started.store(true, Ordering::Relaxed);
         writer.write_all(&self.bytes)
     }
 
--- a/components/store/src/etcd/client.rs
+++ b/components/store/src/etcd/client.rs
@@ -1,4 +1,4 @@
-//! Calls over HTTP, several endpoints tried in turn.
+//! Calls over HTTP to one of several endpoints, tried in turn.
 
 use std::io::{self, Read};
 use std::net::SocketAddr;
@@ -9,27 +9,27 @@
 use keyvalue::{CallError, Outcome, Request};
 use types::prelude::{ByteSize, Span};
 
-use crate::etcd::body::MarkedBody;
+use crate::etcd::body::TrackedBody;
 use crate::etcd::{decode, encode, stream};
 use crate::{Sink, Store, Watch, WatchEnd};
 
-/// Where the service is and how long to wait for it.
+/// Addresses of the service, and timeouts.
 #[derive(Debug, Clone)]
 pub struct Config {
     /// Addresses of the gateway, tried in turn.
     pub endpoints: Vec<SocketAddr>,
-    /// Longest wait for a connection.
+    /// Timeout of a connect.
     pub connect_timeout: Span,
-    /// Longest wait for a whole call at one endpoint.
+    /// Timeout of a whole call at one endpoint.
     pub call_timeout: Span,
-    /// Longest silence of a watch before it is begun anew.
+    /// Time without data after which a watch ends as idle.
     pub watch_idle: Span,
-    /// Longest reply, and longest line of a watch.
+    /// Maximum size of a reply, and of a line of a watch.
     pub max_reply: ByteSize,
 }
 
 impl Config {
-    /// The defaults for these addresses.
+    /// Creates a configuration with default timeouts for these addresses.
     #[must_use]
     pub fn new(endpoints: Vec<SocketAddr>) -> Self {
         Self {
@@ -42,55 +42,56 @@
     }
 }
 
-/// Why a client cannot be made.
+/// Why a client cannot be created.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum EtcdError {
-    /// Settings name no address.
+    /// The settings contain no address.
     #[error("the key-value service has no endpoint; give at least one ip:port")]
     NoEndpoint,
 }
 
-/// A client of the etcd v3 JSON gateway. Each call has a connection of its own.
+/// A client of the etcd v3 JSON gateway. Each call opens its own connection.
 #[derive(Debug)]
 pub struct EtcdClient {
     cfg: Config,
-    /// The endpoint that answered last.
-    preferred: AtomicUsize,
+    /// Index of the endpoint to try first: the one that answered last, or the one after an
+    /// endpoint that failed.
+    preferred_index: AtomicUsize,
 }
 
 impl EtcdClient {
-    /// Makes a client; nothing is sent yet.
+    /// Creates a client without connecting.
     ///
     /// # Errors
-    /// When there is no endpoint.
+    /// If the configuration has no endpoint.
     pub fn new(cfg: Config) -> Result<Self, EtcdError> {
         if cfg.endpoints.is_empty() {
             return Err(EtcdError::NoEndpoint);
         }
         Ok(Self {
             cfg,
-            preferred: AtomicUsize::new(0),
+            preferred_index: AtomicUsize::new(0),
         })
     }
 
-    /// Endpoints with their places, the one that answered last first.
+    /// Returns the endpoints with their indices, starting with the preferred one.
     fn endpoints(&self) -> impl Iterator<Item = (usize, SocketAddr)> + '_ {
-        let first = self.preferred.load(Ordering::Relaxed);
+        let first = self.preferred_index.load(Ordering::Relaxed);
         let count = self.cfg.endpoints.len();
-        let places = (0..count).map(move |step| (first + step) % count);
-        places.map(|place| (place, self.cfg.endpoints[place]))
+        let indices = (0..count).map(move |offset| (first + offset) % count);
+        indices.map(|index| (index, self.cfg.endpoints[index]))
     }
 
     fn call_at(&self, endpoint: SocketAddr, req: &Request) -> Outcome {
         let (path, body) = encode::request(req);
-        let begun = Arc::new(AtomicBool::new(false));
+        let has_started = Arc::new(AtomicBool::new(false));
         let builder = self.post(endpoint, path);
         let builder = builder
             .read_timeout(self.cfg.call_timeout.to_duration())
             .timeout(self.cfg.call_timeout.to_duration());
-        let body = MarkedBody::new(body.to_string().into_bytes(), begun.clone());
+        let body = TrackedBody::new(body.to_string().into_bytes(), has_started.clone());
         let sent = prepare(builder, body).and_then(|mut ready| ready.send());
-        let answer = sent.map_err(|e| classify(&begun, &format!("{endpoint}: {e}")))?;
+        let answer = sent.map_err(|e| error_for(&has_started, &format!("{endpoint}: {e}")))?;
         let status = answer.status().as_u16();
         let body = read_bounded(answer, self.cfg.max_reply)
             .map_err(|e| CallError::Unknown(format!("{endpoint}: reply broke off: {e}")))?;
@@ -108,8 +109,8 @@
         let body = encode::watch(&watch.prefix, watch.from).to_string();
         let builder = self.post(endpoint, "/v3/watch");
         let builder = builder.read_timeout(self.cfg.watch_idle.to_duration());
-        let begun = Arc::new(AtomicBool::new(false));
-        let body = MarkedBody::new(body.into_bytes(), begun);
+        let has_started = Arc::new(AtomicBool::new(false));
+        let body = TrackedBody::new(body.into_bytes(), has_started);
         match prepare(builder, body).and_then(|mut ready| ready.send()) {
             Ok(answer) => stream::follow(answer, watch, sink, self.cfg.max_reply),
             Err(e) => WatchEnd::Broken(format!("{endpoint}: {e}")),
@@ -121,19 +122,19 @@
     fn call(&self, req: Request) -> Outcome {
         let is_read = matches!(req, Request::Range(_));
         let mut last = Err(CallError::NotSent("no endpoint".to_owned()));
-        for (place, endpoint) in self.endpoints() {
+        for (index, endpoint) in self.endpoints() {
             last = self.call_at(endpoint, &req);
             match &last {
                 Err(CallError::NotSent(_)) => {}
-                // A read may go elsewhere; a write may have happened and must not be sent twice.
+                // A read can be retried elsewhere; a write may have taken effect and must not be sent twice.
                 Err(CallError::Unknown(_)) if is_read => {}
                 Ok(_) => {
-                    self.preferred.store(place, Ordering::Relaxed);
+                    self.preferred_index.store(index, Ordering::Relaxed);
                     return last;
                 }
                 Err(_) => {
-                    let next = (place + 1) % self.cfg.endpoints.len();
-                    self.preferred.store(next, Ordering::Relaxed);
+                    let next = (index + 1) % self.cfg.endpoints.len();
+                    self.preferred_index.store(next, Ordering::Relaxed);
                     return last;
                 }
             }
@@ -151,7 +152,7 @@
             if !matches!(end, WatchEnd::Broken(_)) {
                 return end;
             }
-            tracing::debug!("store: watch at {endpoint} broke off: {end:?}");
+            tracing::debug!("store: watch at {endpoint} ended: {end:?}");
         }
         end
     }
@@ -159,20 +160,20 @@
 
 fn prepare(
     builder: RequestBuilder,
-    body: MarkedBody,
-) -> Result<PreparedRequest<MarkedBody>, attohttpc::Error> {
+    body: TrackedBody,
+) -> Result<PreparedRequest<TrackedBody>, attohttpc::Error> {
     builder.body(body).try_prepare()
 }
 
-fn classify(begun: &AtomicBool, text: &str) -> CallError {
-    if begun.load(Ordering::Relaxed) {
+fn error_for(has_started: &AtomicBool, text: &str) -> CallError {
+    if has_started.load(Ordering::Relaxed) {
         CallError::Unknown(text.to_owned())
     } else {
         CallError::NotSent(text.to_owned())
     }
 }
 
-/// The whole body, or an error past `max`.
+/// Reads the whole body; fails if it is longer than `max`.
 fn read_bounded(answer: Response, max: ByteSize) -> io::Result<Vec<u8>> {
     let (_, _, reader) = answer.split();
     let mut body = Vec::new();
--- a/components/store/src/etcd/decode.rs
+++ b/components/store/src/etcd/decode.rs
@@ -1,4 +1,4 @@
-//! Replies and errors from the gateway's JSON.
+//! Decoding of the gateway's JSON replies and errors.
 
 use std::time::Instant;
 
@@ -16,15 +16,15 @@
     WireOpReply, WireTxnReply,
 };
 
-/// gRPC's codes that say the service did nothing: invalid argument, not found,
-/// permission denied, exhausted, failed precondition, out of range, not
-/// implemented, unauthenticated.
-const REFUSALS: [i32; 8] = [3, 5, 7, 8, 9, 11, 12, 16];
+/// gRPC status codes which mean that the service did nothing: invalid argument, not found,
+/// permission denied, resource exhausted, failed precondition, out of range, unimplemented,
+/// unauthenticated.
+const REFUSAL_CODES: [i32; 8] = [3, 5, 7, 8, 9, 11, 12, 16];
 
 const TOO_MANY_REQUESTS: u16 = 429;
 const NOT_FOUND_CODE: i32 = 5;
 
-/// What a whole reply to `req` says.
+/// Decodes the complete reply to a request.
 pub(crate) fn reply(req: &Request, status: u16, body: &[u8]) -> Outcome {
     if !(200..300).contains(&status) {
         return refusal(req, status, body);
@@ -32,8 +32,8 @@
     match req {
         Request::Range(_) => range(body),
         Request::Txn(_) => parse::<WireTxnReply>(body).and_then(txn_answer),
-        Request::LeaseGrant { .. } => parse::<LeaseReply>(body).and_then(granted),
-        Request::LeaseKeepAlive(_) => parse::<Streamed<LeaseReply>>(body).and_then(kept),
+        Request::LeaseGrant { .. } => parse::<LeaseReply>(body).and_then(lease_granted),
+        Request::LeaseKeepAlive(_) => parse::<Streamed<LeaseReply>>(body).and_then(lease_kept),
         Request::LeaseRevoke(_) => parse::<LeaseReply>(body).map(|reply| Answer {
             revision: ModRevision(reply.header.revision.0),
             reply: Reply::LeaseRevoked,
@@ -41,7 +41,7 @@
     }
 }
 
-/// What one line of a watch says; an error ends the watch.
+/// Decodes one line of a watch; an error ends the watch.
 pub(crate) fn watch_line(line: &[u8]) -> Result<WatchReply, String> {
     let streamed: Streamed<WatchReply> = serde_json::from_slice(line)
         .map_err(|e| format!("a line of the watch is not JSON: {e}"))?;
@@ -52,7 +52,7 @@
     }
 }
 
-/// Changes of one line of a watch.
+/// Converts one line of a watch to a batch of changes.
 pub(crate) fn batch(reply: WatchReply) -> Result<WatchBatch, String> {
     let revision = ModRevision(reply.header.revision.0);
     let events = reply.events.into_iter().map(event);
@@ -72,13 +72,15 @@
     })
 }
 
-/// A reply that cannot be read says nothing about the effect.
+/// Parses a reply. If it is malformed, the call may still have taken effect.
 fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, CallError> {
     serde_json::from_slice(body).map_err(|e| CallError::Unknown(format!("unreadable reply: {e}")))
 }
 
-/// Guards against taking a gateway's 500 or 503 for "did nothing": the gateway says
-/// so too when the service behind it stopped answering in the middle of a write.
+/// Decodes an error reply.
+///
+/// A status of 500 or 503 does not mean that nothing was done: the gateway also sends it when
+/// the service behind it stops answering in the middle of a write.
 fn refusal(req: &Request, status: u16, body: &[u8]) -> Outcome {
     let error: ErrorReply = serde_json::from_slice(body).unwrap_or_default();
     let text = format!("HTTP status {status}: {}", message(&error));
@@ -89,7 +91,7 @@
             reply: Reply::LeaseKept(None),
         });
     }
-    if status == TOO_MANY_REQUESTS || REFUSALS.contains(&error.code) {
+    if status == TOO_MANY_REQUESTS || REFUSAL_CODES.contains(&error.code) {
         Err(CallError::Refused(text))
     } else {
         Err(CallError::Unknown(text))
@@ -141,7 +143,7 @@
     }
 }
 
-fn granted(reply: LeaseReply) -> Outcome {
+fn lease_granted(reply: LeaseReply) -> Outcome {
     if !reply.error.is_empty() {
         return Err(CallError::Refused(reply.error));
     }
@@ -151,14 +153,16 @@
     })
 }
 
-fn kept(streamed: Streamed<LeaseReply>) -> Outcome {
+fn lease_kept(streamed: Streamed<LeaseReply>) -> Outcome {
     let reply = streamed.result;
     let reply =
         reply.ok_or_else(|| CallError::Unknown("a renewal without its reply".to_owned()))?;
-    let left = u64::try_from(reply.ttl.0).ok().filter(|left| *left > 0);
+    let ttl_left = u64::try_from(reply.ttl.0)
+        .ok()
+        .filter(|ttl_left| *ttl_left > 0);
     Ok(Answer {
         revision: ModRevision(reply.header.revision.0),
-        reply: Reply::LeaseKept(left.map(Span::from_secs)),
+        reply: Reply::LeaseKept(ttl_left.map(Span::from_secs)),
     })
 }
 
--- a/components/store/src/etcd/encode.rs
+++ b/components/store/src/etcd/encode.rs
@@ -1,4 +1,4 @@
-//! Requests as paths and JSON bodies.
+//! Encoding of requests as HTTP paths and JSON bodies.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -8,7 +8,7 @@
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// The path and the body of a call.
+/// Returns the path and the body of a call.
 pub(crate) fn request(req: &Request) -> (&'static str, Value) {
     match req {
         Request::Range(read) => ("/v3/kv/range", range(read)),
@@ -19,17 +19,17 @@
     }
 }
 
-/// The body of a watch of a prefix.
+/// Returns the body of a request to watch a prefix.
 pub(crate) fn watch(prefix: &str, from: ModRevision) -> Value {
     json!({"create_request": {
-        "key": text(prefix),
-        "range_end": bytes(&prefix_end(prefix)),
+        "key": encode_text(prefix),
+        "range_end": encode_bytes(&prefix_end(prefix)),
         "start_revision": from.0.to_string(),
         "progress_notify": true,
     }})
 }
 
-/// Leases count whole seconds: rounded up, so that a lease never lapses early.
+/// Formats a lease's TTL in whole seconds, rounded up so that the lease never expires early.
 fn seconds(ttl: Span) -> String {
     ttl.as_micros().div_ceil(MICROS_PER_SECOND).to_string()
 }
@@ -39,9 +39,9 @@
         Some(after) => format!("{after}\0"),
         None => read.key.clone(),
     };
-    let mut body = json!({"key": text(&first), "limit": read.limit.to_string()});
+    let mut body = json!({"key": encode_text(&first), "limit": read.limit.to_string()});
     if read.prefix {
-        body["range_end"] = bytes(&prefix_end(&read.key));
+        body["range_end"] = encode_bytes(&prefix_end(&read.key));
     }
     if read.serializable {
         body["serializable"] = json!(true);
@@ -63,7 +63,7 @@
         Compare::ModRevision(key, revision) => (key, *revision),
     };
     json!({
-        "key": text(key),
+        "key": encode_text(key),
         "target": "MOD",
         "result": "EQUAL",
         "mod_revision": revision.0.to_string(),
@@ -73,7 +73,7 @@
 fn op(step: &Op) -> Value {
     match step {
         Op::Put(write) => json!({"request_put": put(write)}),
-        Op::Delete(key) => json!({"request_delete_range": {"key": text(key)}}),
+        Op::Delete(key) => json!({"request_delete_range": {"key": encode_text(key)}}),
         Op::Range(read) => json!({"request_range": range(read)}),
         Op::Txn(steps) => json!({"request_txn": txn(steps)}),
     }
@@ -82,21 +82,21 @@
 fn put(write: &Put) -> Value {
     let lease = write.lease.map_or(0, |lease| lease.0);
     json!({
-        "key": text(&write.key),
-        "value": bytes(&write.value),
+        "key": encode_text(&write.key),
+        "value": encode_bytes(&write.value),
         "lease": lease.to_string(),
     })
 }
 
-fn text(plain: &str) -> Value {
-    bytes(plain.as_bytes())
+fn encode_text(raw: &str) -> Value {
+    encode_bytes(raw.as_bytes())
 }
 
-fn bytes(plain: &[u8]) -> Value {
-    Value::String(STANDARD.encode(plain))
+fn encode_bytes(raw: &[u8]) -> Value {
+    Value::String(STANDARD.encode(raw))
 }
 
-/// The first key after all that begin with `prefix`.
+/// Returns the first key after all keys that start with `prefix`.
 fn prefix_end(prefix: &str) -> Vec<u8> {
     let mut end = prefix.as_bytes().to_vec();
     while let Some(last) = end.pop() {
--- a/components/store/src/etcd/stream.rs
+++ b/components/store/src/etcd/stream.rs
@@ -1,4 +1,4 @@
-//! A watch's stream of JSON objects, a line each.
+//! A watch's stream of JSON objects, one per line.
 
 use std::io::{self, BufRead, BufReader, Read};
 
@@ -8,7 +8,7 @@
 use crate::etcd::decode;
 use crate::{Sink, Watch, WatchEnd};
 
-/// Passes on changes until the stream ends or the watch is told to stop.
+/// Passes changes to `sink` until the stream ends or the watch is stopped.
 pub(crate) fn follow(
     answer: Response,
     watch: &Watch,
@@ -26,15 +26,15 @@
         }
         let line = match read_line(&mut reader, max_line) {
             Ok(line) => line,
-            Err(e) => return end_of(&e),
+            Err(e) => return watch_end(&e),
         };
-        if let Err(end) = take_line(&line, sink) {
+        if let Err(end) = handle_line(&line, sink) {
             return end;
         }
     }
 }
 
-fn take_line(line: &[u8], sink: &mut Sink<'_>) -> Result<(), WatchEnd> {
+fn handle_line(line: &[u8], sink: &mut Sink<'_>) -> Result<(), WatchEnd> {
     let reply = decode::watch_line(line).map_err(WatchEnd::Broken)?;
     if reply.compact_revision.0 > 0 {
         let oldest = keyvalue::ModRevision(reply.compact_revision.0);
@@ -54,7 +54,7 @@
     }
 }
 
-/// One line without end would fill the memory: cut off past `max`.
+/// Reads one line; fails if it is longer than `max`, since an endless line would exhaust memory.
 fn read_line(reader: &mut impl BufRead, max: ByteSize) -> io::Result<Vec<u8>> {
     let mut line = Vec::new();
     reader.take(max.0).read_until(b'\n', &mut line)?;
@@ -67,7 +67,7 @@
     }
 }
 
-fn end_of(error: &io::Error) -> WatchEnd {
+fn watch_end(error: &io::Error) -> WatchEnd {
     match error.kind() {
         io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut => WatchEnd::Idle,
         _ => WatchEnd::Broken(error.to_string()),
--- a/components/store/src/etcd/wire.rs
+++ b/components/store/src/etcd/wire.rs
@@ -1,10 +1,10 @@
-//! The gateway's JSON: keys and values in base64, 64-bit numbers as strings.
+//! JSON types of the gateway: keys and values are in base64, 64-bit numbers are strings.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use serde::{Deserialize, Deserializer};
 
-/// A 64-bit number, as a string or plain; absent is 0.
+/// A 64-bit integer, encoded as a string or a number; 0 if absent.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct Int(pub(crate) i64);
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// Bytes in base64.
+/// Bytes encoded in base64.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct Base64(pub(crate) Vec<u8>);
 
@@ -91,7 +91,7 @@
     pub(crate) error: String,
 }
 
-/// One object of a streaming call.
+/// One object of a streaming reply.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct Streamed<T> {
--- a/components/store/src/lib.rs
+++ b/components/store/src/lib.rs
@@ -1,9 +1,9 @@
 //! Client of the platform's key-value service.
 //!
-//! Decisions say what to call as [`keyvalue::Request`]; threads at the edge pass it
-//! to a [`Store`] and bring back the [`keyvalue::Outcome`]. An outcome never says
-//! more than is known: a call counts as not sent only while no byte of its body has
-//! been handed to a connection.
+//! The decision logic describes calls as [`keyvalue::Request`]s. I/O threads pass them to
+//! a [`Store`] and return the [`keyvalue::Outcome`]s. An outcome never claims more than is
+//! known: a call counts as not sent only if no byte of its body was written to a
+//! connection.
 
 mod etcd;
 
@@ -16,33 +16,33 @@
 
 pub use crate::etcd::{Config, EtcdClient, EtcdError};
 
-/// The key-value service as threads at the edge see it. Calls block.
+/// Blocking interface to the key-value service, used by I/O threads.
 pub trait Store: Send + Sync {
-    /// Makes one call and waits for its outcome, at most for the client's timeout.
+    /// Makes a call and waits for its outcome, at most for the client's timeout.
     fn call(&self, req: Request) -> Outcome;
 
-    /// Reads keys and waits for each part of the answer so long at most; clients with one
-    /// timeout for all calls keep to that.
-    fn read(&self, range: Range, patience: Span) -> Outcome {
-        let _ = patience;
+    /// Reads keys with a timeout for each part of the reply. Clients with one timeout for all
+    /// calls ignore it.
+    fn read(&self, range: Range, timeout: Span) -> Outcome {
+        let _ = timeout;
         self.call(Request::Range(range))
     }
 
-    /// Follows a prefix until the stream ends or the watch is told to stop.
+    /// Passes changes under a prefix to `sink` until the stream ends or the watch is stopped.
     fn watch(&self, watch: &Watch, sink: &mut Sink<'_>) -> WatchEnd;
 }
 
-/// Takes the changes of a watch; false ends it.
+/// Receives the changes of a watch; returns false to end it.
 pub type Sink<'a> = dyn FnMut(WatchBatch) -> bool + 'a;
 
 /// A watch of all keys under a prefix.
 #[derive(Debug, Clone)]
 pub struct Watch {
-    /// First characters of the keys.
+    /// Prefix of the watched keys.
     pub prefix: String,
-    /// First of the service's revisions to hear of; 0 from now on.
+    /// First revision of the service to report; 0 reports only changes from now on.
     pub from: ModRevision,
-    /// Ends the watch once set, at its next sign of life or idle timeout.
+    /// Stops the watch when set, as soon as the next data arrives or the idle timeout passes.
     pub stop: Arc<AtomicBool>,
 }
 
@@ -52,28 +52,29 @@
     }
 }
 
-/// Changes that arrived together.
+/// A batch of changes that arrived together.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WatchBatch {
-    /// The service's revision up to which nothing is missing.
+    /// Revision of the service up to which no change is missing.
     pub revision: ModRevision,
-    /// The changes, oldest first; none when the service only says how far it is.
+    /// The changes, oldest first; empty if the service only reports its revision.
     pub events: Vec<WatchEvent>,
-    /// Nothing is missing as of this moment. Where the service is asked that is when it was, since the
-    /// answer may have been held up; where it streams, when the changes were read.
+    /// Time as of which no change is missing. If the service is polled, this is when the poll was sent,
+    /// since its reply may have been delayed; if it streams, when the changes were read.
     pub current_at: Instant,
 }
 
-/// Why a watch ended. Unless stopped, the caller begins anew after its last revision.
+/// Why a watch ended. Unless it was stopped, the caller restarts it after its last revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WatchEnd {
-    /// As told.
+    /// The caller stopped the watch.
     Stopped,
-    /// Nothing came for the idle timeout: a quiet service, or a connection that died
-    /// without a word.
+    /// No data arrived within the idle timeout: the service is quiet, or the connection failed
+    /// silently.
     Idle,
-    /// The wanted revisions are gone; the caller reads the keys and begins after that.
+    /// The requested revisions are compacted, and this is the oldest one left; the caller reads the
+    /// keys and restarts the watch after the revision of that read.
     Compacted(ModRevision),
-    /// The service could not be reached or broke off.
+    /// The service was unreachable or the stream failed.
     Broken(String),
 }
--- a/components/store/tests/client.rs
+++ b/components/store/tests/client.rs
@@ -1,4 +1,4 @@
-//! The client against a scripted gateway on loopback.
+//! Tests of the client against a scripted gateway on loopback.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -16,15 +16,15 @@
 use store::{Config, EtcdClient, Store, Watch, WatchBatch, WatchEnd};
 use types::prelude::{ByteSize, Span};
 
-/// What the gateway does with one connection.
+/// Behaviour of the gateway on one connection.
 enum Act {
-    /// Reads the request and answers with this status and body.
+    /// Reads the request and replies with this status and body.
     Answer(u16, Value),
-    /// Reads the request and closes.
+    /// Reads the request and closes the connection.
     HangUp,
-    /// Reads the request, sends this much and stalls until the test ends.
+    /// Reads the request, sends this text and stalls until the test ends.
     Stall(String),
-    /// Reads the request, sends a head, then a good body a byte at a time.
+    /// Reads the request, sends a head, then a valid body one byte at a time.
     Trickle,
 }
 
@@ -33,7 +33,7 @@
     requests: Receiver<Value>,
 }
 
-fn gateway(acts: Vec<Act>) -> Gateway {
+fn start_gateway(acts: Vec<Act>) -> Gateway {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let (tx, requests) = flume::unbounded();
@@ -41,7 +41,7 @@
         let mut stalled = Vec::new();
         for act in acts {
             let (stream, _) = listener.accept().unwrap();
-            stalled.extend(perform(stream, act, &tx));
+            stalled.extend(serve(stream, act, &tx));
         }
         // Keeps the port bound and the stalled connections open.
         thread::park();
@@ -49,7 +49,7 @@
     Gateway { address, requests }
 }
 
-fn perform(mut stream: TcpStream, act: Act, seen: &Sender<Value>) -> Option<TcpStream> {
+fn serve(mut stream: TcpStream, act: Act, seen: &Sender<Value>) -> Option<TcpStream> {
     let _ = seen.send(read_request(&stream));
     match act {
         Act::Answer(status, body) => {
@@ -106,7 +106,7 @@
     EtcdClient::new(cfg).unwrap()
 }
 
-fn nobody() -> SocketAddr {
+fn unused_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap()
 }
@@ -131,6 +131,8 @@
     Request::Range(Range::key(key))
 }
 
+// Nested transactions, compares and leases are encoded for the gateway, and its nested replies
+// are decoded in the same order.
 #[test]
 fn can_carry_nested_transactions() {
     let pair = json!({"key": b64("a"), "value": b64("v"), "mod_revision": "5", "lease": "7"});
@@ -141,7 +143,7 @@
         ]}},
         {"response_put": {}},
     ]});
-    let gateway = gateway(vec![Act::Answer(200, body)]);
+    let gateway = start_gateway(vec![Act::Answer(200, body)]);
     let Request::Txn(inner) = put("a") else {
         unreachable!()
     };
@@ -177,9 +179,11 @@
     assert_eq!(sent["failure"][0]["request_range"]["range_end"], b64("d"));
 }
 
+// A page must start after the given key and end with the prefix; a lease's TTL is rounded up, and
+// a renewal without a TTL means that the lease is gone.
 #[test]
 fn can_page_ranges_and_keep_leases() {
-    let gateway = gateway(vec![
+    let gateway = start_gateway(vec![
         Act::Answer(200, json!({"header": {"revision": "4"}})),
         Act::Answer(200, json!({"ID": "12", "TTL": "5"})),
         Act::Answer(200, json!({"result": {"ID": "12", "TTL": "5"}})),
@@ -206,28 +210,28 @@
     assert_eq!(gateway.requests.recv().unwrap()["TTL"], "5");
 }
 
-/// Nothing listens at the first address. A write certainly had no effect there, so
-/// the next one may have it; with nobody left the operator hears "not sent".
+// Nothing listens at the first address. A write cannot have taken effect there, so it may be sent
+// to the next one; if no endpoint is reachable, the outcome must be "not sent".
 #[test]
-fn errors_not_sent_only_while_nothing_left() {
-    let gateway = gateway(vec![Act::Answer(200, json!({"succeeded": true}))]);
-    let both = client(vec![nobody(), gateway.address]);
+fn reports_not_sent_only_before_any_byte_is_sent() {
+    let gateway = start_gateway(vec![Act::Answer(200, json!({"succeeded": true}))]);
+    let both = client(vec![unused_address(), gateway.address]);
     assert!(both.call(put("a")).is_ok());
-    let none = client(vec![nobody(), nobody()]).call(put("a"));
+    let none = client(vec![unused_address(), unused_address()]).call(put("a"));
     assert!(matches!(none, Err(CallError::NotSent(_))), "{none:?}");
 }
 
-/// The service takes a write and its reply is lost. Told "not sent", an operator
-/// would edit again and the first edit could land afterwards. Sent to a second
-/// endpoint at once, it could happen twice.
+// The service reads a write and its reply is lost. If the outcome were "not sent", an operator
+// would repeat the edit and the first one could take effect afterwards. If the write were sent to
+// a second endpoint at once, it could take effect twice.
 #[test]
-fn errors_unknown_once_a_write_may_have_been_read() {
-    let lost = gateway(vec![
+fn reports_unknown_once_a_write_may_have_been_read() {
+    let failing = start_gateway(vec![
         Act::HangUp,
         Act::Stall("HTTP/1.1 200 X\r\n".to_owned()),
     ]);
-    let spare = gateway(vec![Act::Answer(200, json!({"succeeded": true}))]);
-    let client = client(vec![lost.address, spare.address]);
+    let spare = start_gateway(vec![Act::Answer(200, json!({"succeeded": true}))]);
+    let client = client(vec![failing.address, spare.address]);
     let outcome = client.call(put("a"));
     assert!(matches!(outcome, Err(CallError::Unknown(_))), "{outcome:?}");
     assert!(spare.requests.is_empty());
@@ -237,13 +241,13 @@
     );
 }
 
-/// The service trickles its reply byte by byte, or sends one without end. Each byte
-/// restarts the read timeout, so without a bound on the whole call and its size the
-/// queue of calls would wait behind it and the memory fill.
+// The service sends its reply byte by byte, or an endless one. Each byte restarts the read timeout,
+// so without limits on the duration and size of a whole call, the calls queued behind it would
+// be blocked and memory would fill up.
 #[test]
-fn errors_unknown_when_a_reply_trickles_or_has_no_end() {
+fn reports_unknown_when_a_reply_is_slow_or_endless() {
     let long = json!({"succeeded": true, "more": "x".repeat(9000)});
-    let gateway = gateway(vec![Act::Answer(200, long), Act::Trickle]);
+    let gateway = start_gateway(vec![Act::Answer(200, long), Act::Trickle]);
     let client = client(vec![gateway.address]);
     for _ in 0..2 {
         let outcome = client.call(put("a"));
@@ -251,11 +255,12 @@
     }
 }
 
-/// A gateway answers 503 when the service behind it stopped answering, perhaps in
-/// the middle of the write; a failed precondition or a rate limit did nothing.
+// A gateway replies with 503 when the service behind it stops answering, possibly in the middle of
+// a write, so the outcome is unknown. A failed precondition or a rate limit means that nothing was
+// done.
 #[test]
-fn errors_refused_only_when_nothing_was_done() {
-    let gateway = gateway(vec![
+fn reports_refused_only_when_nothing_was_done() {
+    let gateway = start_gateway(vec![
         Act::Answer(503, json!({"code": 14, "message": "leader lost"})),
         Act::Answer(400, json!({"code": 9, "message": "compacted"})),
         Act::Answer(429, json!({})),
@@ -267,11 +272,12 @@
     assert!(matches!(outcomes[2], CallError::Refused(_)), "{outcomes:?}");
 }
 
+// A read whose reply is lost is retried at the next endpoint, unlike a write.
 #[test]
-fn can_read_from_the_next_endpoint() {
-    let lost = gateway(vec![Act::HangUp]);
-    let spare = gateway(vec![Act::Answer(200, json!({"header": {"revision": "2"}}))]);
-    let client = client(vec![lost.address, spare.address]);
+fn can_retry_a_read_at_the_next_endpoint() {
+    let failing = start_gateway(vec![Act::HangUp]);
+    let spare = start_gateway(vec![Act::Answer(200, json!({"header": {"revision": "2"}}))]);
+    let client = client(vec![failing.address, spare.address]);
     assert_eq!(client.call(read("a")).unwrap().revision, ModRevision(2));
 }
 
@@ -291,13 +297,15 @@
     ))
 }
 
+// A watch delivers puts and deletions, ends as idle when the stream stalls, and ends at once when
+// it is stopped.
 #[test]
 fn can_watch_until_idle_or_stopped() {
     let created = json!({"result": {"header": {"revision": "4"}, "created": true}});
     let pair = json!({"key": b64("p/a"), "value": b64("v"), "mod_revision": "5"});
     let gone = json!({"type": "DELETE", "kv": {"key": b64("p/b"), "mod_revision": "6"}});
     let events = json!({"result": {"header": {"revision": "6"}, "events": [{"kv": pair}, gone]}});
-    let gateway = gateway(vec![stream_of(&[created, events])]);
+    let gateway = start_gateway(vec![stream_of(&[created, events])]);
     let client = client(vec![gateway.address]);
     let watch = watch();
     let mut batches: Vec<WatchBatch> = Vec::new();
@@ -320,6 +328,8 @@
     assert_eq!(client.watch(&watch, &mut |_| true), WatchEnd::Stopped);
 }
 
+// A compacted revision, an error, an oversized line or a closed connection ends a watch; only a
+// compaction is reported as such.
 #[test]
 fn errors_end_a_watch() {
     let compacted = json!({"result": {"canceled": true, "compact_revision": "40"}});
@@ -330,7 +340,7 @@
         stream_of(&[json!("x".repeat(5000))]),
         Act::HangUp,
     ];
-    let gateway = gateway(acts);
+    let gateway = start_gateway(acts);
     let client = client(vec![gateway.address]);
     let watch = watch();
     assert_eq!(
--- a/components/store/tests/differential.rs
+++ b/components/store/tests/differential.rs
@@ -1,5 +1,6 @@
-//! The client and the gateway's stand-in against the table behind it, called directly:
-//! what is lost or changed between request and JSON and back shows as a difference.
+//! Differential test: calls through the client and the stand-in gateway must give the same
+//! results as direct calls of the stand-in's table. Anything lost or changed in the conversion
+//! to JSON and back shows as a difference.
 
 use std::collections::BTreeMap;
 
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn can_do_over_the_wire_what_the_table_does() {
+fn calls_over_the_wire_match_direct_calls() {
     let server = StoreServer::start(&StoreConfig::default()).unwrap();
     let client = EtcdClient::new(Config::new(vec![server.address()])).unwrap();
     let mut table = Table::new();
