--- a/components/peers/src/silence.rs
+++ b/components/peers/src/silence.rs
@@ -51,7 +51,7 @@
 pub(crate) struct Silence {
     peer: SocketAddr,
     shared: Arc<Shared>,
-    since: Mutex<Option<Outage>>,
+    outage: Mutex<Option<Outage>>,
 }
 
 impl Silence {
@@ -60,19 +60,19 @@
         Self {
             peer,
             shared,
-            since: Mutex::new(None),
+            outage: Mutex::new(None),
         }
     }
 
     /// Records that a call was not answered within `waited`.
     pub(crate) fn record_timeout(&self, call: &str, waited: Duration) {
         let now = Instant::now();
-        let mut since = self.since.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(since) = &mut *since {
-            since.given_up += 1;
+        let mut outage = self.outage.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some(outage) = &mut *outage {
+            outage.given_up += 1;
             return;
         }
-        *since = Some(Outage {
+        *outage = Some(Outage {
             at: now.checked_sub(waited).unwrap_or(now),
             given_up: 1,
         });
@@ -86,8 +86,8 @@
 
     /// Records that the peer answered.
     pub(crate) fn record_answer(&self) {
-        let mut since = self.since.lock().unwrap_or_else(PoisonError::into_inner);
-        let Some(Outage { at, given_up }) = since.take() else {
+        let mut outage = self.outage.lock().unwrap_or_else(PoisonError::into_inner);
+        let Some(Outage { at, given_up }) = outage.take() else {
             return;
         };
         self.shared.counts.silent.decrement();
@@ -101,8 +101,11 @@
 
 impl Drop for Silence {
     fn drop(&mut self) {
-        let since = self.since.get_mut().unwrap_or_else(PoisonError::into_inner);
-        if since.is_some() {
+        let outage = self
+            .outage
+            .get_mut()
+            .unwrap_or_else(PoisonError::into_inner);
+        if outage.is_some() {
             self.shared.counts.silent.decrement();
         }
     }
