--- a/components/ledger/src/custody.rs
+++ b/components/ledger/src/custody.rs
@@ -26,7 +26,7 @@
 pub(crate) struct Replica {
     pub(crate) peer: DaemonId,
     /// Last known incarnation of the holder.
-    pub(crate) run: Incarnation,
+    pub(crate) incarnation: Incarnation,
     pub(crate) acked: u64,
     sent: u64,
     /// Highest sealed number that the holder was sent.
@@ -45,7 +45,7 @@
     fn new(peer: &Peer, sealed: u64, previous: Option<(DaemonId, u64)>) -> Self {
         Self {
             peer: peer.id.clone(),
-            run: peer.incarnation,
+            incarnation: peer.incarnation,
             acked: sealed,
             sent: sealed,
             sent_sealed: sealed,
@@ -159,32 +159,37 @@
     is_due && (!journal.is_empty() || replica.sent_sealed < journal.sealed())
 }
 
-fn page(origin: &Origin, journal: &Journal, replica: &mut Replica, by: Incarnation) -> Message {
+fn page(
+    origin: &Origin,
+    journal: &Journal,
+    replica: &mut Replica,
+    incarnation: Incarnation,
+) -> Message {
     let charges = journal.after(replica.sent, PAGE_CHARGES);
     let first = replica.sent + 1;
     replica.sent += charges.clone().count() as u64;
     replica.sent_sealed = journal.sealed();
-    Message::Hold {
+    Message::Replicate {
         origin: origin.clone(),
         sealed: journal.sealed(),
         first,
         charges: codec::pack(charges),
-        by,
+        incarnation,
     }
 }
 
 /// Processes an acknowledgement; returns the previous holder once it may drop its copy.
-pub(crate) fn on_held(
+pub(crate) fn on_acknowledge(
     replica: &mut Replica,
     now: Time,
     upto: u64,
-    by: Incarnation,
+    incarnation: Incarnation,
     cfg: &Config,
 ) -> Option<DaemonId> {
-    if by < replica.run {
+    if incarnation < replica.incarnation {
         return None;
     }
-    if by == replica.run {
+    if incarnation == replica.incarnation {
         replica.acked = replica.acked.max(upto.min(replica.sent));
     } else {
         // A restarted holder has lost everything; `upto` is where its copy starts again.
@@ -194,7 +199,7 @@
         replica.sent = upto;
         replica.next_send = now;
     }
-    replica.run = by;
+    replica.incarnation = incarnation;
     replica.tries = 0;
     let is_waiting = replica.acked < replica.sent;
     replica.deadline = if is_waiting {
--- a/components/ledger/src/ledger.rs
+++ b/components/ledger/src/ledger.rs
@@ -49,15 +49,15 @@
     /// Timeout of an acknowledgement from the second holder.
     pub ack_timeout: Span,
     /// Time for which a holder that failed or was full is not chosen again.
-    pub avoid: Span,
+    pub holder_avoidance: Span,
     /// Maximum time between messages to the second holder while charges are unsealed.
     pub refresh_interval: Span,
     /// Time without a message after which the holder seals a daemon's charges in its place.
-    pub silence: Span,
+    pub keeper_timeout: Span,
     /// Age from which the holder seals charges, even if the daemon that recorded them is alive.
-    pub late: Span,
+    pub max_custody_age: Span,
     /// Maximum time that an answer waits for a second holder when no peer responds.
-    pub alone_after: Span,
+    pub replication_timeout: Span,
     /// Minimum time between batches of one daemon.
     pub seal_interval: Span,
     /// Batches of the whole fleet; with more daemons, each of them seals less often.
@@ -65,10 +65,10 @@
     /// Time between batches while there is a backlog.
     pub backlog_interval: Span,
     /// Time between roll-ups of a shard.
-    pub roll_interval: Span,
+    pub roll_up_interval: Span,
     /// Retention of fingerprints: the callers' retry window plus the longest time for which a
     /// daemon with an unsealed bill may be cut off while the store is up.
-    pub seen_for: Span,
+    pub fingerprint_retention: Span,
 }
 
 impl Config {
@@ -82,16 +82,16 @@
             custody_capacity: 450_000,
             hold_interval: Span::from_millis(5),
             ack_timeout: Span::from_millis(100),
-            avoid: Span::from_secs(5),
+            holder_avoidance: Span::from_secs(5),
             refresh_interval: Span::from_secs(2),
-            silence: Span::from_secs(10),
-            late: Span::from_secs(60),
-            alone_after: Span::from_millis(500),
+            keeper_timeout: Span::from_secs(10),
+            max_custody_age: Span::from_secs(60),
+            replication_timeout: Span::from_millis(500),
             seal_interval: Span::from_secs(5),
             seal_rate: Rate(15.0),
             backlog_interval: Span::from_secs(1),
-            roll_interval: Span::from_secs(10),
-            seen_for: Span::from_secs(900),
+            roll_up_interval: Span::from_secs(10),
+            fingerprint_retention: Span::from_secs(900),
         }
     }
 }
@@ -175,7 +175,7 @@
     origin: Origin,
     journals: BTreeMap<Origin, Journal>,
     members: Vec<Peer>,
-    avoid: BTreeMap<DaemonId, Time>,
+    avoided_holders: BTreeMap<DaemonId, Time>,
     /// Receipts not yet released, with the time of recording.
     waiting: VecDeque<(Receipt, Time)>,
     /// Outstanding calls and the deadlines of their outcomes.
@@ -203,7 +203,7 @@
             journals: BTreeMap::from([(origin.clone(), own)]),
             origin,
             members: Vec::new(),
-            avoid: BTreeMap::new(),
+            avoided_holders: BTreeMap::new(),
             waiting: VecDeque::new(),
             calls: BTreeMap::new(),
             next_call: 0,
@@ -246,7 +246,8 @@
     /// leaving.
     pub fn tick(&mut self, now: Time, wall: WallTime, members: &[Peer]) -> Vec<Effect> {
         self.set_members(members);
-        self.avoid.retain(|_, until| !now.has_reached(*until));
+        self.avoided_holders
+            .retain(|_, until| !now.has_reached(*until));
         self.drop_settled_journals(now);
         let mut effects = self.expire_calls(now);
         effects.extend(self.flush(now));
@@ -270,22 +271,22 @@
     /// Processes a message from a peer.
     pub fn on_peer(&mut self, now: Time, from: &DaemonId, message: Message) -> Vec<Effect> {
         let mut effects = match message {
-            Message::Hold {
+            Message::Replicate {
                 origin,
                 sealed,
                 first,
                 charges,
-                by,
+                incarnation,
             } => {
-                let keeper = Keeper::new(from, by, now);
-                self.on_hold(keeper, origin, sealed, first, &charges)
+                let keeper = Keeper::new(from, incarnation, now);
+                self.on_replicate(keeper, origin, sealed, first, &charges)
             }
-            Message::Held {
+            Message::Acknowledge {
                 origin,
                 upto,
-                by,
+                incarnation,
                 full,
-            } => self.on_held(now, from, &origin, upto, by, full),
+            } => self.on_acknowledge(now, from, &origin, upto, incarnation, full),
             Message::Drop { origin } => self.on_drop(from, &origin),
         };
         effects.extend(self.flush(now));
@@ -309,7 +310,7 @@
             Some(replica.next_deadline(journal.end()))
         });
         let release = self.waiting.front();
-        let release = release.map(|(_, recorded_at)| *recorded_at + self.cfg.alone_after);
+        let release = release.map(|(_, recorded_at)| *recorded_at + self.cfg.replication_timeout);
         due.chain(release).min().unwrap_or(Time::NEVER)
     }
 
--- a/components/ledger/src/ledger/call.rs
+++ b/components/ledger/src/ledger/call.rs
@@ -90,8 +90,8 @@
         let Some(keeper) = &journal.keeper else {
             return true;
         };
-        let is_silent = now.has_reached(keeper.last_heard_at + self.cfg.silence);
-        let is_late = now.has_reached(keeper.oldest_held_at + self.cfg.late);
+        let is_silent = now.has_reached(keeper.last_heard_at + self.cfg.keeper_timeout);
+        let is_late = now.has_reached(keeper.oldest_held_at + self.cfg.max_custody_age);
         is_silent || is_late || self.is_adopted(journal)
     }
 
--- a/components/ledger/src/ledger/hold.rs
+++ b/components/ledger/src/ledger/hold.rs
@@ -57,12 +57,12 @@
         let journal = &self.journals[origin];
         if let Some(replica) = &journal.replica {
             let has_failed = replica.has_failed(now);
-            if !has_failed && self.is_member(&replica.peer, replica.run) {
+            if !has_failed && self.is_member(&replica.peer, replica.incarnation) {
                 return;
             }
             if has_failed {
-                self.avoid
-                    .insert(replica.peer.clone(), now + self.cfg.avoid);
+                self.avoided_holders
+                    .insert(replica.peer.clone(), now + self.cfg.holder_avoidance);
             }
         }
         self.assign_holder(origin);
@@ -71,7 +71,7 @@
     fn assign_holder(&mut self, origin: &Origin) {
         let candidates = self.members.iter().filter(|peer| {
             let is_origin = peer.id == origin.daemon || peer.id == self.cfg.me.id;
-            !is_origin && !self.avoid.contains_key(&peer.id)
+            !is_origin && !self.avoided_holders.contains_key(&peer.id)
         });
         let chosen = custody::choose(&self.cfg.me, origin, candidates).cloned();
         let Some(journal) = self.journals.get_mut(origin) else {
@@ -101,7 +101,8 @@
     /// daemon or none has responded in time.
     fn unreplicated_upto(&self, now: Time) -> Receipt {
         let is_single = !self.members.iter().any(|peer| peer.id != self.cfg.me.id);
-        let is_overdue = |recorded_at: &Time| now.has_reached(*recorded_at + self.cfg.alone_after);
+        let is_overdue =
+            |recorded_at: &Time| now.has_reached(*recorded_at + self.cfg.replication_timeout);
         let overdue = self.waiting.iter().rev();
         let mut overdue = overdue.filter(|(_, recorded_at)| is_single || is_overdue(recorded_at));
         overdue.next().map_or(Receipt(0), |(receipt, _)| *receipt)
@@ -117,7 +118,7 @@
     }
 
     /// Stores a peer's charges and acknowledges them.
-    pub(super) fn on_hold(
+    pub(super) fn on_replicate(
         &mut self,
         keeper: Keeper,
         origin: Origin,
@@ -152,10 +153,10 @@
         if !full {
             journal.merge(first, charges);
         }
-        let message = Message::Held {
+        let message = Message::Acknowledge {
             upto: journal.end(),
             origin,
-            by: self.cfg.me.incarnation,
+            incarnation: self.cfg.me.incarnation,
             full,
         };
         vec![Effect::Send { to, message }]
@@ -170,13 +171,13 @@
     }
 
     /// Processes a holder's acknowledgement.
-    pub(super) fn on_held(
+    pub(super) fn on_acknowledge(
         &mut self,
         now: Time,
         from: &DaemonId,
         origin: &Origin,
         upto: u64,
-        by: Incarnation,
+        incarnation: Incarnation,
         full: bool,
     ) -> Vec<Effect> {
         let journal = self.journals.get_mut(origin);
@@ -184,9 +185,10 @@
         let Some(replica) = replica.filter(|replica| replica.peer == *from) else {
             return Vec::new();
         };
-        let previous = custody::on_held(replica, now, upto, by, &self.cfg);
+        let previous = custody::on_acknowledge(replica, now, upto, incarnation, &self.cfg);
         if full {
-            self.avoid.insert(from.clone(), now + self.cfg.avoid);
+            self.avoided_holders
+                .insert(from.clone(), now + self.cfg.holder_avoidance);
             self.assign_holder(origin);
         }
         let drop = |to| Effect::Send {
@@ -212,11 +214,11 @@
 
     /// Drops held journals that are sealed and about which no more messages arrive.
     pub(super) fn drop_settled_journals(&mut self, now: Time) {
-        let silence = self.cfg.silence;
+        let keeper_timeout = self.cfg.keeper_timeout;
         self.journals.retain(|_, journal| {
             let keeper = journal.keeper.as_ref();
             let is_silent =
-                keeper.is_some_and(|keeper| now.has_reached(keeper.last_heard_at + silence));
+                keeper.is_some_and(|keeper| now.has_reached(keeper.last_heard_at + keeper_timeout));
             !(is_silent && journal.is_empty() && journal.seal.in_flight.is_none())
         });
     }
--- a/components/ledger/src/message.rs
+++ b/components/ledger/src/message.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// Asks the receiver to hold charges until they are sealed.
-    Hold {
+    Replicate {
         /// The daemon that recorded the charges.
         origin: Origin,
         /// Number up to which all charges are sealed.
@@ -21,17 +21,17 @@
         /// Packed charges; an empty pack only announces `sealed`.
         charges: Bytes,
         /// Incarnation of the sender.
-        by: Incarnation,
+        incarnation: Incarnation,
     },
     /// Acknowledges the charges held.
-    Held {
+    Acknowledge {
         /// The daemon that recorded the charges.
         origin: Origin,
         /// Number of the last charge held without a gap; after a restart of the holder it may be
         /// lower than what the sender has recorded.
         upto: u64,
         /// Incarnation of the holder.
-        by: Incarnation,
+        incarnation: Incarnation,
         /// Whether the holder has no room, so that the sender must choose another.
         full: bool,
     },
--- a/components/ledger/src/rollup.rs
+++ b/components/ledger/src/rollup.rs
@@ -43,7 +43,7 @@
 pub(crate) struct Rollups {
     keys: Keys,
     interval: Span,
-    seen_for: Span,
+    fingerprint_retention: Span,
     /// Shards that this daemon owns.
     own_shards: BTreeSet<u16>,
     shards: BTreeMap<u16, Shard>,
@@ -76,8 +76,8 @@
     pub(crate) fn new(keys: Keys, cfg: &Config) -> Self {
         Self {
             keys,
-            interval: cfg.roll_interval,
-            seen_for: cfg.seen_for,
+            interval: cfg.roll_up_interval,
+            fingerprint_retention: cfg.fingerprint_retention,
             own_shards: (0..SHARDS).collect(),
             shards: BTreeMap::new(),
             wall: WallTime::default(),
@@ -162,7 +162,7 @@
                     shard: number,
                     wall: self.wall,
                     interval: self.interval,
-                    seen_for: self.seen_for,
+                    fingerprint_retention: self.fingerprint_retention,
                 };
                 let (commit, request) = Commit::prepare(scan, &shard.seen, &context);
                 shard.step = Step::Committing(commit);
--- a/components/ledger/src/rollup/commit.rs
+++ b/components/ledger/src/rollup/commit.rs
@@ -26,7 +26,7 @@
     pub(super) shard: u16,
     pub(super) wall: WallTime,
     pub(super) interval: Span,
-    pub(super) seen_for: Span,
+    pub(super) fingerprint_retention: Span,
 }
 
 /// A roll-up whose transaction is in flight.
@@ -100,7 +100,9 @@
         if !self.fingerprints.is_empty() {
             head.segments.push(Segment {
                 number: self.segment,
-                expires: head.clock.saturating_add(cx.seen_for.as_micros()),
+                expires: head
+                    .clock
+                    .saturating_add(cx.fingerprint_retention.as_micros()),
             });
             head.next += 1;
             let key = cx.keys.segment_key(cx.shard, self.segment);
--- a/components/ledger/tests/ledger.rs
+++ b/components/ledger/tests/ledger.rs
@@ -20,11 +20,11 @@
     fleet
 }
 
-fn is_hold(pending: &Pending) -> bool {
+fn is_replication(pending: &Pending) -> bool {
     matches!(
         pending,
         Pending::Message {
-            message: Message::Hold { .. },
+            message: Message::Replicate { .. },
             ..
         }
     )
@@ -34,7 +34,7 @@
     matches!(
         pending,
         Pending::Message {
-            message: Message::Held { .. },
+            message: Message::Acknowledge { .. },
             ..
         }
     )
@@ -128,7 +128,7 @@
     let mut fleet = fleet(2);
     fleet.serve(0, 1);
     fleet.tick(Span::from_millis(20));
-    assert!(fleet.position(is_hold).is_some());
+    assert!(fleet.position(is_replication).is_some());
     assert!(fleet.answered.is_empty());
     fleet.crash(0);
     fleet.pending.clear();
@@ -144,7 +144,7 @@
     let mut fleet = fleet(3);
     fleet.serve(0, 1);
     fleet.tick(Span::from_millis(20));
-    let position = fleet.position(is_hold).unwrap();
+    let position = fleet.position(is_replication).unwrap();
     fleet.deliver(position);
     fleet.crash(0);
     assert!(fleet.answered.is_empty());
@@ -161,7 +161,7 @@
     let mut fleet = fleet(3);
     fleet.serve(0, 1);
     fleet.tick(Span::from_millis(20));
-    let position = fleet.position(is_hold).unwrap();
+    let position = fleet.position(is_replication).unwrap();
     fleet.deliver(position);
     let position = fleet.position(is_acknowledgement).unwrap();
     fleet.deliver(position);
--- a/components/ledger/tests/support/counting.rs
+++ b/components/ledger/tests/support/counting.rs
@@ -246,7 +246,7 @@
 #[test]
 fn counts_and_ignores_undecodable_charges() {
     let mut fleet = fleet(2);
-    let hold = |charges: Vec<u8>| Message::Hold {
+    let replicate = |charges: Vec<u8>| Message::Replicate {
         origin: Origin {
             daemon: peer(1).id,
             incarnation: Incarnation(7),
@@ -254,15 +254,15 @@
         sealed: 0,
         first: 1,
         charges: charges.into(),
-        by: Incarnation(7),
+        incarnation: Incarnation(7),
     };
     fleet.serve(1, 1);
     fleet.tick(Span::from_millis(20));
-    let position = fleet.position(is_hold).unwrap();
+    let position = fleet.position(is_replication).unwrap();
     let Pending::Message { message, .. } = fleet.pending[position].clone() else {
         unreachable!("it is a hold");
     };
-    let Message::Hold { charges, .. } = message else {
+    let Message::Replicate { charges, .. } = message else {
         unreachable!("it is a hold");
     };
     let mut padded = charges.to_vec();
@@ -270,7 +270,7 @@
     for charges in [padded, vec![], vec![9], vec![1, 255, 255, 255]] {
         let effects = fleet.daemons[0]
             .ledger
-            .on_peer(fleet.now, &peer(1).id, hold(charges));
+            .on_peer(fleet.now, &peer(1).id, replicate(charges));
         assert!(effects.is_empty());
     }
     assert_eq!(fleet.daemons[0].ledger.fill().damaged, 4);
--- a/components/peers/src/seal.rs
+++ b/components/peers/src/seal.rs
@@ -52,13 +52,13 @@
     Address,
     /// The connection has had no handshake, or more than one.
     #[error("the connection was not greeted once")]
-    Greeting,
+    Handshake,
     /// The receiver does not accept the key id.
     #[error("the peer does not know the key sent with; give it the key first")]
     Key,
     /// The authentication tag does not match.
     #[error("the peer holds another secret under the same key id")]
-    Code,
+    Tag,
     /// The sequence number was used before or is too old to tell.
     #[error("the message was received before")]
     Replay,
@@ -134,7 +134,7 @@
         let secret = keys.secret(sealed.key).ok_or(Refusal::Key)?;
         let mac = self.mac(secret, purpose, sealed.key, sealed.number, &sealed.body);
         let checked = mac.verify_truncated_left(&sealed.tag);
-        checked.map_err(|_| Refusal::Code)
+        checked.map_err(|_| Refusal::Tag)
     }
 }
 
--- a/components/peers/src/server.rs
+++ b/components/peers/src/server.rs
@@ -146,7 +146,7 @@
         }
         let mut state = self.state();
         if state.endpoints.is_some() {
-            return Err(Refusal::Greeting);
+            return Err(Refusal::Handshake);
         }
         state.endpoints = Some(Endpoints {
             cluster: greeting.cluster.clone(),
@@ -160,7 +160,7 @@
     /// Verifies a message's authentication tag and sequence number, then decodes it.
     fn open(&self, purpose: Purpose, sealed: &Sealed) -> Result<(Endpoints, Payload), Refusal> {
         let keys = self.shared.keys();
-        let endpoints = self.state().endpoints.clone().ok_or(Refusal::Greeting)?;
+        let endpoints = self.state().endpoints.clone().ok_or(Refusal::Handshake)?;
         endpoints.open(&keys, purpose, sealed)?;
         let mut state = self.state();
         state.window.accept(sealed.number)?;
--- a/components/peers/src/stats.rs
+++ b/components/peers/src/stats.rs
@@ -91,9 +91,9 @@
     pub(crate) fn refuse(&self, refusal: Refusal) {
         let count = match refusal {
             Refusal::Cluster | Refusal::Address => &self.refused_cluster,
-            Refusal::Key | Refusal::Code => &self.refused_key,
+            Refusal::Key | Refusal::Tag => &self.refused_key,
             Refusal::Replay => &self.refused_replay,
-            Refusal::Greeting | Refusal::Malformed => &self.refused_malformed,
+            Refusal::Handshake | Refusal::Malformed => &self.refused_malformed,
             Refusal::Overloaded => &self.refused_overload,
         };
         count.add(1);
--- a/components/peers/tests/peers.rs
+++ b/components/peers/tests/peers.rs
@@ -116,7 +116,7 @@
     };
     assert_eq!(ask(&stranger), Err(AskError::Refused(Refusal::Cluster)));
     assert_eq!(ask(&unknown), Err(AskError::Refused(Refusal::Key)));
-    assert_eq!(ask(&wrong), Err(AskError::Refused(Refusal::Code)));
+    assert_eq!(ask(&wrong), Err(AskError::Refused(Refusal::Tag)));
     let stats = b.stats();
     assert_eq!((stats.refused_cluster, stats.refused_key), (1, 2));
     assert_eq!(stats.received, 0);
