--- a/components/ledger/src/journal.rs
+++ b/components/ledger/src/journal.rs
@@ -28,25 +28,25 @@
     sealed: u64,
     charges: VecDeque<Charge>,
     /// The daemon responsible for the charges; `None` if this daemon recorded them.
-    pub(crate) keeper: Option<Keeper>,
+    pub(crate) primary: Option<Primary>,
     /// The second holder of the charges.
     pub(crate) replica: Option<Replica>,
     pub(crate) seal: Seal,
 }
 
-/// The daemon that sent charges here for replication.
+/// The daemon that replicates a journal to this one and normally seals it.
 #[derive(Debug, Clone)]
-pub(crate) struct Keeper {
+pub(crate) struct Primary {
     pub(crate) daemon: DaemonId,
     pub(crate) incarnation: Incarnation,
-    /// When the keeper last sent a message about this journal.
+    /// When the primary last sent a message about this journal.
     pub(crate) last_heard_at: Time,
     /// When the oldest unsealed charge arrived.
     pub(crate) oldest_held_at: Time,
 }
 
-impl Keeper {
-    /// Creates the entry of a keeper whose first message has just arrived.
+impl Primary {
+    /// Creates the entry of a primary whose first message has just arrived.
     pub(crate) fn new(daemon: &DaemonId, incarnation: Incarnation, now: Time) -> Self {
         Self {
             daemon: daemon.clone(),
@@ -58,11 +58,11 @@
 }
 
 impl Journal {
-    pub(crate) fn new(sealed: u64, keeper: Option<Keeper>) -> Self {
+    pub(crate) fn new(sealed: u64, primary: Option<Primary>) -> Self {
         Self {
             sealed,
             charges: VecDeque::new(),
-            keeper,
+            primary,
             replica: None,
             seal: Seal::default(),
         }
--- a/components/ledger/src/ledger.rs
+++ b/components/ledger/src/ledger.rs
@@ -10,7 +10,7 @@
 use crate::bill::{Bill, Charge};
 use crate::codec;
 use crate::custody;
-use crate::journal::{Journal, Keeper, Origin};
+use crate::journal::{Journal, Origin, Primary};
 use crate::keys::Keys;
 use crate::message::Message;
 use crate::rollup::Rollups;
@@ -53,7 +53,7 @@
     /// Maximum time between messages to the second holder while charges are unsealed.
     pub refresh_interval: Span,
     /// Time without a message after which the holder seals a daemon's charges in its place.
-    pub keeper_timeout: Span,
+    pub primary_timeout: Span,
     /// Age from which the holder seals charges, even if the daemon that recorded them is alive.
     pub max_custody_age: Span,
     /// Maximum time that an answer waits for a second holder when no peer responds.
@@ -84,7 +84,7 @@
             ack_timeout: Span::from_millis(100),
             holder_avoidance: Span::from_secs(5),
             refresh_interval: Span::from_secs(2),
-            keeper_timeout: Span::from_secs(10),
+            primary_timeout: Span::from_secs(10),
             max_custody_age: Span::from_secs(60),
             replication_timeout: Span::from_millis(500),
             seal_interval: Span::from_secs(5),
@@ -143,7 +143,7 @@
     pub custody: usize,
     /// Limit of `custody`.
     pub custody_capacity: usize,
-    /// Those of `custody` that this daemon must seal because their keeper is gone.
+    /// Those of `custody` that this daemon must seal because their primary has left the fleet.
     pub adopted: usize,
     /// Answers waiting until a second daemon holds their bill.
     pub waiting: usize,
@@ -278,8 +278,8 @@
                 charges,
                 incarnation,
             } => {
-                let keeper = Keeper::new(from, incarnation, now);
-                self.on_replicate(keeper, origin, sealed, first, &charges)
+                let primary = Primary::new(from, incarnation, now);
+                self.on_replicate(primary, origin, sealed, first, &charges)
             }
             Message::Acknowledge {
                 origin,
@@ -321,7 +321,7 @@
         let others = || {
             self.journals
                 .values()
-                .filter(|journal| journal.keeper.is_some())
+                .filter(|journal| journal.primary.is_some())
         };
         let adopted = others().filter(|journal| self.is_adopted(journal));
         let acked = own.replica.as_ref().map_or(0, |replica| replica.acked);
--- a/components/ledger/src/ledger/call.rs
+++ b/components/ledger/src/ledger/call.rs
@@ -81,17 +81,18 @@
         effects
     }
 
-    /// Whether this daemon may seal a journal: it recorded the charges, or their keeper is gone,
-    /// silent or late.
+    /// Whether this daemon may seal a journal: it recorded the charges, or their primary has left
+    /// the fleet, has sent nothing for too long, or has left them unsealed for too long.
     ///
-    /// Bills must not wait for a daemon that is dead, paused or cut off from the store, so the
-    /// holder seals in its place. If both seal at once, this is harmless: the mark moves once.
+    /// Bills must not wait for a daemon that has crashed, is paused or is cut off from the store,
+    /// so the holder seals in its place. If both seal at once, this is harmless: the mark advances
+    /// only once.
     fn may_seal(&self, journal: &Journal, now: Time) -> bool {
-        let Some(keeper) = &journal.keeper else {
+        let Some(primary) = &journal.primary else {
             return true;
         };
-        let is_silent = now.has_reached(keeper.last_heard_at + self.cfg.keeper_timeout);
-        let is_late = now.has_reached(keeper.oldest_held_at + self.cfg.max_custody_age);
+        let is_silent = now.has_reached(primary.last_heard_at + self.cfg.primary_timeout);
+        let is_late = now.has_reached(primary.oldest_held_at + self.cfg.max_custody_age);
         is_silent || is_late || self.is_adopted(journal)
     }
 
--- a/components/ledger/src/ledger/hold.rs
+++ b/components/ledger/src/ledger/hold.rs
@@ -33,16 +33,16 @@
         messages.into_iter().map(to).collect()
     }
 
-    /// Whether this daemon is responsible for a journal: it recorded the charges, or their keeper
-    /// is gone.
+    /// Whether this daemon is responsible for a journal: it recorded the charges, or their primary
+    /// has left the fleet.
     fn is_responsible_for(&self, journal: &Journal) -> bool {
-        journal.keeper.is_none() || (!journal.is_empty() && self.is_adopted(journal))
+        journal.primary.is_none() || (!journal.is_empty() && self.is_adopted(journal))
     }
 
-    /// Whether the keeper of a held journal is gone from the fleet.
+    /// Whether the primary of a held journal has left the fleet.
     pub(super) fn is_adopted(&self, journal: &Journal) -> bool {
-        let keeper = journal.keeper.as_ref();
-        keeper.is_some_and(|keeper| !self.is_member(&keeper.daemon, keeper.incarnation))
+        let primary = journal.primary.as_ref();
+        primary.is_some_and(|primary| !self.is_member(&primary.daemon, primary.incarnation))
     }
 
     /// Whether an incarnation of a daemon is in the fleet. A host that was replaced under the same
@@ -52,7 +52,7 @@
         members.any(|peer| peer.id == *id && peer.incarnation <= incarnation)
     }
 
-    /// Replaces a holder that is gone or does not respond.
+    /// Replaces a holder that has left the fleet or does not respond.
     fn ensure_holder(&mut self, origin: &Origin, now: Time) {
         let journal = &self.journals[origin];
         if let Some(replica) = &journal.replica {
@@ -120,7 +120,7 @@
     /// Stores a peer's charges and acknowledges them.
     pub(super) fn on_replicate(
         &mut self,
-        keeper: Keeper,
+        primary: Primary,
         origin: Origin,
         sealed: u64,
         first: u64,
@@ -141,14 +141,14 @@
         let journal = journal.or_insert_with(|| Journal::new(sealed, None));
         let has_advanced = sealed > journal.sealed();
         journal.advance(sealed);
-        let oldest_held_at = journal.keeper.as_ref();
+        let oldest_held_at = journal.primary.as_ref();
         let oldest_held_at = oldest_held_at.filter(|_| !journal.is_empty() && !has_advanced);
         let oldest_held_at =
-            oldest_held_at.map_or(keeper.oldest_held_at, |held| held.oldest_held_at);
-        let to = keeper.daemon.clone();
-        journal.keeper = Some(Keeper {
+            oldest_held_at.map_or(primary.oldest_held_at, |held| held.oldest_held_at);
+        let to = primary.daemon.clone();
+        journal.primary = Some(Primary {
             oldest_held_at,
-            ..keeper
+            ..primary
         });
         if !full {
             journal.merge(first, charges);
@@ -166,7 +166,7 @@
         let others = self
             .journals
             .values()
-            .filter(|journal| journal.keeper.is_some());
+            .filter(|journal| journal.primary.is_some());
         others.map(Journal::len).sum()
     }
 
@@ -202,11 +202,11 @@
 
     /// Drops charges that another daemon now holds instead of this one.
     pub(super) fn on_drop(&mut self, from: &DaemonId, origin: &Origin) -> Vec<Effect> {
-        let keeper = self
+        let primary = self
             .journals
             .get(origin)
-            .and_then(|journal| journal.keeper.as_ref());
-        if keeper.is_some_and(|keeper| keeper.daemon == *from) {
+            .and_then(|journal| journal.primary.as_ref());
+        if primary.is_some_and(|primary| primary.daemon == *from) {
             self.journals.remove(origin);
         }
         Vec::new()
@@ -214,11 +214,11 @@
 
     /// Drops held journals that are sealed and about which no more messages arrive.
     pub(super) fn drop_settled_journals(&mut self, now: Time) {
-        let keeper_timeout = self.cfg.keeper_timeout;
+        let primary_timeout = self.cfg.primary_timeout;
         self.journals.retain(|_, journal| {
-            let keeper = journal.keeper.as_ref();
-            let is_silent =
-                keeper.is_some_and(|keeper| now.has_reached(keeper.last_heard_at + keeper_timeout));
+            let primary = journal.primary.as_ref();
+            let is_silent = primary
+                .is_some_and(|primary| now.has_reached(primary.last_heard_at + primary_timeout));
             !(is_silent && journal.is_empty() && journal.seal.in_flight.is_none())
         });
     }
