--- a/components/ledger/src/journal.rs
+++ b/components/ledger/src/journal.rs
@@ -10,7 +10,7 @@
 use types::prelude::*;
 
 use crate::bill::Charge;
-use crate::custody::Replica;
+use crate::replication::Replica;
 use crate::seal::Seal;
 
 /// The daemon and incarnation that recorded a charge.
--- a/components/ledger/src/ledger/hold.rs
+++ b/components/ledger/src/ledger/hold.rs
@@ -22,7 +22,7 @@
         let Some(journal) = self.journals.get_mut(origin) else {
             return Vec::new();
         };
-        let messages = custody::flush(origin, journal, now, &self.cfg);
+        let messages = replication::flush(origin, journal, now, &self.cfg);
         let Some(replica) = &journal.replica else {
             return Vec::new();
         };
@@ -73,12 +73,12 @@
             let is_origin = peer.id == origin.daemon || peer.id == self.cfg.me.id;
             !is_origin && !self.avoided_holders.contains_key(&peer.id)
         });
-        let chosen = custody::choose(&self.cfg.me, origin, candidates).cloned();
+        let chosen = replication::choose(&self.cfg.me, origin, candidates).cloned();
         let Some(journal) = self.journals.get_mut(origin) else {
             return;
         };
         match chosen {
-            Some(peer) => custody::assign(journal, &peer),
+            Some(peer) => replication::assign(journal, &peer),
             None => journal.replica = None,
         }
     }
@@ -185,7 +185,7 @@
         let Some(replica) = replica.filter(|replica| replica.peer == *from) else {
             return Vec::new();
         };
-        let previous = custody::on_acknowledge(replica, now, upto, incarnation, &self.cfg);
+        let previous = replication::on_acknowledge(replica, now, upto, incarnation, &self.cfg);
         if full {
             self.avoided_holders
                 .insert(from.clone(), now + self.cfg.holder_avoidance);
--- a/components/ledger/src/lib.rs
+++ b/components/ledger/src/lib.rs
@@ -16,13 +16,13 @@
 mod accounts;
 mod bill;
 mod codec;
-mod custody;
 mod drain;
 mod export;
 mod journal;
 mod keys;
 mod ledger;
 mod message;
+mod replication;
 mod rollup;
 mod seal;
 mod sweep;
