--- a/components/peers/src/handle.rs
+++ b/components/peers/src/handle.rs
@@ -256,7 +256,7 @@
         );
     }
 
-    /// Sends a query; the receiver yields the reply or an error before `timeout` has passed.
+    /// Sends a query; the receiver yields the reply or an error within `timeout`.
     #[must_use]
     pub fn ask(
         &self,
