--- a/components/catalogue/src/edit.rs
+++ b/components/catalogue/src/edit.rs
@@ -6,13 +6,13 @@
 //! once the head's last write has moved on, so that the lost transaction, which compares
 //! it, can never land.
 
-mod accounting;
 mod attempt;
 pub mod change;
 mod editor;
+mod exclusion;
 mod judge;
 mod query;
-mod reading;
+mod snapshot;
 
 use std::sync::Arc;
 
@@ -29,7 +29,7 @@
 pub use crate::edit::attempt::Edit;
 pub use crate::edit::editor::{Editor, MAX_WAITING, Output, Task, Ticket};
 pub use crate::edit::query::Query;
-pub(crate) use crate::edit::reading::Reading;
+pub(crate) use crate::edit::snapshot::Reading;
 
 /// What an operator wants.
 #[derive(Debug, Clone, PartialEq)]
--- a/components/catalogue/src/edit/attempt.rs
+++ b/components/catalogue/src/edit/attempt.rs
@@ -7,8 +7,8 @@
 use types::prelude::*;
 
 use crate::check::MAX_ENTRY_SIZE;
-use crate::edit::accounting::all_are_others;
-use crate::edit::reading::Reading;
+use crate::edit::exclusion::all_are_others;
+use crate::edit::snapshot::Reading;
 use crate::edit::{Known, Proposal, Step, Verdict, judge};
 use crate::head::{Change, Keys, void_name};
 use crate::record::{Catalogue, Held, Record};
--- a/components/catalogue/src/edit/accounting.rs
+++ b/components/catalogue/src/edit/exclusion.rs
@@ -2,7 +2,7 @@
 
 use types::prelude::*;
 
-use crate::edit::reading::Reading;
+use crate::edit::snapshot::Reading;
 use crate::record::{Catalogue, HISTORY_LENGTH};
 
 /// True when no edit from `first` to the head can be `id`: each revision is known to be
--- a/components/catalogue/src/edit/judge.rs
+++ b/components/catalogue/src/edit/judge.rs
@@ -7,7 +7,7 @@
 
 use crate::check::{self, Entries, Problem};
 use crate::diff;
-use crate::edit::reading::Reading;
+use crate::edit::snapshot::Reading;
 use crate::edit::{IfMatch, Proposal, Verdict};
 use crate::record::Catalogue;
 
--- a/components/catalogue/src/edit/query.rs
+++ b/components/catalogue/src/edit/query.rs
@@ -4,8 +4,8 @@
 use rand::{Rng, RngExt};
 use types::prelude::*;
 
-use crate::edit::accounting::all_are_others;
-use crate::edit::reading::Reading;
+use crate::edit::exclusion::all_are_others;
+use crate::edit::snapshot::Reading;
 use crate::edit::{Known, Step, Verdict, base_of};
 use crate::head::{Change, Keys, void_name};
 use crate::record::Record;
--- a/components/catalogue/src/sync.rs
+++ b/components/catalogue/src/sync.rs
@@ -7,12 +7,12 @@
 //!
 //! [`Sync`] is pure: messages, the store's replies and ticks go in, [`Effect`]s come out.
 
+mod contact;
 mod freshness;
 mod message;
 mod repair;
 mod report;
 mod source;
-mod touch;
 mod transfer;
 mod watchers;
 
@@ -24,9 +24,9 @@
 
 use crate::head::Keys;
 use crate::record::{Catalogue, Held};
+use crate::sync::contact::Touch;
 use crate::sync::freshness::FleetSize;
 use crate::sync::source::Source;
-use crate::sync::touch::Touch;
 use crate::sync::transfer::Transfer;
 
 pub use crate::sync::freshness::{Decision, Reach, decide};
