--- a/components/catalogue/src/edit.rs
+++ b/components/catalogue/src/edit.rs
@@ -1,10 +1,10 @@
-//! Edits of the catalogue: from a proposal to a verdict that is true.
+//! Edits of the catalogue, from a proposal to a correct verdict.
 //!
-//! An [`Edit`] and a [`Query`] are pure: they say which call to make next and are given
-//! its outcome. The hard case is a write whose reply is lost: it may have taken effect,
-//! or may do so later, after a read has shown the old value. "Not applied" is said only
-//! once the head's last write has moved on, so that the lost transaction, which compares
-//! it, can never land.
+//! An [`Edit`] and a [`Query`] do no I/O: they name the next call to the store and are given
+//! its outcome. The hard case is a write whose reply is lost: it may have taken effect, or
+//! may still do so after a read has returned the old value. "Not applied" is therefore
+//! reported only once the head's mod revision has changed. The lost transaction has the old
+//! one as a precondition, so it can no longer take effect.
 
 mod attempt;
 pub mod change;
@@ -29,105 +29,105 @@
 pub use crate::edit::attempt::Edit;
 pub use crate::edit::editor::{Editor, MAX_WAITING, Output, Task, Ticket};
 pub use crate::edit::query::Query;
-pub(crate) use crate::edit::snapshot::Reading;
+pub(crate) use crate::edit::snapshot::Snapshot;
 
-/// What an operator wants.
+/// An edit that an operator proposes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Proposal {
-    /// To ask by later; made with [`make_id`].
+    /// Id for later queries, made with [`make_id`].
     pub id: EditId,
-    /// The entry.
+    /// Name of the entry.
     pub name: EntryName,
-    /// What the operator saw.
+    /// Precondition: the state that the operator saw.
     pub if_match: IfMatch,
-    /// The new entry, or nothing to remove it.
+    /// The new entry; nothing removes it.
     pub entry: Option<Arc<Entry>>,
-    /// The operator.
+    /// The operator who proposes the edit.
     pub author: OperatorName,
-    /// When, for people.
+    /// Time of the proposal, for information only.
     pub at: WallTime,
 }
 
-/// What must stand for an edit to apply.
+/// Precondition of an edit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum IfMatch {
-    /// No entry, or one that was removed.
+    /// The entry does not exist or was removed.
     Absent,
-    /// The entry at this revision.
+    /// The entry was last edited at this revision.
     Revision(Revision),
 }
 
-/// How an edit ended.
+/// The outcome of an edit.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "kebab-case")]
 pub enum Verdict {
-    /// In the store, and never reverts.
+    /// The edit is in the store and will not be reverted.
     Applied {
-        /// The revision that it made.
+        /// The revision that the edit made.
         revision: Revision,
     },
-    /// Something else stands; nothing was applied and nothing will be.
+    /// The precondition does not hold; the edit was not and will not be applied.
     Conflict {
-        /// The revision that stands; 0 when no entry does.
+        /// The entry's current revision; 0 when there is none.
         standing: Revision,
-        /// Who made it.
+        /// The operator who made that revision.
         author: Option<OperatorName>,
-        /// Where it differs from the proposal.
+        /// Differences between the current entry and the proposed one.
         differences: Vec<Difference>,
     },
-    /// The entry breaks rules; nothing was applied and nothing will be.
+    /// The entry breaks rules; the edit was not and will not be applied.
     Invalid {
-        /// Which.
+        /// The rules that are broken, and where.
         problems: Vec<Problem>,
     },
-    /// Nothing was applied and nothing will be.
+    /// The edit was not and will not be applied.
     NotApplied {
-        /// Why.
+        /// Why it was not applied.
         reason: String,
     },
-    /// It may be applied, now or later; ask again by the id.
+    /// The edit may have been applied or may still be; its id can be queried again.
     Unknown {
-        /// Why nothing better is known.
+        /// Why the outcome could not be determined.
         reason: String,
     },
 }
 
-/// What a machine needs next.
+/// What an [`Edit`] or a [`Query`] needs next.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Step {
-    /// Make this call and bring back its outcome.
+    /// Make this call and pass back its outcome.
     Call(Request),
-    /// Ask again then.
+    /// Resume at this time.
     Wait(Time),
-    /// Done.
+    /// It has ended with this verdict.
     Done(Verdict),
 }
 
-/// What a daemon knows when the outcome of a call comes.
+/// The state of the daemon by which the outcome of a call is judged.
 #[derive(Debug, Clone, Copy)]
-pub struct Known<'a> {
-    /// Its catalogue.
+pub struct EditContext<'a> {
+    /// The daemon's catalogue.
     pub catalogue: &'a Catalogue,
-    /// The highest revision that any daemon told of; nothing while this daemon has not
-    /// heard from others lately though there are some.
+    /// The highest revision that any daemon reported; nothing while there are other daemons
+    /// but this one lacks recent replies from them.
     ///
-    /// Guards against a store restored from an old copy, asked by a daemon that was
-    /// paused or cut off and so does not know that the copy is old: it would take an
-    /// edit for never made, or make one at a revision that the fleet has had.
+    /// A daemon that was paused or partitioned off cannot tell that a store was restored from
+    /// an old copy. It would conclude that an edit was never made, or make one at a revision
+    /// that the fleet has already used.
     pub fleet: Option<Revision>,
 }
 
-impl Known<'_> {
-    /// Why nothing can be concluded from a store with this head.
+impl EditContext<'_> {
+    /// Returns the reason if no verdict may be based on a store with this head.
     ///
-    /// A store restored from an older copy is put right by the daemons first. Judged
-    /// before, a lost write would pass for one that never landed, an edit would conflict
-    /// with what has long been replaced, or take a revision that the fleet has seen.
-    fn cannot_judge(&self, head: Revision) -> Option<&'static str> {
+    /// Daemons first repair a store that was restored from an older copy. A verdict before the
+    /// repair could take a lost write for one that never took effect, report a conflict with an
+    /// entry that was replaced long ago, or reuse a revision that the fleet has seen.
+    fn reason_to_wait(&self, head: Revision) -> Option<&'static str> {
         match self.fleet {
             None => Some("no other daemon is in touch"),
-            Some(fleet) if head < fleet.max(self.catalogue.highest()) => {
+            Some(fleet) if head < fleet.max(self.catalogue.highest_revision()) => {
                 Some("the store is behind the daemons")
             }
             Some(_) => None,
@@ -135,18 +135,19 @@
     }
 }
 
+/// Bits of an edit id that are random; the known revision is stored above them.
 const BASE_SHIFT: u32 = 80;
 
-/// A new edit's id. It holds the revision known when it was made, so that the edits
-/// among which it may be found later are few.
+/// Makes the id of a new edit. It contains the revision known at this time, so that a later
+/// query needs to look only at edits after it.
 pub fn make_id(known: Revision, rng: &mut impl Rng) -> EditId {
     let random = rng.random::<u128>() >> (u128::BITS - BASE_SHIFT);
     EditId(u128::from(known.0) << BASE_SHIFT | random)
 }
 
-/// The revision known when an id was made. Edits by it can only be later ones. An id
-/// made otherwise gives no revision that makes sense, and then all are looked at.
-fn base_of(id: EditId, head: Revision) -> Revision {
+/// Returns the revision known when an id was made; the edit can only have a later one. An id
+/// not made by [`make_id`] may yield a revision past the head, and then all edits are searched.
+fn base_revision(id: EditId, head: Revision) -> Revision {
     let base = u64::try_from(id.0 >> BASE_SHIFT).unwrap_or(u64::MAX);
     if base <= head.0 {
         Revision(base)
--- a/components/catalogue/src/edit/attempt.rs
+++ b/components/catalogue/src/edit/attempt.rs
@@ -1,4 +1,4 @@
-//! The life of one edit.
+//! State machine that applies one edit.
 
 use std::sync::Arc;
 
@@ -7,56 +7,58 @@
 use types::prelude::*;
 
 use crate::check::MAX_ENTRY_SIZE;
-use crate::edit::exclusion::all_are_others;
-use crate::edit::snapshot::Reading;
-use crate::edit::{Known, Proposal, Step, Verdict, judge};
+use crate::edit::exclusion::is_ruled_out;
+use crate::edit::snapshot::Snapshot;
+use crate::edit::{EditContext, Proposal, Step, Verdict, judge};
 use crate::head::{Change, Keys, void_name};
 use crate::record::{Catalogue, Held, Record};
 
 /// First pause between attempts; doubles up to [`MAX_PAUSE`].
 const FIRST_PAUSE: Span = Span::from_millis(20);
+
+/// Longest pause between attempts.
 const MAX_PAUSE: Span = Span::from_millis(640);
 
-/// Attempts made at once when other edits come first, before pausing.
-const QUICK_ATTEMPTS: u32 = 3;
+/// Attempts without a pause in between when other edits are applied first.
+const ATTEMPTS_PER_PAUSE: u32 = 3;
 
-/// One edit on its way.
+/// One edit in progress.
 #[derive(Debug, Clone)]
 pub struct Edit {
     proposal: Proposal,
     keys: Keys,
     deadline: Time,
     state: State,
-    /// A write whose fate is not known.
-    pending: Option<Prepared>,
-    /// Other entries to read along, since this daemon lags.
-    also: Vec<EntryName>,
+    /// A write whose outcome is unknown.
+    unresolved: Option<SentWrite>,
+    /// Other entries to read too, because they changed after this daemon's revision.
+    extra_reads: Vec<EntryName>,
     pauses: u32,
     lost_races: u32,
     reason: String,
     learned: Vec<(EntryName, Held)>,
 }
 
-/// What the call under way is for.
+/// Purpose of the call in flight.
 #[derive(Debug, Clone, PartialEq)]
 enum State {
     Reading,
-    Writing(Prepared),
+    Writing(SentWrite),
     Fencing,
     Pausing,
     Ended,
 }
 
-/// A write as sent.
+/// A write that was sent to the store.
 #[derive(Debug, Clone, PartialEq)]
-struct Prepared {
-    head_at: ModRevision,
+struct SentWrite {
+    head_mod_revision: ModRevision,
     revision: Revision,
     held: Held,
 }
 
 impl Edit {
-    /// An edit that is to be settled by `deadline`.
+    /// Creates an edit that has to end by `deadline`.
     #[must_use]
     pub fn new(proposal: Proposal, keys: Keys, deadline: Time) -> Self {
         Self {
@@ -64,8 +66,8 @@
             keys,
             deadline,
             state: State::Pausing,
-            pending: None,
-            also: Vec::new(),
+            unresolved: None,
+            extra_reads: Vec::new(),
             pauses: 0,
             lost_races: 0,
             reason: "not begun".to_owned(),
@@ -73,21 +75,21 @@
         }
     }
 
-    /// What was proposed.
+    /// Returns the proposal that this edit applies.
     #[must_use]
     pub fn proposal(&self) -> &Proposal {
         &self.proposal
     }
 
-    /// Records read on the way, for the catalogue to take.
+    /// Takes the records read or written so far, for the catalogue.
     pub fn take_learned(&mut self) -> Vec<(EntryName, Held)> {
         std::mem::take(&mut self.learned)
     }
 
-    /// Begins, or goes on after a wait.
+    /// Starts the edit or continues it after a wait.
     pub fn resume(&mut self, now: Time) -> Step {
         if now.has_reached(self.deadline) {
-            return self.give_up();
+            return self.time_out();
         }
         self.state = State::Reading;
         Step::Call(Request::Txn(Txn {
@@ -99,15 +101,15 @@
     fn read_ops(&self) -> Vec<Op> {
         let void = void_name(self.proposal.id);
         let own = [&self.proposal.name, &void];
-        self.keys.read_ops(own.into_iter().chain(&self.also))
+        self.keys.read_ops(own.into_iter().chain(&self.extra_reads))
     }
 
-    /// Takes the outcome of the last call.
+    /// Handles the outcome of the last call.
     pub fn on_outcome(
         &mut self,
         now: Time,
         outcome: Outcome,
-        known: Known<'_>,
+        cx: EditContext<'_>,
         rng: &mut impl Rng,
     ) -> Step {
         let state = std::mem::replace(&mut self.state, State::Ended);
@@ -124,130 +126,132 @@
                 self.learned.push((name, sent.held));
                 self.applied(sent.revision)
             }
-            State::Writing(_) if self.loses_again() => {
+            State::Writing(_) if self.must_pause_after_lost_race() => {
                 self.pause(now, "other edits come first", rng)
             }
-            // What is read next tells what became of the lost write.
+            // The next read shows the outcome of the lost write.
             State::Fencing if reply.succeeded => self.resume(now),
-            _ => self.on_reading(now, &reply, known, rng),
+            _ => self.on_snapshot(now, &reply, cx, rng),
         }
     }
 
-    /// Counts a write that another edit came before; true when it is time to pause.
-    fn loses_again(&mut self) -> bool {
+    /// Counts a write that failed because another edit was applied first. Returns whether to
+    /// pause before the next attempt.
+    fn must_pause_after_lost_race(&mut self) -> bool {
         self.lost_races += 1;
-        self.lost_races.is_multiple_of(QUICK_ATTEMPTS)
+        self.lost_races.is_multiple_of(ATTEMPTS_PER_PAUSE)
     }
 
     fn on_error(&mut self, now: Time, state: State, error: CallError, rng: &mut impl Rng) -> Step {
         if let (State::Writing(sent), CallError::Unknown(_)) = (state, &error) {
-            self.pending = Some(sent);
+            self.unresolved = Some(sent);
         }
         self.pause(now, &error.to_string(), rng)
     }
 
-    fn on_reading(
+    fn on_snapshot(
         &mut self,
         now: Time,
         reply: &TxnReply,
-        known: Known<'_>,
+        cx: EditContext<'_>,
         rng: &mut impl Rng,
     ) -> Step {
-        let reading = match Reading::parse(&self.keys, reply) {
-            Ok(reading) => reading,
+        let snapshot = match Snapshot::parse(&self.keys, reply) {
+            Ok(snapshot) => snapshot,
             Err(e) => return self.pause(now, &e.to_string(), rng),
         };
-        self.learn(&reading);
+        self.keep_records(&snapshot);
         let id = self.proposal.id;
-        let found = reading.revision_of(id);
-        if let Some(revision) = found.or_else(|| known.catalogue.revision_of(id)) {
+        let found = snapshot.revision_of(id);
+        if let Some(revision) = found.or_else(|| cx.catalogue.revision_of(id)) {
             return self.applied(revision);
         }
-        if let Some(reason) = known.cannot_judge(reading.head.head.revision) {
+        if let Some(reason) = cx.reason_to_wait(snapshot.head.head.revision) {
             return self.pause(now, reason, rng);
         }
-        if let Some(sent) = self.pending.clone()
-            && let Some(step) = self.on_pending(now, &sent, &reading, known.catalogue)
+        if let Some(sent) = self.unresolved.clone()
+            && let Some(step) = self.resolve(now, &sent, &snapshot, cx.catalogue)
         {
             return step;
         }
         if now.has_reached(self.deadline) {
-            return self.give_up();
+            return self.time_out();
         }
-        self.propose(now, &reading, known, rng)
+        self.try_write(now, &snapshot, cx, rng)
     }
 
-    /// Decides a lost write's fate, or fences it. Nothing: it never landed and never will.
-    fn on_pending(
+    /// Determines the outcome of a write whose reply was lost, or fences it. Returns nothing if
+    /// it was not applied and never will be.
+    fn resolve(
         &mut self,
         now: Time,
-        sent: &Prepared,
-        reading: &Reading,
+        sent: &SentWrite,
+        snapshot: &Snapshot,
         catalogue: &Catalogue,
     ) -> Option<Step> {
-        if reading.head.at == sent.head_at {
+        if snapshot.head.mod_revision == sent.head_mod_revision {
             if now.has_reached(self.deadline) {
-                return Some(self.give_up());
+                return Some(self.time_out());
             }
-            return Some(self.fence(reading));
+            return Some(self.fence(snapshot));
         }
         let (id, name) = (self.proposal.id, &self.proposal.name);
-        if !all_are_others(reading, catalogue, Some(name), sent.revision, id) {
+        if !is_ruled_out(snapshot, catalogue, Some(name), sent.revision, id) {
             let reason = "its reply was lost and too many edits followed".to_owned();
             return Some(self.end(Verdict::Unknown { reason }));
         }
-        self.pending = None;
+        self.unresolved = None;
         None
     }
 
-    /// Writes the head as it is.
+    /// Writes the head unchanged.
     ///
-    /// Guards against an effect that comes after the read-back: the lost transaction
-    /// compares the head's last write, which this one changes. If the lost one lands
-    /// first, this one fails and reads it.
-    fn fence(&mut self, reading: &Reading) -> Step {
+    /// A lost write could still take effect after it was not found by a read. Its precondition
+    /// is the head's mod revision, which this write changes. If the lost write takes effect
+    /// first, this one fails and its reply contains the lost one.
+    fn fence(&mut self, snapshot: &Snapshot) -> Step {
         self.state = State::Fencing;
         Step::Call(Request::Txn(Txn {
-            compare: vec![self.keys.compare_head(reading.head.at)],
-            success: vec![self.keys.put_head(&reading.head.head)],
+            compare: vec![self.keys.compare_head(snapshot.head.mod_revision)],
+            success: vec![self.keys.put_head(&snapshot.head.head)],
             failure: self.read_ops(),
         }))
     }
 
-    /// Judges the proposal against what stands and writes it.
-    fn propose(
+    /// Checks the proposal against the current state and writes it.
+    fn try_write(
         &mut self,
         now: Time,
-        reading: &Reading,
-        known: Known<'_>,
+        snapshot: &Snapshot,
+        cx: EditContext<'_>,
         rng: &mut impl Rng,
     ) -> Step {
-        let catalogue = known.catalogue;
-        if reading.held(&void_name(self.proposal.id)).is_some() {
+        let catalogue = cx.catalogue;
+        if snapshot.held(&void_name(self.proposal.id)).is_some() {
             let reason = "it was asked for by its id and given up".to_owned();
             return self.end(Verdict::NotApplied { reason });
         }
-        if let Some(conflict) = judge::conflict(&self.proposal, reading) {
+        if let Some(conflict) = judge::conflict(&self.proposal, snapshot) {
             return self.end(conflict);
         }
-        let Some(changed) = judge::changed(&self.proposal, reading, catalogue) else {
+        let Some(changed) = judge::changed_entries(&self.proposal, snapshot, catalogue) else {
             return self.pause(now, "this daemon is catching up", rng);
         };
-        if !changed.iter().all(|name| self.also.contains(name)) {
-            self.also = changed;
+        if !changed.iter().all(|name| self.extra_reads.contains(name)) {
+            self.extra_reads = changed;
             return self.resume(now);
         }
-        let problems = judge::problems(&self.proposal, reading, catalogue);
+        let problems = judge::problems(&self.proposal, snapshot, catalogue);
         if !problems.is_empty() {
             return self.end(Verdict::Invalid { problems });
         }
-        self.write(reading)
+        self.write(snapshot)
     }
 
-    fn write(&mut self, reading: &Reading) -> Step {
+    fn write(&mut self, snapshot: &Snapshot) -> Step {
         let name = &self.proposal.name;
-        let head = &reading.head;
-        let record = Arc::new(self.record(reading));
+        let head = &snapshot.head;
+        let record = Arc::new(self.record(snapshot));
         let held = Held::new(record.clone());
         let size = held.json.len();
         if size > MAX_ENTRY_SIZE.as_usize() {
@@ -259,30 +263,30 @@
             name: name.clone(),
             edit_id: record.edit_id,
         };
-        let entry_at = reading.entries.get(name).map(|(at, _)| *at);
+        let entry_at = snapshot.entries.get(name).map(|(at, _)| *at);
         let entry = self.keys.entry(name);
         let entry = keyvalue::Compare::ModRevision(entry, entry_at.unwrap_or_default());
         let txn = Txn {
-            compare: vec![self.keys.compare_head(head.at), entry],
+            compare: vec![self.keys.compare_head(head.mod_revision), entry],
             success: vec![
                 self.keys.put_entry(name, held.json.clone()),
                 self.keys.put_head(&head.head.after(change)),
             ],
             failure: self.read_ops(),
         };
-        self.state = State::Writing(Prepared {
-            head_at: head.at,
+        self.state = State::Writing(SentWrite {
+            head_mod_revision: head.mod_revision,
             revision: record.revision,
             held,
         });
         Step::Call(Request::Txn(txn))
     }
 
-    fn record(&self, reading: &Reading) -> Record {
-        let standing = reading.held(&self.proposal.name);
-        let history = standing.map(|held| held.record.history_of_next());
+    fn record(&self, snapshot: &Snapshot) -> Record {
+        let current = snapshot.held(&self.proposal.name);
+        let history = current.map(|held| held.record.next_history());
         Record {
-            revision: reading.head.head.revision.next(),
+            revision: snapshot.head.head.revision.next(),
             edit_id: self.proposal.id,
             author: self.proposal.author.clone(),
             at: self.proposal.at,
@@ -291,10 +295,10 @@
         }
     }
 
-    fn learn(&mut self, reading: &Reading) {
-        let entries = reading.entries.iter();
-        let learned = entries.map(|(name, (_, held))| (name.clone(), held.clone()));
-        self.learned.extend(learned);
+    fn keep_records(&mut self, snapshot: &Snapshot) {
+        let entries = snapshot.entries.iter();
+        let records = entries.map(|(name, (_, held))| (name.clone(), held.clone()));
+        self.learned.extend(records);
     }
 
     fn applied(&mut self, revision: Revision) -> Step {
@@ -306,9 +310,9 @@
         Step::Done(verdict)
     }
 
-    fn give_up(&mut self) -> Step {
+    fn time_out(&mut self) -> Step {
         let reason = format!("time ran out: {}", self.reason);
-        self.end(match self.pending {
+        self.end(match self.unresolved {
             Some(_) => Verdict::Unknown { reason },
             None => Verdict::NotApplied { reason },
         })
@@ -317,7 +321,7 @@
     fn pause(&mut self, now: Time, reason: &str, rng: &mut impl Rng) -> Step {
         reason.clone_into(&mut self.reason);
         if now.has_reached(self.deadline) {
-            return self.give_up();
+            return self.time_out();
         }
         self.state = State::Pausing;
         let doubled = FIRST_PAUSE.times(1 << self.pauses.min(5));
--- a/components/catalogue/src/edit/change.rs
+++ b/components/catalogue/src/edit/change.rs
@@ -1,54 +1,54 @@
-//! Changed entries for what operators do most: roll a version out, withdraw one.
+//! Changes to model entries that operators make most: roll-outs and version states.
 
 use types::prelude::*;
 
 use crate::entry::{Body, Entry, Gate, Model, Rollout, RolloutState, VersionState};
 
-/// Why an entry cannot be changed so.
+/// Why a change does not apply to an entry.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ChangeError {
-    /// Not a model's entry.
+    /// The entry is not a model.
     #[error("this is no model's entry; name one under models/")]
     NotModel,
-    /// The model lacks the version.
+    /// The model has no such version.
     #[error("the model has no version {0}; put it into the entry first")]
     NoVersion(VersionName),
-    /// Nothing is being rolled out.
+    /// No roll-out is in progress.
     #[error("no roll-out is under way; begin one")]
     NoRollout,
-    /// One is being rolled out already.
+    /// A roll-out to this version is already in progress.
     #[error("a roll-out to {0} is under way; finish or abort it first")]
     Busy(VersionName),
 }
 
-/// What to do with a roll-out.
+/// A change to a model's roll-out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RolloutChange {
-    /// Begin one.
+    /// Start a roll-out.
     Begin {
-        /// The version that goes.
+        /// The version to be replaced.
         from: VersionName,
-        /// The version that comes.
+        /// The version to be rolled out.
         to: VersionName,
-        /// Its shares, rising to 1.
+        /// The new version's share of new sessions at each step, rising to 1.
         steps: Vec<Share>,
-        /// What a step needs before the next.
+        /// Conditions for advancing to the next step.
         gate: Gate,
     },
-    /// Go to the next step; after the last the roll-out is done.
+    /// Go to the next step; after the last step the roll-out is done.
     Advance,
-    /// Stay at the step.
+    /// Stay at the current step.
     Pause,
-    /// Go on.
+    /// Continue a paused roll-out.
     Resume,
-    /// Go back to the old version.
+    /// Return to the old version.
     Abort,
 }
 
-/// The entry with its roll-out changed.
+/// Returns the entry with its roll-out changed.
 ///
 /// # Errors
-/// When the entry is no model or its roll-out does not allow it.
+/// When the entry is not a model, lacks a version, or its roll-out does not allow the change.
 pub fn rollout(entry: &Entry, change: RolloutChange) -> Result<Entry, ChangeError> {
     let mut entry = entry.clone();
     let model = model_of(&mut entry)?;
@@ -58,20 +58,20 @@
             to,
             steps,
             gate,
-        } => begin(model, from, to, steps, gate)?,
-        RolloutChange::Advance => advance(open(model)?),
-        RolloutChange::Pause => open(model)?.state = RolloutState::Paused,
-        RolloutChange::Resume => open(model)?.state = RolloutState::Running,
-        RolloutChange::Abort => open(model)?.state = RolloutState::Aborted,
+        } => start(model, from, to, steps, gate)?,
+        RolloutChange::Advance => advance(active_rollout(model)?),
+        RolloutChange::Pause => active_rollout(model)?.state = RolloutState::Paused,
+        RolloutChange::Resume => active_rollout(model)?.state = RolloutState::Running,
+        RolloutChange::Abort => active_rollout(model)?.state = RolloutState::Aborted,
     }
     Ok(entry)
 }
 
-/// The entry with a version offered, draining or withdrawn. Withdrawing the version
+/// Returns the entry with a version offered, draining or withdrawn. Withdrawing the version
 /// that is being rolled out aborts the roll-out.
 ///
 /// # Errors
-/// When the entry is no model or has no such version.
+/// When the entry is not a model or has no such version.
 pub fn set_state(
     entry: &Entry,
     version: &VersionName,
@@ -83,7 +83,7 @@
     found
         .ok_or_else(|| ChangeError::NoVersion(version.clone()))?
         .state = state;
-    let rollout = model.rollout.as_mut().filter(|rollout| is_open(rollout));
+    let rollout = model.rollout.as_mut().filter(|rollout| is_active(rollout));
     if let Some(rollout) = rollout.filter(|rollout| rollout.to == *version)
         && state == VersionState::Withdrawn
     {
@@ -99,30 +99,30 @@
     }
 }
 
-fn is_open(rollout: &Rollout) -> bool {
+fn is_active(rollout: &Rollout) -> bool {
     matches!(rollout.state, RolloutState::Running | RolloutState::Paused)
 }
 
-fn open(model: &mut Model) -> Result<&mut Rollout, ChangeError> {
-    let rollout = model.rollout.as_mut().filter(|rollout| is_open(rollout));
+fn active_rollout(model: &mut Model) -> Result<&mut Rollout, ChangeError> {
+    let rollout = model.rollout.as_mut().filter(|rollout| is_active(rollout));
     rollout.ok_or(ChangeError::NoRollout)
 }
 
-fn begin(
+fn start(
     model: &mut Model,
     from: VersionName,
     to: VersionName,
     steps: Vec<Share>,
     gate: Gate,
 ) -> Result<(), ChangeError> {
-    if let Ok(open) = open(model) {
-        return Err(ChangeError::Busy(open.to.clone()));
+    if let Ok(active) = active_rollout(model) {
+        return Err(ChangeError::Busy(active.to.clone()));
     }
-    let absent = [&from, &to]
+    let missing = [&from, &to]
         .into_iter()
         .find(|name| !model.versions.contains_key(*name));
-    if let Some(absent) = absent {
-        return Err(ChangeError::NoVersion(absent.clone()));
+    if let Some(missing) = missing {
+        return Err(ChangeError::NoVersion(missing.clone()));
     }
     model.rollout = Some(Rollout {
         from,
--- a/components/catalogue/src/edit/editor.rs
+++ b/components/catalogue/src/edit/editor.rs
@@ -1,6 +1,6 @@
-//! The edits and questions that a daemon was given, one under way at a time.
+//! Queue of a daemon's edits and queries, of which one is processed at a time.
 //!
-//! Edits of one daemon would only contend with one another for the head.
+//! Concurrent edits of one daemon would only conflict with one another over the head.
 
 use std::collections::VecDeque;
 
@@ -8,46 +8,47 @@
 use rand::Rng;
 use types::prelude::*;
 
-use crate::edit::{Edit, Known, Query, Step, Verdict};
+use crate::edit::{Edit, EditContext, Query, Step, Verdict};
 use crate::record::Held;
 
-/// Most tasks that wait; more are refused.
+/// Largest number of queued tasks, the one in progress included; further ones are refused.
 pub const MAX_WAITING: usize = 256;
 
-/// Tells the caller's tasks apart.
+/// Identifies a task to the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// An edit or a question.
+/// An edit or a query.
 #[derive(Debug, Clone)]
 pub enum Task {
-    /// Apply.
+    /// Apply an edit.
     Edit(Box<Edit>),
-    /// Tell.
+    /// Determine the outcome of an edit.
     Query(Query),
 }
 
-/// What a step of the editor asks for.
+/// What the editor asks of its caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
-    /// Make this call of the store and bring back its outcome.
+    /// Make this call to the store and pass the outcome to [`Editor::on_outcome`].
     Call(Request),
-    /// A task ended.
+    /// Report the verdict of a task that ended.
     Done(Ticket, Verdict),
 }
 
-/// Tasks in the order in which they came.
+/// A queue of tasks, processed in the order of submission.
 #[derive(Debug, Default)]
 pub struct Editor {
     waiting: VecDeque<(Ticket, Task)>,
-    /// When the first task goes on; nothing while its call is under way.
+    /// When the first task resumes after a wait; nothing when it does not wait.
     due: Option<Time>,
-    under_way: bool,
+    /// Whether a call of the first task is in flight.
+    in_flight: bool,
     learned: Vec<(EntryName, Held)>,
 }
 
 impl Editor {
-    /// Adds a task, to begin at the next tick; false when too many wait already.
+    /// Queues a task; a later tick starts it. Returns false when the queue is full.
     #[must_use]
     pub fn submit(&mut self, ticket: Ticket, task: Task) -> bool {
         if self.waiting.len() >= MAX_WAITING {
@@ -57,43 +58,43 @@
         true
     }
 
-    /// Tasks that wait or are under way.
+    /// Returns the number of tasks queued, the one in progress included.
     #[must_use]
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// True without tasks.
+    /// Whether no task is queued.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Records read on the way, for the catalogue to take.
+    /// Takes the records that edits have read or written, for the catalogue.
     pub fn take_learned(&mut self) -> Vec<(EntryName, Held)> {
         std::mem::take(&mut self.learned)
     }
 
-    /// Begins or goes on with the first task when it is due.
+    /// Starts or resumes the first task when it is due.
     pub fn tick(&mut self, now: Time) -> Vec<Output> {
         let is_due = self.due.is_none_or(|due| now.has_reached(due));
-        if self.under_way || !is_due {
+        if self.in_flight || !is_due {
             return Vec::new();
         }
         let mut outputs = Vec::new();
-        self.go_on(now, &mut outputs);
+        self.resume_first(now, &mut outputs);
         outputs
     }
 
-    /// Takes the outcome of the call under way.
+    /// Handles the outcome of the call in flight.
     pub fn on_outcome(
         &mut self,
         now: Time,
         outcome: Outcome,
-        known: Known<'_>,
+        cx: EditContext<'_>,
         rng: &mut impl Rng,
     ) -> Vec<Output> {
-        self.under_way = false;
+        self.in_flight = false;
         let mut outputs = Vec::new();
         let Some((ticket, task)) = self.waiting.front_mut() else {
             return outputs;
@@ -101,38 +102,38 @@
         let ticket = *ticket;
         let step = match task {
             Task::Edit(edit) => {
-                let step = edit.on_outcome(now, outcome, known, rng);
+                let step = edit.on_outcome(now, outcome, cx, rng);
                 self.learned.extend(edit.take_learned());
                 step
             }
-            Task::Query(query) => query.on_outcome(now, outcome, known, rng),
+            Task::Query(query) => query.on_outcome(now, outcome, cx, rng),
         };
-        if self.take_step(ticket, step, &mut outputs) {
-            self.go_on(now, &mut outputs);
+        if self.handle_step(ticket, step, &mut outputs) {
+            self.resume_first(now, &mut outputs);
         }
         outputs
     }
 
-    /// Resumes the first task, and the next ones while they end at once.
-    fn go_on(&mut self, now: Time, outputs: &mut Vec<Output>) {
+    /// Resumes the first task, and the following ones as long as each ends immediately.
+    fn resume_first(&mut self, now: Time, outputs: &mut Vec<Output>) {
         while let Some((ticket, task)) = self.waiting.front_mut() {
             let ticket = *ticket;
             let step = match task {
                 Task::Edit(edit) => edit.resume(now),
                 Task::Query(query) => query.resume(now),
             };
-            if !self.take_step(ticket, step, outputs) {
+            if !self.handle_step(ticket, step, outputs) {
                 return;
             }
         }
     }
 
-    /// True when the task ended.
-    fn take_step(&mut self, ticket: Ticket, step: Step, outputs: &mut Vec<Output>) -> bool {
+    /// Carries out a step of the first task; returns whether the task ended.
+    fn handle_step(&mut self, ticket: Ticket, step: Step, outputs: &mut Vec<Output>) -> bool {
         self.due = None;
         match step {
             Step::Call(req) => {
-                self.under_way = true;
+                self.in_flight = true;
                 outputs.push(Output::Call(req));
                 false
             }
--- a/components/catalogue/src/edit/exclusion.rs
+++ b/components/catalogue/src/edit/exclusion.rs
@@ -1,37 +1,37 @@
-//! Whether every edit that could be the one asked for is known to be another.
+//! Proof that an edit was not applied: every revision it could have made is another edit's.
 
 use types::prelude::*;
 
-use crate::edit::snapshot::Reading;
+use crate::edit::snapshot::Snapshot;
 use crate::record::{Catalogue, HISTORY_LENGTH};
 
-/// True when no edit from `first` to the head can be `id`: each revision is known to be
-/// another's, or the entry's own history reaches back so far.
+/// Whether no edit from `first` to the head can have the id `id`: each revision is known to
+/// belong to another edit, or the entry's own history reaches back to `first`.
 ///
-/// Guards against "not applied" for an edit that landed and was then pushed out of the
-/// head's short list and its entry's short history by later edits.
-pub(crate) fn all_are_others(
-    reading: &Reading,
+/// Without this check, "not applied" would be reported for an edit that was applied and that
+/// later edits pushed out of the head's short list and its entry's short history.
+pub(crate) fn is_ruled_out(
+    snapshot: &Snapshot,
     catalogue: &Catalogue,
     name: Option<&EntryName>,
     first: Revision,
     id: EditId,
 ) -> bool {
-    if name.is_some_and(|name| history_reaches(reading, name, first)) {
+    if name.is_some_and(|name| history_covers(snapshot, name, first)) {
         return true;
     }
-    let last = reading.head.head.revision;
+    let last = snapshot.head.head.revision;
     (first.0..=last.0).all(|revision| {
         let revision = Revision(revision);
         let logged = catalogue.change(revision).map(|change| change.edit_id);
-        let made_by = reading.change(revision).or(logged);
+        let made_by = snapshot.edit_at(revision).or(logged);
         made_by.is_some_and(|other| other != id)
     })
 }
 
-/// Whether an entry's record, just read, remembers all its edits from `first` on.
-fn history_reaches(reading: &Reading, name: &EntryName, first: Revision) -> bool {
-    let Some(held) = reading.held(name) else {
+/// Whether the record read for an entry lists all edits of the entry from `first` on.
+fn history_covers(snapshot: &Snapshot, name: &EntryName, first: Revision) -> bool {
+    let Some(held) = snapshot.held(name) else {
         return false;
     };
     let history = &held.record.history;
--- a/components/catalogue/src/edit/query.rs
+++ b/components/catalogue/src/edit/query.rs
@@ -1,23 +1,24 @@
-//! What became of an edit, asked by its id through any daemon.
+//! Queries for the outcome of an edit by its id, through any daemon.
 
 use keyvalue::{Op, Outcome, Reply, Request, Txn};
 use rand::{Rng, RngExt};
 use types::prelude::*;
 
-use crate::edit::exclusion::all_are_others;
-use crate::edit::snapshot::Reading;
-use crate::edit::{Known, Step, Verdict, base_of};
+use crate::edit::exclusion::is_ruled_out;
+use crate::edit::snapshot::Snapshot;
+use crate::edit::{EditContext, Step, Verdict, base_revision};
 use crate::head::{Change, Keys, void_name};
 use crate::record::Record;
 
+/// Bounds of the random pause between attempts.
 const MIN_PAUSE: Span = Span::from_millis(20);
 const MAX_PAUSE: Span = Span::from_millis(200);
 
-/// A question about an edit.
+/// A query for the outcome of an edit.
 ///
-/// An edit that is not found is given up for good before "not applied" is said: a marker
-/// of its id is written with the head, which moves the head's last write on (so a
-/// transaction already sent cannot land) and tells a maker that is paused not to try again.
+/// An edit that is not found is voided before "not applied" is reported: a marker with its id
+/// is written together with the head. This changes the head's mod revision, so a transaction
+/// already sent cannot take effect, and keeps a paused daemon from retrying the edit.
 #[derive(Debug, Clone)]
 pub struct Query {
     id: EditId,
@@ -30,8 +31,8 @@
 }
 
 impl Query {
-    /// Asks for an edit; the entry's name, where known, lets older edits be decided.
-    /// `asker` and `at` go into the marker, for people.
+    /// Creates a query that has to end by `deadline`. The entry's name, if known, allows a verdict
+    /// on older edits. `asker` and `at` are stored in the marker for information only.
     #[must_use]
     pub fn new(
         id: EditId,
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Begins, or goes on after a wait.
+    /// Starts the query or continues it after a wait.
     pub fn resume(&mut self, now: Time) -> Step {
         if now.has_reached(self.deadline) {
             let reason = format!("time ran out: {}", self.reason);
@@ -63,12 +64,12 @@
         }))
     }
 
-    /// Takes the outcome of the last call.
+    /// Handles the outcome of the last call.
     pub fn on_outcome(
         &mut self,
         now: Time,
         outcome: Outcome,
-        known: Known<'_>,
+        cx: EditContext<'_>,
         rng: &mut impl Rng,
     ) -> Step {
         let reply = match outcome {
@@ -82,48 +83,48 @@
                 rng,
             );
         };
-        // Only the write that gives the edit up has no reads in its reply.
+        // Only the write that voids the edit has no reads in its reply.
         if reply.succeeded && !reply.replies.iter().any(is_range) {
             return self.resume(now);
         }
-        match Reading::parse(&self.keys, &reply) {
-            Ok(reading) => self.on_reading(now, &reading, known, rng),
+        match Snapshot::parse(&self.keys, &reply) {
+            Ok(snapshot) => self.on_snapshot(now, &snapshot, cx, rng),
             Err(e) => self.pause(now, e.to_string(), rng),
         }
     }
 
-    fn on_reading(
+    fn on_snapshot(
         &mut self,
         now: Time,
-        reading: &Reading,
-        known: Known<'_>,
+        snapshot: &Snapshot,
+        cx: EditContext<'_>,
         rng: &mut impl Rng,
     ) -> Step {
-        let head = &reading.head.head;
-        let catalogue = known.catalogue;
-        let found = reading.revision_of(self.id);
+        let head = &snapshot.head.head;
+        let catalogue = cx.catalogue;
+        let found = snapshot.revision_of(self.id);
         if let Some(revision) = found.or_else(|| catalogue.revision_of(self.id)) {
             return Step::Done(Verdict::Applied { revision });
         }
-        if let Some(reason) = known.cannot_judge(head.revision) {
+        if let Some(reason) = cx.reason_to_wait(head.revision) {
             return self.pause(now, reason.to_owned(), rng);
         }
-        if reading.held(&void_name(self.id)).is_some() {
+        if snapshot.held(&void_name(self.id)).is_some() {
             let reason = "it was given up and can never land".to_owned();
             return Step::Done(Verdict::NotApplied { reason });
         }
-        let first = base_of(self.id, head.revision).next();
-        if !all_are_others(reading, catalogue, self.name.as_ref(), first, self.id) {
+        let first = base_revision(self.id, head.revision).next();
+        if !is_ruled_out(snapshot, catalogue, self.name.as_ref(), first, self.id) {
             let reason = "too many edits followed to tell".to_owned();
             return Step::Done(Verdict::Unknown { reason });
         }
-        self.give_up(reading)
+        self.void_edit(snapshot)
     }
 
-    /// Marks the edit as one that may never land.
-    fn give_up(&self, reading: &Reading) -> Step {
-        let revision = reading.head.head.revision.next();
-        // Another id than the edit's own: a marker must not pass for the edit.
+    /// Writes the marker that keeps the edit from ever taking effect.
+    fn void_edit(&self, snapshot: &Snapshot) -> Step {
+        let revision = snapshot.head.head.revision.next();
+        // The marker needs an id other than the edit's own, or it would be taken for the edit.
         let edit_id = EditId(!self.id.0);
         let name = void_name(self.id);
         let record = Record {
@@ -141,10 +142,10 @@
             edit_id,
         };
         Step::Call(Request::Txn(Txn {
-            compare: vec![self.keys.compare_head(reading.head.at)],
+            compare: vec![self.keys.compare_head(snapshot.head.mod_revision)],
             success: vec![
                 self.keys.put_entry(&name, json),
-                self.keys.put_head(&reading.head.head.after(change)),
+                self.keys.put_head(&snapshot.head.head.after(change)),
             ],
             failure: self.read_ops(),
         }))
--- a/components/catalogue/src/edit/snapshot.rs
+++ b/components/catalogue/src/edit/snapshot.rs
@@ -1,4 +1,4 @@
-//! What a read of the head and some entries found.
+//! The head and some entries as read from the store in one transaction.
 
 use std::collections::BTreeMap;
 
@@ -8,17 +8,17 @@
 use crate::head::{Change, HeadError, Keys, ReadHead};
 use crate::record::{Held, RecordError, WireRecord};
 
-/// The head and entries at one moment.
+/// The head and entries as of one revision of the store.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub(crate) struct Reading {
+pub(crate) struct Snapshot {
     pub(crate) head: ReadHead,
-    /// Entries asked for that exist, with their last writes.
+    /// Requested entries that exist, with their mod revisions.
     pub(crate) entries: BTreeMap<EntryName, (keyvalue::ModRevision, Held)>,
 }
 
-/// Why a reading makes no sense.
+/// Why a reply contains no valid snapshot.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub(crate) enum ReadingError {
+pub(crate) enum SnapshotError {
     #[error(transparent)]
     Head(#[from] HeadError),
     #[error(transparent)]
@@ -27,28 +27,28 @@
     Shape,
 }
 
-impl Reading {
-    /// From the replies to [`Keys::read_ops`].
-    pub(crate) fn parse(keys: &Keys, reply: &TxnReply) -> Result<Self, ReadingError> {
+impl Snapshot {
+    /// Parses the replies to [`Keys::read_ops`].
+    pub(crate) fn parse(keys: &Keys, reply: &TxnReply) -> Result<Self, SnapshotError> {
         let mut ranges = reply.replies.iter().map(|reply| match reply {
             OpReply::Range(found) => Ok(found),
-            _ => Err(ReadingError::Shape),
+            _ => Err(SnapshotError::Shape),
         });
-        let head = ranges.next().ok_or(ReadingError::Shape)??;
-        let mut reading = Self {
+        let head = ranges.next().ok_or(SnapshotError::Shape)??;
+        let mut snapshot = Self {
             head: ReadHead::from_range(head)?,
             entries: BTreeMap::new(),
         };
         for found in ranges {
             for pair in found? {
-                reading.add(keys, pair)?;
+                snapshot.add(keys, pair)?;
             }
         }
-        Ok(reading)
+        Ok(snapshot)
     }
 
-    fn add(&mut self, keys: &Keys, pair: &KeyValue) -> Result<(), ReadingError> {
-        let name = keys.name_of(&pair.key).ok_or(ReadingError::Shape)?;
+    fn add(&mut self, keys: &Keys, pair: &KeyValue) -> Result<(), SnapshotError> {
+        let name = keys.name_of(&pair.key).ok_or(SnapshotError::Shape)?;
         let json = pair.value.clone();
         let held = WireRecord {
             name: name.clone(),
@@ -63,7 +63,7 @@
         self.entries.get(name).map(|(_, held)| held)
     }
 
-    /// Where an edit's id stands: in the head's list or in a record read.
+    /// Returns the revision that an edit made, if the head or a record read lists its id.
     pub(crate) fn revision_of(&self, id: EditId) -> Option<Revision> {
         let recent = &self.head.head.recent;
         let listed = recent.iter().find(|change| change.edit_id == id);
@@ -73,8 +73,8 @@
         })
     }
 
-    /// The edit that made a revision, if the head or a record read names it.
-    pub(crate) fn change(&self, revision: Revision) -> Option<EditId> {
+    /// Returns the edit that made a revision, if the head or a record read lists it.
+    pub(crate) fn edit_at(&self, revision: Revision) -> Option<EditId> {
         let recent = &self.head.head.recent;
         let listed = recent.iter().find(|change| change.revision == revision);
         let listed = listed.map(|Change { edit_id, .. }| *edit_id);
--- a/components/catalogue/src/head.rs
+++ b/components/catalogue/src/head.rs
@@ -1,52 +1,52 @@
-//! The catalogue's head in the store and the keys around it.
+//! The catalogue's head and the other keys that the catalogue uses in the store.
 //!
-//! Every edit writes its entry's record and the head in one transaction that compares
-//! the head's last write. So edits are totally ordered, revisions are dense, and any
-//! write of the head fences all transactions that were prepared before it.
+//! Every edit writes its entry's record and the head in one compare-and-swap transaction,
+//! with the head's mod revision as precondition. Edits are therefore totally ordered,
+//! revisions are dense, and any write of the head fences all transactions prepared before it.
 
 use bytes::Bytes;
 use keyvalue::{Compare, KeyValue, ModRevision, Op, Put, Range, Txn};
 use serde::{Deserialize, Serialize};
 use types::prelude::*;
 
-/// Latest edits that the head names.
+/// Largest number of latest edits listed in the head.
 pub const RECENT_LENGTH: usize = 32;
 
-/// Prefix of the markers of edits that were given up for good.
-const VOID: &str = "void/";
+/// Prefix of the names of void markers.
+const VOID_PREFIX: &str = "void/";
 
-/// The marker of an edit that was given up: a record without an entry, as of something
-/// removed. It has a revision like any edit, so it spreads, and a store that was
-/// restored from an older copy gets it back.
+/// Returns the name of the void marker of an edit, which states that the edit will never be
+/// applied. The marker is a record without an entry, like a tombstone. It has a revision like
+/// any edit, so it is replicated and is repaired in a store restored from an older copy.
 ///
 /// # Panics
-/// Never: an id is a name.
+/// Never: an edit id is valid in a name.
 #[must_use]
 pub fn void_name(id: EditId) -> EntryName {
-    EntryName::new(&format!("{VOID}{id}")).expect("hexadecimal digits are a name")
+    EntryName::new(&format!("{VOID_PREFIX}{id}")).expect("hexadecimal digits are a name")
 }
 
-/// Whether a name is that of such a marker.
+/// Whether a name is that of a void marker.
 #[must_use]
 pub fn is_void(name: &EntryName) -> bool {
-    name.as_str().starts_with(VOID)
+    name.as_str().starts_with(VOID_PREFIX)
 }
 
-/// One edit of the sequence.
+/// One edit in the catalogue's sequence of edits.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// The revision that it made.
+    /// The revision that the edit made.
     pub revision: Revision,
-    /// The entry.
+    /// Name of the entry edited.
     pub name: EntryName,
-    /// Its id.
+    /// Id of the edit.
     pub edit_id: EditId,
 }
 
-/// What the head's key holds.
+/// The value of the head's key: the catalogue's revision and latest edits.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// The latest edit's revision.
+    /// Revision of the latest edit.
     pub revision: Revision,
     /// The latest edits, latest first, at most [`RECENT_LENGTH`].
     #[serde(default)]
@@ -54,7 +54,7 @@
 }
 
 impl Head {
-    /// The head after one more edit.
+    /// Returns the head after one more edit.
     #[must_use]
     pub fn after(&self, change: Change) -> Self {
         let revision = change.revision;
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Edits after a revision, if the head still names them all.
+    /// Returns the edits after a revision, if the head still lists all of them.
     #[must_use]
     pub fn since(&self, revision: Revision) -> Option<&[Change]> {
         let count = usize::try_from(self.revision.0.checked_sub(revision.0)?).ok()?;
@@ -73,16 +73,16 @@
     }
 }
 
-/// The head as read, with its last write in the store.
+/// The head as read from the store, with its mod revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ReadHead {
-    /// Its content; the default when the key is absent.
+    /// The head; the default when the key is absent.
     pub head: Head,
-    /// Its last write; 0 when absent.
-    pub at: ModRevision,
+    /// Store revision of the head's last write; 0 when the key is absent.
+    pub mod_revision: ModRevision,
 }
 
-/// A value in the store that cannot be read.
+/// The head in the store cannot be read.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("the store's {key} cannot be read: {message}; restore it or remove the catalogue")]
 pub struct HeadError {
@@ -91,10 +91,10 @@
 }
 
 impl ReadHead {
-    /// From a range of the head's key.
+    /// Parses the result of a range over the head's key.
     ///
     /// # Errors
-    /// When the value is no head.
+    /// When the value is not a head.
     pub fn from_range(found: &[KeyValue]) -> Result<Self, HeadError> {
         let Some(pair) = found.first() else {
             return Ok(Self::default());
@@ -103,19 +103,19 @@
             key: pair.key.clone(),
             message: e.to_string(),
         })?;
-        let at = pair.mod_revision;
-        Ok(Self { head, at })
+        let mod_revision = pair.mod_revision;
+        Ok(Self { head, mod_revision })
     }
 }
 
-/// Keys of one fleet's catalogue.
+/// The keys of one fleet's catalogue in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Keys {
     prefix: String,
 }
 
 impl Keys {
-    /// Of a fleet.
+    /// Creates the keys for the fleet with this name.
     #[must_use]
     pub fn new(cluster: &ClusterName) -> Self {
         Self {
@@ -123,38 +123,38 @@
         }
     }
 
-    /// Prefix of all keys of the catalogue.
+    /// Returns the prefix of all keys of the catalogue.
     #[must_use]
     pub fn all(&self) -> &str {
         &self.prefix
     }
 
-    /// The head's key.
+    /// Returns the head's key.
     #[must_use]
     pub fn head(&self) -> String {
         format!("{}head", self.prefix)
     }
 
-    /// Prefix of the entries' keys.
+    /// Returns the prefix of the entries' keys.
     #[must_use]
     pub fn entries(&self) -> String {
         format!("{}entries/", self.prefix)
     }
 
-    /// An entry's key.
+    /// Returns an entry's key.
     #[must_use]
     pub fn entry(&self, name: &EntryName) -> String {
         format!("{}entries/{name}", self.prefix)
     }
 
-    /// The entry that a key is of.
+    /// Returns the name of the entry stored under a key, if it is an entry's key.
     #[must_use]
     pub fn name_of(&self, key: &str) -> Option<EntryName> {
         let rest = key.strip_prefix(&self.prefix)?;
         rest.strip_prefix("entries/")?.parse().ok()
     }
 
-    /// Reads the head and entries at one moment.
+    /// Builds a transaction that reads the head and some entries at one store revision.
     #[must_use]
     pub fn read<'a>(&self, names: impl IntoIterator<Item = &'a EntryName>) -> Txn {
         Txn {
@@ -163,7 +163,7 @@
         }
     }
 
-    /// The steps of [`Keys::read`].
+    /// Builds the operations of [`Keys::read`].
     #[must_use]
     pub fn read_ops<'a>(&self, names: impl IntoIterator<Item = &'a EntryName>) -> Vec<Op> {
         let head = std::iter::once(self.head());
@@ -171,13 +171,13 @@
         keys.map(|key| Op::Range(Range::key(key))).collect()
     }
 
-    /// Holds while the head's last write is this one.
+    /// Builds the precondition that the head's mod revision is still this one.
     #[must_use]
-    pub fn compare_head(&self, at: ModRevision) -> Compare {
-        Compare::ModRevision(self.head(), at)
+    pub fn compare_head(&self, mod_revision: ModRevision) -> Compare {
+        Compare::ModRevision(self.head(), mod_revision)
     }
 
-    /// Writes the head.
+    /// Builds the operation that writes the head.
     #[must_use]
     pub fn put_head(&self, head: &Head) -> Op {
         let json = serde_json::to_vec(head).unwrap_or_default();
@@ -188,7 +188,7 @@
         })
     }
 
-    /// Writes an entry's record.
+    /// Builds the operation that writes an entry's record.
     #[must_use]
     pub fn put_entry(&self, name: &EntryName, json: Bytes) -> Op {
         Op::Put(Put {
--- a/components/catalogue/src/record.rs
+++ b/components/catalogue/src/record.rs
@@ -1,4 +1,4 @@
-//! Records: what the store keeps of an entry and what daemons exchange.
+//! Records: the form in which the store keeps entries and daemons exchange them.
 
 use std::sync::Arc;
 
@@ -11,73 +11,73 @@
 
 pub use crate::table::Catalogue;
 
-/// Past edits kept with a record.
+/// Largest number of past edits kept with a record.
 pub const HISTORY_LENGTH: usize = 16;
 
-/// The latest edit of one entry.
+/// The latest edit of an entry, with the entry as it left it and a history.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     /// The catalogue's revision that this edit made.
     pub revision: Revision,
-    /// Tells one's own write from another's.
+    /// Id of the edit, by which a daemon recognizes its own write.
     pub edit_id: EditId,
-    /// Who made it.
+    /// The operator who made the edit.
     pub author: OperatorName,
-    /// When, by the clock of the daemon that took it.
+    /// Time of the edit by the clock of the daemon that accepted it.
     pub at: WallTime,
-    /// The entry, or nothing once removed. A removed entry's record stays as a marker.
+    /// The entry; nothing once it is removed. The record then remains as a tombstone.
     pub entry: Option<Arc<Entry>>,
     /// Earlier edits, latest first, at most [`HISTORY_LENGTH`].
     #[serde(default)]
     pub history: Vec<PastEdit>,
 }
 
-/// An earlier edit of an entry.
+/// An edit of an entry that a later one replaced.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PastEdit {
-    /// The catalogue's revision that it made.
+    /// The catalogue's revision that this edit made.
     pub revision: Revision,
-    /// Its id.
+    /// Id of the edit.
     pub edit_id: EditId,
-    /// Who made it.
+    /// The operator who made the edit.
     pub author: OperatorName,
-    /// When.
+    /// Time of the edit by the clock of the daemon that accepted it.
     pub at: WallTime,
 }
 
-/// Why bytes are no record.
+/// Why bytes cannot be read as a record.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// Not even the revision can be read.
+    /// Not even the record's revision can be read.
     #[error("{name}: no record: {message}")]
     Malformed {
-        /// The entry.
+        /// Name of the entry.
         name: EntryName,
-        /// What the parser says.
+        /// The parser's error message.
         message: String,
     },
-    /// Longer than the store takes.
+    /// The record exceeds [`MAX_ENTRY_SIZE`].
     #[error("{name}: {size} bytes, at most {MAX_ENTRY_SIZE} are allowed")]
     TooLong {
-        /// The entry.
+        /// Name of the entry.
         name: EntryName,
-        /// Its size in bytes.
+        /// Size of the record in bytes.
         size: usize,
     },
 }
 
 impl Record {
-    /// What outranks what: the higher revision, and between two of the same revision
-    /// (only a store restored from an old copy makes these) the higher edit id, so
-    /// that all daemons choose the same.
+    /// Returns the rank by which records of an entry replace each other: the higher revision
+    /// wins, and between equal revisions (which only a store restored from an old copy causes)
+    /// the higher edit id, so that all daemons choose the same record.
     #[must_use]
     pub fn rank(&self) -> (Revision, EditId) {
         (self.revision, self.edit_id)
     }
 
-    /// The history of the edit that follows this one.
+    /// Returns the history for the record of the entry's next edit.
     #[must_use]
-    pub fn history_of_next(&self) -> Vec<PastEdit> {
+    pub fn next_history(&self) -> Vec<PastEdit> {
         let own = PastEdit {
             revision: self.revision,
             edit_id: self.edit_id,
@@ -88,7 +88,7 @@
         all.take(HISTORY_LENGTH).collect()
     }
 
-    /// The revision that an edit made, if this record remembers it.
+    /// Returns the revision that an edit made, if this record lists the edit.
     #[must_use]
     pub fn revision_of(&self, id: EditId) -> Option<Revision> {
         if self.edit_id == id {
@@ -98,39 +98,39 @@
         past.map(|past| past.revision)
     }
 
-    /// As the store keeps it.
+    /// Encodes the record as the store keeps it.
     ///
     /// # Panics
-    /// Never: every entry has a form in JSON.
+    /// Never: every entry can be written as JSON.
     #[must_use]
     pub fn to_json(&self) -> Bytes {
         Bytes::from(serde_json::to_vec(self).unwrap_or_default())
     }
 }
 
-/// A record as it travels: the store's bytes, so that a daemon passes on unchanged
-/// what a newer release wrote and this one cannot read.
+/// A record as it is sent between daemons. It contains the store's bytes, so that a daemon
+/// forwards unchanged what a newer release wrote and this one cannot read.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WireRecord {
-    /// The entry.
+    /// Name of the entry.
     pub name: EntryName,
-    /// The record in JSON.
+    /// The record as JSON.
     pub json: Bytes,
 }
 
-/// A record with the bytes that it came from.
+/// A record with the bytes that it was read from or is written as.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Held {
-    /// The record; without its entry when that cannot be read.
+    /// The record, without its entry if that cannot be read.
     pub record: Arc<Record>,
-    /// The record in JSON.
+    /// The record as JSON.
     pub json: Bytes,
-    /// Why the entry cannot be read.
+    /// Why the entry cannot be read; nothing if it can.
     pub unreadable: Option<String>,
 }
 
 impl Held {
-    /// From a record made here.
+    /// Encodes a record made by this daemon.
     #[must_use]
     pub fn new(record: Arc<Record>) -> Self {
         let json = record.to_json();
@@ -141,14 +141,14 @@
         }
     }
 
-    /// True for the marker of a removed entry.
+    /// Whether this is the tombstone of a removed entry.
     #[must_use]
-    pub fn is_marker(&self) -> bool {
+    pub fn is_tombstone(&self) -> bool {
         self.record.entry.is_none() && self.unreadable.is_none()
     }
 }
 
-/// A record whose entry is not looked at.
+/// A record without its entry, to read at least the revision of one from another release.
 #[derive(Deserialize)]
 struct Envelope {
     revision: Revision,
@@ -160,18 +160,18 @@
 }
 
 impl WireRecord {
-    /// Its bytes in a message.
+    /// Returns the record's size in a message, in bytes; the encoding of lengths is estimated.
     #[must_use]
     pub fn size(&self) -> usize {
         const LENGTHS: usize = 16;
         self.name.as_str().len() + self.json.len() + LENGTHS
     }
 
-    /// Reads the record. An entry that this release cannot read keeps its revision, so
+    /// Parses the record. A record whose entry this release cannot read keeps its revision, so
     /// that it still outranks older copies.
     ///
     /// # Errors
-    /// When the revision cannot be read either, or the size is past the bound.
+    /// When the revision cannot be read either, or the record exceeds [`MAX_ENTRY_SIZE`].
     pub fn parse(&self) -> Result<Held, RecordError> {
         let size = self.json.len();
         if size > MAX_ENTRY_SIZE.as_usize() {
--- a/components/catalogue/src/sync.rs
+++ b/components/catalogue/src/sync.rs
@@ -1,11 +1,12 @@
-//! How the catalogue spreads between daemons and from the store.
+//! Replication of the catalogue between daemons and from the store.
 //!
-//! A few daemons per failure domain watch the store; a change is announced to a few
-//! random peers at once, each of which asks for what it lacks and announces in turn.
-//! Besides, every daemon asks a few random peers each second how far they are and how
-//! fresh, which repairs what announcements missed. Revisions are dense, so a gap shows.
+//! A few daemons per failure domain watch the store. A daemon that reaches a new revision
+//! announces it at once to a few random peers, which request what they lack and announce
+//! in turn (gossip). In addition, every daemon asks a few random peers each second for
+//! their revision, digest and freshness (anti-entropy), which repairs what announcements
+//! missed. Revisions are dense, so a missing one is detected.
 //!
-//! [`Sync`] is pure: messages, the store's replies and ticks go in, [`Effect`]s come out.
+//! [`Sync`] does no I/O: messages, store replies and ticks go in, [`Effect`]s come out.
 
 mod contact;
 mod freshness;
@@ -24,46 +25,46 @@
 
 use crate::head::Keys;
 use crate::record::{Catalogue, Held};
-use crate::sync::contact::Touch;
+use crate::sync::contact::Contact;
 use crate::sync::freshness::FleetSize;
 use crate::sync::source::Source;
 use crate::sync::transfer::Transfer;
 
 pub use crate::sync::freshness::{Decision, Reach, decide};
 pub use crate::sync::message::{MAX_MESSAGE_SIZE, MAX_PAGE_RECORDS, Message, MessageError};
-pub use crate::sync::report::{Heard, InForce, Laggard};
+pub use crate::sync::report::{Laggard, Propagation, Report};
 pub use crate::sync::watchers::watchers;
 
-/// Most daemons whose reports are kept.
+/// Largest number of daemons whose reports are kept.
 pub const MAX_HEARD: usize = 2048;
 
-/// How eagerly a daemon spreads and checks.
+/// Fan-out, intervals and timeouts of replication.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// This daemon.
+    /// Name of this daemon.
     pub me: DaemonId,
     /// The fleet's keys in the store.
     pub keys: Keys,
     /// Daemons per failure domain that watch the store.
     pub watchers_per_domain: usize,
-    /// Peers told at once of a new revision.
+    /// Random peers to which a new revision is announced.
     pub fanout: usize,
-    /// Peers asked each time.
-    pub asked: usize,
-    /// Time between two rounds of asking.
-    pub ask_interval: Span,
+    /// Random peers asked in each anti-entropy round.
+    pub peers_per_round: usize,
+    /// Time between two anti-entropy rounds.
+    pub round_interval: Span,
     /// Time between two reads of the head by a watcher.
     pub poll_interval: Span,
-    /// A page or a reply of the store is due within.
-    pub patience: Span,
-    /// Bytes of records in a page, unless one record is longer.
-    pub page: ByteSize,
-    /// A report counts as reaching a daemon for so long.
-    pub reach: Span,
+    /// Timeout for the next page of a transfer.
+    pub page_timeout: Span,
+    /// Bytes after which a page takes no further records; it may exceed this by one record.
+    pub page_size: ByteSize,
+    /// How long a store answer counts as recent when the reachable part is assessed.
+    pub reach_window: Span,
 }
 
 impl Config {
-    /// The defaults for a daemon of a fleet.
+    /// Returns the default configuration for this daemon of a fleet.
     #[must_use]
     pub fn new(me: DaemonId, cluster: &ClusterName) -> Self {
         Self {
@@ -71,71 +72,71 @@
             keys: Keys::new(cluster),
             watchers_per_domain: 2,
             fanout: 3,
-            asked: 2,
-            ask_interval: Span::from_secs(1),
+            peers_per_round: 2,
+            round_interval: Span::from_secs(1),
             poll_interval: Span::from_secs(2),
-            patience: Span::from_secs(3),
-            page: ByteSize(32 << 10),
-            reach: Span::from_secs(30),
+            page_timeout: Span::from_secs(3),
+            page_size: ByteSize(32 << 10),
+            reach_window: Span::from_secs(30),
         }
     }
 }
 
-/// A live daemon as the membership tells.
+/// A live daemon according to the membership.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Member {
-    /// Its name.
+    /// The daemon's name.
     pub id: DaemonId,
-    /// Where it stands.
+    /// The failure domain that it runs in.
     pub failure_domain: FailureDomain,
 }
 
-/// What the caller does for [`Sync`].
+/// An action that [`Sync`] asks its caller to perform.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// Send to a daemon; may be lost.
+    /// Send a message to a daemon; it may be lost.
     Send {
-        /// To whom.
+        /// The recipient.
         to: DaemonId,
-        /// What.
+        /// The message to encode and send.
         message: Message,
     },
-    /// Call the store and bring back the outcome. One at a time.
+    /// Call the store and pass the outcome to [`Sync::on_store`]. One call is in flight at a time.
     Store(Request),
-    /// Begin to watch the catalogue's keys, from now on.
+    /// Start watching the catalogue's keys from the store's current revision.
     Watch,
-    /// Stop watching.
+    /// Stop watching the catalogue's keys.
     StopWatch,
-    /// The catalogue changed; it is complete up to this revision.
+    /// The catalogue changed and holds every edit up to this revision.
     Applied(Revision),
 }
 
-/// One daemon's part in spreading the catalogue.
+/// The replication state of one daemon.
 #[derive(Debug)]
 pub struct Sync {
     cfg: Config,
     catalogue: Catalogue,
     members: Vec<Member>,
-    heard: BTreeMap<DaemonId, Heard>,
-    /// The moment of which the catalogue was last known to be current.
-    confirmed: Option<Time>,
-    touch: Touch,
-    /// The moment of which the store was last known to answer some daemon.
-    store_answered: Option<Time>,
+    reports: BTreeMap<DaemonId, Report>,
+    /// The latest time as of which the catalogue is known to have been current.
+    validated_at: Option<Time>,
+    contact: Contact,
+    /// The latest time at which the store is known to have answered any daemon.
+    store_answered_at: Option<Time>,
     fleet: FleetSize,
     transfer: Option<Transfer>,
     source: Source,
     watching: bool,
     next_ask: Time,
-    /// Peers in a row that had other records at the same revision.
+    /// Consecutive summaries with this daemon's revision but another digest.
     mismatches: u32,
-    next_compare: Time,
-    /// Someone waits until this revision is in force everywhere.
-    awaited: Option<(Revision, Time)>,
+    next_whole_transfer: Time,
+    /// The revision that a caller waits to see in force everywhere, and until when.
+    awaited_revision: Option<(Revision, Time)>,
 }
 
 impl Sync {
-    /// Without a catalogue: such a daemon serves nothing.
+    /// Creates the state with an empty catalogue; until one arrives, every entry is refused.
     #[must_use]
     pub fn new(cfg: Config) -> Self {
         let source = Source::new(cfg.keys.clone());
@@ -143,61 +144,63 @@
             cfg,
             catalogue: Catalogue::default(),
             members: Vec::new(),
-            heard: BTreeMap::new(),
-            confirmed: None,
-            touch: Touch::default(),
-            store_answered: None,
+            reports: BTreeMap::new(),
+            validated_at: None,
+            contact: Contact::default(),
+            store_answered_at: None,
             fleet: FleetSize::default(),
             transfer: None,
             source,
             watching: false,
             next_ask: Time::ZERO,
             mismatches: 0,
-            next_compare: Time::ZERO,
-            awaited: None,
+            next_whole_transfer: Time::ZERO,
+            awaited_revision: None,
         }
     }
 
-    /// The catalogue held.
+    /// Returns the catalogue that this daemon holds.
     #[must_use]
     pub fn catalogue(&self) -> &Catalogue {
         &self.catalogue
     }
 
-    /// The highest revision that any daemon told of.
+    /// Returns the highest revision that any daemon has reported, this one included.
     #[must_use]
     pub fn fleet_revision(&self) -> Revision {
-        let heard = self.heard.values().map(|heard| heard.revision).max();
-        heard.unwrap_or_default().max(self.catalogue.highest())
+        let reported = self.reports.values().map(|report| report.revision).max();
+        reported
+            .unwrap_or_default()
+            .max(self.catalogue.highest_revision())
     }
 
-    /// True while this daemon is one of the store's watchers.
+    /// Whether this daemon is one of those that watch the store.
     #[must_use]
     pub fn is_watching(&self) -> bool {
         self.watching
     }
 
-    /// Does what is due. `members` are the live daemons, this one included.
+    /// Performs the work that is due. `members` are the live daemons, this one included.
     pub fn tick(&mut self, now: Time, members: &[Member], rng: &mut impl Rng) -> Vec<Effect> {
         let mut effects = Vec::new();
-        self.touch.begin(now);
+        self.contact.start(now);
         if self.members != members {
-            self.meet(now, members, &mut effects);
+            self.ask_new_members(now, members, &mut effects);
             self.members = members.to_vec();
-            self.choose_watching(&mut effects);
-            self.forget_silent(now);
+            self.update_watching(&mut effects);
+            self.drop_stale_reports(now);
         }
-        self.note_fleet_size(now);
+        self.update_fleet_size(now);
         self.tick_transfer(now);
         if now.has_reached(self.next_ask) {
-            self.next_ask = now + self.cfg.ask_interval;
+            self.next_ask = now + self.cfg.round_interval;
             self.ask_peers(now, rng, &mut effects);
         }
         self.tick_source(now, rng, &mut effects);
         effects
     }
 
-    /// Takes a message of a peer that is known to be of this fleet.
+    /// Handles a message from a peer already authenticated as a member of this fleet.
     pub fn on_message(
         &mut self,
         now: Time,
@@ -207,33 +210,33 @@
     ) -> Vec<Effect> {
         let mut effects = Vec::new();
         match message {
-            Message::Ask { told, token } => {
-                self.hear(now, from, &told);
-                let reply = self.tell(now, token);
+            Message::SummaryRequest { summary, asked_at } => {
+                self.note_summary(now, from, &summary);
+                let reply = self.summary_reply(now, asked_at);
                 effects.push(send(from, reply));
-                self.want_newer(now, from, &told, &mut effects);
+                self.request_if_newer(now, from, &summary, &mut effects);
             }
-            Message::Tell {
-                told,
+            Message::SummaryReply {
+                summary,
                 age,
                 store_age,
-                settled,
+                established,
                 fleet,
-                token,
+                asked_at,
             } => {
-                self.hear(now, from, &told);
-                self.touch.note_answer(now, from, token, settled);
-                self.note_store(now, store_age, token);
-                self.note_fleet(now, fleet, token);
-                self.confirm(now, &told, age, token);
-                self.compare_whole(now, from, &told, &mut effects);
-                self.want_newer(now, from, &told, &mut effects);
+                self.note_summary(now, from, &summary);
+                self.contact.note_reply(now, from, asked_at, established);
+                self.note_store_answer(now, store_age, asked_at);
+                self.adopt_fleet_size(now, fleet, asked_at);
+                self.mark_validated(now, &summary, age, asked_at);
+                self.repair_from_peer(now, from, &summary, &mut effects);
+                self.request_if_newer(now, from, &summary, &mut effects);
             }
-            Message::Announce { told } => {
-                self.hear(now, from, &told);
-                self.want_newer(now, from, &told, &mut effects);
+            Message::Announcement { summary } => {
+                self.note_summary(now, from, &summary);
+                self.request_if_newer(now, from, &summary, &mut effects);
             }
-            Message::Want { after, cursor } => {
+            Message::PageRequest { after, cursor } => {
                 effects.push(send(from, self.page(after, cursor)));
             }
             Message::Page(page) => self.on_page(now, from, page, rng, &mut effects),
@@ -241,14 +244,14 @@
         effects
     }
 
-    /// Takes records that came by another way, such as those an edit read or wrote.
+    /// Applies records from outside replication, such as those that an edit read or wrote.
     pub fn learn(&mut self, records: Vec<(EntryName, Held)>, rng: &mut impl Rng) -> Vec<Effect> {
         let mut effects = Vec::new();
         self.apply(records, None, rng, &mut effects);
         effects
     }
 
-    /// Applies records and tells of a new revision.
+    /// Applies records and announces a new revision.
     fn apply(
         &mut self,
         records: Vec<(EntryName, Held)>,
@@ -259,7 +262,8 @@
         let before = self.catalogue.revision();
         let changed = self.catalogue.apply_all(records, complete_to);
         let revision = self.catalogue.revision();
-        self.source.confirm(revision, &mut self.confirmed);
+        self.source
+            .apply_pending_validation(revision, &mut self.validated_at);
         if changed || revision != before {
             effects.push(Effect::Applied(revision));
         }
@@ -268,22 +272,22 @@
         }
     }
 
-    /// Tells a few random peers at once.
+    /// Announces this daemon's revision to a few random peers.
     fn announce(&mut self, rng: &mut impl Rng, effects: &mut Vec<Effect>) {
-        let told = self.told();
+        let summary = self.summary();
         for peer in self.random_peers(self.cfg.fanout, rng) {
-            effects.push(send(&peer, Message::Announce { told }));
+            effects.push(send(&peer, Message::Announcement { summary }));
         }
     }
 
     fn ask_peers(&mut self, now: Time, rng: &mut impl Rng, effects: &mut Vec<Effect>) {
-        let mut peers = self.random_peers(self.cfg.asked, rng);
-        peers.extend(self.awaited_laggards(now));
+        let mut peers = self.random_peers(self.cfg.peers_per_round, rng);
+        peers.extend(self.laggards_to_ask(now));
         peers.sort();
         peers.dedup();
-        let (told, token) = (self.told(), now);
+        let (summary, asked_at) = (self.summary(), now);
         for peer in peers {
-            effects.push(send(&peer, Message::Ask { told, token }));
+            effects.push(send(&peer, Message::SummaryRequest { summary, asked_at }));
         }
     }
 
@@ -301,8 +305,8 @@
         chosen
     }
 
-    fn told(&self) -> message::Told {
-        message::Told {
+    fn summary(&self) -> message::Summary {
+        message::Summary {
             revision: self.catalogue.revision(),
             digest: self.catalogue.digest(),
         }
--- a/components/catalogue/src/sync/contact.rs
+++ b/components/catalogue/src/sync/contact.rs
@@ -1,131 +1,144 @@
-//! Whether this daemon knows how far the fleet is.
+//! Whether this daemon knows the fleet's current revision.
 //!
-//! A store restored from an old copy looks like any other to a daemon that was paused,
-//! cut off or started just now. So edits and questions are decided only by a daemon
-//! that has answers of others, and after it met many at once, of those too. Only such
-//! answers count whose sender has been there for a while and is in touch itself: one that
-//! has just started, or just goes on after a pause, knows no more than the asker.
+//! A daemon that has just started, was paused or was partitioned off cannot tell a store
+//! restored from an old copy from an up-to-date one. It therefore decides edits and queries
+//! only with recent replies from peers, and after many new members appeared at once, also
+//! with replies from these. Only replies from established peers count, which have been running
+//! for a while and have recent replies themselves: a peer that has just started or resumed
+//! after a pause knows no more than the daemon that asks.
 
 use std::collections::BTreeSet;
 
 use types::prelude::*;
 
-use crate::edit::Known;
+use crate::edit::EditContext;
 use crate::sync::{Effect, Member, Message, Sync, send};
 
-/// Answers that count as being in touch, and for how long.
-const ANSWERS: usize = 2;
-const TOUCH: Span = Span::from_secs(5);
+/// Recent replies that a daemon needs to be in contact with the fleet.
+const REQUIRED_REPLIES: usize = 2;
 
-/// A daemon has heard how far the fleet is so long after its start.
-const SETTLE: Span = Span::from_secs(3);
+/// How long a reply counts after the request was sent.
+const REPLY_LIFETIME: Span = Span::from_secs(5);
 
-/// Newcomers asked at once, and the longest wait for half of them.
-const MAX_NEWCOMERS: usize = 64;
-const NEWCOMERS_PATIENCE: Span = Span::from_secs(3);
+/// Least time after the start until a daemon's replies count: by then it has heard the
+/// fleet's revision.
+const MIN_UPTIME: Span = Span::from_secs(3);
 
-/// Moments of the latest questions that were answered.
+/// Largest number of new members asked at once.
+const MAX_NEW_MEMBERS: usize = 64;
+
+/// Longest wait until half of the new members asked have replied.
+const NEW_MEMBERS_TIMEOUT: Span = Span::from_secs(3);
+
+/// Send times of the requests that were answered last.
 #[derive(Debug, Default)]
-struct Answers([Option<Time>; ANSWERS]);
+struct Replies([Option<Time>; REQUIRED_REPLIES]);
 
-impl Answers {
-    fn note(&mut self, token: Time) {
+impl Replies {
+    fn record(&mut self, asked_at: Time) {
         self.0.rotate_left(1);
-        self.0[ANSWERS - 1] = Some(token);
+        self.0[REQUIRED_REPLIES - 1] = Some(asked_at);
     }
 
-    fn suffice(&self, now: Time, others: usize) -> bool {
+    fn are_sufficient(&self, now: Time, others: usize) -> bool {
         let fresh = self
             .0
             .iter()
             .flatten()
-            .filter(|at| now.since(**at) <= TOUCH);
-        fresh.count() >= others.min(ANSWERS)
+            .filter(|at| now.since(**at) <= REPLY_LIFETIME);
+        fresh.count() >= others.min(REQUIRED_REPLIES)
     }
 }
 
-/// Who answered lately.
+/// Recent replies from peers.
 #[derive(Debug, Default)]
-pub(super) struct Touch {
+pub(super) struct Contact {
     started: Option<Time>,
-    /// Moments of the questions that were answered last.
-    answers: Answers,
-    /// The same, by those that are settled.
-    settled: Answers,
-    /// Newcomers that were asked and have not answered.
-    newcomers: BTreeSet<DaemonId>,
-    /// So many may be missing.
-    enough: usize,
-    until: Time,
+    /// Replies from any peer.
+    replies: Replies,
+    /// Replies from established peers only.
+    established: Replies,
+    /// New members that were asked and have not replied.
+    new_members: BTreeSet<DaemonId>,
+    /// Largest number of `new_members` still missing with which edits are decided.
+    max_missing: usize,
+    /// When replies of `new_members` are no longer waited for.
+    new_members_deadline: Time,
 }
 
-impl Touch {
-    pub(super) fn note_answer(
+impl Contact {
+    pub(super) fn note_reply(
         &mut self,
         now: Time,
         from: &DaemonId,
-        token: Time,
-        is_settled: bool,
+        asked_at: Time,
+        is_established: bool,
     ) {
-        self.newcomers.remove(from);
-        if token > now {
+        self.new_members.remove(from);
+        if asked_at > now {
             return;
         }
-        self.answers.note(token);
-        if is_settled {
-            self.settled.note(token);
+        self.replies.record(asked_at);
+        if is_established {
+            self.established.record(asked_at);
         }
     }
 
-    pub(super) fn begin(&mut self, now: Time) {
+    pub(super) fn start(&mut self, now: Time) {
         self.started.get_or_insert(now);
     }
 
-    fn holds(&self, now: Time, others: usize) -> bool {
-        let met = self.newcomers.len() <= self.enough || now.has_reached(self.until);
-        met && self.settled.suffice(now, others)
+    fn is_current(&self, now: Time, others: usize) -> bool {
+        let new_members_heard = self.new_members.len() <= self.max_missing
+            || now.has_reached(self.new_members_deadline);
+        new_members_heard && self.established.are_sufficient(now, others)
     }
 
-    fn is_settled(&self, now: Time, others: usize) -> bool {
-        let is_old = self.started.is_some_and(|at| now.since(at) >= SETTLE);
-        is_old && self.answers.suffice(now, others)
+    fn is_established(&self, now: Time, others: usize) -> bool {
+        let is_past_start = self.started.is_some_and(|at| now.since(at) >= MIN_UPTIME);
+        is_past_start && self.replies.are_sufficient(now, others)
     }
 }
 
 impl Sync {
-    /// Whether this daemon's answers count for others.
-    pub(super) fn is_settled(&self, now: Time) -> bool {
+    /// Whether this daemon's replies count for others as those of an established peer.
+    pub(super) fn is_established(&self, now: Time) -> bool {
         let others = self.members.len().saturating_sub(1);
-        self.touch.is_settled(now, others)
+        self.contact.is_established(now, others)
     }
 
-    /// What an edit or a question needs to know here and now.
+    /// Returns what edits and queries of this daemon are decided by now.
     #[must_use]
-    pub fn known(&self, now: Time) -> Known<'_> {
+    pub fn known(&self, now: Time) -> EditContext<'_> {
         let others = self.members.len().saturating_sub(1);
-        let in_touch = self.touch.holds(now, others);
-        Known {
+        let is_in_contact = self.contact.is_current(now, others);
+        EditContext {
             catalogue: &self.catalogue,
-            fleet: in_touch.then(|| self.fleet_revision()),
+            fleet: is_in_contact.then(|| self.fleet_revision()),
         }
     }
 
-    /// Asks members that were not there before: a region that was cut off and is back
-    /// may know more than all that were heard until now.
-    pub(super) fn meet(&mut self, now: Time, members: &[Member], effects: &mut Vec<Effect>) {
+    /// Asks members that were absent before for their summaries: a region that rejoins after
+    /// a partition may hold later revisions than every daemon heard so far.
+    pub(super) fn ask_new_members(
+        &mut self,
+        now: Time,
+        members: &[Member],
+        effects: &mut Vec<Effect>,
+    ) {
         let known: BTreeSet<&DaemonId> = self.members.iter().map(|member| &member.id).collect();
-        let met = members.iter().map(|member| &member.id);
-        let met = met.filter(|id| !known.contains(id) && **id != self.cfg.me);
-        let met: Vec<DaemonId> = met.take(MAX_NEWCOMERS).cloned().collect();
-        if met.is_empty() {
+        let new_members = members.iter().map(|member| &member.id);
+        let new_members = new_members.filter(|id| !known.contains(id) && **id != self.cfg.me);
+        let new_members: Vec<DaemonId> = new_members.take(MAX_NEW_MEMBERS).cloned().collect();
+        if new_members.is_empty() {
             return;
         }
-        let (told, token) = (self.told(), now);
-        for peer in &met {
-            effects.push(send(peer, Message::Ask { told, token }));
+        let (summary, asked_at) = (self.summary(), now);
+        for peer in &new_members {
+            effects.push(send(peer, Message::SummaryRequest { summary, asked_at }));
         }
-        self.touch.enough = met.len() / 2;
-        self.touch.newcomers = met.into_iter().collect();
-        self.touch.until = now + NEWCOMERS_PATIENCE;
+        self.contact.max_missing = new_members.len() / 2;
+        self.contact.new_members = new_members.into_iter().collect();
+        self.contact.new_members_deadline = now + NEW_MEMBERS_TIMEOUT;
     }
 }
--- a/components/catalogue/src/sync/freshness.rs
+++ b/components/catalogue/src/sync/freshness.rs
@@ -1,95 +1,96 @@
-//! How old the catalogue may be, and what an entry does past its limit.
+//! Staleness of the catalogue and what follows for entries past their freshness limit.
 //!
-//! No two hosts' clocks are compared. An age travels only as the answer to a daemon's
-//! own question and counts from the moment of the question, by the asker's clock. So a
-//! message that waited in a queue, or for a paused process, can only look older than
-//! it is, never fresher.
+//! The clocks of two hosts are never compared. An age is sent only in reply to a request
+//! and is subtracted from the time of the request by the requester's clock. A reply that
+//! waited in a queue, or for a paused process, can therefore make the catalogue look older
+//! than it is, never fresher.
 
 use serde::{Deserialize, Serialize};
 use types::prelude::*;
 
 use crate::entry::{Freshness, PastLimit};
-use crate::sync::message::Told;
+use crate::sync::message::Summary;
 use crate::sync::{MAX_HEARD, Message, Sync};
 
-/// What is in reach counts for so long. Guards against a process that was paused and
-/// goes on serving by what it found before.
-const REACH_HOLDS: Span = Span::from_secs(3);
+/// How long a [`Reach`] may be used after it was determined. Without this limit, a process
+/// resumed after a pause would keep serving by what it found before the pause.
+const REACH_LIFETIME: Span = Span::from_secs(3);
 
-/// The store's last answer leads the last confirmation when it is later by more.
-const STORE_LEAD: Span = Span::from_secs(5);
+/// How much later than the catalogue's last validation the store's last answer must be for
+/// the store to count as ahead of this daemon.
+const STORE_LEAD_MARGIN: Span = Span::from_secs(5);
 
-/// A larger fleet is remembered for so long.
+/// How long a larger fleet size is remembered after it was last seen.
 const FLEET_MEMORY: Span = Span::from_secs(600);
 
-/// The largest fleet seen lately.
+/// The largest recent fleet size and when it was seen.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct FleetSize {
     pub(super) size: usize,
     at: Time,
 }
 
-/// The part of the fleet that a daemon is in touch with.
+/// The part of the fleet that a daemon can reach.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reach {
-    /// Daemons of the fleet, as many as were seen lately, this one included.
+    /// Size of the fleet: the largest number of daemons seen recently, this one included.
     pub fleet: usize,
-    /// Daemons that the membership holds for live, this one included.
+    /// Daemons that the membership considers live, this one included.
     pub reached: usize,
-    /// Whether the store answered any of them lately.
+    /// Whether the store answered any of them recently.
     pub touches_store: bool,
-    /// Whether it answered one well after this daemon's catalogue was last current: others
-    /// have newer, and this daemon did not get it.
+    /// Whether the store answered one of them well after this daemon's catalogue was last
+    /// validated: others may hold newer edits that this daemon did not receive.
     pub store_leads: bool,
-    /// When this was found.
+    /// When this was determined, by this daemon's clock.
     pub at: Time,
 }
 
 impl Reach {
-    /// More than half of the fleet is in reach.
+    /// Whether more than half of the fleet can be reached.
     #[must_use]
     pub fn is_majority(self) -> bool {
         self.reached * 2 > self.fleet
     }
 }
 
-/// What an entry does, and why.
+/// Whether requests for an entry are served, and why.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Decision {
-    /// Current until then.
+    /// The catalogue is within the entry's freshness limit.
     InForce {
-        /// The limit's end, by this daemon's clock.
+        /// When the freshness limit ends, by this daemon's clock.
         until: Time,
     },
-    /// Past its limit and served as known, until then.
+    /// The freshness limit has passed; the entry is served as last known.
     ServeKnown {
-        /// When it is to be decided anew, by this daemon's clock.
+        /// When the decision must be made again, by this daemon's clock.
         until: Time,
-        /// Why it may be.
+        /// Why the entry may still be served.
         reason: String,
     },
-    /// Refused as not run.
+    /// Requests are refused without having been run.
     Refuse {
-        /// Why.
+        /// Why requests are refused.
         reason: String,
     },
 }
 
-/// Decides by the entry's rule. `confirmed` is the moment of which the catalogue was
-/// last known to be current.
+/// Applies an entry's freshness rule. `validated_at` is the latest time as of which the
+/// catalogue is known to have been current.
 #[must_use]
-pub fn decide(now: Time, rule: &Freshness, confirmed: Option<Time>, reach: Reach) -> Decision {
-    let until = confirmed.map_or(Time::ZERO, |at| at + rule.limit);
+pub fn decide(now: Time, rule: &Freshness, validated_at: Option<Time>, reach: Reach) -> Decision {
+    let until = validated_at.map_or(Time::ZERO, |at| at + rule.limit);
     if !now.has_reached(until) {
         return Decision::InForce { until };
     }
-    let state = match confirmed {
+    let state = match validated_at {
         Some(at) => format!("the catalogue was last confirmed {} ago", now.since(at)),
         None => "the catalogue was never confirmed since this start".to_owned(),
     };
     let Reach { fleet, reached, .. } = reach;
-    let of = format!("{reached} of {fleet} daemons are in reach");
+    let members_in_reach = format!("{reached} of {fleet} daemons are in reach");
     match rule.past_limit {
         PastLimit::Serve => {
             let reason = format!("{state}; its owner has it served all the same");
@@ -97,21 +98,21 @@
             Decision::ServeKnown { until, reason }
         }
         PastLimit::Refuse => refuse(format!("{state}; its owner has it refused then")),
-        // This daemon may be the one that is cut off while edits go on elsewhere.
-        PastLimit::ServeWithMajority if now.has_reached(reach.at + REACH_HOLDS) => refuse(format!(
-            "{state} and who is in reach was not looked at lately"
-        )),
+        // This daemon may be partitioned from the rest while edits continue elsewhere.
+        PastLimit::ServeWithMajority if now.has_reached(reach.at + REACH_LIFETIME) => refuse(
+            format!("{state} and who is in reach was not looked at lately"),
+        ),
         PastLimit::ServeWithMajority if !reach.is_majority() => {
-            refuse(format!("{state} and only {of}"))
+            refuse(format!("{state} and only {members_in_reach}"))
         }
-        // With the store down for all, its last answer anywhere and the last confirmation
-        // are of about the same moment; where the answer is later, edits may go on.
+        // When the store is unreachable for all daemons, its last answer to any of them and the
+        // last validation are about equally old. A later answer means that edits may continue.
         PastLimit::ServeWithMajority if reach.store_leads => {
             refuse(format!("{state} though the store answers daemons in reach"))
         }
         PastLimit::ServeWithMajority => {
-            let reason = format!("{state}; {of} and none has the store");
-            let until = reach.at + REACH_HOLDS;
+            let reason = format!("{state}; {members_in_reach} and none has the store");
+            let until = reach.at + REACH_LIFETIME;
             Decision::ServeKnown { until, reason }
         }
     }
@@ -122,70 +123,81 @@
 }
 
 impl Sync {
-    /// The moment of which the catalogue was last known to be current.
+    /// Returns the latest time as of which the catalogue is known to have been current.
     #[must_use]
     pub fn confirmed(&self) -> Option<Time> {
-        self.confirmed
+        self.validated_at
     }
 
-    /// What an entry with this rule does.
+    /// Decides whether an entry with this freshness rule is served now.
     #[must_use]
     pub fn decision(&self, now: Time, rule: &Freshness) -> Decision {
         if self.catalogue.revision() == Revision(0) {
             let reason = "no catalogue is held yet".to_owned();
             return Decision::Refuse { reason };
         }
-        decide(now, rule, self.confirmed, self.reach(now))
+        decide(now, rule, self.validated_at, self.reach(now))
     }
 
-    pub(super) fn tell(&self, now: Time, token: Time) -> Message {
-        Message::Tell {
-            told: self.told(),
-            age: self.confirmed.map(|at| now.since(at)),
-            store_age: self.store_answered.map(|at| now.since(at)),
-            settled: self.is_settled(now),
+    /// Builds the reply to a summary request that the asker sent at `asked_at`.
+    pub(super) fn summary_reply(&self, now: Time, asked_at: Time) -> Message {
+        Message::SummaryReply {
+            summary: self.summary(),
+            age: self.validated_at.map(|at| now.since(at)),
+            store_age: self.store_answered_at.map(|at| now.since(at)),
+            established: self.is_established(now),
             fleet: (self.fleet.size, now.since(self.fleet.at)),
-            token,
+            asked_at,
         }
     }
 
-    /// A peer was current `age` before it answered: so is this daemon, counted from its
-    /// own question, if it holds as much.
-    pub(super) fn confirm(&mut self, now: Time, told: &Told, age: Option<Span>, token: Time) {
-        if self.catalogue.revision() >= told.revision {
-            self.confirmed = self.confirmed.max(moment(now, age, token));
+    /// Records that a peer with this summary was current `age` before it replied. Unless it
+    /// lags behind the peer, this daemon was current too, `age` before its own request.
+    pub(super) fn mark_validated(
+        &mut self,
+        now: Time,
+        summary: &Summary,
+        age: Option<Span>,
+        asked_at: Time,
+    ) {
+        if self.catalogue.revision() >= summary.revision {
+            self.validated_at = self
+                .validated_at
+                .max(time_before_request(now, age, asked_at));
         }
     }
 
     pub(super) fn store_leads(&self, now: Time) -> bool {
-        match (self.store_answered, self.confirmed) {
-            (Some(answered), Some(confirmed)) => answered > confirmed + STORE_LEAD,
-            (Some(answered), None) => now.since(answered) <= self.cfg.reach,
+        match (self.store_answered_at, self.validated_at) {
+            (Some(answered), Some(validated_at)) => answered > validated_at + STORE_LEAD_MARGIN,
+            (Some(answered), None) => now.since(answered) <= self.cfg.reach_window,
             (None, _) => false,
         }
     }
 
-    pub(super) fn note_store(&mut self, now: Time, age: Option<Span>, token: Time) {
-        self.store_answered = self.store_answered.max(moment(now, age, token));
+    pub(super) fn note_store_answer(&mut self, now: Time, age: Option<Span>, asked_at: Time) {
+        self.store_answered_at = self
+            .store_answered_at
+            .max(time_before_request(now, age, asked_at));
     }
 
-    /// A daemon that starts inside a part that is cut off learns from others how large
-    /// the fleet was.
-    pub(super) fn note_fleet(&mut self, now: Time, fleet: (usize, Span), token: Time) {
+    /// Adopts a larger fleet size that a peer remembers, so that a daemon which starts inside
+    /// a partition knows how large the fleet was.
+    pub(super) fn adopt_fleet_size(&mut self, now: Time, fleet: (usize, Span), asked_at: Time) {
         let (size, age) = fleet;
         if size > self.fleet.size && size <= MAX_HEARD {
-            let at = moment(now, Some(age), token).unwrap_or(Time::ZERO);
+            let at = time_before_request(now, Some(age), asked_at).unwrap_or(Time::ZERO);
             self.fleet = FleetSize { size, at };
         }
     }
 
-    /// Guards against a daemon that is cut off with a few others and takes them for the
-    /// whole fleet once the membership has declared the rest dead: the size counted
-    /// falls only while the catalogue is fresh, and not at once.
-    pub(super) fn note_fleet_size(&mut self, now: Time) {
+    /// Tracks the fleet size. It shrinks only while the catalogue is fresh and after
+    /// [`FLEET_MEMORY`]. Otherwise a daemon partitioned with a few others would take them for
+    /// the whole fleet once the membership has declared the rest dead.
+    pub(super) fn update_fleet_size(&mut self, now: Time) {
         let size = self.members.len();
-        let patience = self.cfg.poll_interval.times(2);
-        let is_fresh = self.confirmed.is_some_and(|at| now.since(at) <= patience);
+        let max_age = self.cfg.poll_interval.times(2);
+        let is_fresh = self.validated_at.is_some_and(|at| now.since(at) <= max_age);
         let is_old = now.since(self.fleet.at) > FLEET_MEMORY;
         if size >= self.fleet.size || (is_fresh && is_old) {
             self.fleet = FleetSize { size, at: now };
@@ -193,9 +205,9 @@
     }
 }
 
-/// The moment that lies `age` before the question `token`, if it has a name here: not
-/// when it is before this process's start, nor when the question is not this process's.
-fn moment(now: Time, age: Option<Span>, token: Time) -> Option<Time> {
-    let age = age.filter(|age| age.as_micros() <= token.0 && token <= now)?;
-    Some(token - age)
+/// Returns the time `age` before the request sent at `asked_at`. Nothing if that is before
+/// this process's start, or if `asked_at` lies ahead and so is not from this process.
+fn time_before_request(now: Time, age: Option<Span>, asked_at: Time) -> Option<Time> {
+    let age = age.filter(|age| age.as_micros() <= asked_at.0 && asked_at <= now)?;
+    Some(asked_at - age)
 }
--- a/components/catalogue/src/sync/message.rs
+++ b/components/catalogue/src/sync/message.rs
@@ -1,7 +1,7 @@
-//! What daemons say to each other about the catalogue.
+//! Messages between daemons about the catalogue.
 //!
-//! Records travel as the store's bytes inside, so any codec serves, also one that does
-//! not describe itself.
+//! A record is sent as the bytes that the store holds. It therefore needs no self-describing
+//! codec, and the order of fields and variants here is part of the wire format.
 
 use bincode::Options;
 use bytes::Bytes;
@@ -11,83 +11,83 @@
 use crate::check::MAX_ENTRY_SIZE;
 use crate::record::WireRecord;
 
-/// Most records of a page.
+/// Largest number of records in a page.
 pub const MAX_PAGE_RECORDS: usize = 512;
 
-/// Longest message: what the connections between daemons carry.
+/// Longest encoded message that connections between daemons accept.
 pub const MAX_MESSAGE_SIZE: ByteSize = ByteSize(192 << 10);
 
-/// How far a daemon is.
+/// The state of a daemon's catalogue in short, for comparison with another's.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
-    /// The revision up to which it holds every edit; what it has in force.
+pub struct Summary {
+    /// The revision up to which the daemon holds every edit; it is the one in force there.
     pub revision: Revision,
-    /// Same on two daemons that hold the same records.
+    /// Digest of the records held; equal on two daemons that hold the same records.
     pub digest: u128,
 }
 
-/// A message between two daemons.
+/// A message from one daemon to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// How far are you, and how fresh?
-    Ask {
-        /// The asker itself.
-        told: Told,
-        /// The asker's own moment, given back as it is.
-        token: Time,
+    /// Asks for the peer's summary and freshness.
+    SummaryRequest {
+        /// Summary of the sender.
+        summary: Summary,
+        /// Time of the request by the sender's clock; the reply returns it unchanged.
+        asked_at: Time,
     },
-    /// The answer to [`Message::Ask`].
-    Tell {
-        /// The answerer.
-        told: Told,
-        /// How long ago its catalogue was known to be current; nothing if never.
+    /// Replies to a [`Message::SummaryRequest`].
+    SummaryReply {
+        /// Summary of the replying daemon.
+        summary: Summary,
+        /// How long ago its catalogue was last validated as current; nothing if never.
         age: Option<Span>,
-        /// How long ago the store answered it or one it heard of; nothing if never.
+        /// How long ago the store answered it or a daemon that it heard from; nothing if never.
         store_age: Option<Span>,
-        /// Whether the answerer knows how far the fleet is: not so just after its start, or
-        /// when it has no answers of others itself.
-        settled: bool,
-        /// The largest fleet seen lately, and how long ago.
+        /// Whether the replying daemon knows the fleet's revision. It does not just after its
+        /// start, nor without recent replies from others.
+        established: bool,
+        /// The largest recent fleet size, and how long ago it was seen.
         fleet: (usize, Span),
-        /// The asker's moment.
-        token: Time,
+        /// Time of the request by the asker's clock, as in the request.
+        asked_at: Time,
     },
-    /// There is a new revision.
-    Announce {
-        /// The daemon that has it.
-        told: Told,
+    /// Announces a new revision.
+    Announcement {
+        /// Summary of the daemon that holds the new revision.
+        summary: Summary,
     },
-    /// Send what changed.
-    Want {
-        /// Edits after this revision are wanted; 0 for the whole catalogue.
+    /// Requests a page of changed records.
+    PageRequest {
+        /// Revision after which edits are requested; 0 for the whole catalogue.
         after: Revision,
-        /// Records up to this revision were received already.
+        /// Revision up to which records were already received in this transfer.
         cursor: Revision,
     },
-    /// A part of what changed.
+    /// Delivers a page of changed records.
     Page(Page),
 }
 
-/// Records in the order of their revisions.
+/// A page of records in the order of their revisions.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Page {
-    /// As in the request, or 0 when the sender can only send the whole.
+    /// As in the request, or 0 when the sender can only send the whole catalogue.
     pub after: Revision,
-    /// The records.
+    /// The records on this page.
     pub records: Vec<WireRecord>,
-    /// Revision of the last record.
+    /// Revision of the last record, from which the next page continues.
     pub cursor: Revision,
-    /// On the last page: the receiver now holds every edit up to here.
-    pub to: Option<Revision>,
+    /// Only on the last page: the revision up to which the receiver then holds every edit.
+    pub complete_to: Option<Revision>,
 }
 
-/// Why bytes are no message.
+/// The bytes are not a valid message or exceed [`MAX_MESSAGE_SIZE`].
 #[derive(Debug, thiserror::Error)]
 #[error("a message about the catalogue cannot be read: {0}")]
 pub struct MessageError(#[from] bincode::Error);
 
 impl Message {
-    /// As bytes.
+    /// Encodes the message for sending.
     ///
     /// # Errors
     /// Never for messages made here.
@@ -95,10 +95,10 @@
         Ok(bincode::DefaultOptions::new().serialize(self)?.into())
     }
 
-    /// From bytes of a peer.
+    /// Decodes a message received from a peer.
     ///
     /// # Errors
-    /// When they are too many or no message.
+    /// When the bytes exceed [`MAX_MESSAGE_SIZE`] or are not a message.
     pub fn decode(bytes: &[u8]) -> Result<Self, MessageError> {
         let options = bincode::DefaultOptions::new().with_limit(MAX_MESSAGE_SIZE.0);
         Ok(options.deserialize(bytes)?)
@@ -106,11 +106,12 @@
 }
 
 impl Page {
-    /// Whether a received page keeps the bounds; a longer one is dropped unread.
+    /// Whether a received page keeps the bounds on count and bytes; a larger one is dropped
+    /// without parsing its records.
     #[must_use]
-    pub fn is_bounded(&self, page: ByteSize) -> bool {
+    pub fn is_bounded(&self, page_size: ByteSize) -> bool {
         let size: usize = self.records.iter().map(WireRecord::size).sum();
-        let most = page.as_usize() + MAX_ENTRY_SIZE.as_usize();
+        let most = page_size.as_usize() + MAX_ENTRY_SIZE.as_usize();
         self.records.len() <= MAX_PAGE_RECORDS && size <= most
     }
 }
--- a/components/catalogue/src/sync/repair.rs
+++ b/components/catalogue/src/sync/repair.rs
@@ -1,9 +1,10 @@
-//! Putting back what a store restored from an older copy has lost.
+//! Repair of a store that was restored from an older copy.
 //!
 //! The daemons hold every accepted edit, the restored store does not. One watcher reads
-//! all entries and writes each that the daemons hold in a newer revision, comparing the
-//! entry's last write; last of all the head, comparing its own. Whoever else writes
-//! meanwhile makes a compare fail, and the repair begins anew from what stands then.
+//! all entries and writes back each that the daemons hold at a newer revision, with the
+//! entry's mod revision as precondition, and finally the head, with its own. A concurrent
+//! write by another party fails a precondition, and the repair starts over from the store's
+//! new state.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,27 +13,31 @@
 
 use crate::head::{Change, Head, Keys, RECENT_LENGTH, ReadHead};
 use crate::record::{Catalogue, Held, Record};
-use crate::sync::source::{Task, parse_all};
+use crate::sync::source::{Call, parse_records};
 use crate::sync::{Effect, Sync};
 
-/// Polls in a row that must find the store behind; one could be a late reply.
-const BEHIND_POLLS: u32 = 2;
+/// Consecutive polls that must find the store behind; a single one could be a late reply.
+const MIN_POLLS_BEHIND: u32 = 2;
 
-/// After so many any watcher repairs, whoever should have.
-const ANYONE_POLLS: u32 = 6;
+/// Consecutive polls that find the store behind after which any watcher repairs it, in case
+/// the first watcher does not.
+const ANY_WATCHER_POLLS: u32 = 6;
 
+/// Entries read from the store in one call.
 const PAGE_KEYS: u32 = 32;
 
-/// Entries and bytes written in one transaction; the service takes 128 steps and 1.5 MB.
+/// Entries written in one transaction; the store accepts 128 operations.
 const BATCH_ENTRIES: usize = 32;
+
+/// Bytes after which a transaction takes no further entries; the store accepts 1.5 MB.
 const BATCH_SIZE: usize = 512 << 10;
 
-/// A repair under way.
+/// A repair in progress.
 #[derive(Debug)]
 pub(super) struct Repair {
     stage: Stage,
     head: ReadHead,
-    /// Entries of the store with their last writes.
+    /// Entries found in the store with their mod revisions.
     found: BTreeMap<EntryName, (ModRevision, Held)>,
     writes: VecDeque<Write>,
     new_head: Head,
@@ -46,27 +51,27 @@
     Finish,
 }
 
-/// An entry to write, over what was found.
+/// An entry to write, provided that its mod revision is still `expected`.
 #[derive(Debug)]
 struct Write {
     name: EntryName,
-    over: ModRevision,
+    expected: ModRevision,
     held: Held,
 }
 
 impl Sync {
-    /// Begins a repair if it is this daemon's turn.
-    pub(super) fn consider_repair(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        let behind = self.source.behind;
-        let is_turn = behind >= ANYONE_POLLS || self.is_first_watcher();
-        // One that lags itself would put back too little.
+    /// Starts a repair if the store is behind for long enough and it is this daemon's turn.
+    pub(super) fn start_repair_if_due(&mut self, now: Time, effects: &mut Vec<Effect>) {
+        let polls_behind = self.source.polls_behind;
+        let is_turn = polls_behind >= ANY_WATCHER_POLLS || self.is_first_watcher();
+        // A daemon that lags itself would write back too little.
         let is_current = self.catalogue.revision() >= self.fleet_revision();
-        if behind < BEHIND_POLLS || !self.watching || !is_turn || !is_current {
-            self.source.poll_at(now + self.cfg.ask_interval);
+        if polls_behind < MIN_POLLS_BEHIND || !self.watching || !is_turn || !is_current {
+            self.source.poll_at(now + self.cfg.round_interval);
             return;
         }
         tracing::warn!(
-            "catalogue: the store is behind revision {}; putting records back",
+            "catalogue: the store is behind revision {}; writing the missing records back",
             self.catalogue.revision()
         );
         let repair = Repair {
@@ -77,7 +82,7 @@
             new_head: Head::default(),
         };
         let req = Request::Txn(self.source.keys.read([]));
-        effects.push(self.source.call(now, Task::Repair(Box::new(repair)), req));
+        effects.push(self.source.call(now, Call::Repair(Box::new(repair)), req));
     }
 
     fn is_first_watcher(&self) -> bool {
@@ -97,7 +102,7 @@
             (Stage::Entries, Reply::Range(found)) => {
                 let last = found.last().map(|pair| pair.key.clone());
                 let is_last = found.len() < PAGE_KEYS as usize;
-                repair.take(&self.source.keys, &found);
+                repair.add_found(&self.source.keys, &found);
                 if is_last {
                     repair.plan(&self.catalogue);
                     Some(repair.next_write(&self.source.keys))
@@ -116,8 +121,8 @@
             _ => None,
         };
         match req {
-            Some(req) => effects.push(self.source.call(now, Task::Repair(Box::new(repair)), req)),
-            // Done, or someone else wrote: the next poll tells.
+            Some(req) => effects.push(self.source.call(now, Call::Repair(Box::new(repair)), req)),
+            // Finished, or a concurrent write intervened: the next poll shows which.
             None => self.source.poll_at(now),
         }
     }
@@ -142,57 +147,57 @@
 }
 
 impl Repair {
-    fn take(&mut self, keys: &Keys, found: &[keyvalue::KeyValue]) {
+    fn add_found(&mut self, keys: &Keys, found: &[keyvalue::KeyValue]) {
         for pair in found {
-            for (name, held) in parse_all(keys, std::slice::from_ref(pair)) {
+            for (name, held) in parse_records(keys, std::slice::from_ref(pair)) {
                 self.found.insert(name, (pair.mod_revision, held));
             }
         }
     }
 
-    /// Decides what to write.
+    /// Determines the entries and the head to write.
     fn plan(&mut self, catalogue: &Catalogue) {
         let mut head = Head {
             revision: catalogue.revision(),
-            recent: recent(catalogue),
+            recent: recent_changes(catalogue),
         };
-        for (name, held) in catalogue.held() {
+        for (name, held) in catalogue.latest() {
             let found = self.found.remove(name);
-            let over = found.as_ref().map_or(ModRevision(0), |(at, _)| *at);
+            let expected = found.as_ref().map_or(ModRevision(0), |(at, _)| *at);
             match found {
-                // An edit that the restored store took before it was repaired: it gets a
-                // revision after all that the daemons know, so that none of them misses it.
+                // An edit that the restored store accepted before this repair. It gets a revision
+                // above all that the daemons know, so that none of them misses it.
                 Some((_, other)) if other.record.rank() > held.record.rank() => {
-                    head = self.write_again(name, over, &other.record, &head);
+                    head = self.write_with_next_revision(name, expected, &other.record, &head);
                 }
                 Some((_, other)) if other.record.rank() == held.record.rank() => {}
                 _ => self.writes.push_back(Write {
                     name: name.clone(),
-                    over,
+                    expected,
                     held: held.clone(),
                 }),
             }
         }
-        // What only the store has was removed, and its marker is gone.
-        for (name, (over, held)) in std::mem::take(&mut self.found) {
-            if held.is_marker() {
+        // An entry that only the store holds was removed, and its tombstone is gone.
+        for (name, (expected, held)) in std::mem::take(&mut self.found) {
+            if held.is_tombstone() {
                 continue;
             }
             let removal = Record {
                 entry: None,
-                history: held.record.history_of_next(),
+                history: held.record.next_history(),
                 ..(*held.record).clone()
             };
-            head = self.write_again(&name, over, &removal, &head);
+            head = self.write_with_next_revision(&name, expected, &removal, &head);
         }
         self.new_head = head;
     }
 
-    /// Writes a record with the next revision.
-    fn write_again(
+    /// Queues a record under the head's next revision and returns the resulting head.
+    fn write_with_next_revision(
         &mut self,
         name: &EntryName,
-        over: ModRevision,
+        expected: ModRevision,
         record: &Record,
         head: &Head,
     ) -> Head {
@@ -207,32 +212,32 @@
         };
         self.writes.push_back(Write {
             name: name.clone(),
-            over,
+            expected,
             held: Held::new(record.into()),
         });
         head.after(change)
     }
 
-    /// The next transaction: some entries, or last of all the head.
+    /// Returns the next transaction: a batch of entries, or finally the head.
     fn next_write(&mut self, keys: &Keys) -> Request {
         if self.writes.is_empty() {
             self.stage = Stage::Finish;
             return Request::Txn(Txn {
-                compare: vec![keys.compare_head(self.head.at)],
+                compare: vec![keys.compare_head(self.head.mod_revision)],
                 success: vec![keys.put_head(&self.new_head)],
                 failure: Vec::new(),
             });
         }
         self.stage = Stage::Batch;
         let mut txn = Txn {
-            compare: vec![keys.compare_head(self.head.at)],
+            compare: vec![keys.compare_head(self.head.mod_revision)],
             ..Txn::default()
         };
         let mut size = 0;
         while let Some(write) = self.writes.pop_front() {
             size += write.held.json.len();
             let key = keys.entry(&write.name);
-            txn.compare.push(Compare::ModRevision(key, write.over));
+            txn.compare.push(Compare::ModRevision(key, write.expected));
             txn.success
                 .push(keys.put_entry(&write.name, write.held.json));
             if txn.success.len() >= BATCH_ENTRIES || size >= BATCH_SIZE {
@@ -243,8 +248,8 @@
     }
 }
 
-/// The latest edits that are remembered without a gap.
-fn recent(catalogue: &Catalogue) -> Vec<Change> {
+/// Returns the latest edits, latest first, up to the first one that is not remembered.
+fn recent_changes(catalogue: &Catalogue) -> Vec<Change> {
     let mut revision = catalogue.revision();
     let mut recent = Vec::new();
     while let Some(change) = catalogue.change(revision)
--- a/components/catalogue/src/sync/report.rs
+++ b/components/catalogue/src/sync/report.rs
@@ -1,71 +1,71 @@
-//! Which daemons have which revision in force, and how old their reports are.
+//! The revision that each daemon has in force, and how old its report is.
 
 use serde::{Deserialize, Serialize};
 use types::prelude::*;
 
-use crate::sync::message::Told;
+use crate::sync::message::Summary;
 use crate::sync::{MAX_HEARD, Reach, Sync};
 
-/// Laggards asked directly in a round while somebody waits.
-const LAGGARDS_ASKED: usize = 64;
+/// Largest number of laggards asked directly in a round while a caller waits.
+const MAX_LAGGARDS_ASKED: usize = 64;
 
-/// A daemon that is not a member is forgotten when silent for so long.
-const SILENT: Span = Span::from_secs(300);
+/// How long the last report of a daemon that is no longer a member is kept.
+const REPORT_LIFETIME: Span = Span::from_secs(300);
 
-/// A daemon's last report.
+/// The revision that a daemon last reported.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Heard {
-    /// The revision that it had in force.
+pub struct Report {
+    /// The revision that the daemon had in force.
     pub revision: Revision,
-    /// When it was heard.
+    /// When that was so, by this daemon's clock.
     pub at: Time,
 }
 
-/// How far the fleet is with a revision.
+/// How far a revision has propagated through the fleet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct InForce {
-    /// The revision asked for.
+pub struct Propagation {
+    /// The revision that propagates.
     pub revision: Revision,
-    /// Live daemons that have it in force.
+    /// Number of live daemons that have it in force.
     pub have: usize,
-    /// Live daemons that have not, or were not heard.
+    /// Live daemons that are not known to have it in force.
     pub laggards: Vec<Laggard>,
 }
 
-impl InForce {
-    /// Every live daemon has it.
+impl Propagation {
+    /// Whether every live daemon has the revision in force.
     #[must_use]
     pub fn is_everywhere(&self) -> bool {
         self.laggards.is_empty()
     }
 }
 
-/// A live daemon that is not known to have a revision.
+/// A live daemon that is not known to have a revision in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Laggard {
-    /// The daemon.
+    /// The daemon's name.
     pub daemon: DaemonId,
-    /// What it reported last, if anything.
+    /// The revision that it last reported, if any.
     pub revision: Option<Revision>,
-    /// How old the report is.
+    /// Age of that report.
     pub heard: Option<Span>,
 }
 
 impl Sync {
-    /// Takes a report that came another way, such as with the membership, of so long ago.
+    /// Records a report received otherwise, such as with the membership, that is `age` old.
     pub fn report(&mut self, now: Time, daemon: &DaemonId, revision: Revision, age: Span) {
-        self.note(daemon, revision, now - age);
+        self.note_report(daemon, revision, now - age);
     }
 
-    /// A daemon's last report.
+    /// Returns a daemon's last report.
     #[must_use]
-    pub fn heard(&self, daemon: &DaemonId) -> Option<&Heard> {
-        self.heard.get(daemon)
+    pub fn heard(&self, daemon: &DaemonId) -> Option<&Report> {
+        self.reports.get(daemon)
     }
 
-    /// How far the live daemons are with a revision.
+    /// Returns how far a revision has propagated to the live daemons.
     #[must_use]
-    pub fn in_force(&self, now: Time, revision: Revision) -> InForce {
+    pub fn in_force(&self, now: Time, revision: Revision) -> Propagation {
         let others = self
             .members
             .iter()
@@ -81,7 +81,7 @@
             });
         }
         let have = self.members.len().saturating_sub(laggards.len());
-        InForce {
+        Propagation {
             revision,
             have,
             laggards,
@@ -89,81 +89,83 @@
     }
 
     fn laggard(&self, now: Time, daemon: &DaemonId, revision: Revision) -> Option<Laggard> {
-        let heard = self.heard.get(daemon);
-        if heard.is_some_and(|heard| heard.revision >= revision) {
+        let report = self.reports.get(daemon);
+        if report.is_some_and(|report| report.revision >= revision) {
             return None;
         }
         Some(Laggard {
             daemon: daemon.clone(),
-            revision: heard.map(|heard| heard.revision),
-            heard: heard.map(|heard| now.since(heard.at)),
+            revision: report.map(|report| report.revision),
+            heard: report.map(|report| now.since(report.at)),
         })
     }
 
-    /// Someone waits for a revision to be everywhere: laggards are asked directly.
+    /// Asks laggards directly in each round until a revision is in force everywhere or `until`
+    /// has passed.
     pub fn wait_for(&mut self, revision: Revision, until: Time) {
-        let before = self.awaited.unwrap_or((revision, until));
-        self.awaited = Some((before.0.max(revision), before.1.max(until)));
+        let before = self.awaited_revision.unwrap_or((revision, until));
+        self.awaited_revision = Some((before.0.max(revision), before.1.max(until)));
     }
 
-    pub(super) fn awaited_laggards(&mut self, now: Time) -> Vec<DaemonId> {
-        let Some((revision, until)) = self.awaited else {
+    pub(super) fn laggards_to_ask(&mut self, now: Time) -> Vec<DaemonId> {
+        let Some((revision, until)) = self.awaited_revision else {
             return Vec::new();
         };
-        let state = self.in_force(now, revision);
-        if state.is_everywhere() || now.has_reached(until) {
-            self.awaited = None;
+        let propagation = self.in_force(now, revision);
+        if propagation.is_everywhere() || now.has_reached(until) {
+            self.awaited_revision = None;
             return Vec::new();
         }
-        let mut laggards = state.laggards;
-        // Those heard longest ago first, so that each is asked in its turn.
+        let mut laggards = propagation.laggards;
+        // Oldest reports first, so that every laggard is asked in turn.
         laggards.sort_by_key(|laggard| std::cmp::Reverse(laggard.heard.unwrap_or(Span(u64::MAX))));
         let ids = laggards.into_iter().map(|laggard| laggard.daemon);
         ids.filter(|id| *id != self.cfg.me)
-            .take(LAGGARDS_ASKED)
+            .take(MAX_LAGGARDS_ASKED)
             .collect()
     }
 
-    /// The part of the fleet that this daemon is in touch with. The membership tells
-    /// who is live; hearing each of hundreds directly would take minutes.
+    /// Returns the part of the fleet that this daemon can reach. It relies on the membership
+    /// for who is live, since hearing from each of hundreds directly would take minutes.
     #[must_use]
     pub fn reach(&self, now: Time) -> Reach {
-        let window = self.cfg.reach;
+        let window = self.cfg.reach_window;
         Reach {
             fleet: self.fleet.size,
             reached: self.members.len(),
             touches_store: self
-                .store_answered
+                .store_answered_at
                 .is_some_and(|at| now.since(at) <= window),
             store_leads: self.store_leads(now),
             at: now,
         }
     }
 
-    pub(super) fn hear(&mut self, now: Time, from: &DaemonId, told: &Told) {
-        self.note(from, told.revision, now);
+    pub(super) fn note_summary(&mut self, now: Time, from: &DaemonId, summary: &Summary) {
+        self.note_report(from, summary.revision, now);
     }
 
-    fn note(&mut self, daemon: &DaemonId, revision: Revision, at: Time) {
-        let is_new = !self.heard.contains_key(daemon);
-        if *daemon == self.cfg.me || (is_new && self.heard.len() >= MAX_HEARD) {
+    fn note_report(&mut self, daemon: &DaemonId, revision: Revision, at: Time) {
+        let is_new = !self.reports.contains_key(daemon);
+        if *daemon == self.cfg.me || (is_new && self.reports.len() >= MAX_HEARD) {
             return;
         }
-        let heard = self
-            .heard
+        let report = self
+            .reports
             .entry(daemon.clone())
-            .or_insert(Heard { revision, at });
-        // A daemon that was replaced begins anew and may have less than before.
-        if at >= heard.at {
-            heard.revision = revision;
-            heard.at = at;
+            .or_insert(Report { revision, at });
+        // A restarted daemon begins without a catalogue, so its revision may be lower than before.
+        if at >= report.at {
+            report.revision = revision;
+            report.at = at;
         }
     }
 
-    pub(super) fn forget_silent(&mut self, now: Time) {
+    pub(super) fn drop_stale_reports(&mut self, now: Time) {
         let members = &self.members;
-        self.heard.retain(|daemon, heard| {
-            now.since(heard.at) <= SILENT || members.iter().any(|member| member.id == *daemon)
+        self.reports.retain(|daemon, report| {
+            now.since(report.at) <= REPORT_LIFETIME
+                || members.iter().any(|member| member.id == *daemon)
         });
     }
 }
--- a/components/catalogue/src/sync/source.rs
+++ b/components/catalogue/src/sync/source.rs
@@ -1,61 +1,64 @@
-//! Reading the store: the head now and then, and what changed since.
+//! Reading the store: polls of the head, and the entries that changed.
 //!
-//! Watchers read the head every few seconds, which confirms that the catalogue is
-//! current and finds what a watch skipped. Other daemons read only when peers do not
-//! help: at a start without peers, or cut off from them.
+//! Watchers read the head every few seconds, which validates that the catalogue is
+//! current and detects changes that a watch skipped. Other daemons read the store only
+//! when peers cannot help: after a start without peers, or when partitioned from them.
 
 use keyvalue::{KeyValue, OpReply, Outcome, Range, Reply, Request, TxnReply, WatchEvent};
 use rand::{Rng, RngExt};
 use types::prelude::*;
 
-use crate::edit::Reading;
+use crate::edit::Snapshot;
 use crate::head::{Head, Keys, ReadHead};
 use crate::record::{Held, WireRecord};
 use crate::sync::repair::Repair;
 use crate::sync::{Effect, Sync};
 
-/// Keys read in one call; halved when a reply is too long.
-const FIRST_LIMIT: u32 = 64;
+/// Largest number of keys read in one call; halved when a call fails, as a reply may be too long.
+const MAX_KEYS_PER_READ: u32 = 64;
 
-/// A daemon that starts leaves the store alone for so long, since a peer gives it the
-/// catalogue sooner, and with it the last good record where the latest is bad.
-const START_PATIENCE: Span = Span::from_secs(2);
+/// How long a starting daemon with peers waits before it reads the store: a peer delivers the
+/// catalogue sooner, and with it the last valid record where the latest breaks rules.
+const STARTUP_DELAY: Span = Span::from_secs(2);
 
-/// One that is no watcher and hears nothing fresh reads so many times less often.
-const STARVING_FACTOR: u64 = 10;
+/// Factor by which a daemon that is no watcher but has a stale catalogue polls less often
+/// than a watcher.
+const STALE_POLL_FACTOR: u64 = 10;
 
-/// An outcome that never comes back is given up after.
-const LOST: Span = Span::from_secs(60);
+/// How long the outcome of a call is waited for before another call may be made.
+const CALL_TIMEOUT: Span = Span::from_secs(60);
 
-/// What is read from the store and how far that is.
+/// State of the reads from the store.
 #[derive(Debug)]
 pub(super) struct Source {
     pub(super) keys: Keys,
-    pub(super) task: Option<Task>,
-    /// When the head was last asked for.
-    sent: Time,
-    /// When the call under way was made.
-    called: Time,
+    pub(super) in_flight: Option<Call>,
+    /// When the last poll of the head was sent.
+    polled_at: Time,
+    /// When the last call was made.
+    called_at: Time,
     next_poll: Time,
     started: Option<Time>,
-    /// Current as of this moment, once the catalogue holds this revision.
-    unconfirmed: Option<(Revision, Time)>,
-    /// Polls in a row that found the store behind this daemon.
-    pub(super) behind: u32,
+    /// Head revision and time of the last poll: once the catalogue holds that revision, it is
+    /// validated as of that time.
+    pending_validation: Option<(Revision, Time)>,
+    /// Consecutive polls that found the store behind this daemon.
+    pub(super) polls_behind: u32,
+    /// Number of keys to read in the next call.
     limit: u32,
 }
 
-/// What the call under way is for.
+/// Purpose of a call to the store.
 #[derive(Debug)]
-pub(super) enum Task {
+pub(super) enum Call {
     /// Reading the head.
     Poll,
-    /// Reading entries that changed up to a revision.
+    /// Reading entries that changed up to this revision.
     Changed(Revision),
-    /// Reading all entries, so many a call, complete to the revision of the head read
-    /// before.
+    /// Reading all entries, complete up to this revision of the head read before, with this
+    /// many keys in the call.
     Whole(Revision, u32),
-    /// Putting back what a restored store lost.
+    /// Repairing a store that was restored from an older copy.
     Repair(Box<Repair>),
 }
 
@@ -63,22 +66,29 @@
     pub(super) fn new(keys: Keys) -> Self {
         Self {
             keys,
-            task: None,
-            sent: Time::ZERO,
-            called: Time::ZERO,
+            in_flight: None,
+            polled_at: Time::ZERO,
+            called_at: Time::ZERO,
             next_poll: Time::ZERO,
             started: None,
-            unconfirmed: None,
-            behind: 0,
-            limit: FIRST_LIMIT,
+            pending_validation: None,
+            polls_behind: 0,
+            limit: MAX_KEYS_PER_READ,
         }
     }
 
-    /// The catalogue now holds `revision`: a head read before may confirm it.
-    pub(super) fn confirm(&mut self, revision: Revision, confirmed: &mut Option<Time>) {
-        let held = self.unconfirmed.take_if(|(head, _)| *head <= revision);
-        if let Some((_, at)) = held {
-            *confirmed = (*confirmed).max(Some(at));
+    /// Advances `validated_at` if the catalogue, now at `revision`, has caught up with the last
+    /// head polled.
+    pub(super) fn apply_pending_validation(
+        &mut self,
+        revision: Revision,
+        validated_at: &mut Option<Time>,
+    ) {
+        let reached = self
+            .pending_validation
+            .take_if(|(head, _)| *head <= revision);
+        if let Some((_, at)) = reached {
+            *validated_at = (*validated_at).max(Some(at));
         }
     }
 
@@ -86,9 +96,9 @@
         self.next_poll = self.next_poll.min(at);
     }
 
-    pub(super) fn call(&mut self, now: Time, task: Task, req: Request) -> Effect {
-        self.called = now;
-        self.task = Some(task);
+    pub(super) fn call(&mut self, now: Time, call: Call, req: Request) -> Effect {
+        self.called_at = now;
+        self.in_flight = Some(call);
         Effect::Store(req)
     }
 }
@@ -96,54 +106,54 @@
 impl Sync {
     pub(super) fn tick_source(&mut self, now: Time, rng: &mut impl Rng, effects: &mut Vec<Effect>) {
         let started = *self.source.started.get_or_insert(now);
-        let lost = now.since(self.source.called) > LOST;
-        let busy = self.source.task.is_some() && !lost;
-        if busy || !now.has_reached(self.source.next_poll) {
+        let has_timed_out = now.since(self.source.called_at) > CALL_TIMEOUT;
+        let is_in_flight = self.source.in_flight.is_some() && !has_timed_out;
+        if is_in_flight || !now.has_reached(self.source.next_poll) {
             return;
         }
         let has_peers = self.members.len() > 1;
-        let holds_none = self.catalogue.revision() == Revision(0);
-        let waits_for_peers = has_peers && now.since(started) < START_PATIENCE;
-        let factor = match (self.watching, holds_none && waits_for_peers) {
+        let is_empty = self.catalogue.revision() == Revision(0);
+        let waits_for_peers = has_peers && now.since(started) < STARTUP_DELAY;
+        let factor = match (self.watching, is_empty && waits_for_peers) {
             (_, true) => return,
             (true, false) => 1,
-            (false, false) if waits_for_peers || !self.is_starving(now) => return,
-            (false, false) => STARVING_FACTOR,
+            (false, false) if waits_for_peers || !self.is_stale(now) => return,
+            (false, false) => STALE_POLL_FACTOR,
         };
         let interval = self.cfg.poll_interval.times(factor).as_micros();
-        // Spread out, so that watchers that began together do not stay in step.
+        // Jitter keeps watchers that started together from polling in step.
         let jitter = rng.random_range(interval * 3 / 4..=interval * 5 / 4);
         self.source.next_poll = now + Span::from_micros(jitter);
         self.poll(now, effects);
     }
 
-    /// Nothing fresh came for longer than rounds of asking take.
-    fn is_starving(&self, now: Time) -> bool {
-        let patience = self.cfg.poll_interval.times(5);
-        self.confirmed.is_none_or(|at| now.since(at) > patience)
+    /// Whether the last validation is older than anti-entropy rounds should let it become.
+    fn is_stale(&self, now: Time) -> bool {
+        let max_age = self.cfg.poll_interval.times(5);
+        self.validated_at.is_none_or(|at| now.since(at) > max_age)
     }
 
     fn poll(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let read = self.source.keys.read([]);
-        self.source.sent = now;
-        effects.push(self.source.call(now, Task::Poll, Request::Txn(read)));
+        self.source.polled_at = now;
+        effects.push(self.source.call(now, Call::Poll, Request::Txn(read)));
     }
 
-    /// Takes the outcome of the last [`Effect::Store`].
+    /// Handles the outcome of the last [`Effect::Store`].
     pub fn on_store(&mut self, now: Time, outcome: Outcome, rng: &mut impl Rng) -> Vec<Effect> {
         let mut effects = Vec::new();
-        let Some(task) = self.source.task.take() else {
+        let Some(call) = self.source.in_flight.take() else {
             return effects;
         };
         match outcome {
             Ok(answer) => {
-                self.store_answered = self.store_answered.max(Some(self.source.sent));
-                self.on_reply(now, task, answer.reply, rng, &mut effects);
+                self.store_answered_at = self.store_answered_at.max(Some(self.source.polled_at));
+                self.on_reply(now, call, answer.reply, rng, &mut effects);
             }
             Err(e) => {
-                tracing::debug!("catalogue: the store gave nothing: {e}");
-                // Perhaps the reply was too long.
-                if matches!(task, Task::Whole(..)) {
+                tracing::debug!("catalogue: a call to the store failed: {e}");
+                // The reply may have been too long.
+                if matches!(call, Call::Whole(..)) {
                     self.source.limit = (self.source.limit / 2).max(1);
                 }
             }
@@ -154,23 +164,25 @@
     fn on_reply(
         &mut self,
         now: Time,
-        task: Task,
+        call: Call,
         reply: Reply,
         rng: &mut impl Rng,
         effects: &mut Vec<Effect>,
     ) {
-        match (task, reply) {
-            (Task::Poll, Reply::Txn(reply)) => self.on_poll(now, &reply, effects),
-            (Task::Changed(head), Reply::Txn(reply)) => {
-                self.on_changed(now, head, &reply, rng, effects);
+        match (call, reply) {
+            (Call::Poll, Reply::Txn(reply)) => self.on_poll(now, &reply, effects),
+            (Call::Changed(head), Reply::Txn(reply)) => {
+                self.on_changed_entries(now, head, &reply, rng, effects);
             }
-            (Task::Whole(head, limit), Reply::Range(found)) => {
+            (Call::Whole(head, limit), Reply::Range(found)) => {
                 let is_last = found.len() < limit as usize;
-                self.source.limit = (limit * 2).min(FIRST_LIMIT);
-                self.on_whole(now, head, is_last, &found, rng, effects);
+                self.source.limit = (limit * 2).min(MAX_KEYS_PER_READ);
+                self.on_all_entries(now, head, is_last, &found, rng, effects);
+            }
+            (Call::Repair(repair), reply) => self.on_repair(now, *repair, reply, effects),
+            (call, _) => {
+                tracing::warn!("catalogue: the store's reply does not match the call {call:?}")
             }
-            (Task::Repair(repair), reply) => self.on_repair(now, *repair, reply, effects),
-            (task, _) => tracing::warn!("catalogue: a reply that does not fit {task:?}"),
         }
     }
 
@@ -184,19 +196,20 @@
         }
     }
 
-    /// Compares the head with what is held: confirm, catch up or repair.
+    /// Compares the head with the catalogue held: validates it, catches up or repairs the store.
     fn on_head(&mut self, now: Time, head: &Head, effects: &mut Vec<Effect>) {
         let own = self.catalogue.revision();
         if head.revision < own {
-            self.source.behind += 1;
-            self.consider_repair(now, effects);
+            self.source.polls_behind += 1;
+            self.start_repair_if_due(now, effects);
             return;
         }
-        self.source.behind = 0;
-        // Current as of the moment of asking: nothing that happened later is counted.
-        self.source.unconfirmed = Some((head.revision, self.source.sent));
+        self.source.polls_behind = 0;
+        // Valid as of the time the poll was sent: the reply says nothing of later changes.
+        self.source.pending_validation = Some((head.revision, self.source.polled_at));
         if head.revision == own {
-            self.source.confirm(own, &mut self.confirmed);
+            self.source
+                .apply_pending_validation(own, &mut self.validated_at);
             return;
         }
         let names = head.since(own);
@@ -207,13 +220,13 @@
                 names.sort();
                 names.dedup();
                 let req = Request::Txn(self.source.keys.read(&names));
-                effects.push(self.source.call(now, Task::Changed(head.revision), req));
+                effects.push(self.source.call(now, Call::Changed(head.revision), req));
             }
-            None => self.read_whole(now, head.revision, None, effects),
+            None => self.read_all(now, head.revision, None, effects),
         }
     }
 
-    fn on_changed(
+    fn on_changed_entries(
         &mut self,
         now: Time,
         head: Revision,
@@ -221,25 +234,25 @@
         rng: &mut impl Rng,
         effects: &mut Vec<Effect>,
     ) {
-        match Reading::parse(&self.source.keys, reply) {
-            Ok(reading) => {
-                // Read after the head was: all that changed up to it is among them.
-                let entries = reading.entries.into_iter();
+        match Snapshot::parse(&self.source.keys, reply) {
+            Ok(snapshot) => {
+                // The entries were read after the head, so they include every change up to it.
+                let entries = snapshot.entries.into_iter();
                 let records = entries.map(|(name, (_, held))| (name, held)).collect();
                 self.apply(records, Some(head), rng, effects);
-                if reading.head.head.revision > head {
+                if snapshot.head.head.revision > head {
                     self.source.poll_at(now);
                 }
             }
-            // One record that cannot be read must not hold back the others.
+            // One unreadable record must not hold back the others.
             Err(e) => {
                 tracing::warn!("catalogue: {e}");
-                self.read_whole(now, head, None, effects);
+                self.read_all(now, head, None, effects);
             }
         }
     }
 
-    fn read_whole(
+    fn read_all(
         &mut self,
         now: Time,
         head: Revision,
@@ -253,10 +266,10 @@
             ..Range::prefix(self.source.keys.entries())
         };
         let req = Request::Range(range);
-        effects.push(self.source.call(now, Task::Whole(head, limit), req));
+        effects.push(self.source.call(now, Call::Whole(head, limit), req));
     }
 
-    fn on_whole(
+    fn on_all_entries(
         &mut self,
         now: Time,
         head: Revision,
@@ -265,19 +278,19 @@
         rng: &mut impl Rng,
         effects: &mut Vec<Effect>,
     ) {
-        let records = parse_all(&self.source.keys, found);
+        let records = parse_records(&self.source.keys, found);
         if is_last {
             self.apply(records, Some(head), rng, effects);
             self.source.poll_at(now);
             return;
         }
-        self.catalogue.gather(records);
+        self.catalogue.apply_partial(records);
         let last = found.last().map(|pair| pair.key.clone());
-        self.read_whole(now, head, last, effects);
+        self.read_all(now, head, last, effects);
     }
 
-    /// Takes changes that the watch told of. Empty ones say that a watch began: the head
-    /// is read, since nothing from before is told.
+    /// Handles changes reported by the watch. An empty list means that a watch has begun; the
+    /// head is then polled, since the watch does not report earlier changes.
     pub fn on_watch(
         &mut self,
         now: Time,
@@ -289,13 +302,13 @@
             .iter()
             .filter_map(|event| event.value.clone())
             .collect();
-        let records = parse_all(&self.source.keys, &values);
+        let records = parse_records(&self.source.keys, &values);
         self.apply(records, None, rng, &mut effects);
         let head_key = self.source.keys.head();
         let heads = values.iter().filter(|pair| pair.key == head_key);
         let heads = heads.filter_map(|pair| serde_json::from_slice::<Head>(&pair.value).ok());
         let newest = heads.map(|head| head.revision).max();
-        // A gap: the watch skipped something, or a record could not be read.
+        // A gap means that the watch skipped a change or that a record could not be read.
         let has_gap = newest.is_some_and(|head| head > self.catalogue.revision());
         if has_gap || events.is_empty() {
             self.source.poll_at(now);
@@ -304,8 +317,8 @@
     }
 }
 
-/// Records among keys; one that cannot be read is left out and said so.
-pub(super) fn parse_all(keys: &Keys, found: &[KeyValue]) -> Vec<(EntryName, Held)> {
+/// Parses the records among keys; logs and leaves out any that cannot be read.
+pub(super) fn parse_records(keys: &Keys, found: &[KeyValue]) -> Vec<(EntryName, Held)> {
     let named = found.iter().filter_map(|pair| {
         let name = keys.name_of(&pair.key)?;
         let json = pair.value.clone();
--- a/components/catalogue/src/sync/transfer.rs
+++ b/components/catalogue/src/sync/transfer.rs
@@ -1,9 +1,9 @@
-//! Taking from a peer what this daemon lacks, in pages.
+//! Paged transfer of missing records from a peer.
 //!
-//! Pages are in the order of revisions and the sender keeps no state: a record that is
-//! edited between two pages moves behind the cursor and comes later. So pages of one
-//! transfer fit together although the sender's catalogue changes, and a transfer of the
-//! whole catalogue is the same as one of changes after revision 0.
+//! Pages are ordered by revision and the sender keeps no state: a record that is edited
+//! between two pages moves to a revision past the cursor and is sent later. Pages of one
+//! transfer are therefore consistent although the sender's catalogue changes, and a transfer
+//! of the whole catalogue is one of the changes after revision 0.
 
 use std::collections::BTreeSet;
 
@@ -11,71 +11,79 @@
 use types::prelude::*;
 
 use crate::record::{Held, RecordError};
-use crate::sync::message::{Page, Told};
+use crate::sync::message::{Page, Summary};
 use crate::sync::{Effect, MAX_PAGE_RECORDS, Message, Sync, send};
 
-/// Rounds of asking with other records at the same revision before all are compared.
+/// Consecutive summaries with the same revision but another digest after which the whole
+/// catalogue is transferred.
 const MAX_MISMATCHES: u32 = 3;
 
-/// Least time between two such comparisons, since each takes the whole catalogue.
-const COMPARE_INTERVAL: Span = Span::from_secs(30);
+/// Least time between two repairs by transfer of the whole catalogue, which is costly.
+const WHOLE_TRANSFER_INTERVAL: Span = Span::from_secs(30);
 
-/// A transfer under way.
+/// A transfer in progress.
 #[derive(Debug)]
 pub(super) struct Transfer {
     from: DaemonId,
     after: Revision,
     cursor: Revision,
-    /// Entries received, for a transfer of the whole.
-    named: BTreeSet<EntryName>,
+    /// Names of the entries received, kept for a transfer of the whole catalogue.
+    received: BTreeSet<EntryName>,
     deadline: Time,
 }
 
 impl Sync {
-    /// Begins a transfer when a peer has more.
-    pub(super) fn want_newer(
+    /// Starts a transfer when a peer has a newer revision and no transfer is in progress.
+    pub(super) fn request_if_newer(
         &mut self,
         now: Time,
         from: &DaemonId,
-        told: &Told,
+        summary: &Summary,
         effects: &mut Vec<Effect>,
     ) {
-        if self.transfer.is_none() && told.revision > self.catalogue.revision() {
-            self.want(now, from, self.catalogue.revision(), effects);
+        if self.transfer.is_none() && summary.revision > self.catalogue.revision() {
+            self.start_transfer(now, from, self.catalogue.revision(), effects);
         }
     }
 
-    fn want(&mut self, now: Time, from: &DaemonId, after: Revision, effects: &mut Vec<Effect>) {
+    fn start_transfer(
+        &mut self,
+        now: Time,
+        from: &DaemonId,
+        after: Revision,
+        effects: &mut Vec<Effect>,
+    ) {
         self.transfer = Some(Transfer {
             from: from.clone(),
             after,
             cursor: after,
-            named: BTreeSet::new(),
-            deadline: now + self.cfg.patience,
+            received: BTreeSet::new(),
+            deadline: now + self.cfg.page_timeout,
         });
         let cursor = after;
-        effects.push(send(from, Message::Want { after, cursor }));
+        effects.push(send(from, Message::PageRequest { after, cursor }));
     }
 
-    /// Takes the whole catalogue of a peer at the same revision when it may have what is
-    /// missing here. Either the records differ: a store was restored from an old copy
-    /// while both were cut off, and all are compared; the higher rank stays. Or the
-    /// latest record of an entry is bad and this daemon never had a good one.
-    pub(super) fn compare_whole(
+    /// Requests the whole catalogue of a peer at the same revision when it may hold what this
+    /// daemon lacks. That is so in two cases. The digests differ repeatedly, as after a store was
+    /// restored from an old copy while both daemons were partitioned off; of two records, the one
+    /// of higher rank is kept. Or the latest record of an entry breaks rules and this daemon
+    /// never had a valid one.
+    pub(super) fn repair_from_peer(
         &mut self,
         now: Time,
         from: &DaemonId,
-        told: &Told,
+        summary: &Summary,
         effects: &mut Vec<Effect>,
     ) {
-        let own = self.told();
-        let is_level = own.revision == told.revision && self.transfer.is_none();
-        if !is_level || !now.has_reached(self.next_compare) {
+        let own = self.summary();
+        let is_same_revision = own.revision == summary.revision && self.transfer.is_none();
+        if !is_same_revision || !now.has_reached(self.next_whole_transfer) {
             return;
         }
-        if own.digest == told.digest {
+        if own.digest == summary.digest {
             self.mismatches = 0;
-            if !self.catalogue.lacks_good_records() {
+            if !self.catalogue.lacks_valid_records() {
                 return;
             }
         } else {
@@ -88,25 +96,26 @@
                 own.revision
             );
         }
-        self.next_compare = now + COMPARE_INTERVAL;
-        self.want(now, from, Revision(0), effects);
+        self.next_whole_transfer = now + WHOLE_TRANSFER_INTERVAL;
+        self.start_transfer(now, from, Revision(0), effects);
     }
 
-    /// The records that a peer wants, as many as a page takes.
+    /// Returns the page after `cursor` for a peer that requests edits after `after`.
     pub(super) fn page(&self, after: Revision, cursor: Revision) -> Message {
-        let can_tell_changes = after >= self.catalogue.marker_floor();
-        let (after, cursor) = if after == Revision(0) || can_tell_changes {
+        let can_send_changes = after >= self.catalogue.tombstone_floor();
+        let (after, cursor) = if after == Revision(0) || can_send_changes {
             (after, cursor)
         } else {
             (Revision(0), Revision(0))
         };
         let mut records = Vec::new();
-        let (mut size, mut last, mut is_whole) = (0, cursor, true);
+        let (mut size, mut last, mut is_last) = (0, cursor, true);
         for (revision, record) in self.catalogue.since(cursor) {
-            let full = size >= self.cfg.page.as_usize() || records.len() >= MAX_PAGE_RECORDS;
-            // Never cut between records of one revision: the cursor could not tell them apart.
-            if full && revision > last {
-                is_whole = false;
+            let is_full =
+                size >= self.cfg.page_size.as_usize() || records.len() >= MAX_PAGE_RECORDS;
+            // Records of one revision stay on one page: the cursor could not tell them apart.
+            if is_full && revision > last {
+                is_last = false;
                 break;
             }
             size += record.size();
@@ -117,11 +126,11 @@
             after,
             records,
             cursor: last,
-            to: is_whole.then_some(self.catalogue.revision()),
+            complete_to: is_last.then_some(self.catalogue.revision()),
         })
     }
 
-    /// Takes a page of the transfer under way; any other is dropped.
+    /// Handles a page of the transfer in progress and drops any other.
     pub(super) fn on_page(
         &mut self,
         now: Time,
@@ -133,72 +142,85 @@
         let Some(mut transfer) = self.transfer.take_if(|transfer| transfer.from == *from) else {
             return;
         };
-        let restarts = page.after == Revision(0) && transfer.named.is_empty();
-        if !page.is_bounded(self.cfg.page) || (page.after != transfer.after && !restarts) {
-            tracing::warn!("catalogue: dropped a page of {from} that does not fit");
+        let restarts = page.after == Revision(0) && transfer.received.is_empty();
+        if !page.is_bounded(self.cfg.page_size) || (page.after != transfer.after && !restarts) {
+            tracing::warn!(
+                "catalogue: dropped a page from {from} that is too large or does not match the request"
+            );
             return;
         }
-        let records = match parse(&page) {
+        let records = match parse_page(&page) {
             Ok(records) => records,
             Err(e) => {
-                tracing::warn!("catalogue: dropped a page of {from}: {e}");
+                tracing::warn!("catalogue: dropped a page from {from}: {e}");
                 return;
             }
         };
         transfer.after = page.after;
         if page.after == Revision(0) {
             transfer
-                .named
+                .received
                 .extend(records.iter().map(|(name, _)| name.clone()));
         }
-        match page.to {
-            Some(to) => self.finish(now, &transfer, records, to, rng, effects),
+        match page.complete_to {
+            Some(complete_to) => {
+                self.finish_transfer(now, &transfer, records, complete_to, rng, effects)
+            }
             None if page.cursor > transfer.cursor || restarts => {
-                self.catalogue.gather(records);
+                self.catalogue.apply_partial(records);
                 transfer.cursor = page.cursor;
-                transfer.deadline = now + self.cfg.patience;
+                transfer.deadline = now + self.cfg.page_timeout;
                 let (after, cursor) = (transfer.after, transfer.cursor);
-                effects.push(send(from, Message::Want { after, cursor }));
+                effects.push(send(from, Message::PageRequest { after, cursor }));
                 self.transfer = Some(transfer);
             }
-            None => tracing::warn!("catalogue: {from} sent a page that leads nowhere"),
+            None => {
+                tracing::warn!("catalogue: {from} sent a page that does not advance the cursor")
+            }
         }
     }
 
-    fn finish(
+    fn finish_transfer(
         &mut self,
         now: Time,
         transfer: &Transfer,
         records: Vec<(EntryName, Held)>,
-        to: Revision,
+        complete_to: Revision,
         rng: &mut impl Rng,
         effects: &mut Vec<Effect>,
     ) {
-        if transfer.after == Revision(0) && to > self.catalogue.revision() {
-            self.catalogue.drop_unnamed(&transfer.named, to);
+        if transfer.after == Revision(0) && complete_to > self.catalogue.revision() {
+            self.catalogue
+                .remove_missing(&transfer.received, complete_to);
         }
-        self.apply(records, Some(to), rng, effects);
-        // Others may have told of more meanwhile.
-        let ahead = self.heard.iter().max_by_key(|(_, heard)| heard.revision);
-        let ahead = ahead.filter(|(_, heard)| heard.revision > self.catalogue.revision());
+        self.apply(records, Some(complete_to), rng, effects);
+        // Another peer may have reported a newer revision in the meantime.
+        let ahead = self
+            .reports
+            .iter()
+            .max_by_key(|(_, report)| report.revision);
+        let ahead = ahead.filter(|(_, report)| report.revision > self.catalogue.revision());
         if let Some((peer, _)) = ahead {
             let peer = peer.clone();
-            self.want(now, &peer, self.catalogue.revision(), effects);
+            self.start_transfer(now, &peer, self.catalogue.revision(), effects);
         }
     }
 
-    /// Gives up a transfer whose peer went silent; the next answer begins another.
+    /// Abandons a transfer whose next page is overdue; the next summary starts another.
     pub(super) fn tick_transfer(&mut self, now: Time) {
-        let late = self
+        let overdue = self
             .transfer
             .take_if(|transfer| now.has_reached(transfer.deadline));
-        if let Some(late) = late {
-            tracing::debug!("catalogue: no page of {} in time", late.from);
+        if let Some(overdue) = overdue {
+            tracing::debug!(
+                "catalogue: no page from {} before the timeout",
+                overdue.from
+            );
         }
     }
 }
 
-fn parse(page: &Page) -> Result<Vec<(EntryName, Held)>, RecordError> {
+fn parse_page(page: &Page) -> Result<Vec<(EntryName, Held)>, RecordError> {
     let records = page.records.iter();
     records
         .map(|record| Ok((record.name.clone(), record.parse()?)))
--- a/components/catalogue/src/sync/watchers.rs
+++ b/components/catalogue/src/sync/watchers.rs
@@ -1,9 +1,9 @@
-//! Who watches the store: a few daemons of each failure domain.
+//! Selection of the daemons that watch the store: a few in each failure domain.
 //!
-//! Chosen by rendezvous hash over the live members, so every daemon finds the same
-//! without asking, and one that comes or goes changes few choices. While views differ,
-//! or a paused daemon still believes that it watches, there are briefly more or fewer
-//! watchers; both are harmless, since watchers only read.
+//! They are chosen by rendezvous hashing over the live members, so every daemon arrives at
+//! the same choice without communication, and a daemon that joins or leaves changes few
+//! choices. While memberships differ, or a paused daemon still considers itself a watcher,
+//! there are briefly more or fewer watchers. Both are harmless, since watchers only read.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,7 +12,7 @@
 
 use crate::sync::{Effect, Member, Sync};
 
-/// The daemons that watch, `count` per failure domain.
+/// Returns the daemons that watch the store, `count` per failure domain.
 #[must_use]
 pub fn watchers(members: &[Member], count: usize) -> BTreeSet<DaemonId> {
     let mut by_domain: BTreeMap<&FailureDomain, Vec<(u64, &DaemonId)>> = BTreeMap::new();
@@ -32,7 +32,8 @@
 }
 
 impl Sync {
-    pub(super) fn choose_watching(&mut self, effects: &mut Vec<Effect>) {
+    /// Starts or stops watching when the members' choice of watchers has changed.
+    pub(super) fn update_watching(&mut self, effects: &mut Vec<Effect>) {
         let chosen = watchers(&self.members, self.cfg.watchers_per_domain);
         let is_chosen = chosen.contains(&self.cfg.me);
         if is_chosen != self.watching {
--- a/components/catalogue/src/table.rs
+++ b/components/catalogue/src/table.rs
@@ -1,7 +1,7 @@
 //! The catalogue that a daemon holds.
 //!
-//! Besides the latest record of every entry it knows up to which revision it is
-//! complete, and which entries are in force: the latest that keep the rules.
+//! It consists of the latest record of every entry, the revision up to which no edit is
+//! missing, and the entries in force: the latest version of each that keeps the rules.
 
 mod rules;
 
@@ -16,85 +16,86 @@
 use crate::head::Change;
 use crate::record::{Held, Record, WireRecord};
 
-/// Edits remembered by id, for questions about an edit's fate.
+/// Number of edits whose ids are remembered, for queries about the outcome of an edit.
 pub const LOG_LENGTH: usize = 4096;
 
-/// A removed entry's marker goes once this many edits followed it: about a week at
-/// 27,000 edits a day. Who lags further takes the whole catalogue instead of changes,
-/// and what is missing from it is dropped; so no older copy can come back.
-pub const MARKER_REVISIONS: u64 = 200_000;
+/// Number of later edits after which a removed entry's tombstone is dropped: about a week at
+/// 27,000 edits a day. A daemon that lags further receives the whole catalogue instead of
+/// changes and drops what is missing from it, so no older copy can reappear.
+pub const TOMBSTONE_REVISIONS: u64 = 200_000;
 
-/// The latest record of every entry, and which of them are in force.
+/// The latest record of every entry, and the entries in force.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Catalogue {
     revision: Revision,
-    held: BTreeMap<EntryName, Held>,
-    /// Latest edits by revision, those past `revision` too.
+    latest: BTreeMap<EntryName, Held>,
+    /// Latest edits by revision, those past the complete revision included.
     log: BTreeMap<Revision, Change>,
-    /// Markers up to here are gone.
-    marker_floor: Revision,
+    /// Revision up to which tombstones may have been dropped.
+    tombstone_floor: Revision,
     digest: u128,
     in_force: BTreeMap<EntryName, InForce>,
     rejected: BTreeMap<EntryName, Rejected>,
-    /// Records replaced since the rules were last applied, where none was in force.
-    spare: BTreeMap<EntryName, Held>,
+    /// Older records of entries of which none is in force, kept until the rules are next applied.
+    fallbacks: BTreeMap<EntryName, Held>,
 }
 
-/// An entry in force.
+/// An entry in force and its record.
 #[derive(Debug, Clone, PartialEq)]
 struct InForce {
     held: Held,
     entry: Arc<Entry>,
 }
 
-/// An entry whose latest record breaks rules.
+/// The rejection of an entry's latest record, which breaks rules or cannot be read.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Rejected {
-    /// The revision of the record that breaks them.
+    /// Revision of the rejected record.
     pub revision: Revision,
-    /// What is wrong.
+    /// The problems found.
     pub problems: Vec<String>,
-    /// The revision of the record in force instead, if there is one.
+    /// Revision of the record in force instead, if any.
     pub in_force: Option<Revision>,
 }
 
 impl Catalogue {
-    /// The revision up to which every edit is held.
+    /// Returns the complete revision: the one up to which every edit is held.
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// The highest revision of any record held, later ones than [`Self::revision`] when
-    /// some between are missing.
+    /// Returns the highest revision of any edit held. It exceeds [`Self::revision`] when edits
+    /// in between are missing.
     #[must_use]
-    pub fn highest(&self) -> Revision {
+    pub fn highest_revision(&self) -> Revision {
         let last = self.log.last_key_value().map(|(revision, _)| *revision);
         last.unwrap_or_default().max(self.revision)
     }
 
-    /// Same on two daemons that hold the same records.
+    /// Returns a digest of the records; equal on two daemons that hold the same ones.
     #[must_use]
     pub fn digest(&self) -> u128 {
         self.digest
     }
 
-    /// Changes after this revision can be told one by one; before it markers are gone.
+    /// Returns the revision up to which tombstones may have been dropped. Changes after it can
+    /// be sent record by record.
     #[must_use]
-    pub fn marker_floor(&self) -> Revision {
-        self.marker_floor
+    pub fn tombstone_floor(&self) -> Revision {
+        self.tombstone_floor
     }
 
-    /// Takes a record unless one as new is held; says whether it was taken.
+    /// Applies a record unless one at least as new is held; returns whether it was applied.
     pub fn apply(&mut self, name: EntryName, record: Arc<Record>) -> bool {
-        let taken = self.offer(name, Held::new(record));
-        self.advance();
-        self.settle();
-        taken
+        let applied = self.insert_if_newer(name, Held::new(record));
+        self.advance_revision();
+        self.apply_rules();
+        applied
     }
 
-    /// Takes records together; says whether any was taken. With `complete_to`, no edit
-    /// up to that revision is missing.
+    /// Applies records together; returns whether any was applied. `complete_to` states that no
+    /// edit up to that revision is missing afterwards.
     pub fn apply_all(
         &mut self,
         records: impl IntoIterator<Item = (EntryName, Held)>,
@@ -103,104 +104,105 @@
         let before = self.revision;
         let mut changed = false;
         for (name, held) in records {
-            changed |= self.offer(name, held);
+            changed |= self.insert_if_newer(name, held);
         }
         if let Some(revision) = complete_to {
             self.revision = self.revision.max(revision);
         }
-        self.advance();
-        // Settled as a whole: an offer may come before the model that it names.
+        self.advance_revision();
+        // Rules are applied after all records, since an offer may precede the model it names.
         if changed || self.revision != before {
-            self.settle();
+            self.apply_rules();
         }
         changed
     }
 
-    /// Takes records without putting them in force yet, since more are to follow.
-    pub fn gather(&mut self, records: impl IntoIterator<Item = (EntryName, Held)>) {
+    /// Stores records of a transfer without putting them in force; more are to follow.
+    pub fn apply_partial(&mut self, records: impl IntoIterator<Item = (EntryName, Held)>) {
         for (name, held) in records {
-            self.offer(name, held);
+            self.insert_if_newer(name, held);
         }
     }
 
-    /// Ends a transfer of the whole catalogue: entries up to `revision` that it did not
-    /// name were removed, and their markers are gone.
-    pub fn drop_unnamed(&mut self, named: &BTreeSet<EntryName>, revision: Revision) {
-        let gone = self
-            .held
+    /// Completes a transfer of the whole catalogue. Entries up to `revision` that are not among
+    /// those received were removed, and their tombstones are gone.
+    pub fn remove_missing(&mut self, received: &BTreeSet<EntryName>, revision: Revision) {
+        let removed = self
+            .latest
             .iter()
-            .filter(|(name, held)| held.record.revision <= revision && !named.contains(*name));
-        let gone: Vec<EntryName> = gone.map(|(name, _)| name.clone()).collect();
-        for name in gone {
-            self.forget(&name);
+            .filter(|(name, held)| held.record.revision <= revision && !received.contains(*name));
+        let removed: Vec<EntryName> = removed.map(|(name, _)| name.clone()).collect();
+        for name in removed {
+            self.drop_record(&name);
         }
-        // Their markers are not held here: whoever lags further takes the whole too.
-        self.marker_floor = self.marker_floor.max(revision);
+        // Without these tombstones, this daemon must send the whole catalogue to daemons that
+        // lag further.
+        self.tombstone_floor = self.tombstone_floor.max(revision);
     }
 
-    /// Takes one record unless one as new is held.
+    /// Inserts one record unless one at least as new is held.
     ///
-    /// Guards against reverting: a late watch event, a paused peer, a lagging replica or
-    /// a restored store offers an older record, which is dropped since its revision is
-    /// lower. Where no record is held at all, one at or below the complete revision is
-    /// of an entry whose removal marker has gone, and is dropped too.
-    fn offer(&mut self, name: EntryName, new: Held) -> bool {
+    /// This keeps entries from being reverted: an older record from a late watch event, a paused
+    /// peer, a lagging replica or a restored store is dropped because its revision is lower.
+    /// If no record is held at all, one at or below the complete revision belongs to an entry
+    /// whose tombstone has been dropped, and is dropped too.
+    fn insert_if_newer(&mut self, name: EntryName, new: Held) -> bool {
         let rank = new.record.rank();
-        let outranked = match self.held.get(&name) {
+        let is_outranked = match self.latest.get(&name) {
             Some(held) => held.record.rank() >= rank,
             None => rank.0 <= self.revision,
         };
-        if outranked {
-            return self.keep_spare(name, new);
+        if is_outranked {
+            return self.keep_fallback(name, new);
         }
-        self.remember(&name, &new.record);
-        self.digest ^= digest_of(&name, &new.record);
-        if let Some(old) = self.held.insert(name.clone(), new) {
-            self.digest ^= digest_of(&name, &old.record);
+        self.log_edits(&name, &new.record);
+        self.digest ^= record_digest(&name, &new.record);
+        if let Some(old) = self.latest.insert(name.clone(), new) {
+            self.digest ^= record_digest(&name, &old.record);
             if !self.in_force.contains_key(&name) {
-                self.spare.insert(name, old);
+                self.fallbacks.insert(name, old);
             }
         }
         true
     }
 
-    /// Keeps an older record for an entry whose latest breaks rules and of which nothing
-    /// is in force: this daemon started after the bad record came.
-    fn keep_spare(&mut self, name: EntryName, old: Held) -> bool {
-        let lacks = self
+    /// Keeps an older record of an entry whose latest record was rejected while none is in force.
+    /// This happens when the daemon started after the bad record was written.
+    fn keep_fallback(&mut self, name: EntryName, old: Held) -> bool {
+        let has_none_in_force = self
             .rejected
             .get(&name)
             .is_some_and(|rejected| rejected.in_force.is_none());
-        let spare = self.spare.get(&name).map(|spare| spare.record.rank());
-        let is_wanted = lacks && spare < Some(old.record.rank());
+        let fallback = self.fallbacks.get(&name).map(|held| held.record.rank());
+        let is_wanted = has_none_in_force && fallback < Some(old.record.rank());
         let is_latest = self
-            .held
+            .latest
             .get(&name)
             .is_some_and(|held| held.record == old.record);
         if !is_wanted || is_latest {
             return false;
         }
-        self.spare.insert(name, old);
+        self.fallbacks.insert(name, old);
         true
     }
 
-    /// Whether some entry has no good record here.
+    /// Whether the latest record of some entry was rejected and none is in force instead.
     #[must_use]
-    pub fn lacks_good_records(&self) -> bool {
+    pub fn lacks_valid_records(&self) -> bool {
         self.rejected
             .values()
             .any(|rejected| rejected.in_force.is_none())
     }
 
-    fn forget(&mut self, name: &EntryName) {
-        if let Some(old) = self.held.remove(name) {
-            self.digest ^= digest_of(name, &old.record);
+    fn drop_record(&mut self, name: &EntryName) {
+        if let Some(old) = self.latest.remove(name) {
+            self.digest ^= record_digest(name, &old.record);
         }
     }
 
-    /// Notes the edits that a record tells of, its history included: an edit that was
-    /// superseded before it came here counts as held.
-    fn remember(&mut self, name: &EntryName, record: &Record) {
+    /// Logs the edits that a record lists, its history included: an edit that was superseded
+    /// before its record arrived counts as held.
+    fn log_edits(&mut self, name: &EntryName, record: &Record) {
         let past = record.history.iter();
         let past = past.map(|past| (past.revision, past.edit_id));
         for (revision, edit_id) in std::iter::once(record.rank()).chain(past) {
@@ -215,105 +217,105 @@
         }
     }
 
-    fn advance(&mut self) {
+    fn advance_revision(&mut self) {
         while self.log.contains_key(&self.revision.next()) {
             self.revision = self.revision.next();
         }
     }
 
-    /// Drops markers that are due; the same on every daemon at the same revision.
-    fn drop_markers(&mut self) {
-        let floor = Revision(self.revision.0.saturating_sub(MARKER_REVISIONS));
+    /// Drops tombstones that are old enough; the same ones on every daemon at the same revision.
+    fn drop_tombstones(&mut self) {
+        let floor = Revision(self.revision.0.saturating_sub(TOMBSTONE_REVISIONS));
         let due = self
-            .held
+            .latest
             .iter()
-            .filter(|(_, held)| held.is_marker() && held.record.revision <= floor);
+            .filter(|(_, held)| held.is_tombstone() && held.record.revision <= floor);
         let due: Vec<EntryName> = due.map(|(name, _)| name.clone()).collect();
         if !due.is_empty() {
-            self.marker_floor = self.marker_floor.max(floor);
+            self.tombstone_floor = self.tombstone_floor.max(floor);
         }
-        due.iter().for_each(|name| self.forget(name));
+        due.iter().for_each(|name| self.drop_record(name));
     }
 
-    /// The latest record of an entry, a removal marker included.
+    /// Returns the latest record of an entry, which may be a tombstone.
     #[must_use]
     pub fn record(&self, name: &EntryName) -> Option<&Arc<Record>> {
-        self.held.get(name).map(|held| &held.record)
+        self.latest.get(name).map(|held| &held.record)
     }
 
-    /// The entry in force.
+    /// Returns an entry as it is in force.
     #[must_use]
     pub fn entry(&self, name: &EntryName) -> Option<&Arc<Entry>> {
         self.in_force.get(name).map(|in_force| &in_force.entry)
     }
 
-    /// All latest records, removal markers included.
+    /// Iterates over the latest records, tombstones included.
     pub fn records(&self) -> impl Iterator<Item = (&EntryName, &Arc<Record>)> {
-        self.held.iter().map(|(name, held)| (name, &held.record))
+        self.latest.iter().map(|(name, held)| (name, &held.record))
     }
 
-    /// All latest records with their bytes.
-    pub(crate) fn held(&self) -> impl Iterator<Item = (&EntryName, &Held)> {
-        self.held.iter()
+    /// Iterates over the latest records with their bytes.
+    pub(crate) fn latest(&self) -> impl Iterator<Item = (&EntryName, &Held)> {
+        self.latest.iter()
     }
 
-    /// All entries in force.
+    /// Iterates over the entries in force.
     pub fn entries(&self) -> impl Iterator<Item = (&EntryName, &Arc<Entry>)> {
         let in_force = self.in_force.iter();
         in_force.map(|(name, in_force)| (name, &in_force.entry))
     }
 
-    /// Entries whose latest record breaks rules, with what is in force instead.
+    /// Returns the entries whose latest record was rejected, and why.
     #[must_use]
     pub fn rejected(&self) -> &BTreeMap<EntryName, Rejected> {
         &self.rejected
     }
 
-    /// The edit that made a revision, if it is remembered.
+    /// Returns the edit that made a revision, if it is remembered.
     #[must_use]
     pub fn change(&self, revision: Revision) -> Option<&Change> {
         self.log.get(&revision)
     }
 
-    /// The revision that an edit made, if it is remembered.
+    /// Returns the revision that an edit made, if it is remembered.
     #[must_use]
     pub fn revision_of(&self, id: EditId) -> Option<Revision> {
         let logged = self.log.values().find(|change| change.edit_id == id);
         logged.map(|change| change.revision).or_else(|| {
-            let mut records = self.held.values();
+            let mut records = self.latest.values();
             records.find_map(|held| held.record.revision_of(id))
         })
     }
 
-    /// Records after a revision in the order of their revisions. Where a latest record
-    /// breaks rules, the one in force comes too, so that a daemon that starts late has
-    /// something to serve.
+    /// Iterates over the records after a revision in the order of their revisions. Where the
+    /// latest record was rejected, the one in force is included, so that a daemon that starts
+    /// later has a valid one to serve.
     pub fn since(&self, after: Revision) -> impl Iterator<Item = (Revision, WireRecord)> + use<> {
         let held = self
-            .held
+            .latest
             .iter()
             .filter(|(_, held)| held.record.revision > after);
-        let held = held.map(|(name, held)| (held.record.revision, wire(name, held)));
-        let kept = self.rejected.keys().filter_map(|name| {
+        let held = held.map(|(name, held)| (held.record.revision, wire_record(name, held)));
+        let fallbacks = self.rejected.keys().filter_map(|name| {
             let in_force = &self.in_force.get(name)?.held;
             let revision = in_force.record.revision;
             (revision > after && self.record(name)?.revision != revision)
-                .then(|| (revision, wire(name, in_force)))
+                .then(|| (revision, wire_record(name, in_force)))
         });
-        let mut all: Vec<(Revision, WireRecord)> = held.chain(kept).collect();
+        let mut all: Vec<(Revision, WireRecord)> = held.chain(fallbacks).collect();
         all.sort_by_key(|(revision, _)| *revision);
         all.into_iter()
     }
 }
 
-fn wire(name: &EntryName, held: &Held) -> WireRecord {
+fn wire_record(name: &EntryName, held: &Held) -> WireRecord {
     WireRecord {
         name: name.clone(),
         json: held.json.clone(),
     }
 }
 
-fn digest_of(name: &EntryName, record: &Record) -> u128 {
+fn record_digest(name: &EntryName, record: &Record) -> u128 {
     let text = format!("{name}\0{}\0{}", record.revision, record.edit_id);
     xxh3_128(text.as_bytes())
 }
--- a/components/catalogue/src/table/rules.rs
+++ b/components/catalogue/src/table/rules.rs
@@ -1,7 +1,7 @@
-//! Which entries are in force.
+//! Selection of the entries in force.
 //!
-//! A bad entry never stops a daemon nor drags others down: the last good one of that
-//! entry stays in force, and the dump says so.
+//! An invalid entry neither stops a daemon nor affects valid ones: the entry's last valid
+//! record stays in force, and the state dump reports the rejection.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,56 +12,57 @@
 use crate::record::Held;
 use crate::table::{Catalogue, InForce, Rejected};
 
-/// What each entry would be in force as.
-type Chosen = BTreeMap<EntryName, InForce>;
+/// The record selected for each entry.
+type Selection = BTreeMap<EntryName, InForce>;
 
 impl Catalogue {
-    /// Applies the rules to all latest records.
-    pub(super) fn settle(&mut self) {
-        self.drop_markers();
+    /// Applies the rules to all latest records and updates the entries in force.
+    pub(super) fn apply_rules(&mut self) {
+        self.drop_tombstones();
         let mut problems = BTreeMap::new();
-        let mut chosen = self.choose_alone(&mut problems);
-        self.choose_across(&mut chosen, &mut problems);
-        let rejected = self.held.iter().filter_map(|(name, held)| {
+        let mut selection = self.select_valid_alone(&mut problems);
+        self.select_valid_across(&mut selection, &mut problems);
+        let rejected = self.latest.iter().filter_map(|(name, held)| {
             let problems = problems.remove(name)?;
             let rejected = Rejected {
                 revision: held.record.revision,
                 problems,
-                in_force: chosen.get(name).map(|c| c.held.record.revision),
+                in_force: selection.get(name).map(|c| c.held.record.revision),
             };
             Some((name.clone(), rejected))
         });
         self.rejected = rejected.collect();
-        self.in_force = chosen;
-        self.spare.clear();
+        self.in_force = selection;
+        self.fallbacks.clear();
     }
 
-    /// The latest record of each entry that keeps the rules of its own.
-    fn choose_alone(&self, problems: &mut BTreeMap<EntryName, Vec<String>>) -> Chosen {
-        let mut chosen = Chosen::new();
-        for (name, held) in &self.held {
-            if held.is_marker() {
+    /// Selects for each entry its latest record, or its last valid one if the latest breaks a
+    /// rule of a single entry.
+    fn select_valid_alone(&self, problems: &mut BTreeMap<EntryName, Vec<String>>) -> Selection {
+        let mut selection = Selection::new();
+        for (name, held) in &self.latest {
+            if held.is_tombstone() {
                 continue;
             }
-            match self.good(name, held) {
+            match self.validate(name, held) {
                 Ok(in_force) => {
-                    chosen.insert(name.clone(), in_force);
+                    selection.insert(name.clone(), in_force);
                 }
                 Err(found) => {
                     problems.insert(name.clone(), found);
-                    self.fall_back(name, &mut chosen);
+                    self.select_last_valid(name, &mut selection);
                 }
             }
         }
-        chosen
+        selection
     }
 
-    fn good(&self, name: &EntryName, held: &Held) -> Result<InForce, Vec<String>> {
+    fn validate(&self, name: &EntryName, held: &Held) -> Result<InForce, Vec<String>> {
         let Some(entry) = &held.record.entry else {
             let message = held.unreadable.clone().unwrap_or_default();
             return Err(vec![format!("cannot be read: {message}")]);
         };
-        // Already checked when it came into force.
+        // The entry was already checked when it was put in force.
         let known = self.in_force.get(name);
         if let Some(known) = known.filter(|known| Arc::ptr_eq(&known.entry, entry)) {
             return Ok(known.clone());
@@ -74,61 +75,69 @@
         Err(found.iter().map(ToString::to_string).collect())
     }
 
-    /// Puts the last good record of an entry in force, or takes the entry out.
-    fn fall_back(&self, name: &EntryName, chosen: &mut Chosen) {
-        let spare = self.spare.get(name);
-        let spare = spare.and_then(|held| self.good(name, held).ok());
-        match self.in_force.get(name).cloned().or(spare) {
-            Some(last) => chosen.insert(name.clone(), last),
-            None => chosen.remove(name),
+    /// Selects the last valid record of an entry, or removes the entry from the selection.
+    fn select_last_valid(&self, name: &EntryName, selection: &mut Selection) {
+        let fallback = self.fallbacks.get(name);
+        let fallback = fallback.and_then(|held| self.validate(name, held).ok());
+        match self.in_force.get(name).cloned().or(fallback) {
+            Some(last) => selection.insert(name.clone(), last),
+            None => selection.remove(name),
         };
     }
 
-    /// Replaces entries that break rules with others until none but those that were in
-    /// force before are left. Each round moves at least one entry back, so it ends.
-    fn choose_across(&self, chosen: &mut Chosen, problems: &mut BTreeMap<EntryName, Vec<String>>) {
+    /// Reverts entries that break rules across entries until only problems of entries remain
+    /// that were in force before. Each round reverts at least one entry, so the loop ends.
+    fn select_valid_across(
+        &self,
+        selection: &mut Selection,
+        problems: &mut BTreeMap<EntryName, Vec<String>>,
+    ) {
         loop {
-            let found = check::across(&entries_of(chosen));
-            let mut moved = false;
-            for (name, found) in by_entry(found) {
-                moved |= self.move_back(&name, chosen);
+            let found = check::across(&entries_of(selection));
+            let mut any_reverted = false;
+            for (name, found) in texts_by_entry(found) {
+                any_reverted |= self.revert(&name, selection);
                 problems.entry(name).or_insert(found);
             }
-            if !moved {
+            if !any_reverted {
                 return;
             }
         }
     }
 
-    fn move_back(&self, name: &EntryName, chosen: &mut Chosen) -> bool {
-        let before = chosen.get(name).map(|chosen| chosen.held.record.rank());
+    /// Replaces the selected record of an entry with the last valid one, or removes the entry.
+    /// Returns false if nothing is selected or the record is already in force.
+    fn revert(&self, name: &EntryName, selection: &mut Selection) -> bool {
+        let before = selection
+            .get(name)
+            .map(|selection| selection.held.record.rank());
         let last = self.in_force.get(name).map(|last| last.held.record.rank());
         if before.is_none() || before == last {
             return false;
         }
-        let mut spare = Chosen::new();
-        self.fall_back(name, &mut spare);
-        match spare.remove(name) {
+        let mut replacement = Selection::new();
+        self.select_last_valid(name, &mut replacement);
+        match replacement.remove(name) {
             Some(other) if Some(other.held.record.rank()) != before => {
-                chosen.insert(name.clone(), other);
+                selection.insert(name.clone(), other);
             }
             _ => {
-                chosen.remove(name);
+                selection.remove(name);
             }
         }
         true
     }
 }
 
-fn entries_of(chosen: &Chosen) -> Entries {
-    let entries = chosen.iter().map(|(name, chosen)| {
-        let revision = chosen.held.record.revision;
-        (name.clone(), (revision, chosen.entry.clone()))
+fn entries_of(selection: &Selection) -> Entries {
+    let entries = selection.iter().map(|(name, selection)| {
+        let revision = selection.held.record.revision;
+        (name.clone(), (revision, selection.entry.clone()))
     });
     entries.collect()
 }
 
-fn by_entry(found: Vec<Problem>) -> BTreeMap<EntryName, Vec<String>> {
+fn texts_by_entry(found: Vec<Problem>) -> BTreeMap<EntryName, Vec<String>> {
     let mut by_entry: BTreeMap<EntryName, Vec<String>> = BTreeMap::new();
     for problem in found {
         let texts = by_entry.entry(problem.entry.clone()).or_default();
--- a/components/catalogue/tests/rules.rs
+++ b/components/catalogue/tests/rules.rs
@@ -8,7 +8,7 @@
 use catalogue::entry::{Body, Entry, Gate, KeyHash, Permit, Protocol, RolloutState, VersionState};
 use catalogue::file;
 use catalogue::record::{Catalogue, Held, Record};
-use catalogue::table::MARKER_REVISIONS;
+use catalogue::table::TOMBSTONE_REVISIONS;
 use types::prelude::*;
 
 const KOCHI: &str = include_str!("../../../examples/kochi.yaml");
@@ -254,7 +254,7 @@
     let entry = kochi().remove(&name("customers/dev"));
     let dev = name("customers/dev");
     let other = name("customers/other");
-    let far = MARKER_REVISIONS + 10;
+    let far = TOMBSTONE_REVISIONS + 10;
     let mut catalogue = Catalogue::default();
     catalogue.apply_all([(dev.clone(), held(1, entry.clone()))], None);
     let mut asleep = catalogue.clone();
@@ -271,8 +271,8 @@
     );
     catalogue.apply_all([(dev.clone(), held(1, entry))], None);
     assert_eq!(catalogue.entries().count(), 0);
-    assert!(asleep.revision() < catalogue.marker_floor());
-    asleep.drop_unnamed(&[other.clone()].into(), catalogue.revision());
+    assert!(asleep.revision() < catalogue.tombstone_floor());
+    asleep.remove_missing(&[other.clone()].into(), catalogue.revision());
     asleep.apply_all([(other, held(far, None))], Some(catalogue.revision()));
     assert_eq!(asleep.entries().count(), 0);
     assert_eq!(asleep.digest(), catalogue.digest());
