--- a/components/catalogue/src/check.rs
+++ b/components/catalogue/src/check.rs
@@ -1,8 +1,8 @@
-//! Rules that entries keep, each alone and all together.
+//! Validation rules for single entries and across entries.
 //!
-//! Checked when an operator edits, against the whole catalogue as it would become,
-//! and again by every daemon when a record arrives: a record may come from a daemon
-//! of another release or from a hand that wrote to the store directly.
+//! They are checked when an operator proposes an edit, against the whole catalogue as it
+//! would become, and again by every daemon when a record arrives: the record may come from
+//! a daemon of another release or have been written to the store by hand.
 
 mod across;
 mod alone;
@@ -19,23 +19,23 @@
     MAX_CANDIDATES, MAX_CUSTOMERS, MAX_KEYS, MAX_STEPS, MAX_UPSTREAMS, MAX_VERSIONS,
 };
 
-/// Most entries of a catalogue.
+/// Largest number of entries in a catalogue.
 pub const MAX_ENTRIES: usize = 4096;
 
-/// Longest record of an entry, its history included. The store takes a megabyte, one
-/// message between daemons less, and every edit of an entry goes to every daemon.
+/// Largest size of an entry's record, its history included. The store accepts a megabyte, a
+/// message between daemons less, and every edit of an entry is sent to every daemon.
 pub const MAX_ENTRY_SIZE: ByteSize = ByteSize(128 << 10);
 
-/// What is wrong with an entry, where, and what would be right.
+/// A broken rule: the entry and key at fault, what was found and what is expected.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Problem {
-    /// The entry.
+    /// Name of the entry at fault.
     pub entry: EntryName,
-    /// The key inside it, such as `upstreams[2].slots`; empty for the whole entry.
+    /// Key within the entry, such as `upstreams[2].slots`; empty for the whole entry.
     pub key: String,
-    /// What stands there.
+    /// The value or state found at the key.
     pub found: String,
-    /// What would be right.
+    /// What the rule expects there.
     pub expected: String,
 }
 
@@ -52,23 +52,23 @@
     }
 }
 
-/// Entries with the revision that each was last changed at.
+/// Entries by name, with the revision at which each was last changed.
 pub type Entries = BTreeMap<EntryName, (Revision, Arc<Entry>)>;
 
-/// Problems of one entry by itself.
+/// Returns the problems of a single entry.
 #[must_use]
 pub fn alone(name: &EntryName, entry: &Entry) -> Vec<Problem> {
     alone::check(name, entry)
 }
 
-/// Problems of entries with one another. Of two that claim the same id or key, the
-/// later edit is the one at fault.
+/// Returns the problems across entries. Of two entries that use the same id or key, the one
+/// edited later is at fault.
 #[must_use]
 pub fn across(entries: &Entries) -> Vec<Problem> {
     across::check(entries)
 }
 
-/// All problems of a set of entries.
+/// Returns all problems of a set of entries.
 #[must_use]
 pub fn all(entries: &Entries) -> Vec<Problem> {
     let each = entries
@@ -79,13 +79,13 @@
     problems
 }
 
-/// Gathers the problems of one entry.
-struct Report<'a> {
+/// Collects the problems of one entry.
+struct Checker<'a> {
     entry: &'a EntryName,
     problems: Vec<Problem>,
 }
 
-impl<'a> Report<'a> {
+impl<'a> Checker<'a> {
     fn new(entry: &'a EntryName) -> Self {
         Self {
             entry,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Notes a problem unless `holds`.
+    /// Adds a problem unless `holds`.
     fn require(
         &mut self,
         holds: bool,
--- a/components/catalogue/src/check/across.rs
+++ b/components/catalogue/src/check/across.rs
@@ -1,34 +1,34 @@
-//! Rules of entries with one another: what is named exists, what must differ differs.
+//! Rules across entries: references resolve, and ids and keys are unique.
 
 use std::collections::{HashMap, HashSet};
 use std::hash::Hash;
 
 use types::prelude::*;
 
-use crate::check::{Entries, MAX_ENTRIES, Problem, Report};
+use crate::check::{Checker, Entries, MAX_ENTRIES, Problem};
 use crate::entry::{Body, Customer, KeyHash, Model, Offer, Permit, Protocol, Service};
 use crate::view::{CUSTOMERS, MODELS};
 
 pub(crate) fn check(entries: &Entries) -> Vec<Problem> {
-    let claims = Claims::of(entries);
+    let owners = Owners::of(entries);
     let mut problems: Vec<Problem> = check_count(entries).into_iter().collect();
     for (name, (revision, entry)) in entries {
-        let mut report = Report::new(name);
+        let mut checker = Checker::new(name);
         match &entry.body {
-            Body::Customer(customer) => claims.check_keys(&mut report, *revision, customer),
+            Body::Customer(customer) => owners.check_keys(&mut checker, *revision, customer),
             Body::Service(service) => {
-                claims.check_upstreams(&mut report, *revision, service);
-                check_customers(&mut report, entries, service.customers.iter());
+                owners.check_upstreams(&mut checker, *revision, service);
+                check_customers(&mut checker, entries, service.customers.iter());
             }
-            Body::Model(model) => check_model(&mut report, entries, model),
-            Body::Offer(offer) => check_offer(&mut report, entries, offer),
+            Body::Model(model) => check_model(&mut checker, entries, model),
+            Body::Offer(offer) => check_offer(&mut checker, entries, offer),
         }
-        problems.extend(report.problems);
+        problems.extend(checker.problems);
     }
     problems
 }
 
-/// Past the bound, the latest entry is at fault.
+/// Checks the number of entries; past the bound, the entry edited last is at fault.
 fn check_count(entries: &Entries) -> Option<Problem> {
     if entries.len() <= MAX_ENTRIES {
         return None;
@@ -42,16 +42,16 @@
     })
 }
 
-/// Who claimed an id first: the entry with the lowest revision. Only looked up, so the
-/// order of the tables does not show.
-struct Claims<'a> {
+/// Owner of each id and key: of the entries that use it, the one with the lowest revision.
+/// The tables are only looked up, so their order does not affect the result.
+struct Owners<'a> {
     upstreams: HashMap<&'a UpstreamId, (Revision, &'a EntryName)>,
     keys: HashMap<&'a KeyHash, (Revision, &'a EntryName)>,
 }
 
-impl<'a> Claims<'a> {
+impl<'a> Owners<'a> {
     fn of(entries: &'a Entries) -> Self {
-        let mut claims = Self {
+        let mut owners = Self {
             upstreams: HashMap::new(),
             keys: HashMap::new(),
         };
@@ -59,28 +59,29 @@
             match &entry.body {
                 Body::Service(service) => {
                     let ids = service.upstreams.iter().map(|upstream| &upstream.id);
-                    ids.for_each(|id| claim(&mut claims.upstreams, id, *revision, name));
+                    ids.for_each(|id| set_owner(&mut owners.upstreams, id, *revision, name));
                 }
                 Body::Customer(customer) => {
                     let keys = customer.key_sha256.iter();
-                    keys.for_each(|key| claim(&mut claims.keys, key, *revision, name));
+                    keys.for_each(|key| set_owner(&mut owners.keys, key, *revision, name));
                 }
                 Body::Model(_) | Body::Offer(_) => {}
             }
         }
-        claims
+        owners
     }
 
-    fn check_upstreams(&self, report: &mut Report<'_>, revision: Revision, service: &Service) {
+    fn check_upstreams(&self, checker: &mut Checker<'_>, revision: Revision, service: &Service) {
         let mut seen = HashSet::new();
         for (place, upstream) in service.upstreams.iter().enumerate() {
             let owner = self.upstreams.get(&upstream.id);
-            let is_own = owner.is_none_or(|owner| *owner == (revision, report.entry));
-            // Tens of thousands of upstreams are in order at every edit: no text for these.
+            let is_own = owner.is_none_or(|owner| *owner == (revision, checker.entry));
+            // Valid ids are skipped early, so that no texts are built for the tens of thousands of
+            // upstreams that are checked at every edit.
             if is_own && seen.insert(&upstream.id) {
                 continue;
             }
-            report.require(
+            checker.require(
                 false,
                 format!("upstreams[{place}].id"),
                 format!("{}, which is taken", upstream.id),
@@ -89,11 +90,11 @@
         }
     }
 
-    fn check_keys(&self, report: &mut Report<'_>, revision: Revision, customer: &Customer) {
+    fn check_keys(&self, checker: &mut Checker<'_>, revision: Revision, customer: &Customer) {
         for (place, key) in customer.key_sha256.iter().enumerate() {
             let owner = self.keys.get(key);
-            let is_own = owner.is_none_or(|owner| *owner == (revision, report.entry));
-            report.require(
+            let is_own = owner.is_none_or(|owner| *owner == (revision, checker.entry));
+            checker.require(
                 is_own,
                 format!("key_sha256[{place}]"),
                 "a key that another customer has",
@@ -103,7 +104,8 @@
     }
 }
 
-fn claim<'a, T: Eq + Hash>(
+/// Makes an entry the owner of `id` unless another one with a lower revision is.
+fn set_owner<'a, T: Eq + Hash>(
     table: &mut HashMap<&'a T, (Revision, &'a EntryName)>,
     id: &'a T,
     revision: Revision,
@@ -113,50 +115,51 @@
     *owner = (*owner).min((revision, name));
 }
 
-fn body<'a>(entries: &'a Entries, name: &EntryName) -> Option<&'a Body> {
+fn body_of<'a>(entries: &'a Entries, name: &EntryName) -> Option<&'a Body> {
     entries.get(name).map(|(_, entry)| &entry.body)
 }
 
-fn named<'a>(entries: &'a Entries, prefix: &str, rest: &str) -> Option<&'a Body> {
+/// Returns the body of the entry whose name is `prefix` followed by `rest`.
+fn body_with_prefix<'a>(entries: &'a Entries, prefix: &str, rest: &str) -> Option<&'a Body> {
     let name = EntryName::new(&format!("{prefix}{rest}")).ok()?;
-    body(entries, &name)
+    body_of(entries, &name)
 }
 
-fn check_model(report: &mut Report<'_>, entries: &Entries, model: &Model) {
-    let found = match body(entries, &model.service) {
+fn check_model(checker: &mut Checker<'_>, entries: &Entries, model: &Model) {
+    let found = match body_of(entries, &model.service) {
         Some(Body::Service(service)) if service.protocol == Protocol::Engine => return,
         Some(_) => format!("{}, which is no engine service", model.service),
         None => format!("{}, which does not exist", model.service),
     };
-    report.require(false, "service", found, "a service with protocol: engine");
+    checker.require(false, "service", found, "a service with protocol: engine");
 }
 
-fn check_offer(report: &mut Report<'_>, entries: &Entries, offer: &Offer) {
+fn check_offer(checker: &mut Checker<'_>, entries: &Entries, offer: &Offer) {
     for (place, permit) in offer.candidates.iter().enumerate() {
-        check_permit(report, entries, &format!("candidates[{place}]"), permit);
+        check_permit(checker, entries, &format!("candidates[{place}]"), permit);
     }
     for (customer, permits) in &offer.customers {
         let key = format!("customers.{customer}");
         for permit in permits {
-            check_permit(report, entries, &key, permit);
+            check_permit(checker, entries, &key, permit);
         }
     }
-    check_customers(report, entries, offer.customers.keys());
+    check_customers(checker, entries, offer.customers.keys());
 }
 
-fn check_permit(report: &mut Report<'_>, entries: &Entries, key: &str, permit: &Permit) {
-    let model = match named(entries, MODELS, permit.model().as_str()) {
+fn check_permit(checker: &mut Checker<'_>, entries: &Entries, key: &str, permit: &Permit) {
+    let model = match body_with_prefix(entries, MODELS, permit.model().as_str()) {
         Some(Body::Model(model)) => Some(model),
         _ => None,
     };
-    report.require(
+    checker.require(
         model.is_some(),
         key,
         format!("{permit}, whose model does not exist"),
         format!("a model that has an entry {MODELS}NAME"),
     );
     if let (Some(model), Permit::Version(id)) = (model, permit) {
-        report.require(
+        checker.require(
             model.versions.contains_key(&id.version),
             key,
             format!("{permit}, which the model does not have"),
@@ -166,19 +169,19 @@
 }
 
 fn check_customers<'a>(
-    report: &mut Report<'_>,
+    checker: &mut Checker<'_>,
     entries: &Entries,
     customers: impl Iterator<Item = &'a CustomerId>,
 ) {
     for customer in customers {
         let exists = matches!(
-            named(entries, CUSTOMERS, customer.as_str()),
+            body_with_prefix(entries, CUSTOMERS, customer.as_str()),
             Some(Body::Customer(_))
         );
         if exists {
             continue;
         }
-        report.require(
+        checker.require(
             false,
             "customers",
             format!("{customer}, which does not exist"),
--- a/components/catalogue/src/diff.rs
+++ b/components/catalogue/src/diff.rs
@@ -1,4 +1,4 @@
-//! What differs between two entries, field by field, for an operator to read.
+//! Field-by-field differences between two entries, shown to operators.
 
 use std::collections::BTreeSet;
 
@@ -7,21 +7,21 @@
 
 use crate::entry::Entry;
 
-/// Most differences told; more are counted in the last one.
+/// Largest number of differences listed; a further last one gives the number left out.
 pub const MAX_DIFFERENCES: usize = 64;
 
-/// One field that differs.
+/// One field in which two entries differ.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Difference {
-    /// Where, such as `versions.2026-11.state`; empty for the whole entry.
+    /// Key of the field, such as `versions.2026-11.state`; empty for the whole entry.
     pub key: String,
-    /// What stands there; nothing when the field is absent.
+    /// Current value; nothing when the field is absent.
     pub standing: Option<Value>,
-    /// What was proposed.
+    /// Proposed value; nothing when the field is absent.
     pub proposed: Option<Value>,
 }
 
-/// Fields in which what stands and what was proposed differ.
+/// Returns the fields in which the current entry and the proposed one differ.
 #[must_use]
 pub fn between(standing: Option<&Entry>, proposed: Option<&Entry>) -> Vec<Difference> {
     let mut found = Vec::new();
--- a/components/catalogue/src/entry.rs
+++ b/components/catalogue/src/entry.rs
@@ -1,4 +1,4 @@
-//! What operators write: customers, services, models and offers.
+//! Entries that operators write: customers, services, models and offers.
 
 mod customer;
 mod model;
@@ -16,49 +16,49 @@
 /// One entry of the catalogue.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The team that answers for it.
+    /// The team responsible for the entry.
     pub owner: OperatorName,
-    /// What it says.
+    /// The entry's content, according to its kind.
     #[serde(flatten)]
     pub body: Body,
 }
 
-/// The kinds of entry.
+/// The content of an entry, one variant for each kind.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 pub enum Body {
-    /// Who may call.
+    /// A customer who may send requests.
     Customer(Customer),
-    /// Where work runs.
+    /// A pool of upstreams that run requests.
     Service(Service),
     /// A model and its versions.
     Model(Model),
-    /// What callers ask for.
+    /// A class of work that customers may request.
     Offer(Offer),
 }
 
-/// Upper bounds; what is absent is not bounded.
+/// Rate and concurrency limits; an absent one does not apply.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Requests started.
+    /// Rate of requests started.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub requests: Option<Rate>,
-    /// Tokens, input and output.
+    /// Rate of tokens, input and output together.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub tokens: Option<Rate>,
-    /// Requests in flight.
+    /// Number of requests in flight.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub concurrent: Option<u32>,
 }
 
-/// What holds when a daemon has not heard for a while that its catalogue is current.
+/// Rule for an entry while its daemon cannot validate that the catalogue is current.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Freshness {
-    /// The catalogue counts as current this long after it last was confirmed.
+    /// How long the catalogue counts as current after it was last validated.
     pub limit: Span,
-    /// What follows.
+    /// What happens after that.
     pub past_limit: PastLimit,
 }
 
@@ -75,11 +75,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PastLimit {
-    /// Serve what is known.
+    /// Serve the entry as last known.
     Serve,
-    /// Refuse as not run.
+    /// Refuse requests without running them.
     Refuse,
-    /// Serve while most of the fleet is in reach and none of it reaches the store;
-    /// a daemon that sees only a few others may be the one that is cut off, and refuses.
+    /// Serve while a majority of the fleet can be reached and none of it reaches the store.
+    /// A daemon that reaches only a minority may be partitioned off itself, and refuses.
     ServeWithMajority,
 }
--- a/components/catalogue/src/entry/customer.rs
+++ b/components/catalogue/src/entry/customer.rs
@@ -9,16 +9,16 @@
 
 use crate::entry::Limits;
 
-/// A customer: its keys and what it may take.
+/// A customer: its bearer keys, limits and weight.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Customer {
     /// SHA-256 of each bearer key, in hexadecimal.
     pub key_sha256: Vec<KeyHash>,
-    /// Across all offers.
+    /// Limits across all offers.
     #[serde(default)]
     pub limits: Limits,
-    /// Its part when customers compete; 1 by default.
+    /// Relative share when customers compete for capacity; 1 by default.
     #[serde(default = "default_weight")]
     pub weight: u32,
 }
--- a/components/catalogue/src/entry/model.rs
+++ b/components/catalogue/src/entry/model.rs
@@ -10,11 +10,11 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// The service that runs it.
+    /// The service whose upstreams run the model.
     pub service: EntryName,
-    /// Its versions by name.
+    /// The model's versions by name.
     pub versions: BTreeMap<VersionName, Version>,
-    /// The roll-out under way or the last one.
+    /// The roll-out in progress, or else the last one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rollout: Option<Rollout>,
 }
@@ -23,24 +23,24 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Version {
-    /// Whether it takes work.
+    /// Which requests the version is given.
     pub state: VersionState,
-    /// What its work costs.
+    /// Price of the version's tokens.
     pub price: Price,
-    /// Expected share of adequate answers before any rating, by class.
+    /// Expected share of adequate answers by class, used before there are ratings.
     #[serde(default)]
     pub expected_quality: BTreeMap<ClassName, Share>,
 }
 
-/// Whether a version takes work.
+/// Which requests a version is given.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VersionState {
-    /// Everything.
+    /// All requests.
     Offered,
-    /// Only the sessions that it has.
+    /// Only requests of sessions that it already has.
     Draining,
-    /// Nothing new at all.
+    /// No new requests.
     Withdrawn,
 }
 
@@ -58,18 +58,19 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Price {
-    /// Of the prompt.
+    /// Price of prompt tokens.
     #[serde(with = "serde_with::As::<serde_with::DisplayFromStr>")]
     pub input: Cost,
-    /// Of the answer.
+    /// Price of answer tokens.
     #[serde(with = "serde_with::As::<serde_with::DisplayFromStr>")]
     pub output: Cost,
 }
 
+/// Number of tokens that a [`Price`] refers to.
 const TOKENS_PER_PRICE: u128 = 1_000_000;
 
 impl Price {
-    /// What a prompt and its answer cost, rounded up.
+    /// Returns the cost of a prompt and its answer, rounded up.
     #[must_use]
     pub fn of(self, input: Tokens, output: Tokens) -> Cost {
         let input = u128::from(self.input.0) * u128::from(input.0);
@@ -83,23 +84,23 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rollout {
-    /// The version that goes.
+    /// The version to be replaced.
     pub from: VersionName,
-    /// The version that comes.
+    /// The version to be rolled out.
     pub to: VersionName,
-    /// The new version's share of new sessions, step by step, rising to 1.
+    /// The new version's share of new sessions at each step, rising to 1.
     pub steps: Vec<Share>,
-    /// The step in force, from 0.
+    /// Index of the current step, from 0.
     pub step: usize,
-    /// Whether it moves.
+    /// Whether the roll-out advances, has ended or was aborted.
     pub state: RolloutState,
-    /// What a step needs before the next.
+    /// Conditions for advancing to the next step.
     #[serde(default)]
     pub gate: Gate,
 }
 
 impl Rollout {
-    /// The new version's share of new sessions now.
+    /// Returns the new version's current share of new sessions.
     #[must_use]
     pub fn share(&self) -> Share {
         match self.state {
@@ -112,27 +113,27 @@
     }
 }
 
-/// Whether a roll-out moves.
+/// Whether a roll-out advances, has ended or was aborted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RolloutState {
-    /// Goes on as gates open.
+    /// Advances when the gate of the current step is met.
     Running,
-    /// Stays at its step.
+    /// Stays at the current step.
     Paused,
-    /// Gone back to the old version.
+    /// Ended by returning to the old version.
     Aborted,
-    /// The new version has everything.
+    /// Ended with the new version taking all sessions.
     Done,
 }
 
-/// What a roll-out's step needs before the next.
+/// Conditions for a roll-out to advance from one step to the next.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Gate {
-    /// Ratings of the new version at this step.
+    /// Number of ratings of the new version needed at this step.
     pub ratings: u32,
-    /// Shortest stay at a step.
+    /// Least time at a step.
     pub stay: Span,
 }
 
--- a/components/catalogue/src/entry/offer.rs
+++ b/components/catalogue/src/entry/offer.rs
@@ -1,4 +1,4 @@
-//! What callers ask for.
+//! Offers: classes of work that customers may request.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,34 +11,34 @@
 
 use crate::entry::{Freshness, Limits};
 
-/// What callers ask for: a class of work and who may have it from which versions.
+/// A class of work, and which customers may be served from which versions.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Offer {
-    /// The kind of work.
+    /// The class of work.
     pub class: ClassName,
-    /// What goes first; a request may ask for less.
+    /// Priority of requests; a request may ask for a lower one.
     #[serde(default)]
     pub priority: Priority,
-    /// Models and versions to choose from.
+    /// Models and versions among which requests are routed.
     pub candidates: Vec<Permit>,
-    /// Who may call, and which of the candidates each may be served from.
+    /// Customers who may use the offer, with the candidates that each may be served from.
     pub customers: BTreeMap<CustomerId, Vec<Permit>>,
-    /// Share of answers that must be adequate.
+    /// Least share of answers that must be adequate.
     pub quality_target: Share,
-    /// What matters when candidates differ.
+    /// Weights of cost, latency and exposure in the choice among candidates.
     #[serde(default)]
     pub weights: Weights,
-    /// Across all customers.
+    /// Limits across all customers.
     #[serde(default)]
     pub limits: Limits,
-    /// An answer is due within, unless the request says less.
+    /// Deadline of an answer; a request may set a shorter one.
     #[serde(default = "default_deadline")]
     pub deadline: Span,
-    /// Longest answer.
+    /// Largest number of tokens in an answer.
     #[serde(default = "default_output")]
     pub max_output: Tokens,
-    /// What holds when the catalogue may be out of date.
+    /// Rule for the offer while the catalogue may be out of date.
     #[serde(default)]
     pub freshness: Freshness,
 }
@@ -51,15 +51,15 @@
     Tokens(4096)
 }
 
-/// What an owner weighs, each from 0; only their ratios count.
+/// Weights for the choice among candidates, each at least 0; only their ratios count.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Weights {
-    /// Money.
+    /// Weight of the cost.
     pub cost: f64,
-    /// Time to the answer.
+    /// Weight of the time to the answer.
     pub latency: f64,
-    /// Answers from versions not yet proved.
+    /// Weight of answers from versions not yet proved.
     pub exposure: f64,
 }
 
@@ -78,14 +78,14 @@
     Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, SerializeDisplay, DeserializeFromStr,
 )]
 pub enum Permit {
-    /// All versions.
+    /// All versions of a model.
     Model(ModelName),
-    /// One version.
+    /// One version of a model.
     Version(VersionId),
 }
 
 impl Permit {
-    /// Whether it covers a version.
+    /// Whether the permit covers a version.
     #[must_use]
     pub fn covers(&self, version: &VersionId) -> bool {
         match self {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// The model that it speaks of.
+    /// Returns the model that the permit refers to.
     #[must_use]
     pub fn model(&self) -> &ModelName {
         match self {
--- a/components/catalogue/src/entry/service.rs
+++ b/components/catalogue/src/entry/service.rs
@@ -1,4 +1,4 @@
-//! Pools of upstreams.
+//! Services: pools of upstreams.
 
 use std::net::SocketAddr;
 
@@ -11,23 +11,23 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// What its upstreams speak.
+    /// Protocol of the service's upstreams.
     pub protocol: Protocol,
-    /// Its upstreams.
+    /// The pool's upstreams.
     pub upstreams: Vec<Upstream>,
-    /// For plain services: who may call.
+    /// For plain services: customers who may use the service.
     #[serde(default)]
     pub customers: Vec<CustomerId>,
-    /// For plain services: requests that may be repeated, besides GET, HEAD and OPTIONS.
+    /// For plain services: whether requests other than GET, HEAD and OPTIONS may be repeated too.
     #[serde(default)]
     pub idempotent: bool,
-    /// For plain services: across all customers.
+    /// For plain services: limits across all customers.
     #[serde(default)]
     pub limits: Limits,
-    /// For plain services: an answer is due within.
+    /// For plain services: timeout of an answer.
     #[serde(default = "default_timeout")]
     pub timeout: Span,
-    /// What holds when the catalogue may be out of date.
+    /// Rule for the service while the catalogue may be out of date.
     #[serde(default)]
     pub freshness: Freshness,
 }
@@ -36,33 +36,33 @@
     Span::from_secs(30)
 }
 
-/// What upstreams of a service speak.
+/// Protocol of a service's upstreams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Protocol {
-    /// The OpenAI HTTP API and the engines' orders.
+    /// The OpenAI HTTP API and the orders to inference engines.
     Engine,
-    /// Any HTTP.
+    /// Any HTTP requests.
     Plain,
 }
 
-/// One upstream.
+/// An upstream of a service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Upstream {
-    /// Unique in the catalogue.
+    /// Id, unique in the catalogue.
     pub id: UpstreamId,
-    /// Where it listens.
+    /// Address that the upstream listens on.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Failure domain that the upstream runs in.
     pub failure_domain: FailureDomain,
-    /// The region of the failure domain; by default the daemon's own.
+    /// Region of the failure domain; by default that of the daemon.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub region: Option<Region>,
-    /// Requests that it runs at once.
+    /// Number of requests that the upstream runs concurrently.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether the upstream refuses orders with an outdated fencing number.
     #[serde(default)]
     pub checks_fencing: bool,
 }
--- a/components/catalogue/src/file.rs
+++ b/components/catalogue/src/file.rs
@@ -1,4 +1,4 @@
-//! The catalogue as a YAML file: load, then check, then entries.
+//! Reading, checking and writing the catalogue as a YAML file.
 //!
 //! ```yaml
 //! entries:
@@ -19,25 +19,26 @@
 use crate::check::{self, Entries, Problem};
 use crate::entry::{Body, Entry};
 
+/// Kinds of entry, as listed in error messages.
 const KINDS: &str = "customer, service, model or offer";
 
-/// Why a file gives no catalogue.
+/// Why a file does not contain a valid catalogue.
 #[derive(Debug, thiserror::Error)]
 pub enum FileError {
-    /// The text is not YAML of the expected outline.
+    /// The text is not YAML or is not a map with the key `entries`.
     #[error("{file}: {source}; expected a map `entries:` from names to entries")]
     Outline {
-        /// The file.
+        /// Name of the file.
         file: String,
-        /// What the parser says, with line and column.
+        /// The parser's error, with line and column.
         source: serde_norway::Error,
     },
-    /// Entries break rules.
+    /// Entries cannot be read or break rules.
     #[error("{file}: {} problems\n{}", problems.len(), lines(problems))]
     Problems {
-        /// The file.
+        /// Name of the file.
         file: String,
-        /// All of them.
+        /// All problems found.
         problems: Vec<Problem>,
     },
 }
@@ -49,27 +50,28 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Outline {
+struct Document {
     entries: BTreeMap<EntryName, Value>,
 }
 
 #[derive(serde::Serialize)]
-struct Written<'a> {
+struct DocumentRef<'a> {
     entries: &'a BTreeMap<EntryName, Arc<Entry>>,
 }
 
-/// Reads the text of a file; `file` is its name for error messages.
+/// Parses and checks the text of a file; `file` is its name in error messages.
 ///
 /// # Errors
-/// Names the file and, for each problem, the entry, the key and what is expected.
+/// When the text is not YAML, or entries cannot be read or break rules. The error names the
+/// file and, for each problem, the entry, the key and what is expected.
 pub fn parse(file: &str, text: &str) -> Result<BTreeMap<EntryName, Arc<Entry>>, FileError> {
-    let outline: Outline = serde_norway::from_str(text).map_err(|source| FileError::Outline {
+    let document: Document = serde_norway::from_str(text).map_err(|source| FileError::Outline {
         file: file.to_owned(),
         source,
     })?;
     let mut problems = Vec::new();
     let mut entries = Entries::new();
-    for (name, value) in outline.entries {
+    for (name, value) in document.entries {
         match parse_entry(&name, value) {
             Ok(entry) => {
                 entries.insert(name, (Revision(0), Arc::new(entry)));
@@ -77,7 +79,7 @@
             Err(problem) => problems.push(problem),
         }
     }
-    // Rules across entries say little while some could not be read.
+    // While some entries could not be read, rules across entries would report false problems.
     if problems.is_empty() {
         problems = check::all(&entries);
     }
@@ -91,18 +93,19 @@
         .collect())
 }
 
-/// Writes entries in the form that [`parse`] reads.
+/// Writes entries as YAML in the form that [`parse`] reads.
 ///
 /// # Errors
 /// When an entry cannot be written as YAML.
 pub fn write(entries: &BTreeMap<EntryName, Arc<Entry>>) -> Result<String, serde_norway::Error> {
-    serde_norway::to_string(&Written { entries })
+    serde_norway::to_string(&DocumentRef { entries })
 }
 
-/// Reads one entry; the problem names the key.
+/// Reads one entry from its YAML value.
 ///
 /// # Errors
-/// Says which key is wrong and what is expected there.
+/// When a key is missing, unknown or has a wrong value; the problem names the key and what is
+/// expected there.
 pub fn parse_entry(name: &EntryName, value: Value) -> Result<Entry, Problem> {
     let Value::Mapping(mut map) = value else {
         return Err(problem(
@@ -112,8 +115,8 @@
             "keys kind, owner and those of the kind",
         ));
     };
-    let kind = take_text(name, &mut map, "kind", KINDS)?;
-    let owner = take_text(
+    let kind = take_string(name, &mut map, "kind", KINDS)?;
+    let owner = take_string(
         name,
         &mut map,
         "owner",
@@ -123,16 +126,16 @@
         .map_err(|e| problem(name, "owner", &e.to_string(), "a short name"))?;
     let rest = Value::Mapping(map);
     let body = match kind.as_str() {
-        "customer" => Body::Customer(typed(name, rest)?),
-        "service" => Body::Service(typed(name, rest)?),
-        "model" => Body::Model(typed(name, rest)?),
-        "offer" => Body::Offer(typed(name, rest)?),
+        "customer" => Body::Customer(deserialize_body(name, rest)?),
+        "service" => Body::Service(deserialize_body(name, rest)?),
+        "model" => Body::Model(deserialize_body(name, rest)?),
+        "offer" => Body::Offer(deserialize_body(name, rest)?),
         other => return Err(problem(name, "kind", other, KINDS)),
     };
     Ok(Entry { owner, body })
 }
 
-fn take_text(
+fn take_string(
     name: &EntryName,
     map: &mut Mapping,
     key: &str,
@@ -145,7 +148,7 @@
     }
 }
 
-fn typed<T: DeserializeOwned>(name: &EntryName, value: Value) -> Result<T, Problem> {
+fn deserialize_body<T: DeserializeOwned>(name: &EntryName, value: Value) -> Result<T, Problem> {
     serde_path_to_error::deserialize(value).map_err(|e| {
         let key = e.path().to_string();
         let key = if key == "." { String::new() } else { key };
--- a/components/catalogue/src/lib.rs
+++ b/components/catalogue/src/lib.rs
@@ -1,9 +1,9 @@
-//! Entries, their rules, revisions and edits, and how they spread.
+//! Catalogue of entries: validation rules, revisions, edits and replication.
 //!
 //! The catalogue is a sequence of edits with dense revisions. Each edit puts or
-//! removes one entry. A daemon holds the latest record of every entry; applying
-//! records in any order, any number of times, ends in the same catalogue, since a
-//! record only ever replaces one of a lower revision.
+//! removes one entry. A daemon holds the latest record of every entry. Applying records in
+//! any order, any number of times, yields the same catalogue, since a record only replaces
+//! one of lower rank.
 
 pub mod check;
 pub mod diff;
--- a/components/catalogue/src/view.rs
+++ b/components/catalogue/src/view.rs
@@ -1,7 +1,7 @@
-//! The catalogue indexed for serving requests.
+//! Index of the entries in force, for serving requests.
 //!
-//! Built anew by the control thread whenever the catalogue changes and shared,
-//! unchanging, with the traffic threads.
+//! The control thread rebuilds it whenever the catalogue changes and shares it, immutable,
+//! with the traffic threads.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -11,16 +11,16 @@
 use crate::entry::{Body, Customer, KeyHash, Model, Offer, Service, Upstream, VersionState};
 use crate::record::Catalogue;
 
-/// Prefix of customers' entries.
+/// Prefix of the names of customers' entries.
 pub const CUSTOMERS: &str = "customers/";
-/// Prefix of models' entries.
+/// Prefix of the names of models' entries.
 pub const MODELS: &str = "models/";
-/// Prefix of offers' entries.
+/// Prefix of the names of offers' entries.
 pub const OFFERS: &str = "offers/";
-/// Prefix of services' entries.
+/// Prefix of the names of services' entries.
 pub const SERVICES: &str = "services/";
 
-/// The catalogue indexed for serving requests.
+/// The entries in force, indexed for serving requests.
 #[derive(Debug, Clone, Default)]
 pub struct View {
     /// The catalogue's revision.
@@ -37,7 +37,7 @@
 }
 
 impl View {
-    /// Indexes a catalogue. Entries whose names do not fit their kind are left out.
+    /// Indexes a catalogue. Entries whose name lacks the prefix of their kind are left out.
     #[must_use]
     pub fn from_catalogue(catalogue: &Catalogue) -> Self {
         let mut view = Self {
@@ -83,19 +83,20 @@
             .insert(id.clone(), Arc::new(customer.clone()));
     }
 
-    /// The customer that holds a bearer key.
+    /// Returns the customer that a bearer key belongs to.
     #[must_use]
     pub fn customer_of_key(&self, key: &str) -> Option<&CustomerId> {
         self.keys.get(&KeyHash::from_key(key))
     }
 
-    /// State of a version, if the catalogue has it.
+    /// Returns the state of a version, if the catalogue has the version.
     #[must_use]
     pub fn version_state(&self, id: &VersionId) -> Option<VersionState> {
         Some(self.models.get(&id.model)?.versions.get(&id.version)?.state)
     }
 
-    /// Versions that an offer may serve a customer from: offered or draining, never withdrawn.
+    /// Returns the versions that an offer may serve a customer from: offered or draining ones,
+    /// never withdrawn ones.
     #[must_use]
     pub fn permitted(&self, offer: &Offer, customer: &CustomerId) -> BTreeSet<VersionId> {
         let Some(permits) = offer.customers.get(customer) else {
@@ -113,15 +114,16 @@
             .collect()
     }
 
-    /// Versions of a model that may still run something.
+    /// Iterates over the versions of a model that are not withdrawn.
     fn versions_of(&self, name: &ModelName) -> impl Iterator<Item = VersionId> {
         let versions = self.models.get(name).map(|model| &model.versions);
         let versions = versions.into_iter().flatten();
-        let usable = versions.filter(|(_, version)| version.state != VersionState::Withdrawn);
-        usable.map(|(version, _)| VersionId::new(name.clone(), version.clone()))
+        let not_withdrawn =
+            versions.filter(|(_, version)| version.state != VersionState::Withdrawn);
+        not_withdrawn.map(|(version, _)| VersionId::new(name.clone(), version.clone()))
     }
 
-    /// The upstreams whose service runs a model.
+    /// Returns the upstreams of the service that runs a model.
     #[must_use]
     pub fn upstreams_of(&self, model: &ModelName) -> &[Upstream] {
         let service = self.models.get(model).map(|model| &model.service);
@@ -131,7 +133,7 @@
     }
 }
 
-/// The part of an entry's name after its kind's prefix.
+/// Returns the part of an entry's name after the prefix of its kind.
 #[must_use]
 pub fn short_name<T: std::str::FromStr>(name: &EntryName, prefix: &str) -> Option<T> {
     name.as_str().strip_prefix(prefix)?.parse().ok()
