--- a/components/catalogue/src/check/across.rs
+++ b/components/catalogue/src/check/across.rs
@@ -73,7 +73,7 @@
 
     fn check_upstreams(&self, checker: &mut Checker<'_>, revision: Revision, service: &Service) {
         let mut seen = HashSet::new();
-        for (place, upstream) in service.upstreams.iter().enumerate() {
+        for (index, upstream) in service.upstreams.iter().enumerate() {
             let owner = self.upstreams.get(&upstream.id);
             let is_own = owner.is_none_or(|owner| *owner == (revision, checker.entry));
             // Valid ids are skipped early, so that no texts are built for the tens of thousands of
@@ -83,7 +83,7 @@
             }
             checker.require(
                 false,
-                format!("upstreams[{place}].id"),
+                format!("upstreams[{index}].id"),
                 format!("{}, which is taken", upstream.id),
                 "an id that no other upstream of the catalogue has",
             );
@@ -91,12 +91,12 @@
     }
 
     fn check_keys(&self, checker: &mut Checker<'_>, revision: Revision, customer: &Customer) {
-        for (place, key) in customer.key_sha256.iter().enumerate() {
+        for (index, key) in customer.key_sha256.iter().enumerate() {
             let owner = self.keys.get(key);
             let is_own = owner.is_none_or(|owner| *owner == (revision, checker.entry));
             checker.require(
                 is_own,
-                format!("key_sha256[{place}]"),
+                format!("key_sha256[{index}]"),
                 "a key that another customer has",
                 "a key of this customer only",
             );
@@ -135,8 +135,8 @@
 }
 
 fn check_offer(checker: &mut Checker<'_>, entries: &Entries, offer: &Offer) {
-    for (place, permit) in offer.candidates.iter().enumerate() {
-        check_permit(checker, entries, &format!("candidates[{place}]"), permit);
+    for (index, permit) in offer.candidates.iter().enumerate() {
+        check_permit(checker, entries, &format!("candidates[{index}]"), permit);
     }
     for (customer, permits) in &offer.customers {
         let key = format!("customers.{customer}");
--- a/components/catalogue/src/check/alone.rs
+++ b/components/catalogue/src/check/alone.rs
@@ -152,16 +152,16 @@
         "none: an offer says who may use an engine's models",
     );
     let mut addresses = BTreeSet::new();
-    for (place, upstream) in service.upstreams.iter().enumerate() {
+    for (index, upstream) in service.upstreams.iter().enumerate() {
         checker.require(
             (1..=MAX_SLOTS).contains(&upstream.slots),
-            format!("upstreams[{place}].slots"),
+            format!("upstreams[{index}].slots"),
             upstream.slots.to_string(),
             format!("1 to {MAX_SLOTS}"),
         );
         checker.require(
             addresses.insert(upstream.address),
-            format!("upstreams[{place}].address"),
+            format!("upstreams[{index}].address"),
             format!("{} a second time", upstream.address),
             "an address for each upstream",
         );
--- a/components/catalogue/src/diff.rs
+++ b/components/catalogue/src/diff.rs
@@ -15,9 +15,9 @@
 pub struct Difference {
     /// Key of the field, such as `versions.2026-11.state`; empty for the whole entry.
     pub key: String,
-    /// Current value; nothing when the field is absent.
+    /// Current value; `None` when the field is absent.
     pub standing: Option<Value>,
-    /// Proposed value; nothing when the field is absent.
+    /// Proposed value; `None` when the field is absent.
     pub proposed: Option<Value>,
 }
 
--- a/components/catalogue/src/edit.rs
+++ b/components/catalogue/src/edit.rs
@@ -40,7 +40,7 @@
     pub name: EntryName,
     /// Precondition: the state that the operator saw.
     pub if_match: IfMatch,
-    /// The new entry; nothing removes it.
+    /// The new entry, or `None` to remove the entry.
     pub entry: Option<Arc<Entry>>,
     /// The operator who proposes the edit.
     pub author: OperatorName,
@@ -93,14 +93,14 @@
     },
 }
 
-/// What an [`Edit`] or a [`Query`] needs next.
+/// What an [`Edit`] or a [`Query`] asks of its caller next.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Step {
     /// Make this call and pass back its outcome.
     Call(Request),
     /// Resume at this time.
     Wait(Time),
-    /// It has ended with this verdict.
+    /// Take this verdict; there are no further steps.
     Done(Verdict),
 }
 
@@ -109,13 +109,13 @@
 pub struct EditContext<'a> {
     /// The daemon's catalogue.
     pub catalogue: &'a Catalogue,
-    /// The highest revision that any daemon reported; nothing while there are other daemons
-    /// but this one lacks recent replies from them.
+    /// The highest revision that any daemon reported; `None` while there are other daemons but
+    /// this one lacks recent replies from them.
     ///
     /// A daemon that was paused or partitioned off cannot tell that a store was restored from
     /// an old copy. It would conclude that an edit was never made, or make one at a revision
     /// that the fleet has already used.
-    pub fleet: Option<Revision>,
+    pub fleet_revision: Option<Revision>,
 }
 
 impl EditContext<'_> {
@@ -125,7 +125,7 @@
     /// repair could take a lost write for one that never took effect, report a conflict with an
     /// entry that was replaced long ago, or reuse a revision that the fleet has seen.
     fn reason_to_wait(&self, head: Revision) -> Option<&'static str> {
-        match self.fleet {
+        match self.fleet_revision {
             None => Some("no other daemon is in touch"),
             Some(fleet) if head < fleet.max(self.catalogue.highest_revision()) => {
                 Some("the store is behind the daemons")
--- a/components/catalogue/src/edit/attempt.rs
+++ b/components/catalogue/src/edit/attempt.rs
@@ -34,9 +34,11 @@
     /// Other entries to read too, because they changed after this daemon's revision.
     extra_reads: Vec<EntryName>,
     pauses: u32,
+    /// Writes that failed because another edit was applied first.
     lost_races: u32,
+    /// Why the last attempt did not end the edit, for the verdict at the deadline.
     reason: String,
-    learned: Vec<(EntryName, Held)>,
+    records_read: Vec<(EntryName, Held)>,
 }
 
 /// Purpose of the call in flight.
@@ -71,7 +73,7 @@
             pauses: 0,
             lost_races: 0,
             reason: "not begun".to_owned(),
-            learned: Vec::new(),
+            records_read: Vec::new(),
         }
     }
 
@@ -83,7 +85,7 @@
 
     /// Takes the records read or written so far, for the catalogue.
     pub fn take_learned(&mut self) -> Vec<(EntryName, Held)> {
-        std::mem::take(&mut self.learned)
+        std::mem::take(&mut self.records_read)
     }
 
     /// Starts the edit or continues it after a wait.
@@ -123,8 +125,8 @@
         match state {
             State::Writing(sent) if reply.succeeded => {
                 let name = self.proposal.name.clone();
-                self.learned.push((name, sent.held));
-                self.applied(sent.revision)
+                self.records_read.push((name, sent.held));
+                self.end_as_applied(sent.revision)
             }
             State::Writing(_) if self.must_pause_after_lost_race() => {
                 self.pause(now, "other edits come first", rng)
@@ -164,7 +166,7 @@
         let id = self.proposal.id;
         let found = snapshot.revision_of(id);
         if let Some(revision) = found.or_else(|| cx.catalogue.revision_of(id)) {
-            return self.applied(revision);
+            return self.end_as_applied(revision);
         }
         if let Some(reason) = cx.reason_to_wait(snapshot.head.head.revision) {
             return self.pause(now, reason, rng);
@@ -180,7 +182,7 @@
         self.try_write(now, &snapshot, cx, rng)
     }
 
-    /// Determines the outcome of a write whose reply was lost, or fences it. Returns nothing if
+    /// Determines the outcome of a write whose reply was lost, or fences it. Returns `None` if
     /// it was not applied and never will be.
     fn resolve(
         &mut self,
@@ -298,10 +300,10 @@
     fn keep_records(&mut self, snapshot: &Snapshot) {
         let entries = snapshot.entries.iter();
         let records = entries.map(|(name, (_, held))| (name.clone(), held.clone()));
-        self.learned.extend(records);
+        self.records_read.extend(records);
     }
 
-    fn applied(&mut self, revision: Revision) -> Step {
+    fn end_as_applied(&mut self, revision: Revision) -> Step {
         self.end(Verdict::Applied { revision })
     }
 
--- a/components/catalogue/src/edit/editor.rs
+++ b/components/catalogue/src/edit/editor.rs
@@ -40,11 +40,11 @@
 #[derive(Debug, Default)]
 pub struct Editor {
     waiting: VecDeque<(Ticket, Task)>,
-    /// When the first task resumes after a wait; nothing when it does not wait.
+    /// When the first task resumes, if it is waiting.
     due: Option<Time>,
     /// Whether a call of the first task is in flight.
     in_flight: bool,
-    learned: Vec<(EntryName, Held)>,
+    records_read: Vec<(EntryName, Held)>,
 }
 
 impl Editor {
@@ -72,7 +72,7 @@
 
     /// Takes the records that edits have read or written, for the catalogue.
     pub fn take_learned(&mut self) -> Vec<(EntryName, Held)> {
-        std::mem::take(&mut self.learned)
+        std::mem::take(&mut self.records_read)
     }
 
     /// Starts or resumes the first task when it is due.
@@ -103,7 +103,7 @@
         let step = match task {
             Task::Edit(edit) => {
                 let step = edit.on_outcome(now, outcome, cx, rng);
-                self.learned.extend(edit.take_learned());
+                self.records_read.extend(edit.take_learned());
                 step
             }
             Task::Query(query) => query.on_outcome(now, outcome, cx, rng),
--- a/components/catalogue/src/edit/judge.rs
+++ b/components/catalogue/src/edit/judge.rs
@@ -11,7 +11,7 @@
 use crate::edit::{IfMatch, Proposal, Verdict};
 use crate::record::Catalogue;
 
-/// Returns the other entries changed since this daemon's revision; nothing when the head does
+/// Returns the other entries changed since this daemon's revision; `None` when the head does
 /// not list all of these edits.
 pub(crate) fn changed_entries(
     proposal: &Proposal,
--- a/components/catalogue/src/edit/query.rs
+++ b/components/catalogue/src/edit/query.rs
@@ -27,6 +27,7 @@
     at: WallTime,
     keys: Keys,
     deadline: Time,
+    /// Why the last attempt did not end the query, for the verdict at the deadline.
     reason: String,
 }
 
--- a/components/catalogue/src/record.rs
+++ b/components/catalogue/src/record.rs
@@ -25,7 +25,7 @@
     pub author: OperatorName,
     /// Time of the edit by the clock of the daemon that accepted it.
     pub at: WallTime,
-    /// The entry; nothing once it is removed. The record then remains as a tombstone.
+    /// The entry, or `None` once it is removed; the record then remains as a tombstone.
     pub entry: Option<Arc<Entry>>,
     /// Earlier edits, latest first, at most [`HISTORY_LENGTH`].
     #[serde(default)]
@@ -125,7 +125,7 @@
     pub record: Arc<Record>,
     /// The record as JSON.
     pub json: Bytes,
-    /// Why the entry cannot be read; nothing if it can.
+    /// Why the entry cannot be read; `None` if it can.
     pub unreadable: Option<String>,
 }
 
--- a/components/catalogue/src/sync.rs
+++ b/components/catalogue/src/sync.rs
@@ -36,7 +36,7 @@
 pub use crate::sync::watchers::watchers;
 
 /// Largest number of daemons whose reports are kept.
-pub const MAX_HEARD: usize = 2048;
+pub const MAX_REPORTS: usize = 2048;
 
 /// Fan-out, intervals and timeouts of replication.
 #[derive(Debug, Clone)]
@@ -127,7 +127,7 @@
     transfer: Option<Transfer>,
     source: Source,
     watching: bool,
-    next_ask: Time,
+    next_round: Time,
     /// Consecutive summaries with this daemon's revision but another digest.
     mismatches: u32,
     next_whole_transfer: Time,
@@ -152,7 +152,7 @@
             transfer: None,
             source,
             watching: false,
-            next_ask: Time::ZERO,
+            next_round: Time::ZERO,
             mismatches: 0,
             next_whole_transfer: Time::ZERO,
             awaited_revision: None,
@@ -192,8 +192,8 @@
         }
         self.update_fleet_size(now);
         self.tick_transfer(now);
-        if now.has_reached(self.next_ask) {
-            self.next_ask = now + self.cfg.round_interval;
+        if now.has_reached(self.next_round) {
+            self.next_round = now + self.cfg.round_interval;
             self.ask_peers(now, rng, &mut effects);
         }
         self.tick_source(now, rng, &mut effects);
@@ -218,17 +218,17 @@
             }
             Message::SummaryReply {
                 summary,
-                age,
-                store_age,
+                validated_age,
+                store_answer_age,
                 established,
-                fleet,
+                largest_fleet,
                 asked_at,
             } => {
                 self.note_summary(now, from, &summary);
                 self.contact.note_reply(now, from, asked_at, established);
-                self.note_store_answer(now, store_age, asked_at);
-                self.adopt_fleet_size(now, fleet, asked_at);
-                self.mark_validated(now, &summary, age, asked_at);
+                self.note_store_answer(now, store_answer_age, asked_at);
+                self.adopt_fleet_size(now, largest_fleet, asked_at);
+                self.mark_validated(now, &summary, validated_age, asked_at);
                 self.repair_from_peer(now, from, &summary, &mut effects);
                 self.request_if_newer(now, from, &summary, &mut effects);
             }
@@ -299,8 +299,8 @@
         let mut others: Vec<&DaemonId> = others.map(|member| &member.id).collect();
         let mut chosen = Vec::new();
         while chosen.len() < count && !others.is_empty() {
-            let place = rng.random_range(0..others.len());
-            chosen.push(others.swap_remove(place).clone());
+            let index = rng.random_range(0..others.len());
+            chosen.push(others.swap_remove(index).clone());
         }
         chosen
     }
--- a/components/catalogue/src/sync/contact.rs
+++ b/components/catalogue/src/sync/contact.rs
@@ -20,7 +20,7 @@
 /// How long a reply counts after the request was sent.
 const REPLY_LIFETIME: Span = Span::from_secs(5);
 
-/// Least time after the start until a daemon's replies count: by then it has heard the
+/// Least time after its start until a daemon's replies count; by then it has received the
 /// fleet's revision.
 const MIN_UPTIME: Span = Span::from_secs(3);
 
@@ -60,9 +60,9 @@
     established: Replies,
     /// New members that were asked and have not replied.
     new_members: BTreeSet<DaemonId>,
-    /// Largest number of `new_members` still missing with which edits are decided.
+    /// Largest number of `new_members` without a reply at which edits are decided.
     max_missing: usize,
-    /// When replies of `new_members` are no longer waited for.
+    /// When the daemon stops waiting for replies of `new_members`.
     new_members_deadline: Time,
 }
 
@@ -88,7 +88,7 @@
         self.started.get_or_insert(now);
     }
 
-    fn is_current(&self, now: Time, others: usize) -> bool {
+    fn is_in_contact(&self, now: Time, others: usize) -> bool {
         let new_members_heard = self.new_members.len() <= self.max_missing
             || now.has_reached(self.new_members_deadline);
         new_members_heard && self.established.are_sufficient(now, others)
@@ -107,14 +107,14 @@
         self.contact.is_established(now, others)
     }
 
-    /// Returns what edits and queries of this daemon are decided by now.
+    /// Returns the state by which edits and queries of this daemon are decided now.
     #[must_use]
     pub fn known(&self, now: Time) -> EditContext<'_> {
         let others = self.members.len().saturating_sub(1);
-        let is_in_contact = self.contact.is_current(now, others);
+        let is_in_contact = self.contact.is_in_contact(now, others);
         EditContext {
             catalogue: &self.catalogue,
-            fleet: is_in_contact.then(|| self.fleet_revision()),
+            fleet_revision: is_in_contact.then(|| self.fleet_revision()),
         }
     }
 
--- a/components/catalogue/src/sync/freshness.rs
+++ b/components/catalogue/src/sync/freshness.rs
@@ -10,7 +10,7 @@
 
 use crate::entry::{Freshness, PastLimit};
 use crate::sync::message::Summary;
-use crate::sync::{MAX_HEARD, Message, Sync};
+use crate::sync::{MAX_REPORTS, Message, Sync};
 
 /// How long a [`Reach`] may be used after it was determined. Without this limit, a process
 /// resumed after a pause would keep serving by what it found before the pause.
@@ -143,10 +143,10 @@
     pub(super) fn summary_reply(&self, now: Time, asked_at: Time) -> Message {
         Message::SummaryReply {
             summary: self.summary(),
-            age: self.validated_at.map(|at| now.since(at)),
-            store_age: self.store_answered_at.map(|at| now.since(at)),
+            validated_age: self.validated_at.map(|at| now.since(at)),
+            store_answer_age: self.store_answered_at.map(|at| now.since(at)),
             established: self.is_established(now),
-            fleet: (self.fleet.size, now.since(self.fleet.at)),
+            largest_fleet: (self.fleet.size, now.since(self.fleet.at)),
             asked_at,
         }
     }
@@ -167,6 +167,7 @@
         }
     }
 
+    /// Whether the store has answered a daemon well after this one's catalogue was last validated.
     pub(super) fn store_leads(&self, now: Time) -> bool {
         match (self.store_answered_at, self.validated_at) {
             (Some(answered), Some(validated_at)) => answered > validated_at + STORE_LEAD_MARGIN,
@@ -175,6 +176,8 @@
         }
     }
 
+    /// Records that the store answered a daemon `age` before it replied to the request sent at
+    /// `asked_at`.
     pub(super) fn note_store_answer(&mut self, now: Time, age: Option<Span>, asked_at: Time) {
         self.store_answered_at = self
             .store_answered_at
@@ -183,9 +186,14 @@
 
     /// Adopts a larger fleet size that a peer remembers, so that a daemon which starts inside
     /// a partition knows how large the fleet was.
-    pub(super) fn adopt_fleet_size(&mut self, now: Time, fleet: (usize, Span), asked_at: Time) {
-        let (size, age) = fleet;
-        if size > self.fleet.size && size <= MAX_HEARD {
+    pub(super) fn adopt_fleet_size(
+        &mut self,
+        now: Time,
+        largest_fleet: (usize, Span),
+        asked_at: Time,
+    ) {
+        let (size, age) = largest_fleet;
+        if size > self.fleet.size && size <= MAX_REPORTS {
             let at = time_before_request(now, Some(age), asked_at).unwrap_or(Time::ZERO);
             self.fleet = FleetSize { size, at };
         }
@@ -205,7 +213,7 @@
     }
 }
 
-/// Returns the time `age` before the request sent at `asked_at`. Nothing if that is before
+/// Returns the time `age` before the request sent at `asked_at`, or `None` if that is before
 /// this process's start, or if `asked_at` lies ahead and so is not from this process.
 fn time_before_request(now: Time, age: Option<Span>, asked_at: Time) -> Option<Time> {
     let age = age.filter(|age| age.as_micros() <= asked_at.0 && asked_at <= now)?;
--- a/components/catalogue/src/sync/message.rs
+++ b/components/catalogue/src/sync/message.rs
@@ -40,15 +40,15 @@
     SummaryReply {
         /// Summary of the replying daemon.
         summary: Summary,
-        /// How long ago its catalogue was last validated as current; nothing if never.
-        age: Option<Span>,
-        /// How long ago the store answered it or a daemon that it heard from; nothing if never.
-        store_age: Option<Span>,
+        /// How long ago its catalogue was last validated as current; `None` if never.
+        validated_age: Option<Span>,
+        /// How long ago the store answered it or a daemon that it heard from; `None` if never.
+        store_answer_age: Option<Span>,
         /// Whether the replying daemon knows the fleet's revision. It does not just after its
         /// start, nor without recent replies from others.
         established: bool,
         /// The largest recent fleet size, and how long ago it was seen.
-        fleet: (usize, Span),
+        largest_fleet: (usize, Span),
         /// Time of the request by the asker's clock, as in the request.
         asked_at: Time,
     },
@@ -87,7 +87,7 @@
 pub struct MessageError(#[from] bincode::Error);
 
 impl Message {
-    /// Encodes the message for sending.
+    /// Encodes the message for a peer.
     ///
     /// # Errors
     /// Never for messages made here.
@@ -111,7 +111,7 @@
     #[must_use]
     pub fn is_bounded(&self, page_size: ByteSize) -> bool {
         let size: usize = self.records.iter().map(WireRecord::size).sum();
-        let most = page_size.as_usize() + MAX_ENTRY_SIZE.as_usize();
-        self.records.len() <= MAX_PAGE_RECORDS && size <= most
+        let max_size = page_size.as_usize() + MAX_ENTRY_SIZE.as_usize();
+        self.records.len() <= MAX_PAGE_RECORDS && size <= max_size
     }
 }
--- a/components/catalogue/src/sync/report.rs
+++ b/components/catalogue/src/sync/report.rs
@@ -4,7 +4,7 @@
 use types::prelude::*;
 
 use crate::sync::message::Summary;
-use crate::sync::{MAX_HEARD, Reach, Sync};
+use crate::sync::{MAX_REPORTS, Reach, Sync};
 
 /// Largest number of laggards asked directly in a round while a caller waits.
 const MAX_LAGGARDS_ASKED: usize = 64;
@@ -147,7 +147,7 @@
 
     fn note_report(&mut self, daemon: &DaemonId, revision: Revision, at: Time) {
         let is_new = !self.reports.contains_key(daemon);
-        if *daemon == self.cfg.me || (is_new && self.reports.len() >= MAX_HEARD) {
+        if *daemon == self.cfg.me || (is_new && self.reports.len() >= MAX_REPORTS) {
             return;
         }
         let report = self
--- a/components/catalogue/src/sync/source.rs
+++ b/components/catalogue/src/sync/source.rs
@@ -205,7 +205,7 @@
             return;
         }
         self.source.polls_behind = 0;
-        // Valid as of the time the poll was sent: the reply says nothing of later changes.
+        // Valid as of the time the poll was sent: the reply does not cover later changes.
         self.source.pending_validation = Some((head.revision, self.source.polled_at));
         if head.revision == own {
             self.source
--- a/components/catalogue/tests/fleet/fuzz.rs
+++ b/components/catalogue/tests/fleet/fuzz.rs
@@ -1,6 +1,6 @@
-//! Edits, faults, restarts and races in any order, against a simple oracle.
+//! Random sequences of edits, faults, restarts and races, checked against a simple oracle.
 //!
-//! `BUCKTHORNCROSS_FUZZ_CASES` makes a long run.
+//! `BUCKTHORNCROSS_FUZZ_CASES` sets the number of sequences.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,41 +14,42 @@
 
 use crate::world::*;
 
-const PLACES: usize = 5;
+const DAEMONS: usize = 5;
 const ENTRIES: [&str; 3] = ["customers/a", "customers/b", "customers/c"];
 
 #[derive(Debug, Clone)]
 enum Op {
-    /// Two operators at once, or one twice; `stale` proposes without having looked.
+    /// One edit, or two concurrent ones, of an entry. A `stale` one expects the entry to be
+    /// absent, whatever the daemon holds.
     Edit {
-        places: Vec<usize>,
+        indexes: Vec<usize>,
         entry: usize,
         remove: bool,
         stale: bool,
         shared_key: bool,
     },
-    Fates(Vec<u8>),
+    WriteFaults(Vec<u8>),
     Query {
-        place: usize,
+        index: usize,
         nth: usize,
     },
     Run(u64),
     Restart(usize),
     Pause(usize, bool),
     Store(bool),
-    Cut(Vec<usize>),
-    Land,
+    Partition(Vec<usize>),
+    ApplyDelayed,
     Backup,
     Restore,
 }
 
-fn ops() -> impl Strategy<Value = Op> {
-    let place = 0..PLACES;
-    let places = prop::collection::vec(place.clone(), 1..3);
-    let edit = (places, 0..ENTRIES.len(), prop::bool::weighted(0.2));
+fn operations() -> impl Strategy<Value = Op> {
+    let index = 0..DAEMONS;
+    let indexes = prop::collection::vec(index.clone(), 1..3);
+    let edit = (indexes, 0..ENTRIES.len(), prop::bool::weighted(0.2));
     let edit = (edit, prop::bool::weighted(0.1), prop::bool::weighted(0.1));
-    let edit = edit.prop_map(|((places, entry, remove), stale, shared_key)| Op::Edit {
-        places,
+    let edit = edit.prop_map(|((indexes, entry, remove), stale, shared_key)| Op::Edit {
+        indexes,
         entry,
         remove,
         stale,
@@ -56,22 +57,23 @@
     });
     prop_oneof![
         8 => edit,
-        4 => prop::collection::vec(0..4u8, 1..4).prop_map(Op::Fates),
-        3 => (place.clone(), 0..8usize).prop_map(|(place, nth)| Op::Query { place, nth }),
+        4 => prop::collection::vec(0..4u8, 1..4).prop_map(Op::WriteFaults),
+        3 => (index.clone(), 0..8usize).prop_map(|(index, nth)| Op::Query { index, nth }),
         8 => (1..60u64).prop_map(Op::Run),
-        2 => place.clone().prop_map(Op::Restart),
-        2 => (place.clone(), any::<bool>()).prop_map(|(place, on)| Op::Pause(place, on)),
+        2 => index.clone().prop_map(Op::Restart),
+        2 => (index.clone(), any::<bool>()).prop_map(|(index, on)| Op::Pause(index, on)),
         2 => prop::bool::weighted(0.6).prop_map(Op::Store),
-        2 => prop::collection::vec(place, 0..3).prop_map(Op::Cut),
-        3 => Just(Op::Land),
+        2 => prop::collection::vec(index, 0..3).prop_map(Op::Partition),
+        3 => Just(Op::ApplyDelayed),
         1 => Just(Op::Backup),
         1 => Just(Op::Restore),
     ]
 }
 
-struct Any;
+/// Reference without state: any operation may follow any other.
+struct AnyOrder;
 
-impl ReferenceStateMachine for Any {
+impl ReferenceStateMachine for AnyOrder {
     type State = ();
     type Transition = Op;
 
@@ -80,48 +82,48 @@
     }
 
     fn transitions((): &()) -> BoxedStrategy<Op> {
-        ops().boxed()
+        operations().boxed()
     }
 
     fn apply((): (), _: &Op) {}
 }
 
-/// What operators were told, against what stood in the store.
+/// Compares the verdicts that operators were given with the edits applied in the store.
 #[derive(Default)]
 struct Oracle {
     edits: BTreeMap<EditId, (Ticket, usize, IfMatch)>,
-    /// Later answers about edits by their ids.
-    answers: Vec<(EditId, Ticket)>,
-    /// Revision of each entry in force at each daemon.
+    /// Later queries for edits by their ids.
+    queries: Vec<(EditId, Ticket)>,
+    /// Latest revision of each entry seen at each daemon.
     seen: BTreeMap<(usize, EntryName), Revision>,
 }
 
 impl Oracle {
     fn check(&mut self, fleet: &Fleet) {
-        let landed: BTreeMap<EditId, Revision> = fleet
-            .landed
+        let applied: BTreeMap<EditId, Revision> = fleet
+            .applied_edits
             .iter()
             .map(|(revision, id)| (*id, *revision))
             .collect();
         let first = self.edits.iter().map(|(id, (ticket, ..))| (*id, *ticket));
-        for (id, ticket) in first.chain(self.answers.iter().copied()) {
+        for (id, ticket) in first.chain(self.queries.iter().copied()) {
             match fleet.verdicts.get(&ticket) {
                 Some(Verdict::Applied { revision }) => {
-                    assert_eq!(landed.get(&id), Some(revision), "told applied: {id}");
+                    assert_eq!(applied.get(&id), Some(revision), "told applied: {id}");
                 }
                 None | Some(Verdict::Unknown { .. }) => {}
-                Some(refused) => assert_eq!(landed.get(&id), None, "{id} was told {refused:?}"),
+                Some(refused) => assert_eq!(applied.get(&id), None, "{id} was told {refused:?}"),
             }
         }
-        self.check_chains(fleet);
+        self.check_preconditions(fleet);
         self.check_never_reverts(fleet);
     }
 
-    /// Each edit that landed replaced exactly what its operator had seen.
-    fn check_chains(&self, fleet: &Fleet) {
+    /// Checks that each applied edit replaced exactly the revision that its operator had seen.
+    fn check_preconditions(&self, fleet: &Fleet) {
         let mut standing = [Revision(0); ENTRIES.len()];
-        for (revision, id) in &fleet.landed {
-            // Else a marker of an edit that was given up.
+        for (revision, id) in &fleet.applied_edits {
+            // An id that is not an edit's belongs to a void marker.
             let Some((_, entry, if_match)) = self.edits.get(id).copied() else {
                 continue;
             };
@@ -132,23 +134,25 @@
         }
     }
 
+    /// Checks that no daemon went back to an older record.
     fn check_never_reverts(&mut self, fleet: &Fleet) {
-        for place in 0..PLACES {
-            for (name, record) in fleet.daemon(place).sync.catalogue().records() {
-                let seen = self.seen.entry((place, name.clone())).or_default();
+        for index in 0..DAEMONS {
+            for (name, record) in fleet.daemon(index).sync.catalogue().records() {
+                let seen = self.seen.entry((index, name.clone())).or_default();
                 assert!(
                     record.revision >= *seen,
-                    "d{place}: {name} reverted to {record:?}"
+                    "d{index}: {name} reverted to {record:?}"
                 );
                 *seen = record.revision;
             }
         }
     }
 
-    /// With all healed, everything that landed stands everywhere or was replaced.
-    fn check_settled(&self, fleet: &Fleet) {
+    /// Checks, after all faults have ended, that the store and every daemon hold the latest
+    /// applied edit of each entry.
+    fn check_converged(&self, fleet: &Fleet) {
         let mut standing = BTreeMap::new();
-        for (revision, id) in &fleet.landed {
+        for (revision, id) in &fleet.applied_edits {
             let entry = match self.edits.get(id) {
                 Some((_, entry, _)) => name(ENTRIES[*entry]),
                 None => void_name(EditId(!id.0)),
@@ -158,24 +162,24 @@
         let stored = fleet.stored();
         let stored: BTreeMap<_, _> = stored.iter().map(|(n, r)| (n.clone(), r.rank())).collect();
         assert_eq!(stored, standing, "the store");
-        for place in 0..PLACES {
-            let records = fleet.daemon(place).sync.catalogue().records();
+        for index in 0..DAEMONS {
+            let records = fleet.daemon(index).sync.catalogue().records();
             let held: BTreeMap<_, _> = records.map(|(n, r)| (n.clone(), r.rank())).collect();
-            assert_eq!(held, standing, "d{place}");
+            assert_eq!(held, standing, "d{index}");
         }
     }
 }
 
-struct World {
+struct Simulation {
     fleet: Fleet,
     oracle: Oracle,
     backup: Option<Table>,
     weight: usize,
 }
 
-impl World {
-    fn edit(&mut self, place: usize, entry: usize, remove: bool, stale: bool, shared_key: bool) {
-        let catalogue = self.fleet.daemon(place).sync.catalogue();
+impl Simulation {
+    fn edit(&mut self, index: usize, entry: usize, remove: bool, stale: bool, shared_key: bool) {
+        let catalogue = self.fleet.daemon(index).sync.catalogue();
         let record = catalogue.record(&name(ENTRIES[entry]));
         let standing = record.filter(|record| record.entry.is_some());
         let if_match = match standing {
@@ -185,45 +189,60 @@
         self.weight += 1;
         let key = if shared_key { 99 } else { entry };
         let new = (!remove).then(|| customer(key, self.weight));
-        let patience = Span::from_secs(5);
+        let timeout = Span::from_secs(5);
         let (id, ticket) = self
             .fleet
-            .edit(place, ENTRIES[entry], if_match, new, patience);
+            .edit(index, ENTRIES[entry], if_match, new, timeout);
         self.oracle.edits.insert(id, (ticket, entry, if_match));
     }
 
-    fn query(&mut self, place: usize, id: EditId) {
+    fn query(&mut self, index: usize, id: EditId) {
         let entry = ENTRIES[self.oracle.edits[&id].1];
-        let ticket = self.fleet.query(place, id, Some(entry));
-        self.oracle.answers.push((id, ticket));
+        let ticket = self.fleet.query(index, id, Some(entry));
+        self.oracle.queries.push((id, ticket));
     }
 
-    /// Every daemon that runs holds all that ever landed, and none is cut off.
-    fn is_settled(&self) -> bool {
-        let last = self.fleet.landed.keys().last().copied().unwrap_or_default();
+    /// Whether every daemon that is not paused holds all applied edits, and none is partitioned.
+    fn is_converged(&self) -> bool {
+        let last = self
+            .fleet
+            .applied_edits
+            .keys()
+            .last()
+            .copied()
+            .unwrap_or_default();
         let daemons = self.fleet.daemons.values().filter(|daemon| !daemon.paused);
         let holds = |daemon: &Daemon| daemon.sync.catalogue().revision() == last;
-        self.fleet.cut.is_empty() && daemons.clone().count() > 2 && daemons.into_iter().all(holds)
+        self.fleet.partitioned.is_empty()
+            && daemons.clone().count() > 2
+            && daemons.into_iter().all(holds)
     }
 
-    /// Someone else would still hold what this daemon takes with it.
-    fn may_restart(&self, place: usize) -> bool {
-        let last = self.fleet.landed.keys().last().copied().unwrap_or_default();
-        let others = (0..PLACES).filter(|other| *other != place);
+    /// Whether the store or another running daemon holds all applied edits, so that none is lost
+    /// with this daemon.
+    fn may_restart(&self, index: usize) -> bool {
+        let last = self
+            .fleet
+            .applied_edits
+            .keys()
+            .last()
+            .copied()
+            .unwrap_or_default();
+        let others = (0..DAEMONS).filter(|other| *other != index);
         let mut others = others.map(|other| self.fleet.daemon(other));
         self.fleet.head().revision == last
             || others.any(|other| !other.paused && other.sync.catalogue().revision() == last)
     }
 
-    fn restart(&mut self, place: usize) {
-        if self.may_restart(place) {
-            self.fleet.restart(place);
-            self.oracle.seen.retain(|(at, _), _| *at != place);
+    fn restart(&mut self, index: usize) {
+        if self.may_restart(index) {
+            self.fleet.restart(index);
+            self.oracle.seen.retain(|(at, _), _| *at != index);
         }
     }
 
     fn restore(&mut self) {
-        if self.is_settled()
+        if self.is_converged()
             && let Some(backup) = self.backup.clone()
         {
             self.fleet.table = backup;
@@ -231,59 +250,69 @@
         }
     }
 
-    fn heal(&mut self) {
+    /// Ends all faults and runs until the fleet should have converged.
+    fn end_faults(&mut self) {
         self.fleet.store_up = true;
-        self.fleet.cut.clear();
-        self.fleet.fates.clear();
-        (0..PLACES).for_each(|place| self.fleet.pause(place, false));
+        self.fleet.partitioned.clear();
+        self.fleet.write_faults.clear();
+        (0..DAEMONS).for_each(|index| self.fleet.pause(index, false));
         self.fleet.run(Span::from_secs(40));
     }
 }
 
-struct Real;
+/// Runs the operations on a simulated fleet.
+struct FleetTest;
 
-impl StateMachineTest for Real {
-    type SystemUnderTest = World;
-    type Reference = Any;
+impl StateMachineTest for FleetTest {
+    type SystemUnderTest = Simulation;
+    type Reference = AnyOrder;
 
-    fn init_test((): &()) -> World {
-        World {
-            fleet: Fleet::new(PLACES, 42),
+    fn init_test((): &()) -> Simulation {
+        Simulation {
+            fleet: Fleet::new(DAEMONS, 42),
             oracle: Oracle::default(),
             backup: None,
             weight: 0,
         }
     }
 
-    fn apply(mut world: World, (): &(), op: Op) -> World {
+    fn apply(mut world: Simulation, (): &(), op: Op) -> Simulation {
         let fleet = &mut world.fleet;
         match op {
             Op::Edit {
-                places,
+                indexes,
                 entry,
                 remove,
                 stale,
                 shared_key,
             } => {
-                for place in places {
-                    world.edit(place, entry, remove, stale, shared_key);
+                for index in indexes {
+                    world.edit(index, entry, remove, stale, shared_key);
                 }
             }
-            Op::Fates(fates) => {
-                let all = [Fate::Fine, Fate::Lost, Fate::Delayed, Fate::NotSent];
-                fleet.fates = fates.iter().map(|fate| all[usize::from(*fate)]).collect();
+            Op::WriteFaults(write_faults) => {
+                let all = [
+                    WriteFault::NoFault,
+                    WriteFault::ReplyLost,
+                    WriteFault::Delayed,
+                    WriteFault::NotSent,
+                ];
+                fleet.write_faults = write_faults
+                    .iter()
+                    .map(|fault| all[usize::from(*fault)])
+                    .collect();
             }
-            Op::Query { place, nth } => {
+            Op::Query { index, nth } => {
                 if let Some(id) = world.oracle.edits.keys().rev().nth(nth).copied() {
-                    world.query(place, id);
+                    world.query(index, id);
                 }
             }
             Op::Run(steps) => fleet.run(STEP.times(steps)),
-            Op::Restart(place) => world.restart(place),
-            Op::Pause(place, paused) => fleet.pause(place, paused),
+            Op::Restart(index) => world.restart(index),
+            Op::Pause(index, paused) => fleet.pause(index, paused),
             Op::Store(up) => fleet.store_up = up,
-            Op::Cut(places) => fleet.cut = places.into_iter().map(id).collect(),
-            Op::Land => fleet.land(),
+            Op::Partition(indexes) => fleet.partitioned = indexes.into_iter().map(id).collect(),
+            Op::ApplyDelayed => fleet.apply_delayed(),
             Op::Backup => world.backup = Some(fleet.table.clone()),
             Op::Restore => world.restore(),
         }
@@ -291,17 +320,17 @@
         world
     }
 
-    fn teardown(mut world: World, (): ()) {
-        world.heal();
+    fn teardown(mut world: Simulation, (): ()) {
+        world.end_faults();
         let ids: BTreeSet<EditId> = world.oracle.edits.keys().copied().collect();
         for id in ids {
             world.query(0, id);
         }
         world.fleet.run(Span::from_secs(5));
-        world.fleet.land();
+        world.fleet.apply_delayed();
         world.fleet.run(Span::from_secs(5));
         world.oracle.check(&world.fleet);
-        world.oracle.check_settled(&world.fleet);
+        world.oracle.check_converged(&world.fleet);
         assert!(
             world.fleet.daemon(0).editor.is_empty(),
             "questions without an answer"
@@ -322,6 +351,8 @@
 prop_state_machine! {
     #![proptest_config(config())]
 
+    /// Searches for orders of edits and faults, beyond those of the other tests, that lead to a
+    /// false verdict, an older record replacing a newer one, or a daemon that does not converge.
     #[test]
-    fn can_keep_every_promise_under_faults(sequential 1..40 => Real);
+    fn can_keep_verdicts_true_and_converge_under_faults(sequential 1..40 => FleetTest);
 }
--- a/components/catalogue/tests/fleet/main.rs
+++ b/components/catalogue/tests/fleet/main.rs
@@ -1,4 +1,4 @@
-//! Daemons, a network and a store under faults, all in one thread.
+//! Tests of daemons, a network and a store under faults, simulated in one thread.
 
 mod edits;
 mod fuzz;
--- a/components/catalogue/tests/fleet/spread.rs
+++ b/components/catalogue/tests/fleet/spread.rs
@@ -1,4 +1,4 @@
-//! How edits spread, and that nothing brings an older one back.
+//! Tests of the replication of edits, and that no older revision reappears.
 
 use std::collections::BTreeSet;
 
@@ -11,15 +11,15 @@
 
 use crate::world::*;
 
-const PLACES: usize = 8;
+const DAEMONS: usize = 8;
 
 fn at(revision: u64) -> IfMatch {
     IfMatch::Revision(Revision(revision))
 }
 
-/// A fleet in which customers/a stands at revision 1 everywhere.
-fn settled(seed: u64) -> Fleet {
-    let mut fleet = Fleet::new(PLACES, seed);
+/// Creates a fleet in which every daemon holds customers/a at revision 1.
+fn converged_fleet(seed: u64) -> Fleet {
+    let mut fleet = Fleet::new(DAEMONS, seed);
     fleet.put(0, "customers/a", IfMatch::Absent, 1);
     fleet.run(Span::from_secs(3));
     assert_everywhere(&fleet, 1);
@@ -27,20 +27,20 @@
 }
 
 fn assert_everywhere(fleet: &Fleet, revision: u64) {
-    for place in 0..PLACES {
-        assert_eq!(fleet.revision(place), Revision(revision), "d{place}");
+    for index in 0..DAEMONS {
+        assert_eq!(fleet.revision(index), Revision(revision), "d{index}");
     }
 }
 
 #[test]
-fn can_spread_within_a_second_and_know_it() {
-    let mut fleet = settled(1);
+fn can_replicate_within_a_second_and_report_laggards() {
+    let mut fleet = converged_fleet(1);
     fleet.put(3, "customers/a", at(1), 2);
     fleet.run(Span::from_secs(1));
     assert_everywhere(&fleet, 2);
     let now = fleet.now;
     let revision = Revision(2);
-    fleet.sync(5).wait_for(revision, now + LONG);
+    fleet.sync(5).wait_for(revision, now + TIMEOUT);
     fleet.run(Span::from_secs(2));
     assert!(
         fleet
@@ -51,7 +51,7 @@
     );
     fleet.pause(6, true);
     fleet.put(3, "customers/a", at(2), 3);
-    let until = fleet.now + LONG;
+    let until = fleet.now + TIMEOUT;
     fleet.sync(3).wait_for(Revision(3), until);
     fleet.run(Span::from_secs(5));
     let state = fleet.daemon(3).sync.in_force(fleet.now, Revision(3));
@@ -60,37 +60,37 @@
     assert!(state.laggards[0].heard > Some(Span::from_secs(4)));
 }
 
-/// Most daemons are no watchers. Told of an edit only when they ask, a fleet would be
-/// seconds behind after each.
+/// Most daemons are not watchers. Without announcements, they would learn of an edit only in
+/// anti-entropy rounds, seconds later.
 #[test]
-fn can_tell_most_of_a_larger_fleet_at_once() {
+fn can_announce_an_edit_to_most_of_a_larger_fleet() {
     let mut fleet = Fleet::new(24, 13);
     fleet.put(0, "customers/a", IfMatch::Absent, 1);
     fleet.run(Span::from_secs(5));
     fleet.put(0, "customers/a", at(1), 2);
     fleet.run(Span::from_millis(450));
     let have = (0..24)
-        .filter(|place| fleet.revision(*place) == Revision(2))
+        .filter(|index| fleet.revision(*index) == Revision(2))
         .count();
     assert!(have >= 20, "{have} of 24");
 }
 
-/// The store goes down right after an edit was accepted. Half of the daemons are
-/// replaced meanwhile: they start without disk and without the store. A request served
-/// by the old entry would be one that the operator believes impossible by now.
+/// The store becomes unreachable right after an edit was applied, and daemons restart without
+/// a local copy. They must get the new entry from peers and serve nothing before: a request
+/// served by the old entry would contradict the verdict that the operator was given.
 #[test]
-fn can_start_from_peers_while_the_store_is_down() {
-    let mut fleet = settled(2);
+fn can_restart_from_peers_while_the_store_is_unreachable() {
+    let mut fleet = converged_fleet(2);
     fleet.put(0, "customers/a", at(1), 2);
     fleet.store_up = false;
-    for place in 1..PLACES / 2 {
-        fleet.restart(place);
-        assert_eq!(fleet.revision(place), Revision(0));
+    for index in 1..DAEMONS / 2 {
+        fleet.restart(index);
+        assert_eq!(fleet.revision(index), Revision(0));
         let rule = Freshness {
             past_limit: PastLimit::Serve,
             ..Freshness::default()
         };
-        let decision = fleet.daemon(place).sync.decision(fleet.now, &rule);
+        let decision = fleet.daemon(index).sync.decision(fleet.now, &rule);
         assert!(
             matches!(decision, Decision::Refuse { .. }),
             "serves without a catalogue"
@@ -98,77 +98,76 @@
     }
     fleet.run(Span::from_secs(3));
     assert_everywhere(&fleet, 2);
-    for place in 4..PLACES {
-        fleet.restart(place);
+    for index in 4..DAEMONS {
+        fleet.restart(index);
     }
     fleet.run(Span::from_secs(40));
     assert_everywhere(&fleet, 2);
-    // Nobody reaches the store and all see each other: what is known is served.
+    // No daemon reaches the store but all reach each other, so known entries are served.
     assert_eq!(
-        decisions(&fleet, PastLimit::ServeWithMajority),
-        [true; PLACES]
+        serving_daemons(&fleet, PastLimit::ServeWithMajority),
+        [true; DAEMONS]
     );
 }
 
-/// All daemons start at once with a store that is up: nobody has anything to give, and
-/// only the watchers read it.
+/// All daemons restart at once while the store is reachable. No peer holds a catalogue, and
+/// only the watchers read the store, so the rest must receive it from them.
 #[test]
-fn can_start_a_whole_fleet_from_the_store() {
-    let mut fleet = settled(3);
-    (0..PLACES).for_each(|place| fleet.restart(place));
+fn can_restart_a_whole_fleet_from_the_store() {
+    let mut fleet = converged_fleet(3);
+    (0..DAEMONS).for_each(|index| fleet.restart(index));
     fleet.run(Span::from_secs(5));
     assert_everywhere(&fleet, 1);
 }
 
-/// A daemon sleeps through many edits and the removal of an entry, and wakes up with
-/// messages of old revisions in its queue. It must neither keep the removed entry nor
-/// give it back to others.
+/// A daemon is paused during many edits and the removal of an entry, and resumes with messages
+/// about old revisions in its queue. It must neither keep the removed entry nor pass it on.
 #[test]
-fn can_wake_up_long_behind() {
-    let mut fleet = settled(4);
+fn can_catch_up_after_a_long_pause() {
+    let mut fleet = converged_fleet(4);
     fleet.pause(1, true);
     for revision in 1..40 {
         fleet.put(0, "customers/a", at(revision), 2);
     }
-    let (_, ticket) = fleet.edit(0, "customers/a", at(40), None, LONG);
+    let (_, ticket) = fleet.edit(0, "customers/a", at(40), None, TIMEOUT);
     fleet.verdict(ticket);
     fleet.pause(1, false);
     fleet.run(Span::from_secs(3));
     assert_everywhere(&fleet, 41);
-    for place in 0..PLACES {
-        let catalogue = fleet.daemon(place).sync.catalogue();
+    for index in 0..DAEMONS {
+        let catalogue = fleet.daemon(index).sync.catalogue();
         assert_eq!(
             catalogue.entries().count(),
             0,
-            "d{place} has a removed entry"
+            "d{index} has a removed entry"
         );
     }
 }
 
-/// The watches are open and silent: they skip an edit, and records between daemons are
-/// lost too. Nobody would ever miss it but by looking at the head now and then.
+/// The watches skip an edit and pages between daemons are lost too. Only polls of the head can
+/// then detect the missing edit.
 #[test]
-fn can_find_what_the_watches_skipped() {
-    let mut fleet = settled(12);
-    fleet.drops_watches = true;
+fn can_detect_edits_that_watches_skipped() {
+    let mut fleet = converged_fleet(12);
+    fleet.drops_watch_events = true;
     fleet.drops_pages = true;
     fleet.put(0, "customers/a", at(1), 2);
     fleet.run(Span::from_secs(4));
     assert_everywhere(&fleet, 2);
 }
 
-/// The store is restored from a copy that lacks accepted edits. Daemons started after
-/// that, and edits checked against it, would bring old entries back.
+/// The store is restored from a copy that lacks applied edits. Without a repair, daemons that
+/// start later, and edits checked against the store, would bring old entries back.
 #[test]
-fn can_put_back_what_a_restored_store_lost() {
-    let mut fleet = settled(5);
+fn can_repair_a_store_restored_from_an_older_copy() {
+    let mut fleet = converged_fleet(5);
     let backup = fleet.table.clone();
     fleet.put(0, "customers/a", at(1), 2);
     fleet.put(0, "customers/b", IfMatch::Absent, 1);
     fleet.run(Span::from_secs(2));
     fleet.table = backup;
     assert_eq!(fleet.head().revision, Revision(1));
-    // Tried at once, against the old state: it has to wait for the repair.
+    // This edit is submitted before the repair and has to wait for it.
     let verdict = fleet.put(4, "customers/a", at(2), 3);
     assert_eq!(
         verdict,
@@ -176,18 +175,18 @@
             revision: Revision(4)
         }
     );
-    fleet.run(LONG);
+    fleet.run(TIMEOUT);
     assert_everywhere(&fleet, 4);
     assert_eq!(fleet.head().revision, Revision(4));
     assert_eq!(fleet.stored()[&name("customers/b")].revision, Revision(3));
 }
 
-/// A hand writes nonsense into the store: an entry that breaks its rules, one that no
-/// release can read, one that is no record at all. None may stop a daemon, take the
-/// last good entry out of force, or hold back the edits that follow.
+/// Bad values are written directly to the store: an entry that breaks its rules, one that no
+/// release can read, and one that is not a record. None may stop a daemon, replace the last
+/// valid entry in force, or hold back later edits.
 #[test]
 fn can_live_with_bad_records() {
-    let mut fleet = settled(6);
+    let mut fleet = converged_fleet(6);
     fleet.put(0, "customers/b", IfMatch::Absent, 1);
     fleet.run(Span::from_secs(2));
     let stored = fleet.stored();
@@ -198,21 +197,21 @@
     let unreadable = good
         .replace("\"weight\":1", "\"colour\":1")
         .replace("\"revision\":1", "\"revision\":4");
-    fleet.write_by_hand("customers/a", bad.into(), 3);
-    fleet.write_by_hand("customers/b", unreadable.into(), 4);
-    fleet.write_by_hand("customers/c", Bytes::from_static(b"nonsense"), 4);
+    fleet.write_unchecked("customers/a", bad.into(), 3);
+    fleet.write_unchecked("customers/b", unreadable.into(), 4);
+    fleet.write_unchecked("customers/c", Bytes::from_static(b"nonsense"), 4);
     fleet.run(Span::from_secs(5));
     fleet.restart(7);
     fleet.run(Span::from_secs(5));
-    for place in 0..PLACES {
-        let catalogue = fleet.daemon(place).sync.catalogue();
-        assert_eq!(catalogue.entries().count(), 2, "d{place}");
+    for index in 0..DAEMONS {
+        let catalogue = fleet.daemon(index).sync.catalogue();
+        assert_eq!(catalogue.entries().count(), 2, "d{index}");
         let rejected = catalogue.rejected();
         let kept: BTreeSet<_> = rejected.values().map(|r| r.in_force).collect();
         assert_eq!(
             kept,
             [Some(Revision(1)), Some(Revision(2))].into(),
-            "d{place}"
+            "d{index}"
         );
     }
     let verdict = fleet.put(2, "customers/d", IfMatch::Absent, 1);
@@ -226,59 +225,62 @@
     assert_everywhere(&fleet, 5);
 }
 
-fn decisions(fleet: &Fleet, past_limit: PastLimit) -> Vec<bool> {
+/// Whether each daemon serves entries with this rule.
+fn serving_daemons(fleet: &Fleet, past_limit: PastLimit) -> Vec<bool> {
     let rule = Freshness {
         past_limit,
         ..Freshness::default()
     };
-    let decisions = (0..PLACES).map(|place| fleet.daemon(place).sync.decision(fleet.now, &rule));
+    let decisions = (0..DAEMONS).map(|index| fleet.daemon(index).sync.decision(fleet.now, &rule));
     decisions
         .map(|decision| !matches!(decision, Decision::Refuse { .. }))
         .collect()
 }
 
-/// Three daemons lose the others and the store while an operator withdraws something.
-/// They cannot tell this from a store that is down for all, but for how few they see.
+/// Three daemons are partitioned from the others and the store while an entry is edited. Only
+/// the number of daemons that they reach distinguishes this from a store that is unreachable
+/// for all, in which case entries must still be served.
 #[test]
-fn errors_refuse_when_cut_off_but_serve_when_the_store_is_down() {
-    let mut fleet = settled(7);
-    fleet.cut = (0..3).map(id).collect();
+fn errors_refuse_in_a_minority_but_serve_when_the_store_is_unreachable() {
+    let mut fleet = converged_fleet(7);
+    fleet.partitioned = (0..3).map(id).collect();
     fleet.put(5, "customers/a", at(1), 2);
     fleet.run(Span::from_secs(20));
-    let serving = decisions(&fleet, PastLimit::ServeWithMajority);
+    let serving = serving_daemons(&fleet, PastLimit::ServeWithMajority);
     assert_eq!(serving, [false, false, false, true, true, true, true, true]);
-    assert_eq!(decisions(&fleet, PastLimit::Serve), [true; PLACES]);
-    // One that starts in the small part learns there that it is small.
+    assert_eq!(serving_daemons(&fleet, PastLimit::Serve), [true; DAEMONS]);
+    // A daemon that restarts inside the minority learns the fleet's size from its peers.
     fleet.restart(0);
     fleet.run(Span::from_secs(20));
-    let serving = decisions(&fleet, PastLimit::ServeWithMajority);
+    let serving = serving_daemons(&fleet, PastLimit::ServeWithMajority);
     assert_eq!(serving, [false, false, false, true, true, true, true, true]);
-    fleet.cut.clear();
+    fleet.partitioned.clear();
     fleet.run(Span::from_secs(3));
     assert_everywhere(&fleet, 2);
-    assert_eq!(decisions(&fleet, PastLimit::Refuse), [true; PLACES]);
+    assert_eq!(serving_daemons(&fleet, PastLimit::Refuse), [true; DAEMONS]);
     fleet.store_up = false;
     for second in 0..60 {
         fleet.run(Span::from_secs(1));
-        let serving = decisions(&fleet, PastLimit::ServeWithMajority);
+        let serving = serving_daemons(&fleet, PastLimit::ServeWithMajority);
         assert_eq!(
-            serving, [true; PLACES],
+            serving, [true; DAEMONS],
             "{second} s after the store went down"
         );
     }
-    assert_eq!(decisions(&fleet, PastLimit::Refuse), [false; PLACES]);
+    assert_eq!(serving_daemons(&fleet, PastLimit::Refuse), [false; DAEMONS]);
 }
 
-/// A daemon hears that there is a newer revision and does not get it, neither from others
-/// nor from the store, while operators go on with the store in reach of others. It sees most of the fleet and must refuse.
+/// A daemon hears of a newer revision but receives it neither from peers nor from the store,
+/// while other daemons reach the store and edits continue. It reaches most of the fleet and
+/// must refuse all the same.
 #[test]
-fn errors_refuse_when_others_have_newer_from_the_store() {
+fn errors_refuse_while_others_reach_the_store_and_are_newer() {
     let mut fleet = Fleet::new(12, 11);
     fleet.put(0, "customers/a", IfMatch::Absent, 1);
     fleet.run(Span::from_secs(3));
-    let lags = |place: &usize| !fleet.daemon(*place).sync.is_watching();
+    let lags = |index: &usize| !fleet.daemon(*index).sync.is_watching();
     let lagging = (0..12).find(lags).unwrap();
-    fleet.no_store = Some(id(lagging));
+    fleet.without_store = Some(id(lagging));
     fleet.drops_pages = true;
     fleet.put(0, "customers/a", at(1), 2);
     fleet.run(Span::from_secs(14));
@@ -291,13 +293,14 @@
     assert!(matches!(decision, Decision::InForce { .. }), "{decision:?}");
 }
 
-/// A daemon is paused for half a minute with answers waiting in its queue. Read after
-/// it wakes up, they must not pass for fresh: what they tell was true before the pause.
+/// A daemon is paused for half a minute with replies waiting in its queue. When it reads them
+/// after resuming, they must not validate the catalogue as of now: they describe the state
+/// before the pause.
 #[test]
-fn errors_an_answer_that_waited_is_no_fresh_one() {
-    // At each moment of a round of asking, so that answers are under way at some.
+fn errors_a_delayed_reply_does_not_validate_the_catalogue() {
+    // Pauses at every step of an anti-entropy round, so that replies are in flight at some.
     for steps in 1..=20 {
-        let mut fleet = settled(8);
+        let mut fleet = converged_fleet(8);
         fleet.store_up = false;
         fleet.run(STEP.times(steps));
         let before = fleet.daemon(1).sync.confirmed();
@@ -313,8 +316,9 @@
     }
 }
 
+/// Every daemon reading the store for itself would make its load grow with the fleet.
 #[test]
-fn can_keep_the_stores_calls_from_growing_with_the_fleet() {
+fn can_keep_store_calls_independent_of_fleet_size() {
     let calls = |count| {
         let mut fleet = Fleet::new(count, 9);
         fleet.put(0, "customers/a", IfMatch::Absent, 1);
@@ -327,15 +331,16 @@
     assert!(many <= 2 * few, "{few} calls at 8 daemons, {many} at 64");
 }
 
+/// A key deleted directly in the store, without an edit, must not remove the entry from force.
 #[test]
-fn can_put_a_removal_made_by_hand_back() {
-    let mut fleet = settled(10);
+fn can_keep_an_entry_deleted_directly_in_the_store() {
+    let mut fleet = converged_fleet(10);
     fleet.write_raw(Txn {
         success: vec![keyvalue::Op::Delete(keys().entry(&name("customers/a")))],
         ..Txn::default()
     });
     fleet.run(Span::from_secs(5));
-    for place in 0..PLACES {
-        assert_eq!(fleet.daemon(place).sync.catalogue().entries().count(), 1);
+    for index in 0..DAEMONS {
+        assert_eq!(fleet.daemon(index).sync.catalogue().entries().count(), 1);
     }
 }
--- a/components/catalogue/tests/fleet/world.rs
+++ b/components/catalogue/tests/fleet/world.rs
@@ -1,4 +1,4 @@
-//! Daemons, a network and a store in one thread, with faults on demand.
+//! Simulation of daemons, a network and a store in one thread, with injected faults.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -16,16 +16,19 @@
 use standins::store::Table;
 use types::prelude::*;
 
+/// Simulated time that one step takes.
 pub(crate) const STEP: Span = Span::from_millis(50);
-pub(crate) const LONG: Span = Span::from_secs(10);
 
-/// What becomes of an editor's next write.
+/// Timeout of edits, queries and waits in tests.
+pub(crate) const TIMEOUT: Span = Span::from_secs(10);
+
+/// Fault injected into the next write of an editor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Fate {
-    Fine,
-    /// Done, and the reply lost.
-    Lost,
-    /// The reply lost, and done at [`Fleet::land`].
+pub(crate) enum WriteFault {
+    NoFault,
+    /// The write is applied but its reply is lost.
+    ReplyLost,
+    /// The reply is lost and the write is applied at [`Fleet::apply_delayed`].
     Delayed,
     NotSent,
 }
@@ -45,19 +48,19 @@
     pub(crate) members: Vec<Member>,
     pub(crate) daemons: BTreeMap<DaemonId, Daemon>,
     pub(crate) store_up: bool,
-    /// Daemons that reach only each other.
-    pub(crate) cut: BTreeSet<DaemonId>,
-    /// Does not reach the store, though it reaches others.
-    pub(crate) no_store: Option<DaemonId>,
-    /// Watches skip what changed.
-    pub(crate) drops_watches: bool,
-    /// Records do not get through between daemons.
+    /// Daemons that reach only each other and not the store.
+    pub(crate) partitioned: BTreeSet<DaemonId>,
+    /// A daemon that reaches the other daemons but not the store.
+    pub(crate) without_store: Option<DaemonId>,
+    /// Whether watches skip all changes.
+    pub(crate) drops_watch_events: bool,
+    /// Whether pages of records between daemons are lost.
     pub(crate) drops_pages: bool,
-    pub(crate) fates: VecDeque<Fate>,
+    pub(crate) write_faults: VecDeque<WriteFault>,
     pub(crate) delayed: Vec<Request>,
     pub(crate) verdicts: BTreeMap<Ticket, Verdict>,
-    /// Every edit that ever stood in the store.
-    pub(crate) landed: BTreeMap<Revision, EditId>,
+    /// Every edit that was ever applied in the store.
+    pub(crate) applied_edits: BTreeMap<Revision, EditId>,
     pub(crate) store_calls: u64,
     messages: VecDeque<(DaemonId, DaemonId, Message)>,
     tickets: u64,
@@ -71,15 +74,15 @@
     Keys::new(&cluster())
 }
 
-pub(crate) fn id(place: usize) -> DaemonId {
-    DaemonId::new(&format!("d{place}")).unwrap()
+pub(crate) fn id(index: usize) -> DaemonId {
+    DaemonId::new(&format!("d{index}")).unwrap()
 }
 
 pub(crate) fn name(text: &str) -> EntryName {
     EntryName::new(text).unwrap()
 }
 
-/// A customer whose key and weight are told apart by numbers.
+/// Makes a customer with a key derived from a number and with this weight.
 pub(crate) fn customer(key: usize, weight: usize) -> Arc<Entry> {
     let text = format!("{{kind: customer, owner: o, weight: {weight}, key_sha256: [{key:064x}]}}");
     let value = serde_norway::from_str(&text).unwrap();
@@ -88,9 +91,9 @@
 
 impl Fleet {
     pub(crate) fn new(count: usize, seed: u64) -> Self {
-        let members = (0..count).map(|place| Member {
-            id: id(place),
-            failure_domain: FailureDomain::new(&format!("f{}", place % 4)).unwrap(),
+        let members = (0..count).map(|index| Member {
+            id: id(index),
+            failure_domain: FailureDomain::new(&format!("f{}", index % 4)).unwrap(),
         });
         let mut fleet = Self {
             table: Table::new(),
@@ -99,50 +102,50 @@
             members: members.collect(),
             daemons: BTreeMap::new(),
             store_up: true,
-            cut: BTreeSet::new(),
-            no_store: None,
-            drops_watches: false,
+            partitioned: BTreeSet::new(),
+            without_store: None,
+            drops_watch_events: false,
             drops_pages: false,
-            fates: VecDeque::new(),
+            write_faults: VecDeque::new(),
             delayed: Vec::new(),
             verdicts: BTreeMap::new(),
-            landed: BTreeMap::new(),
+            applied_edits: BTreeMap::new(),
             store_calls: 0,
             messages: VecDeque::new(),
             tickets: 0,
         };
-        (0..count).for_each(|place| fleet.restart(place));
+        (0..count).for_each(|index| fleet.restart(index));
         fleet
     }
 
-    /// A fresh process in the place of another.
-    pub(crate) fn restart(&mut self, place: usize) {
+    /// Replaces a daemon by a fresh process of the same name.
+    pub(crate) fn restart(&mut self, index: usize) {
         let daemon = Daemon {
-            sync: Sync::new(Config::new(id(place), &cluster())),
+            sync: Sync::new(Config::new(id(index), &cluster())),
             editor: Editor::default(),
             paused: false,
             watch_from: None,
             calls: VecDeque::new(),
         };
-        self.daemons.insert(id(place), daemon);
-        self.lose_messages(place);
+        self.daemons.insert(id(index), daemon);
+        self.lose_messages(index);
     }
 
-    /// Loses what is under way to a daemon.
-    pub(crate) fn lose_messages(&mut self, place: usize) {
-        self.messages.retain(|(_, to, _)| *to != id(place));
+    /// Drops the messages in flight to a daemon.
+    pub(crate) fn lose_messages(&mut self, index: usize) {
+        self.messages.retain(|(_, to, _)| *to != id(index));
     }
 
-    pub(crate) fn daemon(&self, place: usize) -> &Daemon {
-        &self.daemons[&id(place)]
+    pub(crate) fn daemon(&self, index: usize) -> &Daemon {
+        &self.daemons[&id(index)]
     }
 
-    pub(crate) fn pause(&mut self, place: usize, paused: bool) {
-        self.daemons.get_mut(&id(place)).unwrap().paused = paused;
+    pub(crate) fn pause(&mut self, index: usize, paused: bool) {
+        self.daemons.get_mut(&id(index)).unwrap().paused = paused;
     }
 
-    pub(crate) fn revision(&self, place: usize) -> Revision {
-        self.daemon(place).sync.catalogue().revision()
+    pub(crate) fn revision(&self, index: usize) -> Revision {
+        self.daemon(index).sync.catalogue().revision()
     }
 
     pub(crate) fn head(&self) -> Head {
@@ -153,7 +156,7 @@
         head.unwrap_or_default()
     }
 
-    /// The records in the store.
+    /// Returns the entries' records in the store.
     pub(crate) fn stored(&self) -> BTreeMap<EntryName, Record> {
         let (found, _) = self.table.range(&keys().entries(), Some(&keys().head()), 0);
         let records = found.iter().map(|(key, item)| {
@@ -163,16 +166,16 @@
         records.collect()
     }
 
-    /// Proposes through a daemon; gives the edit's id and ticket.
+    /// Submits an edit to a daemon; returns the edit's id and its ticket.
     pub(crate) fn edit(
         &mut self,
-        place: usize,
+        index: usize,
         entry_name: &str,
         if_match: IfMatch,
         entry: Option<Arc<Entry>>,
-        patience: Span,
+        timeout: Span,
     ) -> (EditId, Ticket) {
-        let edit_id = make_id(self.revision(place), &mut self.rng);
+        let edit_id = make_id(self.revision(index), &mut self.rng);
         let proposal = Proposal {
             id: edit_id,
             name: name(entry_name),
@@ -181,30 +184,30 @@
             author: OperatorName::new("op").unwrap(),
             at: WallTime(0),
         };
-        let edit = Edit::new(proposal, keys(), self.now + patience);
-        (edit_id, self.submit(place, Task::Edit(Box::new(edit))))
+        let edit = Edit::new(proposal, keys(), self.now + timeout);
+        (edit_id, self.submit(index, Task::Edit(Box::new(edit))))
     }
 
-    pub(crate) fn query(&mut self, place: usize, edit_id: EditId, entry: Option<&str>) -> Ticket {
+    pub(crate) fn query(&mut self, index: usize, edit_id: EditId, entry: Option<&str>) -> Ticket {
         let query = Query::new(
             edit_id,
             entry.map(name),
             (OperatorName::new("op").unwrap(), WallTime(0)),
             keys(),
-            self.now + LONG,
+            self.now + TIMEOUT,
         );
-        self.submit(place, Task::Query(query))
+        self.submit(index, Task::Query(query))
     }
 
-    fn submit(&mut self, place: usize, task: Task) -> Ticket {
+    fn submit(&mut self, index: usize, task: Task) -> Ticket {
         self.tickets += 1;
         let ticket = Ticket(self.tickets);
-        let daemon = self.daemons.get_mut(&id(place)).unwrap();
+        let daemon = self.daemons.get_mut(&id(index)).unwrap();
         assert!(daemon.editor.submit(ticket, task));
         ticket
     }
 
-    /// Runs until a task has ended and gives its verdict.
+    /// Runs the simulation until a task has ended and returns its verdict.
     pub(crate) fn verdict(&mut self, ticket: Ticket) -> Verdict {
         let end = self.now + Span::from_secs(60);
         while !self.verdicts.contains_key(&ticket) && self.now < end {
@@ -216,17 +219,17 @@
             .clone()
     }
 
-    /// Proposes and waits for the verdict.
+    /// Submits an edit of a customer and runs until its verdict.
     pub(crate) fn put(
         &mut self,
-        place: usize,
+        index: usize,
         entry: &str,
         if_match: IfMatch,
         weight: usize,
     ) -> Verdict {
         let key = entry.bytes().map(usize::from).sum();
         let ticket = self
-            .edit(place, entry, if_match, Some(customer(key, weight)), LONG)
+            .edit(index, entry, if_match, Some(customer(key, weight)), TIMEOUT)
             .1;
         self.verdict(ticket)
     }
@@ -238,8 +241,8 @@
         }
     }
 
-    /// Lets the delayed writes take effect now.
-    pub(crate) fn land(&mut self) {
+    /// Applies the delayed writes now.
+    pub(crate) fn apply_delayed(&mut self) {
         for req in std::mem::take(&mut self.delayed) {
             let _ = self.call_table(&req);
         }
@@ -253,7 +256,7 @@
                 continue;
             }
             let is_dropped = self.drops_pages && matches!(message, Message::Page(_));
-            if is_dropped || self.cut.contains(&from) != self.cut.contains(&to) {
+            if is_dropped || self.partitioned.contains(&from) != self.partitioned.contains(&to) {
                 continue;
             }
             let bytes = serde_json::to_vec(&message).unwrap();
@@ -276,7 +279,7 @@
         let live: Vec<Member> = self
             .members
             .iter()
-            .filter(|member| self.cut.contains(&member.id) == self.cut.contains(id))
+            .filter(|member| self.partitioned.contains(&member.id) == self.partitioned.contains(id))
             .cloned()
             .collect();
         let daemon = self.daemons.get_mut(id).unwrap();
@@ -285,7 +288,7 @@
         self.perform(id, effects);
         self.perform_edits(id, outputs);
         while let Some(req) = self.daemons.get_mut(id).unwrap().calls.pop_front() {
-            let outcome = self.call(id, &req, Fate::Fine);
+            let outcome = self.call(id, &req, WriteFault::NoFault);
             let (now, daemon) = (self.now, self.daemons.get_mut(id).unwrap());
             let effects = daemon.sync.on_store(now, outcome, &mut self.rng);
             self.perform(id, effects);
@@ -308,7 +311,7 @@
             changes.unwrap().into_iter().map(Into::into).collect()
         };
         daemon.watch_from = Some(self.table.revision() + 1);
-        if is_new || !(events.is_empty() || self.drops_watches) {
+        if is_new || !(events.is_empty() || self.drops_watch_events) {
             let effects = daemon.sync.on_watch(self.now, &events, &mut self.rng);
             self.perform(id, effects);
         }
@@ -343,8 +346,8 @@
                 Output::Call(req) => req,
             };
             let is_write = matches!(&req, Request::Txn(txn) if !txn.compare.is_empty());
-            let fate = is_write.then(|| self.fates.pop_front()).flatten();
-            let outcome = self.call(id, &req, fate.unwrap_or(Fate::Fine));
+            let fault = is_write.then(|| self.write_faults.pop_front()).flatten();
+            let outcome = self.call(id, &req, fault.unwrap_or(WriteFault::NoFault));
             let daemon = self.daemons.get_mut(id).unwrap();
             let now = self.now;
             let known = daemon.sync.known(now);
@@ -357,30 +360,30 @@
     }
 
     fn reaches_store(&self, id: &DaemonId) -> bool {
-        self.store_up && !self.cut.contains(id) && self.no_store.as_ref() != Some(id)
+        self.store_up && !self.partitioned.contains(id) && self.without_store.as_ref() != Some(id)
     }
 
-    fn call(&mut self, id: &DaemonId, req: &Request, fate: Fate) -> Outcome {
+    fn call(&mut self, id: &DaemonId, req: &Request, fault: WriteFault) -> Outcome {
         self.store_calls += 1;
         let lost = Err(CallError::Unknown("lost".to_owned()));
-        match fate {
+        match fault {
             _ if !self.reaches_store(id) => Err(CallError::NotSent("down".to_owned())),
-            Fate::Fine => self.call_table(req),
-            Fate::NotSent => Err(CallError::NotSent("refused".to_owned())),
-            Fate::Lost => self.call_table(req).and(lost),
-            Fate::Delayed => {
+            WriteFault::NoFault => self.call_table(req),
+            WriteFault::NotSent => Err(CallError::NotSent("refused".to_owned())),
+            WriteFault::ReplyLost => self.call_table(req).and(lost),
+            WriteFault::Delayed => {
                 self.delayed.push(req.clone());
                 lost
             }
         }
     }
 
-    pub(crate) fn sync(&mut self, place: usize) -> &mut Sync {
-        &mut self.daemons.get_mut(&id(place)).unwrap().sync
+    pub(crate) fn sync(&mut self, index: usize) -> &mut Sync {
+        &mut self.daemons.get_mut(&id(index)).unwrap().sync
     }
 
-    /// Writes a record past all checks, as a hand might, with the head.
-    pub(crate) fn write_by_hand(&mut self, entry: &str, json: Bytes, revision: u64) {
+    /// Writes a record and a head directly to the store, without any check.
+    pub(crate) fn write_unchecked(&mut self, entry: &str, json: Bytes, revision: u64) {
         let head = Head {
             revision: Revision(revision),
             ..Head::default()
@@ -392,7 +395,7 @@
         });
     }
 
-    /// Writes that are no edit's.
+    /// Runs a transaction that belongs to no edit.
     pub(crate) fn write_raw(&mut self, txn: Txn) {
         self.call_table(&Request::Txn(txn)).unwrap();
     }
@@ -406,7 +409,10 @@
             Head::default()
         };
         for change in head.recent {
-            let id = self.landed.entry(change.revision).or_insert(change.edit_id);
+            let id = self
+                .applied_edits
+                .entry(change.revision)
+                .or_insert(change.edit_id);
             assert_eq!(*id, change.edit_id, "two edits at {}", change.revision);
         }
         outcome
--- a/components/catalogue/tests/rules.rs
+++ b/components/catalogue/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The file, the rules and the catalogue that daemons hold.
+//! Tests of the catalogue file, the rules and the catalogue that daemons hold.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn can_load_both_examples_and_write_them_back() {
+fn can_parse_and_write_both_examples() {
     for text in [KOCHI, CLASACH] {
         let entries = file::parse("example", text).unwrap_or_else(|e| panic!("{e}"));
         let written = file::write(&entries).unwrap();
@@ -45,8 +45,8 @@
     }
 }
 
-/// An operator mistypes a file. Without place and expectation in the message the
-/// mistake is searched for by hand while the roll-out waits.
+/// If an error in a file did not give the entry, the key and what is expected, an operator
+/// would have to search for the mistake by hand while the roll-out waits.
 #[test]
 fn errors_name_file_entry_key_and_expectation() {
     let cases = [
@@ -77,7 +77,7 @@
     }
 }
 
-/// Applies a change to one entry of Kochi's and gives the problems as text.
+/// Changes one entry of the Kochi example and returns the problems, one a line.
 fn problems_after(entry: &str, change: impl FnOnce(&mut Entry)) -> String {
     let entries = kochi().into_iter().zip(1..);
     let mut entries: Entries = entries
@@ -90,6 +90,7 @@
     problems.map(|problem| format!("{problem}\n")).collect()
 }
 
+/// Expands to the body of an entry of this kind.
 macro_rules! body {
     ($entry:expr, $kind:ident) => {{
         let Body::$kind(body) = &mut $entry.body else {
@@ -100,7 +101,7 @@
 }
 
 #[test]
-fn errors_for_rules_inside_an_entry() {
+fn errors_for_broken_rules_within_an_entry() {
     let text = problems_after("models/tariff-large", |entry| {
         let rollout = body!(entry, Model).rollout.as_mut().unwrap();
         rollout.steps = vec![Share::new(0.5).unwrap(), Share::new(0.2).unwrap()];
@@ -141,10 +142,10 @@
     assert!(text.contains("upstreams[0].slots: 0"), "{text}");
 }
 
-/// A customer is allowed a version that no model has, two customers share a key, two
-/// services an upstream: each entry is fine alone, together requests go astray.
+/// A customer may use a version that no model has, two customers share a key, or two services
+/// an upstream. Each entry is valid alone, but together they would misroute requests.
 #[test]
-fn errors_for_rules_across_entries_blame_the_later_edit() {
+fn errors_across_entries_name_the_later_edit() {
     let text = problems_after("offers/price-answers", |entry| {
         let offer = body!(entry, Offer);
         offer
@@ -193,7 +194,7 @@
 }
 
 #[test]
-fn can_roll_out_step_by_step_and_withdraw() {
+fn can_advance_a_rollout_and_withdraw_a_version() {
     let entry = kochi().remove(&name("models/tariff-large")).unwrap();
     let state = |entry: &Entry| {
         let Body::Model(model) = &entry.body else {
@@ -246,34 +247,40 @@
     }))
 }
 
-/// An entry was removed so long ago that its marker is gone. A copy from before, out of
-/// a paused daemon or an old store, must not bring it back; and a daemon that slept
-/// since then has to lose it, though no marker tells it so.
+/// An entry was removed so long ago that its tombstone is gone. An older copy from a paused
+/// daemon or an old store must not bring it back. A daemon that was paused since then must
+/// drop it, although no tombstone tells it to.
 #[test]
-fn errors_nothing_brings_a_removed_entry_back() {
+fn errors_removed_entry_stays_removed_without_its_tombstone() {
     let entry = kochi().remove(&name("customers/dev"));
     let dev = name("customers/dev");
     let other = name("customers/other");
-    let far = TOMBSTONE_REVISIONS + 10;
+    let distant_revision = TOMBSTONE_REVISIONS + 10;
     let mut catalogue = Catalogue::default();
     catalogue.apply_all([(dev.clone(), held(1, entry.clone()))], None);
-    let mut asleep = catalogue.clone();
+    let mut paused = catalogue.clone();
     assert_eq!(catalogue.entries().count(), 1);
     catalogue.apply_all([(dev.clone(), held(2, None))], None);
     assert!(
         catalogue.record(&dev).is_some(),
         "the marker is kept at first"
     );
-    catalogue.apply_all([(other.clone(), held(far, None))], Some(Revision(far)));
+    catalogue.apply_all(
+        [(other.clone(), held(distant_revision, None))],
+        Some(Revision(distant_revision)),
+    );
     assert!(
         catalogue.record(&dev).is_none(),
         "the marker goes in the end"
     );
     catalogue.apply_all([(dev.clone(), held(1, entry))], None);
     assert_eq!(catalogue.entries().count(), 0);
-    assert!(asleep.revision() < catalogue.tombstone_floor());
-    asleep.remove_missing(&[other.clone()].into(), catalogue.revision());
-    asleep.apply_all([(other, held(far, None))], Some(catalogue.revision()));
-    assert_eq!(asleep.entries().count(), 0);
-    assert_eq!(asleep.digest(), catalogue.digest());
+    assert!(paused.revision() < catalogue.tombstone_floor());
+    paused.remove_missing(&[other.clone()].into(), catalogue.revision());
+    paused.apply_all(
+        [(other, held(distant_revision, None))],
+        Some(catalogue.revision()),
+    );
+    assert_eq!(paused.entries().count(), 0);
+    assert_eq!(paused.digest(), catalogue.digest());
 }
