--- a/components/catalogue/src/edit/query.rs
+++ b/components/catalogue/src/edit/query.rs
@@ -10,14 +10,16 @@
 use crate::head::{Change, Keys, void_name};
 use crate::record::Record;
 
-/// Bounds of the random pause between attempts.
+/// Shortest pause between attempts; each is chosen at random.
 const MIN_PAUSE: Span = Span::from_millis(20);
+
+/// Longest pause between attempts.
 const MAX_PAUSE: Span = Span::from_millis(200);
 
 /// A query for the outcome of an edit.
 ///
-/// An edit that is not found is voided before "not applied" is reported: a marker with its id
-/// is written together with the head. This changes the head's mod revision, so a transaction
+/// An edit that is not found is voided before "not applied" is reported: a void marker with its
+/// id is written together with the head. This changes the head's mod revision, so a transaction
 /// already sent cannot take effect, and keeps a paused daemon from retrying the edit.
 #[derive(Debug, Clone)]
 pub struct Query {
@@ -33,7 +35,7 @@
 
 impl Query {
     /// Creates a query that has to end by `deadline`. The entry's name, if known, allows a verdict
-    /// on older edits. `asker` and `at` are stored in the marker for information only.
+    /// on older edits. `asker` and `at` are stored in the void marker for information only.
     #[must_use]
     pub fn new(
         id: EditId,
@@ -122,7 +124,7 @@
         self.void_edit(snapshot)
     }
 
-    /// Writes the marker that keeps the edit from ever taking effect.
+    /// Writes the void marker that keeps the edit from ever taking effect.
     fn void_edit(&self, snapshot: &Snapshot) -> Step {
         let revision = snapshot.head.head.revision.next();
         // The marker needs an id other than the edit's own, or it would be taken for the edit.
--- a/components/catalogue/src/sync/repair.rs
+++ b/components/catalogue/src/sync/repair.rs
@@ -26,7 +26,7 @@
 /// Entries read from the store in one call.
 const PAGE_KEYS: u32 = 32;
 
-/// Entries written in one transaction; the store accepts 128 operations.
+/// Largest number of entries written in one transaction; the store accepts 128 operations.
 const BATCH_ENTRIES: usize = 32;
 
 /// Bytes after which a transaction takes no further entries; the store accepts 1.5 MB.
--- a/components/catalogue/src/table/rules.rs
+++ b/components/catalogue/src/table/rules.rs
@@ -27,7 +27,9 @@
             let rejected = Rejected {
                 revision: held.record.revision,
                 problems,
-                in_force: selection.get(name).map(|c| c.held.record.revision),
+                in_force: selection
+                    .get(name)
+                    .map(|selected| selected.held.record.revision),
             };
             Some((name.clone(), rejected))
         });
@@ -110,7 +112,7 @@
     fn revert(&self, name: &EntryName, selection: &mut Selection) -> bool {
         let before = selection
             .get(name)
-            .map(|selection| selection.held.record.rank());
+            .map(|selected| selected.held.record.rank());
         let last = self.in_force.get(name).map(|last| last.held.record.rank());
         if before.is_none() || before == last {
             return false;
@@ -130,9 +132,9 @@
 }
 
 fn entries_of(selection: &Selection) -> Entries {
-    let entries = selection.iter().map(|(name, selection)| {
-        let revision = selection.held.record.revision;
-        (name.clone(), (revision, selection.entry.clone()))
+    let entries = selection.iter().map(|(name, selected)| {
+        let revision = selected.held.record.revision;
+        (name.clone(), (revision, selected.entry.clone()))
     });
     entries.collect()
 }
--- a/components/catalogue/tests/fleet/world.rs
+++ b/components/catalogue/tests/fleet/world.rs
@@ -25,11 +25,13 @@
 /// Fault injected into the next write of an editor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum WriteFault {
+    /// The write is applied and its reply arrives.
     NoFault,
     /// The write is applied but its reply is lost.
     ReplyLost,
     /// The reply is lost and the write is applied at [`Fleet::apply_delayed`].
     Delayed,
+    /// The write fails without reaching the store.
     NotSent,
 }
 
