--- a/components/http1/src/body.rs
+++ b/components/http1/src/body.rs
@@ -1,36 +1,36 @@
-//! Cutting a body out of the bytes that arrived.
+//! Extracts a body from the bytes that arrived.
 
 use bytes::{Bytes, BytesMut};
 use memchr::memchr;
 
 use crate::framing::Framing;
 
-/// Longest line of a chunk's size or a trailer, in bytes.
+/// Longest chunk size line or trailer field, in bytes.
 const MAX_LINE_BYTES: usize = 1_024;
-/// Trailer fields taken (and dropped) at the end of a chunked body.
+/// Most trailer fields at the end of a chunked body; they are discarded.
 const MAX_TRAILERS: usize = 16;
-/// Digits of a chunk's size: 16 would overflow what is added to it.
+/// Most hexadecimal digits of a chunk's size: with 16, sums with it could overflow.
 const MAX_SIZE_DIGITS: usize = 15;
 
-/// Why bytes are no body of the announced form.
+/// Why the bytes of a body do not match its framing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
-    /// A chunk's size or end is malformed.
+    /// The size or the end of a chunk is malformed.
     #[error("a chunk of the body is malformed")]
     BadChunk,
-    /// A size's line or a trailer is too long, or there are too many.
+    /// A chunk size line or a trailer field is too long, or there are too many trailer fields.
     #[error("a chunk's line or the trailer is too long")]
     TooLong,
 }
 
-/// How far a body is.
+/// Result of reading a part of a body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Progress {
-    /// These bytes come next.
+    /// The next bytes of the body.
     Data(Bytes),
-    /// More must arrive first.
+    /// More bytes must arrive first.
     NeedMore,
-    /// All of it was taken.
+    /// The body is complete.
     Done,
 }
 
@@ -45,14 +45,14 @@
     Done,
 }
 
-/// Reads one body.
+/// Extracts one body according to its framing.
 #[derive(Debug, Clone)]
 pub struct BodyReader {
     state: State,
 }
 
 impl BodyReader {
-    /// At the body's first byte.
+    /// Creates a reader that stands at the first byte of a body.
     #[must_use]
     pub fn new(framing: Framing) -> Self {
         let state = match framing {
@@ -64,31 +64,31 @@
         Self { state }
     }
 
-    /// Whether all of it was taken.
+    /// Whether the body was read completely.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.state == State::Done
     }
 
-    /// Whether the connection's end is the body's end.
+    /// Whether the body ends when the peer closes the connection.
     #[must_use]
     pub fn ends_with_connection(&self) -> bool {
         self.state == State::UntilClose
     }
 
-    /// Takes what can be taken from the front of `buf`.
+    /// Removes the next bytes of the body from the front of `buf`.
     ///
     /// # Errors
-    /// When the bytes are not of the announced form.
+    /// If the bytes do not match the framing.
     pub fn read(&mut self, buf: &mut BytesMut) -> Result<Progress, BodyError> {
         loop {
             match self.state {
                 State::Done => return Ok(Progress::Done),
                 State::UntilClose if buf.is_empty() => return Ok(Progress::NeedMore),
                 State::UntilClose => return Ok(Progress::Data(buf.split().freeze())),
-                State::Length(left) | State::ChunkData(left) => return Ok(self.data(left, buf)),
+                State::Length(left) | State::ChunkData(left) => return Ok(self.take(left, buf)),
                 State::ChunkSize => match take_line(buf)? {
-                    Some(line) => self.state = after_size(&line)?,
+                    Some(line) => self.state = state_after_size(&line)?,
                     None => return Ok(Progress::NeedMore),
                 },
                 State::ChunkEnd => match take_line(buf)? {
@@ -106,7 +106,7 @@
         }
     }
 
-    fn data(&mut self, left: u64, buf: &mut BytesMut) -> Progress {
+    fn take(&mut self, left: u64, buf: &mut BytesMut) -> Progress {
         if buf.is_empty() {
             return Progress::NeedMore;
         }
@@ -123,7 +123,8 @@
     }
 }
 
-/// Takes a line that ends with CR LF; a bare LF is refused.
+/// Removes a line that ends with CR LF, or returns `None` while it is incomplete. A bare LF is an
+/// error.
 fn take_line(buf: &mut BytesMut) -> Result<Option<Bytes>, BodyError> {
     let Some(end) = memchr(b'\n', buf) else {
         let is_too_long = buf.len() > MAX_LINE_BYTES;
@@ -143,7 +144,8 @@
     }
 }
 
-fn after_size(line: &[u8]) -> Result<State, BodyError> {
+/// Parses a chunk size line, whose extensions are ignored, and returns the next state.
+fn state_after_size(line: &[u8]) -> Result<State, BodyError> {
     let digits = line.split(|b| *b == b';').next().unwrap_or_default();
     let digits = digits.trim_ascii_end();
     let is_hex = !digits.is_empty() && digits.iter().all(u8::is_ascii_hexdigit);
--- a/components/http1/src/events.rs
+++ b/components/http1/src/events.rs
@@ -1,22 +1,22 @@
-//! Cutting a body into server-sent events.
+//! Splits a body into server-sent events.
 
 use bytes::{Bytes, BytesMut};
 use memchr::memchr_iter;
 
-/// Largest event that is waited for, in bytes; upstreams send some hundred.
+/// Default size limit of an event, in bytes. Upstreams send events of a few hundred bytes.
 pub const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-/// A whole event.
+/// A complete event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// As it was sent, with the blank line that ends it.
+    /// The bytes as received, including the blank line that ends the event.
     pub raw: Bytes,
-    /// Its `id`, if that is a number.
+    /// The `id` field, if it is a number.
     pub id: Option<u64>,
 }
 
 impl Event {
-    /// Its data, lines joined; nothing for a comment or an event of another kind.
+    /// The `data` lines joined by line feeds, or `None` if there are none, as in a comment.
     #[must_use]
     pub fn data(&self) -> Option<Bytes> {
         let lines = self.raw.split(|b| *b == b'\n');
@@ -38,15 +38,15 @@
     }
 }
 
-/// An event that does not end.
+/// An event exceeds the size limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("an event has more than {0} bytes")]
 pub struct EventTooLarge(pub usize);
 
-/// Holds back the bytes of an event that is not complete.
+/// Splits bytes into events and buffers an event until it is complete.
 ///
-/// An upstream that crashes may stop in the middle of an event. Passing whole events only
-/// keeps the torn one from the caller, so the stream can go on at another upstream.
+/// An upstream that crashes may stop in the middle of an event. Since only complete events are
+/// passed on, the caller never gets a partial one and the stream can resume on another upstream.
 #[derive(Debug)]
 pub struct Splitter {
     buf: BytesMut,
@@ -60,7 +60,7 @@
 }
 
 impl Splitter {
-    /// For events of so many bytes at most.
+    /// Creates a splitter for events of at most `max_event` bytes.
     #[must_use]
     pub fn new(max_event: usize) -> Self {
         Self {
@@ -69,17 +69,17 @@
         }
     }
 
-    /// Adds bytes of the body.
+    /// Appends bytes of the body.
     pub fn push(&mut self, data: &[u8]) {
         self.buf.extend_from_slice(data);
     }
 
-    /// Takes the next whole event.
+    /// Removes the next complete event.
     ///
     /// # Errors
-    /// When an event is too large.
+    /// If an event exceeds the size limit.
     pub fn next_event(&mut self) -> Result<Option<Event>, EventTooLarge> {
-        let Some(end) = self.end() else {
+        let Some(end) = self.find_end() else {
             if self.buf.len() > self.max_event {
                 return Err(EventTooLarge(self.max_event));
             }
@@ -89,12 +89,12 @@
             return Err(EventTooLarge(self.max_event));
         }
         let raw = self.buf.split_to(end).freeze();
-        let id = field(&raw, b"id:").and_then(|id| id.parse().ok());
+        let id = field_value(&raw, b"id:").and_then(|id| id.parse().ok());
         Ok(Some(Event { raw, id }))
     }
 
-    /// Where the first event ends: behind an empty line, whose end may be CR LF.
-    fn end(&self) -> Option<usize> {
+    /// Offset after the empty line that ends the first event. Lines end with LF or CR LF.
+    fn find_end(&self) -> Option<usize> {
         let mut lines = memchr_iter(b'\n', &self.buf);
         lines.find_map(|at| match &self.buf[at + 1..] {
             [b'\n', ..] => Some(at + 2),
@@ -103,15 +103,15 @@
         })
     }
 
-    /// Whether bytes of an incomplete event are held.
+    /// Whether bytes of an incomplete event are buffered.
     #[must_use]
     pub fn has_rest(&self) -> bool {
         !self.buf.is_empty()
     }
 }
 
-/// The value of an event's first line that begins with `name`.
-fn field<'a>(raw: &'a [u8], name: &[u8]) -> Option<&'a str> {
+/// The value of the first line of an event that begins with `name`.
+fn field_value<'a>(raw: &'a [u8], name: &[u8]) -> Option<&'a str> {
     let mut lines = raw.split(|b| *b == b'\n');
     let value = lines.find_map(|line| line.strip_prefix(name))?;
     std::str::from_utf8(value).ok().map(str::trim)
--- a/components/http1/src/framing.rs
+++ b/components/http1/src/framing.rs
@@ -1,39 +1,40 @@
-//! Where a body ends.
+//! Determines where a body ends.
 
 use crate::head::{Head, Kind};
 
-/// Where the body behind a head ends.
+/// How the end of the body after a head is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Framing {
-    /// There is none.
+    /// There is no body.
     Empty,
-    /// After so many bytes.
+    /// The body has this many bytes.
     Length(u64),
-    /// After the chunk of no length.
+    /// Chunked transfer coding: the body ends with the chunk of size 0.
     Chunked,
-    /// With the connection; only of responses.
+    /// The body ends when the connection closes; only in responses.
     UntilClose,
 }
 
-/// Why it cannot be told where a body ends.
+/// Why the end of a body cannot be determined.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum FramingError {
-    /// Both ways at once, or one of them twice: the door for smuggled requests.
+    /// `Content-Length` and `Transfer-Encoding` together, or one of them twice, which allows
+    /// request smuggling.
     #[error("the body's length is given more than once")]
     Ambiguous,
-    /// Not a plain decimal number.
+    /// The length is not a plain decimal number.
     #[error("the body's length is not a number")]
     BadLength,
-    /// Anything but `chunked` alone.
+    /// The transfer coding is not `chunked` alone.
     #[error("the transfer encoding is not supported")]
     UnknownEncoding,
 }
 
 impl Framing {
-    /// Of the body behind a head.
+    /// Determines the framing of the body after a head.
     ///
     /// # Errors
-    /// When two readers could disagree on it.
+    /// If two readers could disagree on where the body ends.
     pub fn of(head: &Head) -> Result<Self, FramingError> {
         if has_no_body(head) {
             return Ok(Self::Empty);
@@ -42,8 +43,8 @@
         let mut lengths = head.get_all("content-length");
         match (encodings.next(), lengths.next()) {
             (Some(_), Some(_)) => Err(FramingError::Ambiguous),
-            (Some(encoding), None) => chunked(head, encoding, encodings.next().is_some()),
-            (None, Some(length)) => fixed(length, lengths.next().is_some()),
+            (Some(encoding), None) => chunked_framing(head, encoding, encodings.next().is_some()),
+            (None, Some(length)) => length_framing(length, lengths.next().is_some()),
             (None, None) => Ok(match head.kind {
                 Kind::Request { .. } => Self::Empty,
                 Kind::Response { .. } => Self::UntilClose,
@@ -57,7 +58,11 @@
     matches!(status, 100..=199 | 204 | 304)
 }
 
-fn chunked(head: &Head, encoding: &[u8], is_repeated: bool) -> Result<Framing, FramingError> {
+fn chunked_framing(
+    head: &Head,
+    encoding: &[u8],
+    is_repeated: bool,
+) -> Result<Framing, FramingError> {
     if is_repeated {
         return Err(FramingError::Ambiguous);
     }
@@ -68,11 +73,11 @@
     Ok(Framing::Chunked)
 }
 
-fn fixed(length: &[u8], is_repeated: bool) -> Result<Framing, FramingError> {
+fn length_framing(length: &[u8], is_repeated: bool) -> Result<Framing, FramingError> {
     if is_repeated {
         return Err(FramingError::Ambiguous);
     }
-    // `str::parse` takes a plus sign, which other readers refuse.
+    // `str::parse` accepts a plus sign, which other readers reject.
     if length.is_empty() || !length.iter().all(u8::is_ascii_digit) {
         return Err(FramingError::BadLength);
     }
--- a/components/http1/src/head.rs
+++ b/components/http1/src/head.rs
@@ -1,14 +1,14 @@
-//! Heads of requests and responses.
+//! Parses the heads of requests and responses.
 
 use std::ops::Range;
 
 use bytes::{Bytes, BytesMut};
 use http::{HeaderMap, HeaderName, HeaderValue};
 
-/// Fields that one head may have; callers and upstreams send about a dozen.
+/// Most fields of one head. Callers and upstreams send about a dozen.
 const MAX_FIELDS: usize = 64;
 
-/// Names of fields that concern one connection only (RFC 9110, 7.6.1).
+/// Hop-by-hop fields, which apply to one connection only (RFC 9110, 7.6.1).
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -21,47 +21,47 @@
     "expect",
 ];
 
-/// Whether a field concerns one connection only.
+/// Whether a field is always hop-by-hop.
 #[must_use]
 pub fn is_hop_by_hop(name: &str) -> bool {
     HOP_BY_HOP.iter().any(|hop| name.eq_ignore_ascii_case(hop))
 }
 
-/// What the first line says.
+/// The content of the first line of a head.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Kind {
-    /// A request's method and target.
+    /// A request line.
     Request {
-        /// Such as `GET`.
+        /// The method, such as `GET`.
         method: String,
-        /// As it was sent: path and query.
+        /// The request target as received: path and query.
         target: String,
     },
-    /// A response's status.
+    /// A status line.
     Response {
-        /// Three digits.
+        /// The status code.
         status: u16,
     },
 }
 
-/// Why bytes are no head.
+/// Why a head cannot be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum HeadError {
-    /// More bytes than allowed without an end.
+    /// The head exceeds this many bytes.
     #[error("the head has more than {0} bytes")]
     TooLarge(usize),
-    /// More fields than allowed.
+    /// The head has too many fields.
     #[error("the head has more than {MAX_FIELDS} fields")]
     TooManyFields,
-    /// Not of the protocol's form.
+    /// The head is not valid HTTP/1.
     #[error("the head cannot be read: {0}")]
     Malformed(httparse::Error),
 }
 
-/// A head, as fields over its raw bytes.
+/// A parsed head, whose fields refer to its raw bytes.
 #[derive(Debug, Clone)]
 pub struct Head {
-    /// What the first line says.
+    /// The content of the first line.
     pub kind: Kind,
     /// Whether the sender speaks HTTP/1.1 rather than 1.0.
     pub is_http11: bool,
@@ -70,14 +70,14 @@
 }
 
 impl Head {
-    /// Takes a request's head from the front of `buf`, or nothing while it is incomplete.
+    /// Removes a request head from the front of `buf`, or returns `None` while it is incomplete.
     ///
     /// # Errors
-    /// When it is too large or malformed; the connection is then of no further use.
+    /// If the head is too large or malformed. The connection cannot be used afterwards.
     pub fn take_request(buf: &mut BytesMut, max_bytes: usize) -> Result<Option<Self>, HeadError> {
         let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut req = httparse::Request::new(&mut fields);
-        let status = req.parse(buf).map_err(read_error)?;
+        let status = req.parse(buf).map_err(parse_error)?;
         let httparse::Status::Complete(len) = status else {
             return incomplete(buf, max_bytes);
         };
@@ -90,14 +90,14 @@
         Self::split(buf, len, max_bytes, kind, is_http11, ranges).map(Some)
     }
 
-    /// Takes a response's head from the front of `buf`, or nothing while it is incomplete.
+    /// Removes a response head from the front of `buf`, or returns `None` while it is incomplete.
     ///
     /// # Errors
-    /// When it is too large or malformed; the connection is then of no further use.
+    /// If the head is too large or malformed. The connection cannot be used afterwards.
     pub fn take_response(buf: &mut BytesMut, max_bytes: usize) -> Result<Option<Self>, HeadError> {
         let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut res = httparse::Response::new(&mut fields);
-        let status = res.parse(buf).map_err(read_error)?;
+        let status = res.parse(buf).map_err(parse_error)?;
         let httparse::Status::Complete(len) = status else {
             return incomplete(buf, max_bytes);
         };
@@ -129,7 +129,7 @@
         })
     }
 
-    /// All fields in order, as they were sent.
+    /// All fields as received, in order.
     pub fn fields(&self) -> impl Iterator<Item = (&str, &[u8])> {
         self.fields.iter().map(|(name, value)| {
             let name = std::str::from_utf8(&self.raw[name.clone()]).unwrap_or_default();
@@ -137,7 +137,7 @@
         })
     }
 
-    /// The fields as a map; one that is no proper field is left out.
+    /// Copies the fields to a map, without those whose name or value is invalid.
     #[must_use]
     pub fn to_map(&self) -> HeaderMap {
         let fields = self.fields().filter_map(|(name, value)| {
@@ -147,7 +147,7 @@
         fields.collect()
     }
 
-    /// The first field of a name.
+    /// The value of the first field with a name, compared without case.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&[u8]> {
         let mut fields = self.fields();
@@ -155,14 +155,14 @@
         named.map(|(_, value)| value)
     }
 
-    /// The first field of a name, as text.
+    /// The trimmed value of the first field with a name, if it is UTF-8.
     #[must_use]
     pub fn text(&self, name: &str) -> Option<&str> {
         let value = std::str::from_utf8(self.get(name)?).ok()?;
         Some(value.trim())
     }
 
-    /// Every field of a name.
+    /// The values of all fields with a name.
     pub fn get_all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         let named = self
             .fields()
@@ -170,7 +170,7 @@
         named.map(|(_, value)| value)
     }
 
-    /// Whether a comma-separated field holds a word.
+    /// Whether a comma-separated field contains a token, compared without case.
     #[must_use]
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         self.get_all(name)
@@ -179,7 +179,7 @@
             .any(|word| word.trim().eq_ignore_ascii_case(token))
     }
 
-    /// The status of a response; 0 for a request.
+    /// The status code of a response, or 0 for a request.
     #[must_use]
     pub fn status(&self) -> u16 {
         match self.kind {
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Whether the sender lets the connection be used again.
+    /// Whether the sender keeps the connection open for another message (keep-alive).
     #[must_use]
     pub fn keeps_alive(&self) -> bool {
         if self.has_token("connection", "close") {
@@ -197,7 +197,7 @@
         self.is_http11 || self.has_token("connection", "keep-alive")
     }
 
-    /// Whether a field concerns this connection only, by itself or by `Connection`.
+    /// Whether a field is hop-by-hop, either always or because `Connection` lists it.
     #[must_use]
     pub fn is_connection_field(&self, name: &str) -> bool {
         is_hop_by_hop(name) || self.has_token("connection", name)
@@ -211,14 +211,14 @@
     Ok(None)
 }
 
-fn read_error(e: httparse::Error) -> HeadError {
+fn parse_error(e: httparse::Error) -> HeadError {
     match e {
         httparse::Error::TooManyHeaders => HeadError::TooManyFields,
         other => HeadError::Malformed(other),
     }
 }
 
-/// Where names and values lie in the buffer that they were parsed from.
+/// Positions of the names and values in the buffer that they were parsed from.
 fn ranges_of(buf: &[u8], fields: &[httparse::Header<'_>]) -> Vec<(Range<usize>, Range<usize>)> {
     let base = buf.as_ptr() as usize;
     let range = |part: &[u8]| {
--- a/components/http1/src/lib.rs
+++ b/components/http1/src/lib.rs
@@ -1,15 +1,15 @@
 //! HTTP/1.1 messages on non-blocking connections.
 //!
-//! [`Head`] is a parsed request or response head over its raw bytes, [`Framing`] says
-//! where the body behind it ends, [`BodyReader`] cuts the body out of the bytes that
-//! arrived, [`events::Splitter`] cuts a body into server-sent events, and [`Wire`] is one
-//! connection with the bytes read from it so far. [`Pool`] keeps connections to upstreams,
-//! [`read_response_head`] and [`read_whole`] read what an upstream answers, and [`write`]
-//! puts messages into bytes.
+//! [`Head`] is a parsed request or response head over its raw bytes. [`Framing`] states where
+//! the body after a head ends. [`BodyReader`] extracts the body from the bytes that arrived, and
+//! [`events::Splitter`] splits a body into server-sent events. [`Wire`] is one connection with
+//! the bytes read from it so far. [`Pool`] keeps idle connections to upstreams.
+//! [`read_response_head`] and [`read_whole`] read an upstream's response, and [`write`] encodes
+//! messages.
 //!
-//! Parsing is strict on purpose. Two parties that disagree on where a message ends let one
-//! caller smuggle a second request behind its first; whatever could be read in two ways is
-//! an error here, and bodies are framed anew on the way out.
+//! Parsing is strict. If two parties disagree on where a message ends, a caller can smuggle a
+//! second request behind its first. Everything that could be read in two ways is therefore an
+//! error, and bodies that are passed on are framed anew.
 
 mod body;
 pub mod events;
--- a/components/http1/src/pool.rs
+++ b/components/http1/src/pool.rs
@@ -1,4 +1,4 @@
-//! Kept connections to upstreams.
+//! Connection pool for upstreams.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -8,87 +8,90 @@
 use crate::head::Head;
 use crate::wire::Wire;
 
-/// Kept for one upstream at most: one daemon's share of a quiet day's peak.
-const MAX_KEPT: usize = 8;
-/// Kept at most when the upstream does not say how long it keeps its end.
-const UNSAID: Span = Span::from_secs(4);
-/// Taken off what the upstream says: the way there and its own timer's slack. A request
-/// that crosses its close is lost where it may not be repeated.
-const MARGIN: Span = Span::from_millis(700);
+/// Most idle connections per upstream. Covers one daemon's share of the peak of a quiet day.
+const MAX_IDLE_PER_UPSTREAM: usize = 8;
+/// Keep-alive timeout if the upstream does not advertise one.
+const DEFAULT_KEEP_ALIVE: Span = Span::from_secs(4);
+/// Subtracted from the keep-alive timeout that the upstream advertises, for the transit time and
+/// the slack of the upstream's timer. A request that is sent as the upstream closes the
+/// connection is lost if it must not be retried.
+const KEEP_ALIVE_MARGIN: Span = Span::from_millis(700);
 
 #[derive(Debug)]
-struct Kept {
+struct IdleConnection {
     wire: Wire,
-    until: Time,
+    expires_at: Time,
 }
 
-/// Kept connections by upstream, whatever `K` names one.
+/// Idle connections by upstream; `K` identifies an upstream.
 #[derive(Debug)]
 pub struct Pool<K> {
-    kept: HashMap<K, Vec<Kept>>,
+    idle: HashMap<K, Vec<IdleConnection>>,
 }
 
 impl<K> Default for Pool<K> {
     fn default() -> Self {
         Self {
-            kept: HashMap::new(),
+            idle: HashMap::new(),
         }
     }
 }
 
 impl<K: Copy + Eq + Hash> Pool<K> {
-    /// Takes a connection on which nothing waits to be read.
+    /// Takes an idle connection that has no bytes to read.
     ///
-    /// Guards against bytes of an earlier request: a second or late answer that lies on a
-    /// kept connection would be read as the next request's.
+    /// A second or late answer to an earlier request that waits on an idle connection would be
+    /// read as the answer to the next request.
     pub fn take(&mut self, now: Time, upstream: K) -> Option<Wire> {
-        let kept = self.kept.get_mut(&upstream)?;
-        while let Some(newest) = kept.pop() {
-            if now < newest.until && newest.wire.is_quiet() {
+        let connections = self.idle.get_mut(&upstream)?;
+        while let Some(newest) = connections.pop() {
+            if now < newest.expires_at && newest.wire.is_quiet() {
                 return Some(newest.wire);
             }
         }
         None
     }
 
-    /// Keeps a connection after a whole answer.
+    /// Adds a connection after a complete response with this head, unless it must be closed.
     pub fn keep(&mut self, now: Time, upstream: K, wire: Wire, head: &Head) {
         if !head.keeps_alive() || !wire.is_quiet() {
             return;
         }
-        let span = said(head).map_or(UNSAID, |said| said - MARGIN);
-        let kept = self.kept.entry(upstream).or_default();
-        if span > Span::ZERO && kept.len() < MAX_KEPT {
-            kept.push(Kept {
+        let span = advertised_keep_alive(head).map_or(DEFAULT_KEEP_ALIVE, |advertised| {
+            advertised - KEEP_ALIVE_MARGIN
+        });
+        let connections = self.idle.entry(upstream).or_default();
+        if span > Span::ZERO && connections.len() < MAX_IDLE_PER_UPSTREAM {
+            connections.push(IdleConnection {
                 wire,
-                until: now + span,
+                expires_at: now + span,
             });
         }
     }
 
-    /// Closes what is too old or goes to an upstream that is not `known`.
+    /// Closes connections that have expired or whose upstream is not `known`.
     pub fn tidy(&mut self, now: Time, known: impl Fn(K) -> bool) {
-        self.kept.retain(|upstream, kept| {
-            kept.retain(|kept| now < kept.until);
-            !kept.is_empty() && known(*upstream)
+        self.idle.retain(|upstream, connections| {
+            connections.retain(|connection| now < connection.expires_at);
+            !connections.is_empty() && known(*upstream)
         });
     }
 
-    /// Connections held.
+    /// Number of idle connections.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.kept.values().map(Vec::len).sum()
+        self.idle.values().map(Vec::len).sum()
     }
 
-    /// Whether none is held.
+    /// Whether there are no idle connections.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-/// How long the upstream says that it keeps its end, from `Keep-Alive: timeout=5`.
-fn said(head: &Head) -> Option<Span> {
+/// The upstream's keep-alive timeout from a field such as `Keep-Alive: timeout=5`.
+fn advertised_keep_alive(head: &Head) -> Option<Span> {
     let text = head.text("keep-alive")?;
     let parts = text.split(',').map(str::trim);
     let mut timeouts = parts.filter_map(|part| part.strip_prefix("timeout="));
--- a/components/http1/src/probe.rs
+++ b/components/http1/src/probe.rs
@@ -1,4 +1,4 @@
-//! Whether a program still listens on its address.
+//! Probes whether a program still listens on its address.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -6,18 +6,19 @@
 
 use tokio::net::TcpStream;
 
-/// Looks are taken after these waits: a program's connections may break a moment before its
-/// address is closed.
+/// Delays before each probe. A program's connections may break a moment before its address is
+/// closed.
 const LOOKS: [Duration; 2] = [Duration::ZERO, Duration::from_millis(150)];
-/// A program that lives accepts within some ms; one behind a cut never answers.
-const CONNECT_WITHIN: Duration = Duration::from_millis(300);
+/// Timeout of one probe. A running program accepts within a few ms; an unreachable one never
+/// answers.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Whether an address refuses connections: nobody listens there. One that does not answer may be
-/// cut off only.
+/// Whether an address refuses connections, which shows that no program listens there. An address
+/// that does not answer may only be unreachable.
 pub async fn refuses(address: SocketAddr) -> bool {
     for wait in LOOKS {
         tokio::time::sleep(wait).await;
-        let opened = tokio::time::timeout(CONNECT_WITHIN, TcpStream::connect(address)).await;
+        let opened = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         if matches!(opened, Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused) {
             return true;
         }
--- a/components/http1/src/response.rs
+++ b/components/http1/src/response.rs
@@ -1,4 +1,4 @@
-//! Reading an upstream's response off a connection.
+//! Reads an upstream's response from a connection.
 
 use std::io;
 
@@ -9,33 +9,33 @@
 use crate::head::{Head, HeadError};
 use crate::wire::Wire;
 
-/// Why no whole response came.
+/// Why no complete response was read.
 #[derive(Debug, thiserror::Error)]
 pub enum ResponseError {
-    /// The connection broke.
+    /// Reading from or writing to the connection failed.
     #[error("the connection broke: {0}")]
     Io(#[from] io::Error),
-    /// The peer closed before the response's end.
+    /// The peer closed the connection before the end of the response.
     #[error("the connection closed before the end of the response")]
     Closed,
-    /// The head cannot be read.
+    /// The head cannot be parsed.
     #[error(transparent)]
     Head(#[from] HeadError),
-    /// It cannot be told where the body ends.
+    /// The end of the body cannot be determined.
     #[error(transparent)]
     Framing(#[from] FramingError),
-    /// The body is not of the announced form.
+    /// The body does not match its framing.
     #[error(transparent)]
     Body(#[from] BodyError),
-    /// The body is longer than allowed.
+    /// The body exceeds this many bytes.
     #[error("the body has more than {0} bytes")]
     TooLarge(usize),
 }
 
-/// Waits for a response's head.
+/// Waits for a response head and determines the framing of its body.
 ///
 /// # Errors
-/// When none comes; the connection is of no further use then.
+/// If no valid head arrives. The connection cannot be used afterwards.
 pub async fn read_response_head(
     wire: &Wire,
     max_head: usize,
@@ -55,7 +55,7 @@
 /// Reads a body to its end.
 ///
 /// # Errors
-/// When it is cut short, malformed or too large.
+/// If the body is truncated, malformed or too large.
 pub async fn read_whole(
     wire: &Wire,
     reader: &mut BodyReader,
--- a/components/http1/src/wire.rs
+++ b/components/http1/src/wire.rs
@@ -1,4 +1,4 @@
-//! One connection and the bytes read from it so far.
+//! One connection with the bytes read from it so far.
 
 use std::cell::RefCell;
 use std::future::{pending, poll_fn};
@@ -13,24 +13,24 @@
 use tokio::io::{AsyncReadExt, AsyncWrite};
 use tokio::net::{TcpSocket, TcpStream};
 
-/// Read from the kernel at a time, in bytes: an event is some hundred, a prompt some
+/// Space reserved for one read, in bytes. An event has a few hundred bytes and a prompt a few
 /// thousand; larger bodies take several reads.
 const READ_BYTES: usize = 8 * 1024;
 
-/// Read away at most before a connection is closed, in bytes: what a peer had on its way when
-/// it was answered. One that writes on without end gets the reset.
-const MAX_READ_AWAY: usize = 1024 * 1024;
+/// Most bytes discarded before a connection is closed: those that the peer sent before it read
+/// the answer. A peer that keeps writing gets a reset.
+const MAX_DRAIN_BYTES: usize = 1024 * 1024;
 
-/// Times after which a connection that has gone silent is given up.
+/// Timeouts after which a connection to a silent peer is closed.
 #[derive(Debug, Clone, Copy)]
 pub struct WireOptions {
-    /// Unacknowledged bytes break the connection after.
+    /// Longest time that sent bytes may stay unacknowledged.
     pub user_timeout: Duration,
-    /// An idle connection is probed after, and then as often.
+    /// Idle time before the first keep-alive probe, and the interval between probes.
     pub keepalive: Duration,
 }
 
-/// A connection that can be read, written and watched through a shared reference.
+/// A connection that can be read from, written to and watched through a shared reference.
 #[derive(Debug)]
 pub struct Wire {
     stream: RefCell<TcpStream>,
@@ -40,7 +40,7 @@
 /// Opens a connection.
 ///
 /// # Errors
-/// When the peer cannot be reached.
+/// If the peer cannot be reached.
 pub async fn connect(address: SocketAddr, options: WireOptions) -> io::Result<Wire> {
     let socket = TcpSocket::new_v4()?;
     let stream = socket.connect(address).await?;
@@ -48,10 +48,10 @@
 }
 
 impl Wire {
-    /// Wraps a connection.
+    /// Sets the options of a connection and wraps it.
     ///
     /// # Errors
-    /// When its options cannot be set.
+    /// If the options cannot be set.
     pub fn new(stream: TcpStream, options: WireOptions) -> io::Result<Self> {
         stream.set_nodelay(true)?;
         let socket = SockRef::from(&stream);
@@ -59,8 +59,8 @@
             .with_time(options.keepalive)
             .with_interval(options.keepalive);
         socket.set_tcp_keepalive(&keepalive)?;
-        // Guards against a peer behind a cut: its connections neither answer nor reset, and
-        // without this the kernel repeats the bytes for a quarter of an hour.
+        // An unreachable peer neither acknowledges nor resets. Without this timeout the kernel
+        // retransmits for a quarter of an hour.
         socket.set_tcp_user_timeout(Some(options.user_timeout))?;
         Ok(Self {
             stream: RefCell::new(stream),
@@ -68,22 +68,22 @@
         })
     }
 
-    /// Bytes read and not yet taken.
+    /// Bytes that were read and not yet consumed.
     pub fn buf(&self) -> std::cell::RefMut<'_, BytesMut> {
         self.buf.borrow_mut()
     }
 
-    /// Waits for more bytes; 0 at the peer's end of the connection.
+    /// Waits for more bytes and returns their number; 0 if the peer has closed its side.
     ///
     /// # Errors
-    /// When the connection broke.
+    /// If the connection broke.
     pub async fn fill(&self) -> io::Result<usize> {
         poll_fn(|cx| self.poll_fill(cx)).await
     }
 
-    /// Reads by the runtime's own way, which takes a read that fills less than the buffer for
-    /// the last one: asking the kernel once more for each event of a stream, only to be told
-    /// that there is nothing, was one system call in four.
+    /// Uses the runtime's own read, which treats a read that does not fill the buffer as the last
+    /// one. A further read after each event of a stream, which finds nothing, would be one system
+    /// call in four.
     fn poll_fill(&self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
         let mut stream = self.stream.borrow_mut();
         let mut buf = self.buf.borrow_mut();
@@ -98,10 +98,10 @@
         self.stream.borrow().try_read_buf(&mut *buf)
     }
 
-    /// Waits for the peer's end while it has nothing to say.
+    /// Waits until the peer closes its side of the connection.
     ///
-    /// Bytes that arrive meanwhile (a pipelined request) are kept up to `max_bytes`; after
-    /// that the end is no longer seen.
+    /// Bytes that arrive meanwhile, such as a pipelined request, are buffered up to `max_bytes`.
+    /// Beyond that a close is no longer detected.
     pub async fn closed(&self, max_bytes: usize) {
         loop {
             if self.buf.borrow().len() >= max_bytes {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Whether the connection is quiet: no byte waits and the peer has not closed it.
+    /// Whether the connection is open and there are no bytes to read.
     #[must_use]
     pub fn is_quiet(&self) -> bool {
         let waiting = self.try_fill();
@@ -125,7 +125,7 @@
     /// Writes all bytes.
     ///
     /// # Errors
-    /// When the connection broke.
+    /// If the connection broke.
     pub async fn write_all(&self, mut bytes: &[u8]) -> io::Result<()> {
         poll_fn(|cx| self.poll_write_all(cx, &mut bytes)).await
     }
@@ -142,17 +142,18 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Ends the connection so that the peer still gets what was written.
+    /// Closes the connection so that the peer still gets everything that was written.
     ///
-    /// Closing a socket with unread bytes resets it, and the reset may overtake the answer
-    /// in the peer's buffers; so the sending side is closed and the rest read away first.
-    pub async fn close(self, patience: Duration) {
+    /// Closing a socket with unread bytes resets it, and the reset may discard an answer that the
+    /// peer has not read yet. So the sending side is closed first, and what the peer sends is
+    /// discarded until it closes, for at most `timeout`.
+    pub async fn close(self, timeout: Duration) {
         let shut = SockRef::from(&*self.stream.borrow()).shutdown(std::net::Shutdown::Write);
         if shut.is_err() {
             return;
         }
         let drained = async {
-            let mut left = MAX_READ_AWAY;
+            let mut left = MAX_DRAIN_BYTES;
             while let Ok(read) = self.fill().await
                 && (1..left).contains(&read)
             {
@@ -160,7 +161,7 @@
                 self.buf.borrow_mut().clear();
             }
         };
-        // A peer that does not close in time gets the reset.
-        let _ = tokio::time::timeout(patience, drained).await;
+        // A peer that does not close in time gets a reset.
+        let _ = tokio::time::timeout(timeout, drained).await;
     }
 }
--- a/components/http1/tests/messages.rs
+++ b/components/http1/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Heads, framing, bodies and events.
+//! Parsing of heads, framing, bodies and events.
 
 use bytes::{Bytes, BytesMut};
 use http1::events::Splitter;
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_head_is_taken_once_it_is_complete() {
+fn a_head_is_parsed_once_it_is_complete() {
     let mut buf = BytesMut::from("GET /a?b HTTP/1.1\r\nHost: x\r\nHos");
     assert!(
         Head::take_request(&mut buf, 4_096)
@@ -33,22 +33,22 @@
 }
 
 #[test]
-fn a_head_without_end_is_refused() {
+fn a_head_above_the_size_limit_is_rejected() {
     let mut buf = BytesMut::from(format!("GET / HTTP/1.1\r\nA: {}", "b".repeat(5_000)).as_str());
     let result = Head::take_request(&mut buf, 4_096);
     assert_eq!(result.err(), Some(HeadError::TooLarge(4_096)));
 }
 
 #[test]
-fn a_space_before_the_colon_is_refused() {
+fn a_space_before_the_colon_is_rejected() {
     let mut buf = BytesMut::from("GET / HTTP/1.1\r\nContent-Length : 5\r\n\r\n");
     assert!(Head::take_request(&mut buf, 4_096).is_err());
 }
 
 #[test]
-fn lengths_that_two_readers_could_take_differently_are_refused() {
-    // A caller gives a length and a transfer encoding, or two lengths. One reader takes the
-    // one, the next the other, and the rest of the body is run as a request of its own.
+fn ambiguous_body_lengths_are_rejected() {
+    // Guards against request smuggling: a caller sends a length and a transfer coding, or two
+    // lengths. If two readers pick different ones, the rest of the body runs as a request.
     let both = "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n";
     let other_order = "Transfer-Encoding: chunked\r\nContent-Length: 4\r\n";
     let twice = "Content-Length: 4\r\nContent-Length: 4\r\n";
@@ -84,7 +84,7 @@
     let mut reader = BodyReader::new(framing);
     let mut body = Vec::new();
     let mut buf = BytesMut::new();
-    // Byte by byte, so that every state is left and entered between two reads.
+    // Feeds byte by byte, so that each state is entered and left between two reads.
     for byte in text.bytes() {
         buf.extend_from_slice(&[byte]);
         while let Progress::Data(data) = reader.read(&mut buf)? {
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn chunks_of_another_form_are_refused() {
+fn malformed_chunks_are_rejected() {
     let cases = [
         "3\nabc",
         "+3\r\nabc",
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn events_come_out_whole() {
+fn only_complete_events_are_returned() {
     let mut splitter = Splitter::default();
     splitter.push(b"id: 4\ndata: a\n\nid:");
     let event = splitter.next_event().expect("small").expect("whole");
