--- a/components/engine/src/plain.rs
+++ b/components/engine/src/plain.rs
@@ -88,7 +88,7 @@
     }
 }
 
-/// Copies the headers that are neither hop-by-hop, nor `Content-Length`, nor connection_names in
+/// Copies the headers that are neither hop-by-hop, nor `Content-Length`, nor listed in
 /// `Connection`.
 fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let connection_names = headers.get_all(CONNECTION).into_iter();
--- a/components/http1/src/wire.rs
+++ b/components/http1/src/wire.rs
@@ -98,7 +98,7 @@
         self.stream.borrow().try_read_buf(&mut *buf)
     }
 
-    /// Waits until the peer closes its side of the connection.
+    /// Waits until the peer closes its side of the connection, or the connection breaks.
     ///
     /// Bytes that arrive meanwhile, such as a pipelined request, are buffered up to `max_bytes`.
     /// Beyond that a close is no longer detected.
