--- a/components/callers/src/answer.rs
+++ b/components/callers/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers: a head, then data, onto the caller's connection.
+//! Writes answers to a caller's connection: a head, then data.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -11,79 +11,80 @@
 use http1::write::{LAST_CHUNK, push_chunk, push_field, push_length, push_map, push_status};
 use tokio::sync::watch;
 
-/// Start of an answer.
+/// The head of an answer.
 #[derive(Debug, Clone)]
 pub struct Head {
-    /// The status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// The headers.
+    /// Headers; `Content-Length`, `Transfer-Encoding` and `Connection` are replaced.
     pub headers: HeaderMap,
 }
 
-/// A piece of an answer.
+/// A part of an answer.
 #[derive(Debug)]
 pub enum Frame {
-    /// Comes first.
+    /// The head; sent first.
     Head(Head),
-    /// Some of the body.
+    /// A part of the body.
     Data(Bytes),
-    /// The body is whole. An answer without it is cut off, so that the caller
-    /// never takes a part for the whole.
+    /// The end of the body. Without it the connection is cut, so that the caller never takes
+    /// an incomplete answer for a complete one.
     End,
 }
 
-/// The caller has left, or reads so slowly that it was given up.
+/// The caller has disconnected, or read too slowly and was dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the caller is gone")]
 pub struct Gone;
 
-/// How far an answer is.
+/// Progress of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Stage {
     /// Nothing was written.
-    Nothing,
-    /// A head was written, and perhaps some of the body.
-    Begun,
-    /// All of it was written.
-    Whole,
+    NotStarted,
+    /// The head was written, and perhaps a part of the body.
+    Started,
+    /// The answer was written completely.
+    Complete,
 }
 
-/// How an answer's end is told.
+/// How the end of an answer's body is marked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Framed {
+enum BodyEncoding {
+    /// Chunked transfer coding.
     Chunked,
-    /// By the connection's end: a caller of HTTP/1.0 knows no chunks.
+    /// The connection is closed: an HTTP/1.0 caller cannot decode chunks.
     UntilClose,
 }
 
-/// What a connection says of the request that is answered on it.
+/// What the request and its connection require of the answer.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Answering {
-    /// The caller may send another request after it.
+pub(crate) struct ResponseOptions {
+    /// Whether the connection stays open for another request (keep-alive).
     pub(crate) keeps_alive: bool,
-    /// The caller knows chunked bodies.
+    /// Whether the caller speaks HTTP/1.1 and so can decode chunks.
     pub(crate) is_http11: bool,
-    /// Only the head was asked for.
+    /// Whether the request was a `HEAD` request, so that no body is sent.
     pub(crate) is_head_only: bool,
-    /// The caller takes each piece within.
-    pub(crate) patience: Duration,
+    /// Longest time to write one frame.
+    pub(crate) write_timeout: Duration,
 }
 
-/// Writes one answer. Dropped before [`Frame::End`], it cuts the connection.
+/// Writes one answer. If it is dropped before [`Frame::End`], the connection is cut.
 #[derive(Debug, Clone)]
 pub struct Responder {
     wire: Rc<Wire>,
-    answering: Answering,
+    options: ResponseOptions,
     stage: Rc<Cell<Stage>>,
     is_gone: watch::Sender<bool>,
 }
 
 impl Responder {
-    pub(crate) fn new(wire: Rc<Wire>, answering: Answering) -> Self {
+    pub(crate) fn new(wire: Rc<Wire>, options: ResponseOptions) -> Self {
         Self {
             wire,
-            answering,
-            stage: Rc::new(Cell::new(Stage::Nothing)),
+            options,
+            stage: Rc::new(Cell::new(Stage::NotStarted)),
             is_gone: watch::Sender::new(false),
         }
     }
@@ -92,80 +93,88 @@
         self.stage.get()
     }
 
-    pub(crate) fn set_gone(&self) {
+    pub(crate) fn mark_gone(&self) {
         self.is_gone.send_replace(true);
     }
 
-    /// Sends a frame; waits while the caller reads slowly.
+    /// Sends a frame; waits while the caller reads slowly (backpressure).
     ///
     /// # Errors
-    /// When the caller left, or took nothing for too long.
+    /// If the caller has disconnected, or did not read for `write_timeout`.
     pub async fn send(&self, frame: Frame) -> Result<(), Gone> {
         let mut out = Vec::new();
         match &frame {
             Frame::Head(head) => self.push_stream_head(&mut out, head),
-            Frame::Data(_) | Frame::End if self.answering.is_head_only => {}
-            Frame::Data(data) if self.framed() == Framed::Chunked => push_chunk(&mut out, data),
+            Frame::Data(_) | Frame::End if self.options.is_head_only => {}
+            Frame::Data(data) if self.body_encoding() == BodyEncoding::Chunked => {
+                push_chunk(&mut out, data)
+            }
             Frame::Data(data) => out.extend_from_slice(data),
-            Frame::End if self.framed() == Framed::Chunked => out.extend_from_slice(LAST_CHUNK),
+            Frame::End if self.body_encoding() == BodyEncoding::Chunked => {
+                out.extend_from_slice(LAST_CHUNK)
+            }
             Frame::End => {}
         }
         let is_end = matches!(frame, Frame::End);
-        let stage = if is_end { Stage::Whole } else { Stage::Begun };
+        let stage = if is_end {
+            Stage::Complete
+        } else {
+            Stage::Started
+        };
         self.write(&out, stage).await
     }
 
-    /// Sends a whole answer.
+    /// Sends a complete answer.
     ///
     /// # Errors
-    /// When the caller left, or took nothing for too long.
+    /// If the caller has disconnected, or did not read for `write_timeout`.
     pub async fn answer(&self, head: Head, body: Bytes) -> Result<(), Gone> {
         let mut out = Vec::with_capacity(512 + body.len());
         self.push_head(&mut out, &head);
         push_length(&mut out, body.len());
         out.extend_from_slice(b"\r\n");
-        if !self.answering.is_head_only {
+        if !self.options.is_head_only {
             out.extend_from_slice(&body);
         }
-        self.write(&out, Stage::Whole).await
+        self.write(&out, Stage::Complete).await
     }
 
-    /// Whether the caller has left.
+    /// Whether the caller has disconnected or was dropped.
     #[must_use]
     pub fn is_gone(&self) -> bool {
         *self.is_gone.borrow()
     }
 
-    /// Waits until the caller has left.
+    /// Waits until the caller has disconnected or was dropped.
     pub async fn gone(&self) {
         let mut is_gone = self.is_gone.subscribe();
-        // This responder holds the sender, so the wait ends only with the caller.
+        // This responder holds the sender, so the channel cannot close during the wait.
         let _ = is_gone.wait_for(|is_gone| *is_gone).await;
     }
 
-    fn framed(&self) -> Framed {
-        match self.answering.is_http11 {
-            true => Framed::Chunked,
-            false => Framed::UntilClose,
+    fn body_encoding(&self) -> BodyEncoding {
+        match self.options.is_http11 {
+            true => BodyEncoding::Chunked,
+            false => BodyEncoding::UntilClose,
         }
     }
 
     fn push_head(&self, out: &mut Vec<u8>, head: &Head) {
         push_status(out, head.status.as_u16());
-        // How the body ends is this connection's own.
+        // The framing of the body and keep-alive are decided for this connection.
         let mut fields = head.headers.clone();
         for name in [CONTENT_LENGTH, TRANSFER_ENCODING, CONNECTION] {
             fields.remove(name);
         }
         push_map(out, &fields);
-        if !self.answering.keeps_alive {
+        if !self.options.keeps_alive {
             push_field(out, "Connection", b"close");
         }
     }
 
     fn push_stream_head(&self, out: &mut Vec<u8>, head: &Head) {
         self.push_head(out, head);
-        if self.framed() == Framed::Chunked {
+        if self.body_encoding() == BodyEncoding::Chunked {
             push_field(out, "Transfer-Encoding", b"chunked");
         }
         out.extend_from_slice(b"\r\n");
@@ -175,13 +184,13 @@
         if self.is_gone() {
             return Err(Gone);
         }
-        if self.stage.get() == Stage::Nothing {
-            self.stage.set(Stage::Begun);
+        if self.stage.get() == Stage::NotStarted {
+            self.stage.set(Stage::Started);
         }
         let written = self.wire.write_all(bytes);
-        let written = tokio::time::timeout(self.answering.patience, written).await;
+        let written = tokio::time::timeout(self.options.write_timeout, written).await;
         if !matches!(written, Ok(Ok(()))) {
-            self.set_gone();
+            self.mark_gone();
             return Err(Gone);
         }
         self.stage.set(stage);
--- a/components/callers/src/connection.rs
+++ b/components/callers/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of the product's own interface: its requests one after another.
+//! Serves one connection of the product's own API: its requests one after another.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,31 +11,33 @@
 use tokio::time::Instant;
 use types::prelude::*;
 
-use crate::answer::{Answering, Head, Responder, Stage};
+use crate::answer::{Head, Responder, ResponseOptions, Stage};
 use crate::reading::{Bounds, Unread, read_body, read_head};
-use crate::server::Closing;
+use crate::server::ShutdownSignal;
 use crate::{Request, Serve};
 
-const LOST: &str = "the answer was lost inside the daemon";
-/// Bytes of a pipelined request that are kept while another is served.
-const MAX_PIPELINED: usize = 16 << 10;
-/// A caller that does not close after its last answer is reset after.
-const LINGER: Duration = Duration::from_millis(1_500);
+/// Message to a caller whose request was accepted but not answered.
+const ANSWER_LOST: &str = "the answer was lost inside the daemon";
+/// Most bytes of pipelined requests buffered while a request is served.
+const MAX_PIPELINED_BYTES: usize = 16 << 10;
+/// Time after the last answer within which the caller must close, or its connection is reset.
+/// Also the time to write the answer to a rejected request.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Bounds on what a caller may take.
+/// Limits on what a caller may use.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Connections held at once.
+    /// Most connections open at once.
     pub connections: usize,
-    /// Longest head.
+    /// Largest request head.
     pub head: ByteSize,
-    /// Longest body.
+    /// Largest request body.
     pub body: ByteSize,
-    /// A head is read, or an idle connection closed, within.
+    /// Longest time to read a request head, and longest time that a connection may be idle.
     pub head_timeout: Span,
-    /// A body is read within.
+    /// Longest time to read a request body.
     pub body_timeout: Span,
-    /// An answer's next piece is taken within.
+    /// Longest time to write the next part of an answer.
     pub write_timeout: Span,
 }
 
@@ -50,26 +52,26 @@
     }
 }
 
-/// What the connections of one event loop share.
+/// State shared by the connections of one event loop.
 pub(crate) struct Shared<S> {
     pub(crate) limits: Limits,
     pub(crate) serve: S,
-    pub(crate) closing: Closing,
+    pub(crate) shutdown: ShutdownSignal,
 }
 
-/// Serves a connection until it ends, is idle too long, or the daemon leaves.
+/// Serves a connection until it closes, is idle for too long, or the daemon shuts down.
 pub(crate) async fn run<S: Serve>(wire: Wire, caller: SocketAddr, shared: Rc<Shared<S>>) {
     let wire = Rc::new(wire);
     while serve_next(&wire, caller, &shared).await {}
     if let Ok(wire) = Rc::try_unwrap(wire) {
-        wire.close(LINGER).await;
+        wire.close(CLOSE_TIMEOUT).await;
     }
 }
 
-/// Serves one request; false ends the connection.
+/// Serves one request; returns whether the connection stays open.
 async fn serve_next<S: Serve>(wire: &Rc<Wire>, caller: SocketAddr, shared: &Shared<S>) -> bool {
     let bounds = shared.limits.bounds();
-    let head = match read_head(wire, &bounds, shared.closing.told()).await {
+    let head = match read_head(wire, &bounds, shared.shutdown.requested()).await {
         Ok(head) => head,
         Err(unread) => return refuse(wire, &unread).await,
     };
@@ -82,23 +84,23 @@
         Ok(body) => body,
         Err(unread) => return refuse(wire, &unread).await,
     };
-    let Some(parts) = Parts::of(&head) else {
+    let Some(line) = RequestLine::parse(&head) else {
         return refuse(wire, &Unread::Body).await;
     };
-    let keeps_alive = head.keeps_alive() && head.is_http11 && !shared.closing.is_told();
+    let keeps_alive = head.keeps_alive() && head.is_http11 && !shared.shutdown.is_requested();
     let responder = Responder::new(
         Rc::clone(wire),
-        Answering {
+        ResponseOptions {
             keeps_alive,
             is_http11: head.is_http11,
-            is_head_only: parts.method == Method::HEAD,
-            patience: shared.limits.write_timeout.to_duration(),
+            is_head_only: line.method == Method::HEAD,
+            write_timeout: shared.limits.write_timeout.to_duration(),
         },
     );
     let req = Request {
-        method: parts.method,
-        path: parts.path,
-        query: parts.query,
+        method: line.method,
+        path: line.path,
+        query: line.query,
         headers: head.to_map(),
         body,
         caller,
@@ -106,23 +108,23 @@
     };
     serve_watched(wire, &shared.serve, req, &responder).await;
     match responder.stage() {
-        Stage::Whole => keeps_alive && !responder.is_gone(),
-        Stage::Begun => false,
-        Stage::Nothing => {
-            // Guards against a false "not run": whoever served the request is gone without a
-            // word, and may have sent it to an upstream before.
+        Stage::Complete => keeps_alive && !responder.is_gone(),
+        Stage::Started => false,
+        Stage::NotStarted => {
+            // The request was dropped without an answer. It may have been sent to an upstream
+            // before, so "not run" could be false.
             let status = StatusCode::INTERNAL_SERVER_ERROR;
-            tell(&responder, status, LOST, RunState::Unknown).await;
+            send_error(&responder, status, ANSWER_LOST, RunState::Unknown).await;
             false
         }
     }
 }
 
-/// Serves a request to its end, and tells the responder when the caller leaves meanwhile.
+/// Serves a request to completion and informs the responder if the caller disconnects meanwhile.
 async fn serve_watched<S: Serve>(wire: &Wire, serve: &S, req: Request, responder: &Responder) {
     let gone = async {
-        wire.closed(MAX_PIPELINED).await;
-        responder.set_gone();
+        wire.closed(MAX_PIPELINED_BYTES).await;
+        responder.mark_gone();
         std::future::pending::<()>().await;
     };
     tokio::select! {
@@ -132,15 +134,15 @@
     }
 }
 
-/// A request's line, taken apart.
-struct Parts {
+/// The parsed request line.
+struct RequestLine {
     method: Method,
     path: String,
     query: String,
 }
 
-impl Parts {
-    fn of(head: &WireHead) -> Option<Self> {
+impl RequestLine {
+    fn parse(head: &WireHead) -> Option<Self> {
         let Kind::Request { method, target } = &head.kind else {
             return None;
         };
@@ -153,7 +155,7 @@
     }
 }
 
-/// The path of a target that names the host as well, as callers behind a proxy send it.
+/// Strips scheme and authority from a target in absolute form, which callers of a proxy send.
 fn without_authority(path: &str) -> &str {
     let Some(rest) = path.strip_prefix("http://") else {
         return path;
@@ -161,7 +163,7 @@
     rest.find('/').map_or("/", |at| &rest[at..])
 }
 
-/// Answers a request that was not read; the connection ends.
+/// Answers a request that could not be read. Returns false, as the connection ends.
 async fn refuse(wire: &Rc<Wire>, unread: &Unread) -> bool {
     let status = match unread {
         Unread::Closed => return false,
@@ -170,19 +172,19 @@
         Unread::HeadTooSlow | Unread::BodyTooSlow => StatusCode::REQUEST_TIMEOUT,
         Unread::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
     };
-    let answering = Answering {
+    let options = ResponseOptions {
         keeps_alive: false,
         is_http11: true,
         is_head_only: false,
-        patience: LINGER,
+        write_timeout: CLOSE_TIMEOUT,
     };
-    let responder = Responder::new(Rc::clone(wire), answering);
-    tell(&responder, status, &unread.to_string(), RunState::No).await;
+    let responder = Responder::new(Rc::clone(wire), options);
+    send_error(&responder, status, &unread.to_string(), RunState::No).await;
     false
 }
 
-/// An error in the published shape.
-async fn tell(responder: &Responder, status: StatusCode, message: &str, run: RunState) {
+/// Sends an error in the format of the public API.
+async fn send_error(responder: &Responder, status: StatusCode, message: &str, run: RunState) {
     let (kind, code) = match run {
         RunState::No => ("invalid_request_error", "bad_request"),
         RunState::Unknown | RunState::Yes => ("server_error", "answer_lost"),
@@ -195,7 +197,7 @@
     if let Ok(run) = HeaderValue::from_str(&run.to_string()) {
         headers.insert(HeaderName::from_static("x-run"), run);
     }
-    // A caller that is gone needs no answer.
+    // A caller that has disconnected needs no answer.
     let _ = responder
         .answer(Head { status, headers }, Bytes::from(body.to_string()))
         .await;
--- a/components/callers/src/lib.rs
+++ b/components/callers/src/lib.rs
@@ -1,20 +1,20 @@
-//! Callers' connections: heads, bodies and their bounds, and answers.
+//! HTTP server for callers, with limits on heads, bodies and connections.
 //!
-//! What every event loop that serves callers shares is here: [`listen`] and [`accept`],
-//! [`read_head`] and [`read_body`]. [`Callers`] is the product's own interface on top of
-//! them: it reads a request whole, hands it to a [`Serve`] and writes the [`Frame`]s that
-//! come back. It knows nothing of models.
+//! [`listen`], [`accept`], [`read_head`] and [`read_body`] are used by every event loop that
+//! serves callers. [`Callers`] is the HTTP server of the product's own API, built on them: it
+//! reads a complete request, passes it to a [`Serve`] and writes the [`Frame`]s of the answer.
+//! It knows nothing of models.
 //!
-//! Every wait on a caller has an end and every buffer a bound:
+//! Every wait for a caller has a timeout and every buffer a limit, set in [`Limits`]:
 //!
-//! | a caller that … | meets |
+//! | a caller that … | limit and effect |
 //! |---|---|
 //! | sends a head slowly, or stays idle | `head_timeout` |
-//! | sends a head without end | `max_head`, 431 |
+//! | sends an endless head | `head`, 431 |
 //! | sends a body slowly | `body_timeout`, 408 |
-//! | sends a body without end | `max_body`, 413 |
+//! | sends an endless body | `body`, 413 |
 //! | does not read its answer | `write_timeout`, the connection is cut |
-//! | opens connections without end | `max_connections`, closed at once |
+//! | opens ever more connections | `connections`, closed at once |
 
 mod answer;
 mod connection;
@@ -32,28 +32,28 @@
 use bytes::Bytes;
 use std::net::SocketAddr;
 
-/// A request read whole.
+/// A complete request.
 #[derive(Debug)]
 pub struct Request {
-    /// Its method.
+    /// The HTTP method.
     pub method: Method,
-    /// Its path, without the query.
+    /// Path without the query.
     pub path: String,
-    /// What follows `?`, without it; empty when there is none.
+    /// Query without the `?`; empty if there is none.
     pub query: String,
-    /// Its headers.
+    /// All headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The complete body.
     pub body: Bytes,
-    /// Who sent it.
+    /// Address of the caller.
     pub caller: SocketAddr,
-    /// Where the answer goes.
+    /// Writes the answer.
     pub responder: Responder,
 }
 
-/// What requests are handed to, on the event loop of their connection: must not block.
+/// Handles requests on the event loop of their connection; must not block.
 pub trait Serve: 'static {
-    /// Serves a request: its answer goes to its [`Responder`]. Runs to its end also when the
-    /// caller leaves, which [`Responder::gone`] tells.
+    /// Handles a request and writes the answer to its [`Responder`]. Runs to completion even if
+    /// the caller disconnects, which [`Responder::gone`] reports.
     fn serve(&self, req: Request) -> impl Future<Output = ()>;
 }
--- a/components/callers/src/listen.rs
+++ b/components/callers/src/listen.rs
@@ -1,4 +1,4 @@
-//! Listening sockets.
+//! Opens listening sockets and accepts connections.
 
 use std::net::{SocketAddr, TcpListener as StdListener};
 use std::time::Duration;
@@ -6,15 +6,15 @@
 use socket2::{Domain, Socket, Type};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Connections that wait to be accepted.
+/// Most connections that wait to be accepted.
 const BACKLOG: i32 = 1_024;
-/// Pause after a failed accept, such as for want of file descriptors.
+/// Delay after a failed accept, for example if no file descriptor is free.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Listens at an address; the socket is non-blocking.
+/// Opens a non-blocking listening socket.
 ///
 /// # Errors
-/// When the address cannot be had.
+/// If the address cannot be bound.
 pub fn listen(address: SocketAddr) -> std::io::Result<StdListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
@@ -24,7 +24,7 @@
     Ok(socket.into())
 }
 
-/// Waits for the next connection.
+/// Waits for the next connection; retries after errors.
 pub async fn accept(listener: &TcpListener) -> (TcpStream, SocketAddr) {
     loop {
         match listener.accept().await {
--- a/components/callers/src/reading.rs
+++ b/components/callers/src/reading.rs
@@ -1,4 +1,4 @@
-//! Reading a caller's request within bounds.
+//! Reads a caller's request within limits of size and time.
 
 use std::io;
 use std::time::Duration;
@@ -7,64 +7,65 @@
 use http1::{BodyReader, Framing, Head, HeadError, Progress, Wire};
 use tokio::time::Instant;
 
-/// What a caller may send, and how long it may take.
+/// Limits of size and time on one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// Longest head, in bytes.
+    /// Largest head, in bytes.
     pub head: usize,
-    /// Longest body, in bytes.
+    /// Largest body, in bytes.
     pub body: u64,
-    /// A head must be complete so long after its first byte.
+    /// Longest time from the first byte of a head to its end.
     pub head_within: Duration,
-    /// A connection without a request is kept for.
+    /// Longest time to wait for the first byte of a request.
     pub idle: Duration,
 }
 
 /// Why no request was read.
 #[derive(Debug, thiserror::Error)]
 pub enum Unread {
-    /// The caller closed or was idle for too long: nobody waits for an answer.
+    /// The caller closed the connection or was idle for too long, so it expects no answer.
     #[error("the caller closed the connection or was idle for too long")]
     Closed,
-    /// The head is no head, or too long.
+    /// The head is malformed or too large.
     #[error(transparent)]
     Head(#[from] HeadError),
-    /// The head took too long.
+    /// The head was not complete in time.
     #[error("the head took too long")]
     HeadTooSlow,
-    /// The body is not of the announced form.
+    /// The body does not match its framing.
     #[error("the body ended early or is malformed")]
     Body,
-    /// The body took too long.
+    /// The body was not complete in time.
     #[error("the body took too long")]
     BodyTooSlow,
-    /// The body is longer than allowed.
+    /// The body exceeds the limit.
     #[error("the body is longer than this daemon takes")]
     BodyTooLarge,
 }
 
 impl From<io::Error> for Unread {
     fn from(_: io::Error) -> Self {
-        // A caller's broken connection is its own affair; nobody is left to be told.
+        // After a connection error nobody is left to answer, so it counts as a close.
         Self::Closed
     }
 }
 
-/// Waits for a request's head. Ends early when `leaving` completes while no byte is there.
+/// Waits for a request head. Returns [`Unread::Closed`] if `shutdown` completes before the first
+/// byte.
 ///
 /// # Errors
-/// Says why there is none.
+/// States why no head was read.
 pub async fn read_head(
     wire: &Wire,
     bounds: &Bounds,
-    leaving: impl Future<Output = ()>,
+    shutdown: impl Future<Output = ()>,
 ) -> Result<Head, Unread> {
     if wire.buf().is_empty() {
         tokio::select! {
             biased;
             read = wire.fill() => if read? == 0 { return Err(Unread::Closed) },
             () = tokio::time::sleep(bounds.idle) => return Err(Unread::Closed),
-            () = leaving => return Err(Unread::Closed),
+            () = shutdown => return Err(Unread::Closed),
         }
     }
     let read = async {
@@ -82,10 +83,10 @@
     done.unwrap_or(Err(Unread::HeadTooSlow))
 }
 
-/// Reads the body behind a head, of `max` bytes at most, until a moment.
+/// Reads the body after a head, of at most `max` bytes, until the deadline `until`.
 ///
 /// # Errors
-/// Says why there is none.
+/// States why no body was read.
 pub async fn read_body(
     wire: &Wire,
     head: &Head,
--- a/components/callers/src/server.rs
+++ b/components/callers/src/server.rs
@@ -1,4 +1,4 @@
-//! The threads that serve callers, an event loop each.
+//! The threads that serve callers, each with its own event loop.
 
 use std::net::{SocketAddr, TcpListener as StdListener};
 use std::rc::Rc;
@@ -15,65 +15,66 @@
 use crate::connection::{self, Limits, Shared};
 use crate::listen::{accept, listen};
 
-/// Connections that are silent this long while bytes are out are dead.
-const WIRE: WireOptions = WireOptions {
+/// A connection is dead if its peer stays silent for 10 s while bytes are unacknowledged.
+const WIRE_OPTIONS: WireOptions = WireOptions {
     user_timeout: Duration::from_secs(10),
     keepalive: Duration::from_secs(10),
 };
-/// The end of the last connections is looked at this often.
-const END_TICK: Duration = Duration::from_millis(10);
+/// Interval of checks whether the last connections have ended.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Why the callers' API could not start.
+/// The server for callers could not start.
 #[derive(Debug, thiserror::Error)]
 #[error("callers: cannot listen on {address}: {source}")]
 pub struct CallersError {
-    /// The address asked for.
+    /// The address to listen on.
     pub address: SocketAddr,
-    /// The system's reason.
+    /// The error of the operating system.
     pub source: std::io::Error,
 }
 
-/// What the listener counted, for the dump and the metrics.
+/// Connection counts, for the dump and the metrics.
 #[derive(Debug, Default)]
 pub struct Counts {
-    /// Connections open now.
+    /// Number of open connections.
     pub open: AtomicUsize,
-    /// Connections closed at once since too many were open.
-    pub turned_away: AtomicUsize,
+    /// Number of connections closed at once because too many were open.
+    pub rejected: AtomicUsize,
 }
 
-/// Whether the daemon leaves.
+/// Signals that the daemon is shutting down.
 #[derive(Debug, Clone)]
-pub(crate) struct Closing(watch::Receiver<bool>);
+pub(crate) struct ShutdownSignal(watch::Receiver<bool>);
 
-impl Closing {
-    pub(crate) fn is_told(&self) -> bool {
+impl ShutdownSignal {
+    pub(crate) fn is_requested(&self) -> bool {
         *self.0.borrow()
     }
 
-    /// Waits until it does.
-    pub(crate) async fn told(&self) {
+    /// Waits until a shutdown is requested.
+    pub(crate) async fn requested(&self) {
         let mut rx = self.0.clone();
-        // A sender that is gone means the same.
-        let _ = rx.wait_for(|is_told| *is_told).await;
+        // A dropped sender also means a shutdown.
+        let _ = rx.wait_for(|is_requested| *is_requested).await;
     }
 }
 
-/// The running API.
+/// The running HTTP server for callers.
 #[derive(Debug)]
 pub struct Callers {
     address: SocketAddr,
     counts: Arc<Counts>,
-    closing: watch::Sender<bool>,
-    /// One for each thread; disconnected once it has ended.
+    shutdown: watch::Sender<bool>,
+    /// One channel for each thread, disconnected once the thread has ended.
     ended: Vec<flume::Receiver<()>>,
 }
 
 impl Callers {
-    /// Listens and serves on threads of its own; `make` makes what serves on each.
+    /// Listens at `address` and serves on `threads` new threads; `make` creates the handler of
+    /// each thread.
     ///
     /// # Errors
-    /// When the address cannot be listened on.
+    /// If the address cannot be bound.
     pub fn start<S: Serve>(
         address: SocketAddr,
         threads: usize,
@@ -85,7 +86,7 @@
         let mut callers = Self {
             address: listener.local_addr().map_err(failed)?,
             counts: Arc::new(Counts::default()),
-            closing: watch::Sender::new(false),
+            shutdown: watch::Sender::new(false),
             ended: Vec::new(),
         };
         for index in 0..threads {
@@ -102,7 +103,7 @@
         limits: Limits,
         make: impl FnOnce() -> S + Send + 'static,
     ) {
-        let closing = Closing(self.closing.subscribe());
+        let shutdown = ShutdownSignal(self.shutdown.subscribe());
         let counts = self.counts.clone();
         let (running, ended) = flume::bounded::<()>(0);
         let thread = std::thread::Builder::new().name(format!("callers-{index}"));
@@ -110,7 +111,7 @@
             let shared = Shared {
                 limits,
                 serve: make(),
-                closing,
+                shutdown,
             };
             run(listener, shared, &counts);
             drop(running);
@@ -121,24 +122,24 @@
         }
     }
 
-    /// Where it listens.
+    /// The address that the server listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What it counted.
+    /// The connection counts.
     #[must_use]
     pub fn counts(&self) -> Arc<Counts> {
         self.counts.clone()
     }
 
-    /// Takes no new connections, ends each open one after its present answer, and
-    /// returns once all have ended or `patience` is over: how many were cut.
+    /// Stops accepting connections and closes each open one after its current answer. Waits until
+    /// all have ended, for at most `timeout`, and returns how many are still open and so are cut.
     #[must_use]
-    pub fn close(mut self, patience: Duration) -> usize {
-        let deadline = Instant::now() + patience;
-        self.closing.send_replace(true);
+    pub fn close(mut self, timeout: Duration) -> usize {
+        let deadline = Instant::now() + timeout;
+        self.shutdown.send_replace(true);
         for ended in self.ended.drain(..) {
             let _ = ended.recv_deadline(deadline);
         }
@@ -162,22 +163,25 @@
         Err(error) => return tracing::error!("callers: cannot listen: {error}"),
     };
     let shared = Rc::new(shared);
-    let closing = shared.closing.clone();
+    let shutdown = shared.shutdown.clone();
     loop {
         tokio::select! {
             biased;
-            () = closing.told() => break,
-            (stream, caller) = accept(&listener) => take(stream, caller, &shared, counts),
+            () = shutdown.requested() => break,
+            (stream, caller) = accept(&listener) => {
+                spawn_connection(stream, caller, &shared, counts)
+            }
         }
     }
     drop(listener);
-    // Every connection's task holds the shared part.
+    // Each connection's task holds a reference to `shared`.
     while Rc::strong_count(&shared) > 1 {
-        tokio::time::sleep(END_TICK).await;
+        tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
 }
 
-fn take<S: Serve>(
+/// Serves a connection in a new task, or closes it if too many are open.
+fn spawn_connection<S: Serve>(
     stream: TcpStream,
     caller: SocketAddr,
     shared: &Rc<Shared<S>>,
@@ -185,21 +189,21 @@
 ) {
     if counts.open.fetch_add(1, Ordering::AcqRel) >= shared.limits.connections {
         counts.open.fetch_sub(1, Ordering::AcqRel);
-        counts.turned_away.fetch_add(1, Ordering::Relaxed);
+        counts.rejected.fetch_add(1, Ordering::Relaxed);
         return;
     }
     let open = OpenGuard(counts.clone());
     let shared = Rc::clone(shared);
     tokio::task::spawn_local(async move {
         let _open = open;
-        match Wire::new(stream, WIRE) {
+        match Wire::new(stream, WIRE_OPTIONS) {
             Ok(wire) => connection::run(wire, caller, shared).await,
             Err(error) => tracing::debug!("callers: a connection cannot be set up: {error}"),
         }
     });
 }
 
-/// Counts a connection as closed however its task ends.
+/// Counts a connection as closed when its task ends, however it ends.
 struct OpenGuard(Arc<Counts>);
 
 impl Drop for OpenGuard {
--- a/components/callers/tests/bounds.rs
+++ b/components/callers/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! Callers that take more than their part, each against its bound.
+//! Callers that exceed a limit, one test for each limit.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,10 +8,11 @@
 use callers::{Callers, Frame, Head, HeaderMap, Limits, Request, Responder, Serve, StatusCode};
 use types::prelude::*;
 
-/// Long enough that only a missing bound makes a test wait for it.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Long enough to be reached only if a limit is missing.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Echoes bodies; `/endless` streams until the caller is gone, then tells.
+/// Echoes bodies, except on special paths. `/endless` and `/waits` report on `gone` when the caller
+/// has disconnected.
 #[derive(Clone)]
 struct Echo {
     gone: flume::Sender<()>,
@@ -71,11 +72,11 @@
 
 fn connect(callers: &Callers) -> TcpStream {
     let stream = TcpStream::connect(callers.address()).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream
 }
 
-/// What comes until the connection closes; a reset counts as its end.
+/// Reads until the connection closes; a reset counts as its end.
 fn read_all(stream: &mut TcpStream) -> String {
     let mut text = Vec::new();
     let mut buf = [0; 4096];
@@ -110,8 +111,8 @@
 
 #[test]
 fn errors_on_a_slow_head() {
-    // A caller sends half a head and then nothing. Unbounded, each such connection
-    // stays for ever and the daemon runs out of descriptors.
+    // Guards against callers that send half a head and then nothing: without a timeout such
+    // connections stay open forever and the daemon runs out of file descriptors.
     let (callers, _) = start(limits());
     let mut stream = connect(&callers);
     stream.write_all(b"GET /x HTTP/1.1\r\nHo").unwrap();
@@ -125,15 +126,15 @@
 
 #[test]
 fn errors_on_an_idle_connection() {
-    // A caller connects, is answered once, and says nothing more.
+    // A caller sends one request and then nothing more, without closing its connection.
     let (callers, _) = start(limits());
     let answer = ask(&callers, "GET /x HTTP/1.1\r\nHost: a\r\n\r\n");
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
 }
 
 #[test]
-fn errors_on_a_head_without_end() {
-    // A caller sends headers without end. Unbounded, the daemon's memory fills.
+fn errors_on_an_endless_head() {
+    // Guards against a caller that sends endless headers until the daemon's memory is full.
     let (callers, _) = start(limits());
     let mut stream = connect(&callers);
     let line = format!("X-Filler: {}\r\n", "y".repeat(1000));
@@ -155,8 +156,8 @@
 }
 
 #[test]
-fn errors_on_a_chunked_body_without_end() {
-    // The length is not announced, so only counting what comes can bound it.
+fn errors_on_an_endless_chunked_body() {
+    // The length is not announced, so the limit must be applied to the bytes that arrive.
     let (callers, _) = start(limits());
     let mut stream = connect(&callers);
     stream
@@ -180,9 +181,10 @@
 }
 
 #[test]
-fn errors_on_two_lengths() {
-    // A head says two lengths. Two servers that read it differently would take one
-    // caller's bytes for another's request, so what follows it is never one.
+fn errors_on_ambiguous_body_lengths() {
+    // Guards against request smuggling: of a head with two lengths, two servers may each use a
+    // different one and take one caller's bytes for another's request. So no bytes after such a
+    // head are treated as a request.
     let (callers, _) = start(limits());
     let two = "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nabcde";
     let answer = ask(&callers, two);
@@ -195,15 +197,15 @@
 }
 
 #[test]
-fn can_give_up_a_caller_that_does_not_read() {
-    // A caller asks for a stream and never reads it. The socket's buffers fill, the
-    // writer waits; unbounded, its thread and the upstream's slot are lost for ever.
+fn can_drop_a_caller_that_does_not_read() {
+    // A caller requests a stream and never reads it, so the socket's buffers fill up and the
+    // writer waits. Without a timeout its thread and the upstream's slot are lost forever.
     let (callers, gone) = start(limits());
     let mut stream = connect(&callers);
     stream
         .write_all(b"GET /endless HTTP/1.1\r\nHost: a\r\n\r\n")
         .unwrap();
-    gone.recv_timeout(PATIENCE).unwrap();
+    gone.recv_timeout(TEST_TIMEOUT).unwrap();
     let open = callers.counts();
     drop(callers);
     drop(stream);
@@ -211,7 +213,7 @@
 }
 
 #[test]
-fn can_notice_a_caller_that_leaves() {
+fn can_detect_a_caller_that_disconnects() {
     let (callers, gone) = start(Limits {
         write_timeout: Span::from_secs(50),
         ..limits()
@@ -223,24 +225,24 @@
     let mut buf = [0; 1000];
     stream.read_exact(&mut buf).unwrap();
     drop(stream);
-    gone.recv_timeout(PATIENCE).unwrap();
+    gone.recv_timeout(TEST_TIMEOUT).unwrap();
 }
 
 #[test]
-fn can_notice_a_caller_that_leaves_before_its_answer() {
-    // A caller leaves while its whole answer is still made. Noticed only when the answer is
-    // written, the upstream would work on for nobody.
+fn can_detect_a_caller_that_disconnects_before_its_answer() {
+    // Guards against upstreams that work for nobody: a caller disconnects while its answer is
+    // still being made, which must be detected before the answer is written.
     let (callers, gone) = start(limits());
     let mut stream = connect(&callers);
     stream
         .write_all(b"GET /waits HTTP/1.1\r\nHost: a\r\n\r\n")
         .unwrap();
     drop(stream);
-    gone.recv_timeout(PATIENCE).unwrap();
+    gone.recv_timeout(TEST_TIMEOUT).unwrap();
 }
 
 #[test]
-fn can_answer_a_question_for_the_head_only() {
+fn can_answer_a_head_request() {
     let (callers, _) = start(limits());
     let answer = ask(
         &callers,
@@ -251,9 +253,9 @@
 }
 
 #[test]
-fn can_cut_an_answer_without_its_end() {
-    // The thread that makes an answer dies in its middle. The caller must not take the
-    // part for the whole, so the last chunk of the body must not be sent.
+fn can_cut_an_incomplete_answer() {
+    // The thread that makes an answer stops in the middle. The last chunk must not be sent, or
+    // the caller would take an incomplete answer for a complete one.
     let (callers, _) = start(limits());
     let answer = ask(
         &callers,
@@ -264,8 +266,8 @@
 
 #[test]
 fn errors_as_unknown_when_the_answer_is_lost() {
-    // The thread that serves a request dies before its answer. It may have sent the work
-    // to an upstream, so a caller that is told "not run" would have it done twice.
+    // The thread that serves a request stops before it answers. It may have sent the work to an
+    // upstream, so a caller that gets "not run" would retry and have it done twice.
     let (callers, _) = start(limits());
     let answer = ask(&callers, "GET /dropped HTTP/1.1\r\nHost: a\r\n\r\n");
     assert!(answer.starts_with("HTTP/1.1 500"), "{answer}");
@@ -274,9 +276,9 @@
 }
 
 #[test]
-fn can_turn_away_connections_past_the_bound() {
-    // Ten connections come where four may stay: the others are closed at once and the
-    // four are served.
+fn can_reject_connections_above_the_limit() {
+    // Of ten connections four are allowed: the other six are closed at once and the four are
+    // served.
     let (callers, _) = start(Limits {
         connections: 4,
         ..limits()
@@ -302,17 +304,14 @@
         assert_eq!(&head, b"HTTP/1.1 200");
     }
     assert_eq!(
-        counts
-            .turned_away
-            .load(std::sync::atomic::Ordering::Relaxed),
+        counts.rejected.load(std::sync::atomic::Ordering::Relaxed),
         6
     );
 }
 
 #[test]
-fn can_close_after_the_present_answers() {
-    // A stream runs while the daemon is told to leave: it ends whole, and the idle
-    // connection beside it does not hold the daemon up.
+fn can_shut_down_with_an_idle_connection() {
+    // Guards against an idle keep-alive connection that delays the daemon's shutdown.
     let (callers, _) = start(limits());
     let address = callers.address();
     let mut idle = connect(&callers);
@@ -320,6 +319,6 @@
         .unwrap();
     let mut first = [0; 12];
     idle.read_exact(&mut first).unwrap();
-    assert_eq!(callers.close(PATIENCE), 0);
+    assert_eq!(callers.close(TEST_TIMEOUT), 0);
     assert!(TcpStream::connect(address).is_err());
 }
