--- a/components/routes/src/key.rs
+++ b/components/routes/src/key.rs
@@ -1,14 +1,14 @@
-//! Callers' keys.
+//! API keys of callers and the customers they belong to.
 
 use std::fmt;
 use std::sync::Arc;
 
-/// A secret that shows which customer a caller belongs to. Not printed.
+/// A secret key that identifies the customer of a caller. `Debug` does not print it.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ApiKey(Arc<str>);
 
 impl ApiKey {
-    /// Wraps a key's text.
+    /// Creates a key from its text.
     #[must_use]
     pub fn new(text: &str) -> Self {
         Self(Arc::from(text))
@@ -27,11 +27,11 @@
     }
 }
 
-/// Who a key belongs to.
+/// The customer that a key belongs to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Customer {
-    /// The customer's name, as upstreams are told it.
+    /// Name that is sent to upstreams.
     pub name: Arc<str>,
-    /// Goes before the route's rank, 0 first.
+    /// Rank that overrides the route's rank; 0 is served first.
     pub rank: Option<u8>,
 }
--- a/components/routes/src/lib.rs
+++ b/components/routes/src/lib.rs
@@ -1,9 +1,9 @@
-//! What operators offer by host and path, and the upstreams behind it.
+//! The operators' configuration: routes by host and path, services and upstreams.
 //!
-//! A [`RouteTable`] is one version of the operators' configuration, an [`Upstream`]
-//! one run of a program behind it, a [`RolloutOrder`] the wish to move a service to another
-//! software version. All are plain values: decoded at the edge, checked, and from then on
-//! only read.
+//! A [`RouteTable`] is one version of the operators' configuration. An [`Upstream`] is one run of
+//! a program that serves requests. A [`RolloutOrder`] is an operator's request to move a service
+//! to another software version. All are plain values that are decoded and checked once, when they
+//! enter the process, and only read afterwards.
 
 mod key;
 mod rollout;
--- a/components/routes/src/rollout.rs
+++ b/components/routes/src/rollout.rs
@@ -1,31 +1,32 @@
-//! Moving a service's traffic to another version of its software.
+//! Roll-outs, which move a service's traffic to another version of its software.
 
 use std::fmt;
 use std::sync::Arc;
 
 use types::prelude::*;
 
-/// An operators' wish to move a service to a version.
+/// An operator's order to move a service to a version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutOrder {
-    /// Which service.
+    /// Name of the service.
     pub service: Arc<str>,
-    /// To which version.
+    /// Version to move to.
     pub to: Arc<str>,
-    /// To be decided within, from the order on.
+    /// Time from the order within which the roll-out must be decided.
     pub within: Span,
-    /// The store's revision of the order: tells it from an earlier one to the same version.
+    /// The store's revision of the order, which distinguishes it from an earlier order for the
+    /// same version.
     pub revision: u64,
 }
 
-/// How far a roll-out is.
+/// State of a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RolloutState {
-    /// Under trial.
+    /// The new version is under test.
     Running,
-    /// The new version serves alone.
+    /// The new version receives all traffic.
     Completed,
-    /// The new version was bad; the old one serves alone.
+    /// The new version was rejected; the old one receives all traffic.
     Reverted,
 }
 
--- a/components/routes/src/table.rs
+++ b/components/routes/src/table.rs
@@ -1,4 +1,4 @@
-//! One version of the operators' configuration.
+//! The route table: one version of the operators' configuration.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
@@ -9,7 +9,7 @@
 use crate::key::{ApiKey, Customer};
 use crate::upstream::Engine;
 
-/// Versions rise in uneven steps.
+/// Version of a configuration. Versions increase, but not by 1 each time.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TableVersion(pub u64);
 
@@ -19,22 +19,22 @@
     }
 }
 
-/// What may be repeated on a route.
+/// Which requests of a route may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Repeat {
-    /// Idempotent: may run more than once.
+    /// Requests are idempotent: they may run more than once.
     Any,
-    /// At most once for each attempt of a caller.
+    /// Requests run at most once for each attempt of a caller.
     Never,
-    /// A stream, which may go on elsewhere after the last event delivered, or not at all.
+    /// The answer is a stream of events.
     Stream {
-        /// Whether it may go on elsewhere.
+        /// Whether the stream may resume on another upstream after the last delivered event.
         resumable: bool,
     },
 }
 
 impl Repeat {
-    /// Whether a request of unknown outcome may be sent again.
+    /// Whether a request with an unknown outcome may be retried.
     #[must_use]
     pub fn is_allowed(self) -> bool {
         matches!(self, Self::Any | Self::Stream { resumable: true })
@@ -47,46 +47,46 @@
     }
 }
 
-/// A service that a route sends to, and how much of its traffic.
+/// A service that receives a part of a route's traffic.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Target {
-    /// The service.
+    /// Name of the service.
     pub service: Arc<str>,
-    /// Share beside the others' weights.
+    /// Share of the traffic, relative to the weights of the route's other targets.
     pub weight: u32,
 }
 
-/// What is offered under a host and a path.
+/// Configuration of the requests for one host and path prefix.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
-    /// The operators' name for it.
+    /// Name given by the operators.
     pub name: Arc<str>,
-    /// The caller's `Host`, in lower case.
+    /// Value of the request's `Host` field, in lower case.
     pub host: Arc<str>,
-    /// Begins the path.
+    /// Prefix of the path; begins and ends with a slash.
     pub prefix: Arc<str>,
-    /// What may be repeated.
+    /// Which requests may be retried.
     pub repeat: Repeat,
-    /// A caller is not kept waiting longer.
+    /// Longest time that a caller waits for the answer.
     pub timeout: Span,
-    /// An answer within this is on time; of a stream, its first event.
+    /// Time within which an answer, or the first event of a stream, counts as on time.
     pub objective: Span,
     /// Longest pause between two events that is on time.
     pub pause: Option<Span>,
-    /// Rank, 0 first.
+    /// Priority; 0 is served first.
     pub rank: u8,
-    /// Models to choose from, smallest first; empty where the caller names one.
+    /// Models to choose from, smallest first; empty if the caller names the model.
     pub models: Vec<Arc<str>>,
-    /// Where it goes, at least one.
+    /// Services that the requests go to; at least one.
     pub targets: Vec<Target>,
-    /// Upstreams that one caller's attempt may run on.
+    /// Most upstreams that one attempt of a caller may run on.
     pub max_runs: u32,
-    /// Served without a key.
+    /// Whether requests are served without an API key.
     pub is_open: bool,
 }
 
 impl Route {
-    /// The service for a request, by a hash of its id.
+    /// Picks the service for a request by a hash of its id, in proportion to the weights.
     #[must_use]
     pub fn target(&self, hash: u64) -> &Arc<str> {
         let total = self
@@ -94,49 +94,49 @@
             .iter()
             .map(|t| u64::from(t.weight))
             .sum::<u64>();
-        let mut place = hash % total.max(1);
+        let mut offset = hash % total.max(1);
         for target in &self.targets {
             let weight = u64::from(target.weight);
-            if place < weight {
+            if offset < weight {
                 return &target.service;
             }
-            place -= weight;
+            offset -= weight;
         }
         &self.targets[0].service
     }
 }
 
-/// What is known of a service apart from its upstreams.
+/// Configuration of a service, without its upstreams.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: Arc<str>,
-    /// Connections that one upstream accepts from all callers together.
+    /// Most connections that one upstream accepts in total.
     pub max_connections: u32,
-    /// Set where its upstreams are model engines.
+    /// Properties of the engines, if the upstreams are model engines.
     pub engine: Option<Engine>,
 }
 
-/// What a caller may send, and how long it may take.
+/// Limits of size and time on a caller's requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Longest head.
+    /// Largest request head.
     pub head: ByteSize,
-    /// Longest body.
+    /// Largest request body.
     pub body: ByteSize,
-    /// A head must be complete within.
+    /// Longest time from the first byte of a head to its end.
     pub head_within: Span,
-    /// A connection without a request is kept for.
+    /// Longest time that a connection may be idle.
     pub idle: Span,
 }
 
-/// Why a configuration cannot be used.
+/// Why a configuration is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum TableError {
-    /// A route without a service.
+    /// A route has no target with a weight above 0.
     #[error("route {0} names no service; name at least one with a weight")]
     NoTarget(Arc<str>),
-    /// A prefix of the wrong form.
+    /// A route's prefix does not begin and end with a slash.
     #[error("route {0}: prefix {1:?} must begin and end with a slash")]
     BadPrefix(Arc<str>, Arc<str>),
 }
@@ -144,23 +144,23 @@
 /// One version of the operators' configuration.
 #[derive(Debug, Clone)]
 pub struct RouteTable {
-    /// Rises with each.
+    /// Version of the configuration.
     pub version: TableVersion,
-    /// What callers may send.
+    /// Limits on callers' requests.
     pub limits: Limits,
-    /// Whether requests carry keys.
+    /// Whether customers are configured, so that requests carry API keys.
     pub has_customers: bool,
     services: BTreeMap<Arc<str>, Service>,
     customers: HashMap<ApiKey, Arc<Customer>>,
-    /// Routes of a host, longest prefix first.
+    /// Routes by host, longest prefix first.
     hosts: HashMap<Arc<str>, Vec<Arc<Route>>>,
 }
 
 impl RouteTable {
-    /// Checks and orders a configuration.
+    /// Checks a configuration and sorts its routes.
     ///
     /// # Errors
-    /// Says which route is at fault.
+    /// States which route is invalid.
     pub fn new(
         version: TableVersion,
         limits: Limits,
@@ -190,7 +190,7 @@
         })
     }
 
-    /// The route with the longest prefix of a path on a host.
+    /// The route of a host whose prefix is the longest that matches a path.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.to_ascii_lowercase();
@@ -198,13 +198,13 @@
         routes.find(|route| path.starts_with(&*route.prefix))
     }
 
-    /// Whose key it is.
+    /// The customer that a key belongs to.
     #[must_use]
     pub fn customer(&self, key: &ApiKey) -> Option<&Arc<Customer>> {
         self.customers.get(key)
     }
 
-    /// A service.
+    /// The service with a name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
@@ -215,7 +215,7 @@
         self.services.values()
     }
 
-    /// All routes, hosts in no order.
+    /// All routes; the order of hosts is unspecified.
     pub fn routes(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.hosts.values().flatten()
     }
--- a/components/routes/src/upstream.rs
+++ b/components/routes/src/upstream.rs
@@ -8,40 +8,40 @@
 /// Whether an upstream takes new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpstreamState {
-    /// It does.
+    /// Takes new work.
     Ready,
-    /// It finishes what it has and leaves.
+    /// Finishes its current work, takes no more and will stop.
     Draining,
 }
 
 /// One run of an upstream's program.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Upstream {
-    /// Of the program; a later run may have it again.
+    /// Id of the program; a later run may have the same id.
     pub id: UpstreamId,
-    /// When this run started, by its own clock: tells the runs under one id apart.
+    /// Start of this run by the upstream's clock; distinguishes runs with the same id.
     pub started_at: Option<WallTime>,
-    /// Of which service.
+    /// Name of the service that it belongs to.
     pub service: Arc<str>,
-    /// Where it is reached. Used again by others once it is gone.
+    /// Address for requests. May be reused by another upstream after this one has stopped.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Failure domain that it runs in.
     pub failure_domain: FailureDomain,
-    /// Its software.
+    /// Version of its software.
     pub version: Arc<str>,
-    /// Requests that it runs side by side.
+    /// Number of requests that it runs at once.
     pub slots: u32,
     /// Whether it takes new work.
     pub state: UpstreamState,
-    /// It stays slow this much longer after its start, as of its last report.
+    /// Remaining time of the slow phase after its start, as of its last report.
     pub cold_for: Span,
 }
 
-/// What all engines of a service have in common.
+/// Properties shared by all engines of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Engine {
-    /// Requests that one engine batches.
+    /// Number of requests that one engine runs in a batch.
     pub slots: u32,
-    /// Memory of one engine for prompts and answers.
+    /// Memory of one engine for prompts and answers, in tokens.
     pub memory: Tokens,
 }
