--- a/components/externals/src/call.rs
+++ b/components/externals/src/call.rs
@@ -1,4 +1,4 @@
-//! One call of a service that speaks JSON.
+//! A blocking request to a service with a JSON API.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -10,19 +10,20 @@
 use types::prelude::*;
 
 const CONNECT_TIMEOUT: Span = Span::from_millis(500);
-const MAX_ANSWER: u64 = 8 << 20;
+/// Largest response body, in bytes.
+const MAX_BODY_BYTES: u64 = 8 << 20;
 const TOO_MANY_REQUESTS: u16 = 429;
-const UNAVAILABLE: u16 = 503;
-/// Pause when a service refuses without saying for how long.
-const DEFAULT_PAUSE: Span = Span::from_secs(1);
+const SERVICE_UNAVAILABLE: u16 = 503;
+/// Time to wait if a service refuses without a `Retry-After` header.
+const DEFAULT_RETRY_AFTER: Span = Span::from_secs(1);
 
-/// Why a service gave nothing.
+/// Why a request to a service failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PlatformError {
-    /// It takes no more for now.
+    /// The service refuses requests for this time.
     #[error("refused for {0}")]
     Later(Span),
-    /// Not reached, late, or not as its protocol says.
+    /// The service was not reached, did not answer in time, or violated its protocol.
     #[error("failed: {0}")]
     Failed(String),
 }
@@ -32,8 +33,8 @@
     path: &str,
     timeout: Span,
 ) -> Result<T, PlatformError> {
-    let builder = bounded(attohttpc::get(format!("http://{address}{path}")), timeout);
-    read(builder.send().map_err(failed)?)
+    let builder = with_limits(attohttpc::get(format!("http://{address}{path}")), timeout);
+    parse_response(builder.send().map_err(failed)?)
 }
 
 pub(crate) fn post<T: DeserializeOwned>(
@@ -42,12 +43,12 @@
     body: &impl Serialize,
     timeout: Span,
 ) -> Result<T, PlatformError> {
-    let builder = bounded(attohttpc::post(format!("http://{address}{path}")), timeout);
+    let builder = with_limits(attohttpc::post(format!("http://{address}{path}")), timeout);
     let builder = builder.json(body).map_err(failed)?;
-    read(builder.send().map_err(failed)?)
+    parse_response(builder.send().map_err(failed)?)
 }
 
-fn bounded(builder: RequestBuilder, timeout: Span) -> RequestBuilder {
+fn with_limits(builder: RequestBuilder, timeout: Span) -> RequestBuilder {
     builder
         .connect_timeout(CONNECT_TIMEOUT.to_duration())
         .read_timeout(timeout.to_duration())
@@ -55,20 +56,20 @@
         .follow_redirects(false)
 }
 
-fn read<T: DeserializeOwned>(answer: Response) -> Result<T, PlatformError> {
-    let status = answer.status().as_u16();
-    if matches!(status, TOO_MANY_REQUESTS | UNAVAILABLE) {
-        let header = answer.headers().get(RETRY_AFTER);
+fn parse_response<T: DeserializeOwned>(response: Response) -> Result<T, PlatformError> {
+    let status = response.status().as_u16();
+    if matches!(status, TOO_MANY_REQUESTS | SERVICE_UNAVAILABLE) {
+        let header = response.headers().get(RETRY_AFTER);
         let seconds = header.and_then(|value| value.to_str().ok()?.parse().ok());
         return Err(PlatformError::Later(
-            seconds.map_or(DEFAULT_PAUSE, Span::from_secs),
+            seconds.map_or(DEFAULT_RETRY_AFTER, Span::from_secs),
         ));
     }
-    if !answer.is_success() {
+    if !response.is_success() {
         return Err(PlatformError::Failed(format!("status {status}")));
     }
-    let (_, _, reader) = answer.split();
-    serde_json::from_reader(reader.take(MAX_ANSWER)).map_err(failed)
+    let (_, _, reader) = response.split();
+    serde_json::from_reader(reader.take(MAX_BODY_BYTES)).map_err(failed)
 }
 
 fn failed(error: impl std::fmt::Display) -> PlatformError {
--- a/components/externals/src/hosts.rs
+++ b/components/externals/src/hosts.rs
@@ -1,4 +1,4 @@
-//! The platform's list of live and leaving hosts.
+//! Client of the platform's list of hosts.
 
 use std::net::SocketAddr;
 
@@ -9,48 +9,48 @@
 
 const TIMEOUT: Span = Span::from_secs(5);
 
-/// A listed host.
+/// A host on the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 pub struct Host {
-    /// Where its service listens.
+    /// Address of the service on this host.
     pub address: SocketAddr,
-    /// Whether it stays.
+    /// Whether the host stays or is about to be removed.
     pub state: HostState,
 }
 
-/// Whether a host stays.
+/// Whether a host stays or is about to be removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum HostState {
-    /// It stays.
+    /// The host stays.
     Live,
-    /// It is about to go.
+    /// The host is about to be removed.
     Leaving,
 }
 
 #[derive(Deserialize)]
-struct List {
+struct HostsBody {
     hosts: Vec<Host>,
 }
 
-/// A client of the list.
+/// A client of the list of hosts.
 #[derive(Debug, Clone, Copy)]
 pub struct HostList {
     address: SocketAddr,
 }
 
 impl HostList {
-    /// Of the list at an address.
+    /// Creates a client of the list at this address.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
         Self { address }
     }
 
-    /// All hosts, as far as the list knows.
+    /// Reads all hosts on the list.
     ///
     /// # Errors
-    /// When the list cannot be had.
+    /// If the list refuses or fails.
     pub fn read(&self) -> Result<Vec<Host>, PlatformError> {
-        Ok(get::<List>(self.address, "/hosts", TIMEOUT)?.hosts)
+        Ok(get::<HostsBody>(self.address, "/hosts", TIMEOUT)?.hosts)
     }
 }
--- a/components/externals/src/lib.rs
+++ b/components/externals/src/lib.rs
@@ -1,7 +1,7 @@
 //! Clients of the platform's rater, weight store and list of hosts.
 //!
-//! Small blocking calls with bounded answers. Each service may refuse for a while
-//! ([`PlatformError::Later`]) or fail; what follows is decided elsewhere.
+//! The calls block, and their answers are limited in size. Each service may refuse requests for
+//! a while ([`PlatformError::Later`]) or fail; the caller decides how to react.
 
 mod call;
 mod hosts;
--- a/components/externals/src/rater.rs
+++ b/components/externals/src/rater.rs
@@ -1,4 +1,4 @@
-//! The service that rates answers.
+//! Client of the service that rates answers.
 
 use std::net::SocketAddr;
 
@@ -7,24 +7,24 @@
 
 use crate::call::{PlatformError, post};
 
-/// Ratings may lag; one that takes longer is given up.
+/// Longest wait for a rating, which may take a while.
 const TIMEOUT: Span = Span::from_secs(30);
 
-/// An answer to be rated.
+/// An answer to rate.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Sample {
-    /// The kind of work.
+    /// Class of the request.
     pub class: ClassName,
     /// The version that answered.
     pub version: VersionId,
-    /// What was asked.
+    /// The prompt of the request.
     pub prompt: String,
-    /// What was answered.
+    /// The text of the answer.
     pub answer: String,
 }
 
 #[derive(Deserialize)]
-struct Rated {
+struct Rating {
     adequate: bool,
 }
 
@@ -35,18 +35,18 @@
 }
 
 impl Rater {
-    /// Of the rater at an address.
+    /// Creates a client of the rater at this address.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
         Self { address }
     }
 
-    /// Whether an answer is adequate. Blocks for as long as the rating takes.
+    /// Whether an answer is adequate. Blocks until the rating is done.
     ///
     /// # Errors
-    /// When the rater refuses or fails.
+    /// If the rater refuses or fails.
     pub fn rate(&self, sample: &Sample) -> Result<bool, PlatformError> {
-        let rated: Rated = post(self.address, "/ratings", sample, TIMEOUT)?;
-        Ok(rated.adequate)
+        let rating: Rating = post(self.address, "/ratings", sample, TIMEOUT)?;
+        Ok(rating.adequate)
     }
 }
--- a/components/externals/src/weights.rs
+++ b/components/externals/src/weights.rs
@@ -1,4 +1,5 @@
-//! The store of models' weights: a limited number of engines may fetch at once.
+//! Client of the store of models' weights, from which a limited number of engines may fetch at
+//! once.
 
 use std::net::SocketAddr;
 
@@ -9,18 +10,18 @@
 
 const TIMEOUT: Span = Span::from_secs(10);
 
-/// Leave to fetch a version's weights.
+/// Id of a slot, which permits an engine to fetch a version's weights.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(transparent)]
 pub struct SlotId(pub serde_json::Value);
 
 #[derive(Serialize)]
-struct Ask<'a> {
+struct SlotRequest<'a> {
     version: &'a VersionId,
 }
 
 #[derive(Deserialize)]
-struct Given {
+struct SlotGrant {
     slot: SlotId,
 }
 
@@ -31,18 +32,18 @@
 }
 
 impl WeightStore {
-    /// Of the store at an address.
+    /// Creates a client of the weight store at this address.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
         Self { address }
     }
 
-    /// Asks for leave to fetch a version.
+    /// Requests a slot to fetch a version.
     ///
     /// # Errors
-    /// [`PlatformError::Later`] when too many fetch already.
+    /// [`PlatformError::Later`] if all slots are taken.
     pub fn take_slot(&self, version: &VersionId) -> Result<SlotId, PlatformError> {
-        let given: Given = post(self.address, "/slots", &Ask { version }, TIMEOUT)?;
-        Ok(given.slot)
+        let grant: SlotGrant = post(self.address, "/slots", &SlotRequest { version }, TIMEOUT)?;
+        Ok(grant.slot)
     }
 }
--- a/components/externals/tests/clients.rs
+++ b/components/externals/tests/clients.rs
@@ -1,9 +1,9 @@
-//! The clients against the stand-ins.
+//! Tests of the clients against stand-ins for the services.
 
 use externals::{HostList, HostState, PlatformError, Rater, Sample, WeightStore};
-use standins::hosts::{HostList as Hosts, HostsConfig};
-use standins::rater::{Rater as StandIn, RaterConfig};
-use standins::weights::{WeightStore as Weights, WeightsConfig};
+use standins::hosts::{HostList as HostListStandIn, HostsConfig};
+use standins::rater::{Rater as RaterStandIn, RaterConfig};
+use standins::weights::{WeightStore as WeightStoreStandIn, WeightsConfig};
 use types::prelude::*;
 
 fn sample() -> Sample {
@@ -22,18 +22,18 @@
         default_quality: 1.0,
         ..RaterConfig::default()
     };
-    let rater = StandIn::start(&cfg).unwrap();
+    let rater = RaterStandIn::start(&cfg).unwrap();
     assert_eq!(Rater::new(rater.address()).rate(&sample()), Ok(true));
 }
 
 #[test]
-fn errors_with_a_pause_when_the_rater_is_at_its_rate() {
+fn errors_with_a_delay_when_the_rater_is_at_its_rate_limit() {
     let cfg = RaterConfig {
         lag: Span::ZERO,
         max_ratings: 1,
         ..RaterConfig::default()
     };
-    let rater = StandIn::start(&cfg).unwrap();
+    let rater = RaterStandIn::start(&cfg).unwrap();
     let client = Rater::new(rater.address());
     let refused = (0..20).map(|_| client.rate(&sample())).find(Result::is_err);
     assert!(
@@ -51,7 +51,7 @@
         live: vec![live],
         ..HostsConfig::default()
     };
-    let hosts = Hosts::start(&cfg).unwrap();
+    let hosts = HostListStandIn::start(&cfg).unwrap();
     hosts.set(leaving, standins::hosts::HostState::Leaving);
     let mut read = HostList::new(hosts.address()).read().unwrap();
     read.sort_by_key(|host| host.address);
@@ -63,16 +63,16 @@
 }
 
 #[test]
-fn errors_when_the_host_list_is_gone() {
-    let mut hosts = Hosts::start(&HostsConfig::default()).unwrap();
+fn errors_when_the_host_list_is_unreachable() {
+    let mut hosts = HostListStandIn::start(&HostsConfig::default()).unwrap();
     let client = HostList::new(hosts.address());
     hosts.stop();
     assert!(matches!(client.read(), Err(PlatformError::Failed(_))));
 }
 
 #[test]
-fn can_wait_for_the_weight_store() {
-    let weights = Weights::start(&WeightsConfig::default()).unwrap();
+fn errors_with_a_delay_when_all_weight_slots_are_taken() {
+    let weights = WeightStoreStandIn::start(&WeightsConfig::default()).unwrap();
     let client = WeightStore::new(weights.address());
     weights.set_max_slots(1);
     let version = "small@v1".parse().unwrap();
