--- a/components/mirror/src/lib.rs
+++ b/components/mirror/src/lib.rs
@@ -1,10 +1,10 @@
-//! A copy of the store's keys that daemons pass on to each other.
+//! A copy of the store's keys that daemons synchronise with each other.
 //!
-//! A [`Mirror`] holds every key as of one revision of the store. It is fed by a watch of
-//! the store, by a listing, or by another daemon's mirror: the three differ only in who
-//! says it. Two mirrors compare by one number, so a daemon that the store turns away gets
-//! exactly what it lacks from any peer that is ahead, and nothing ever goes back: whatever
-//! is not newer than what is held is passed over.
+//! A [`Mirror`] holds every key as of one revision of the store. It is updated from a watch of
+//! the store, from a listing, or from another daemon's mirror, all in the same way. Two mirrors
+//! are compared by their revisions. A daemon that the store refuses therefore gets exactly the
+//! changes it lacks from any peer that is ahead. A key never goes back to an older state: a change
+//! that is not newer than the mirror's state is ignored.
 
 mod message;
 mod mirror;
--- a/components/mirror/src/message.rs
+++ b/components/mirror/src/message.rs
@@ -1,7 +1,7 @@
-//! What mirrors say to each other.
+//! Messages by which mirrors synchronise.
 //!
-//! Answers are compressed: a configuration of 1,400 routes is 420 KB of repetitive text, and
-//! hosts with links of 10 Mbit/s hand it on several times.
+//! Replies are compressed: a configuration of 1,400 routes is 420 KB of repetitive text, and
+//! hosts with links of 10 Mbit/s send it several times.
 
 use std::io::{Read, Write};
 
@@ -13,93 +13,94 @@
 
 use crate::mirror::{Change, Mirror, Revision};
 
-/// Largest answer, in bytes: below what one message between daemons may hold.
+/// Largest encoded reply, in bytes. Less than the limit on one message between daemons.
 pub const MAX_ANSWER_BYTES: usize = 512 * 1024;
 
-/// A page of a whole copy ends once it has so many bytes, not yet compressed: about 30 KB on
-/// the wire, a fortieth of a second of a host's link of 10 Mbit/s.
+/// A page ends once its keys and values reach this many bytes before compression. This is about
+/// 30 KB on the wire, which takes a host's link of 10 Mbit/s a fortieth of a second.
 const PAGE_BYTES: usize = 128 * 1024;
 
-/// Largest answer before it was compressed, in bytes: guards against a small message that
-/// unfolds to more than a host's memory. The store's values are at most 1 MB each.
-const MAX_PLAIN_BYTES: u64 = 24 * 1024 * 1024;
+/// Largest decompressed reply, in bytes. Prevents a small message from expanding to more than a
+/// host's memory. The store's values are at most 1 MB each.
+const MAX_DECOMPRESSED_BYTES: u64 = 24 * 1024 * 1024;
 
-/// What is new after this?
+/// Asks a peer for the changes after a revision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Question {
-    /// What the asker holds.
+    /// Revision of the sender's mirror.
     pub held: Revision,
-    /// Within a whole copy: the last key of the page before.
+    /// Last key of the previous page, while the sender copies all keys page by page.
     pub page_after: Option<String>,
 }
 
-/// What a peer lacked.
+/// The reply to a peer's request for changes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// The changes after the revision asked for.
+    /// The changes after the requested revision.
     Changes {
-        /// After this.
+        /// Revision after which the changes begin.
         after: Revision,
-        /// Up to this.
+        /// Revision up to which the changes are complete.
         at: Revision,
-        /// In order.
+        /// Changes in order of their revisions.
         changes: Vec<Change>,
     },
-    /// A page of everything, since too much changed.
+    /// A page of all keys, since the log no longer holds all the changes.
     Page {
-        /// As of this. Pages are no snapshot: what changed since the first page may be in a
-        /// later one already, and is told again by the changes after the first page.
+        /// Revision of the sender's mirror. The pages together are no snapshot: a change after the
+        /// first page may already be in a later page, and is sent again among the changes after
+        /// the revision of the first page.
         at: Revision,
-        /// Keys in order.
+        /// Items in order of their keys.
         items: Vec<Change>,
-        /// Whether there are more behind the last one.
+        /// Whether there are more keys after the last one.
         has_more: bool,
     },
-    /// Nothing newer is held.
+    /// The replying mirror is not ahead.
     Nothing,
 }
 
-/// Why a message cannot be sent or read.
+/// Why a message cannot be encoded or decoded.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// Longer than [`MAX_ANSWER_BYTES`].
+    /// The encoded reply has this many bytes, more than [`MAX_ANSWER_BYTES`].
     #[error("an answer of {0} bytes is too large for a peer; it must list from the store")]
     TooLarge(usize),
-    /// Not of the expected form.
+    /// The bytes are not a valid message.
     #[error("a peer's message about the store's keys cannot be read: {0}")]
     Malformed(#[from] postcard::Error),
-    /// Not compressed as expected, or too large.
+    /// The bytes could not be compressed or decompressed.
     #[error("a peer's message about the store's keys cannot be unpacked")]
     Packed,
 }
 
 impl Question {
-    /// As bytes.
+    /// Encodes the request.
     ///
     /// # Errors
-    /// Never for a question of this form.
+    /// Never, since any request can be encoded.
     pub fn encode(&self) -> Result<Bytes, MessageError> {
         Ok(postcard::to_allocvec(self)?.into())
     }
 
-    /// From bytes.
+    /// Decodes a request.
     ///
     /// # Errors
-    /// When they are not of the expected form.
+    /// If the bytes are not a valid request.
     pub fn decode(bytes: &[u8]) -> Result<Self, MessageError> {
         Ok(postcard::from_bytes(bytes)?)
     }
 }
 
 impl Answer {
-    /// What `mirror` has for a peer.
+    /// Creates the reply of `mirror` to a peer's request.
     #[must_use]
     pub fn to(question: &Question, mirror: &Mirror) -> Self {
         if mirror.at() <= question.held {
             return Self::Nothing;
         }
-        let is_within_copy = question.page_after.is_some();
-        let changes = match is_within_copy {
+        let is_next_page = question.page_after.is_some();
+        let changes = match is_next_page {
             true => None,
             false => mirror.since(question.held),
         };
@@ -113,8 +114,9 @@
         }
     }
 
-    /// What `mirror` took since it held a revision, for peers that held as much; nothing where that was a
-    /// listing: what differs from an own copy need not be all that differs from another's.
+    /// The changes that `mirror` received after a revision, for peers at the same revision, or
+    /// `None` if there are none. Also `None` if it took a listing since then: the differences
+    /// between a listing and its own copy need not be all the differences from a peer's copy.
     #[must_use]
     pub fn news(mirror: &Mirror, before: Revision) -> Option<Self> {
         let changes = mirror.since(before).filter(|changes| !changes.is_empty())?;
@@ -142,29 +144,31 @@
         }
     }
 
-    /// As bytes.
+    /// Encodes and compresses the reply.
     ///
     /// # Errors
-    /// When it is too large.
+    /// If the reply is too large.
     pub fn encode(&self) -> Result<Bytes, MessageError> {
         let plain = postcard::to_allocvec(self)?;
-        let mut packed = ZlibEncoder::new(Vec::new(), Compression::fast());
-        packed.write_all(&plain).map_err(|_| MessageError::Packed)?;
-        let bytes = packed.finish().map_err(|_| MessageError::Packed)?;
+        let mut encoder = ZlibEncoder::new(Vec::new(), Compression::fast());
+        encoder
+            .write_all(&plain)
+            .map_err(|_| MessageError::Packed)?;
+        let bytes = encoder.finish().map_err(|_| MessageError::Packed)?;
         if bytes.len() > MAX_ANSWER_BYTES {
             return Err(MessageError::TooLarge(bytes.len()));
         }
         Ok(bytes.into())
     }
 
-    /// From bytes.
+    /// Decompresses and decodes a reply.
     ///
     /// # Errors
-    /// When they are not of the expected form.
+    /// If the bytes are not a valid reply, or one larger than the limit.
     pub fn decode(bytes: &[u8]) -> Result<Self, MessageError> {
         let mut plain = Vec::new();
-        let mut unpacked = ZlibDecoder::new(bytes).take(MAX_PLAIN_BYTES);
-        unpacked
+        let mut decoder = ZlibDecoder::new(bytes).take(MAX_DECOMPRESSED_BYTES);
+        decoder
             .read_to_end(&mut plain)
             .map_err(|_| MessageError::Packed)?;
         Ok(postcard::from_bytes(&plain)?)
--- a/components/mirror/src/mirror.rs
+++ b/components/mirror/src/mirror.rs
@@ -1,4 +1,4 @@
-//! Keys as of one revision.
+//! The store's keys as of one revision, with a log of the latest changes.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -7,13 +7,13 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// Changes remembered for peers that lag, by key and revision only: values are as they are
-/// now, so a storm of large configurations takes no memory. A worker's life is about four
-/// changes, so this is a replacement of some hundred workers; who lags further gets a
-/// listing.
-const MAX_LOG: usize = 1_024;
+/// Most changes in the log, which serves peers that lag. An entry holds only key and revision,
+/// and the current value is sent, so many writes of a large configuration take no memory. A
+/// worker causes about four changes during its life, so the log covers the replacement of a few
+/// hundred workers; a peer that lags further gets a listing.
+const MAX_LOG_ENTRIES: usize = 1_024;
 
-/// The store's counter, which every change raises.
+/// The store's revision counter, which every change increases.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -25,33 +25,33 @@
     }
 }
 
-/// A key's new state.
+/// A change of one key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// When it changed.
+    /// Revision of the change.
     pub revision: Revision,
-    /// Which key.
+    /// The changed key.
     pub key: String,
-    /// Its value, or nothing once deleted.
+    /// The new value, or `None` if the key was deleted.
     pub value: Option<Bytes>,
 }
 
-/// All keys, read page by page.
+/// A listing of all keys, read page by page.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Listing {
-    /// The store's revision before the first page: later changes may be missing.
+    /// The store's revision before the first page; later changes may be missing.
     pub at: Revision,
-    /// Every key with its value, in order.
+    /// Every key with its value, in order of the keys.
     pub items: Vec<Change>,
 }
 
-/// Changes were offered that leave some out before them.
+/// Changes are missing between the mirror's revision and the received changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("changes after revision {after} do not connect to revision {held}")]
 pub struct GapError {
-    /// The offered changes begin after this.
+    /// Revision after which the received changes begin.
     pub after: Revision,
-    /// What is held.
+    /// The mirror's revision.
     pub held: Revision,
 }
 
@@ -61,48 +61,48 @@
     value: Bytes,
 }
 
-/// Keys as of one revision, and the latest changes.
+/// The store's keys as of one revision, with a log of the latest changes.
 #[derive(Debug, Default)]
 pub struct Mirror {
     at: Revision,
     items: BTreeMap<String, Item>,
     log: VecDeque<(Revision, String)>,
-    /// The log holds every change after this.
+    /// Revision after which the log holds every change.
     log_after: Revision,
 }
 
 impl Mirror {
-    /// Up to which revision nothing is missing; 0 while nothing was ever read.
+    /// Revision up to which no change is missing; 0 before the first listing.
     #[must_use]
     pub fn at(&self) -> Revision {
         self.at
     }
 
-    /// Whether a first copy was taken.
+    /// Whether the mirror has a first copy of the keys.
     #[must_use]
     pub fn is_filled(&self) -> bool {
         self.at > Revision::default()
     }
 
-    /// How many keys there are.
+    /// Number of keys.
     #[must_use]
     pub fn len(&self) -> usize {
         self.items.len()
     }
 
-    /// Whether there is no key.
+    /// Whether there are no keys.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// The value of a key and when it was written.
+    /// The value of a key and the revision of its last change.
     #[must_use]
     pub fn get(&self, key: &str) -> Option<(Revision, &Bytes)> {
         self.items.get(key).map(|item| (item.revision, &item.value))
     }
 
-    /// Keys that begin with `prefix`, in order.
+    /// Keys that begin with `prefix`, with revision and value, in order of the keys.
     pub fn prefixed<'a>(
         &'a self,
         prefix: &'a str,
@@ -113,10 +113,10 @@
             .map(|(key, item)| (key.as_str(), item.revision, &item.value))
     }
 
-    /// Takes the changes after one revision up to another and returns those that are new.
+    /// Applies the changes after one revision up to another and returns those that were new.
     ///
     /// # Errors
-    /// When changes between are missing; a listing helps.
+    /// If there is a gap before the changes. A listing closes it.
     pub fn apply(
         &mut self,
         after: Revision,
@@ -129,37 +129,38 @@
                 held: self.at,
             });
         }
-        let mut fresh = Vec::new();
+        let mut new_changes = Vec::new();
         for change in changes {
-            // Guards against the past: a watch that lags behind a peer tells again what
-            // was superseded, and a deleted key would come back.
+            // A watch that lags behind a peer delivers superseded changes, by which a deleted key
+            // would come back.
             if change.revision <= self.at {
                 continue;
             }
             self.log(&change);
-            // A page of a listing may be of a later moment than the listing.
+            // A later page of a listing may hold changes newer than the listing's revision.
             let held = self.items.get(&change.key).map(|held| held.revision);
             if held.is_none_or(|held| held < change.revision) {
                 self.set(&change);
-                fresh.push(change);
+                new_changes.push(change);
             }
         }
         self.at = self.at.max(at);
-        Ok(fresh)
+        Ok(new_changes)
     }
 
-    /// Takes a listing and returns what it changes; an older one changes nothing.
+    /// Applies a listing and returns the resulting changes. A listing that is not newer than the
+    /// mirror changes nothing.
     pub fn take_listing(&mut self, listing: Listing) -> Vec<Change> {
         if self.is_filled() && listing.at <= self.at {
             return Vec::new();
         }
-        let mut fresh = Vec::new();
-        let listed = |key: &String| {
+        let mut new_changes = Vec::new();
+        let is_listed = |key: &String| {
             let found = listing.items.binary_search_by(|item| item.key.cmp(key));
             found.is_ok()
         };
-        for key in self.items.keys().filter(|key| !listed(key)) {
-            fresh.push(Change {
+        for key in self.items.keys().filter(|key| !is_listed(key)) {
+            new_changes.push(Change {
                 revision: listing.at,
                 key: key.clone(),
                 value: None,
@@ -168,20 +169,20 @@
         for item in &listing.items {
             let held = self.items.get(&item.key).map(|held| held.revision);
             if held.is_none_or(|held| held < item.revision) {
-                fresh.push(item.clone());
+                new_changes.push(item.clone());
             }
         }
-        for change in &fresh {
+        for change in &new_changes {
             self.set(change);
         }
         self.at = listing.at;
         self.log.clear();
         self.log_after = listing.at;
-        fresh
+        new_changes
     }
 
-    /// What a peer at an earlier revision lacks, each key as it is now; nothing when it is
-    /// too far behind.
+    /// The changes after a revision, each key once with its current value, or `None` if the log
+    /// does not reach back that far.
     #[must_use]
     pub fn since(&self, after: Revision) -> Option<Vec<Change>> {
         if after < self.log_after || !self.is_filled() {
@@ -200,7 +201,7 @@
         Some(changes)
     }
 
-    /// Everything behind a key, or from the first one on, in order of the keys.
+    /// All items after a key, or from the first one on, in order of the keys.
     pub fn after<'a>(&'a self, key: Option<&'a str>) -> impl Iterator<Item = Change> + 'a {
         let from = key.map_or(Bound::Unbounded, Bound::Excluded);
         let items = self.items.range::<str, _>((from, Bound::Unbounded));
@@ -213,7 +214,7 @@
 
     fn log(&mut self, change: &Change) {
         self.log.push_back((change.revision, change.key.clone()));
-        while self.log.len() > MAX_LOG {
+        while self.log.len() > MAX_LOG_ENTRIES {
             if let Some((dropped, _)) = self.log.pop_front() {
                 self.log_after = dropped;
             }
--- a/components/mirror/tests/mirror.rs
+++ b/components/mirror/tests/mirror.rs
@@ -1,4 +1,4 @@
-//! The copy of the store's keys.
+//! Tests of the copy of the store's keys and of its synchronisation.
 
 use bytes::Bytes;
 use mirror::{Answer, Change, Listing, Mirror, Question, Revision};
@@ -19,7 +19,7 @@
     }
 }
 
-fn listed(at: u64, items: Vec<Change>) -> Mirror {
+fn mirror_of(at: u64, items: Vec<Change>) -> Mirror {
     let mut mirror = Mirror::default();
     let at = Revision(at);
     mirror.take_listing(Listing { at, items });
@@ -32,11 +32,10 @@
 }
 
 #[test]
-fn a_stale_watch_brings_nothing_back() {
-    // A daemon hears of version 3 from a peer. Its own watch, which was slow, then tells of
-    // version 2, and of a key that was deleted since. Callers would see an old
-    // configuration after a new one.
-    let mut mirror = listed(1, vec![put(1, "config", "1")]);
+fn a_stale_watch_does_not_revert_changes() {
+    // Guards against serving an old configuration after a new one: a daemon gets version 3 from a
+    // peer, and then its own slow watch delivers version 2 and a key deleted since.
+    let mut mirror = mirror_of(1, vec![put(1, "config", "1")]);
     let newer = vec![
         put(2, "config", "2"),
         put(3, "gone", "x"),
@@ -47,10 +46,10 @@
         .apply(Revision(1), Revision(5), newer)
         .expect("connects");
     let stale = vec![put(2, "config", "2"), put(3, "gone", "x")];
-    let fresh = mirror
+    let new_changes = mirror
         .apply(Revision(1), Revision(3), stale)
         .expect("connects");
-    assert_eq!(fresh, []);
+    assert_eq!(new_changes, []);
     assert_eq!(value(&mirror, "config").as_deref(), Some("3"));
     assert_eq!(value(&mirror, "gone"), None);
     assert_eq!(mirror.at(), Revision(5));
@@ -58,7 +57,7 @@
 
 #[test]
 fn an_older_listing_changes_nothing() {
-    let mut mirror = listed(9, vec![put(9, "config", "9")]);
+    let mut mirror = mirror_of(9, vec![put(9, "config", "9")]);
     let at = Revision(5);
     let items = vec![put(5, "config", "5")];
     assert_eq!(mirror.take_listing(Listing { at, items }), []);
@@ -66,32 +65,36 @@
 }
 
 #[test]
-fn a_listing_after_lost_history_deletes_what_is_not_on_it() {
-    let mut mirror = listed(2, vec![put(1, "a", "1"), put(2, "b", "1")]);
+fn a_listing_after_a_gap_deletes_keys_that_are_not_listed() {
+    let mut mirror = mirror_of(2, vec![put(1, "a", "1"), put(2, "b", "1")]);
     let at = Revision(8);
     let items = vec![put(7, "b", "2"), put(8, "c", "1")];
-    let fresh = mirror.take_listing(Listing { at, items });
-    assert_eq!(fresh, [delete(8, "a"), put(7, "b", "2"), put(8, "c", "1")]);
+    let new_changes = mirror.take_listing(Listing { at, items });
+    assert_eq!(
+        new_changes,
+        [delete(8, "a"), put(7, "b", "2"), put(8, "c", "1")]
+    );
     assert_eq!(mirror.prefixed("").count(), 2);
 }
 
 #[test]
-fn changes_with_a_gap_before_them_are_refused() {
-    let mut mirror = listed(2, vec![]);
+fn changes_after_a_gap_are_rejected() {
+    let mut mirror = mirror_of(2, vec![]);
     let result = mirror.apply(Revision(4), Revision(5), vec![put(5, "a", "1")]);
     assert!(result.is_err());
     assert_eq!(mirror.at(), Revision(2));
 }
 
-/// An upstream that leaves was taken for ready again: a later page held it newer than the listing.
+/// Guards against a leaving upstream that becomes ready again: a later page of a listing held a
+/// newer state than the listing's revision, and an older change overwrote it.
 #[test]
 fn a_later_page_is_not_undone_by_an_older_change() {
-    let mut mirror = listed(100, vec![put(115, "upstream", "leaving")]);
+    let mut mirror = mirror_of(100, vec![put(115, "upstream", "leaving")]);
     let older = vec![put(105, "upstream", "ready")];
-    let fresh = mirror.apply(Revision(100), Revision(110), older);
-    assert_eq!(fresh, Ok(vec![]));
+    let new_changes = mirror.apply(Revision(100), Revision(110), older);
+    assert_eq!(new_changes, Ok(vec![]));
     assert_eq!(value(&mirror, "upstream").as_deref(), Some("leaving"));
-    // A peer that lacks the change gets the key as it is.
+    // A peer that lacks the change gets the key's current value.
     let lacks = mirror.since(Revision(100)).expect("logged");
     let [change] = &lacks[..] else {
         panic!("{lacks:?}")
@@ -99,19 +102,20 @@
     assert_eq!(change.value.as_deref(), Some(&b"leaving"[..]));
 }
 
-/// A peer that took a difference for all that had changed lacked a configuration for good.
+/// Guards against a peer that lacks a configuration permanently, because it took the differences
+/// between a daemon's copy and a listing for all the changes.
 #[test]
-fn a_listing_is_not_handed_on_as_changes() {
-    // Of the listing's pages a later one held the configuration of revision 115 already.
-    let mut mirror = listed(100, vec![put(90, "a", "1"), put(115, "config", "2")]);
+fn a_listing_is_not_sent_as_changes() {
+    // A later page of the first listing already held the configuration of revision 115.
+    let mut mirror = mirror_of(100, vec![put(90, "a", "1"), put(115, "config", "2")]);
     let at = Revision(120);
     let items = vec![put(118, "a", "2"), put(115, "config", "2")];
-    let fresh = mirror.take_listing(Listing { at, items });
-    assert_eq!(fresh, [put(118, "a", "2")]);
+    let new_changes = mirror.take_listing(Listing { at, items });
+    assert_eq!(new_changes, [put(118, "a", "2")]);
     assert_eq!(Answer::news(&mirror, Revision(100)), None);
     let newer = vec![put(121, "config", "3")];
-    let fresh = mirror.apply(at, Revision(121), newer.clone());
-    assert_eq!(fresh, Ok(newer.clone()));
+    let new_changes = mirror.apply(at, Revision(121), newer.clone());
+    assert_eq!(new_changes, Ok(newer.clone()));
     let news = Answer::Changes {
         after: at,
         at: Revision(121),
@@ -120,7 +124,7 @@
     assert_eq!(Answer::news(&mirror, at), Some(news));
 }
 
-fn asked(held: u64, page_after: Option<&str>) -> Question {
+fn request(held: u64, page_after: Option<&str>) -> Question {
     Question {
         held: Revision(held),
         page_after: page_after.map(str::to_owned),
@@ -128,19 +132,19 @@
 }
 
 #[test]
-fn a_copy_is_handed_on_page_by_page_while_keys_change() {
-    // 12,000 upstreams are more than one message between daemons may hold. A daemon that
-    // could not be given them would have to read them from the store, as all others would.
+fn a_copy_is_sent_page_by_page_while_keys_change() {
+    // 12,000 upstreams exceed the limit on one message between daemons. If peers could not send
+    // them, each daemon would have to read them from the store.
     let key = |n: u64| format!("upstream/{n:05}");
     let value = "v".repeat(300);
     let items = (1..=12_000).map(|n| put(n, &key(n), &value));
-    let mut ahead = listed(12_000, items.collect());
+    let mut ahead = mirror_of(12_000, items.collect());
     let mut items = Vec::new();
     let mut copied_at = None;
     let mut pages = 0;
     let mut after = None;
     loop {
-        let answer = Answer::to(&asked(0, after.as_deref()), &ahead);
+        let answer = Answer::to(&request(0, after.as_deref()), &ahead);
         let bytes = answer.encode().expect("a page is small");
         let Answer::Page {
             at,
@@ -169,21 +173,21 @@
     let at = copied_at.expect("a page");
     let mut copy = Mirror::default();
     copy.take_listing(Listing { at, items });
-    let rest = Answer::to(&asked(at.0, None), &ahead);
+    let rest = Answer::to(&request(at.0, None), &ahead);
     let Answer::Changes { after, at, changes } = rest else {
         panic!("the copy is just behind");
     };
     copy.apply(after, at, changes).expect("connects");
-    assert_eq!(value_of_all(&copy), value_of_all(&ahead));
+    assert_eq!(all_items(&copy), all_items(&ahead));
 }
 
-fn value_of_all(mirror: &Mirror) -> Vec<Change> {
+fn all_items(mirror: &Mirror) -> Vec<Change> {
     mirror.after(None).collect()
 }
 
 #[test]
-fn a_peer_gets_what_it_lacks_and_no_more() {
-    let mut ahead = listed(2, vec![put(2, "a", "1")]);
+fn a_peer_gets_only_the_changes_that_it_lacks() {
+    let mut ahead = mirror_of(2, vec![put(2, "a", "1")]);
     ahead
         .apply(
             Revision(2),
@@ -191,24 +195,24 @@
             vec![put(3, "b", "1"), delete(4, "a")],
         )
         .expect("connects");
-    let answer = Answer::to(&asked(3, None), &ahead);
+    let answer = Answer::to(&request(3, None), &ahead);
     let expected = Answer::Changes {
         after: Revision(3),
         at: Revision(4),
         changes: vec![delete(4, "a")],
     };
     assert_eq!(answer, expected);
-    let too_far_behind = Answer::to(&asked(1, None), &ahead);
+    let too_far_behind = Answer::to(&request(1, None), &ahead);
     assert!(matches!(too_far_behind, Answer::Page { .. }));
-    let even = Answer::to(&asked(4, None), &ahead);
-    assert_eq!(even, Answer::Nothing);
+    let up_to_date = Answer::to(&request(4, None), &ahead);
+    assert_eq!(up_to_date, Answer::Nothing);
     let bytes = answer.encode().expect("small");
     assert_eq!(Answer::decode(&bytes), Ok(answer));
 }
 
 #[test]
 fn a_peer_far_behind_gets_a_listing_once_the_log_is_full() {
-    let mut ahead = listed(1, vec![]);
+    let mut ahead = mirror_of(1, vec![]);
     for n in 2..2_000 {
         let changes = vec![put(n, "key", "v")];
         ahead
@@ -226,9 +230,10 @@
 
 #[test]
 fn a_storm_of_large_configurations_is_one_value_for_a_peer() {
-    // Operators write forty versions of a configuration of some hundred KB. A peer that lags
-    // would get them all, in a message that is too large, and every daemon keep them all.
-    let mut ahead = listed(1, vec![]);
+    // Operators write forty versions of a configuration of some hundred KB. Guards against a
+    // log of values: every daemon would keep all of them, and a lagging peer would get them in a
+    // message that is too large.
+    let mut ahead = mirror_of(1, vec![]);
     let route =
         |n: usize| format!("{{\"name\":\"r-{n}\",\"prefix\":\"/{n}/\",\"timeout\":20000}},");
     for n in 2..42 {
@@ -240,18 +245,18 @@
             .apply(Revision(n - 1), Revision(n), changes)
             .expect("connects");
     }
-    let answer = Answer::to(&asked(1, None), &ahead);
+    let answer = Answer::to(&request(1, None), &ahead);
     assert!(matches!(&answer, Answer::Changes { changes, .. } if changes.len() == 1));
     let bytes = answer.encode().expect("small enough");
     let whole = ahead.get("config").expect("held").1.len();
     assert!(bytes.len() * 5 < whole, "{} of {whole}", bytes.len());
     assert_eq!(Answer::decode(&bytes), Ok(answer));
-    let bomb = flate2_bomb();
+    let bomb = decompression_bomb();
     assert!(Answer::decode(&bomb).is_err());
 }
 
-/// Some KB that unfold to 64 MB.
-fn flate2_bomb() -> Vec<u8> {
+/// A few KB that expand to 64 MB.
+fn decompression_bomb() -> Vec<u8> {
     use std::io::Write;
     let mut packed = flate2::write::ZlibEncoder::new(Vec::new(), flate2::Compression::fast());
     let zeros = vec![0xff; 1 << 20];
