--- a/components/callers/src/lib.rs
+++ b/components/callers/src/lib.rs
@@ -1,6 +1,6 @@
 //! HTTP server for callers, with limits on heads, bodies and connections.
 //!
-//! [`listen`], [`accept`], [`read_head`] and [`read_body`] are used by every event loop that
+//! [`listen()`], [`accept`], [`read_head`] and [`read_body`] are used by every event loop that
 //! serves callers. [`Callers`] is the HTTP server of the product's own API, built on them: it
 //! reads a complete request, passes it to a [`Serve`] and writes the [`Frame`]s of the answer.
 //! It knows nothing of models.
--- a/components/callers/tests/bounds.rs
+++ b/components/callers/tests/bounds.rs
@@ -11,11 +11,11 @@
 /// Long enough to be reached only if a limit is missing.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Echoes bodies, except on special paths. `/endless` and `/waits` report on `gone` when the caller
-/// has disconnected.
+/// Echoes bodies, except on special paths. `/endless` and `/waits` send on `disconnected` once the
+/// caller has disconnected.
 #[derive(Clone)]
 struct Echo {
-    gone: flume::Sender<()>,
+    disconnected: flume::Sender<()>,
 }
 
 impl Serve for Echo {
@@ -26,7 +26,7 @@
         };
         let responder = &req.responder;
         match req.path.as_str() {
-            "/endless" => endless(responder, head, &self.gone).await,
+            "/endless" => endless(responder, head, &self.disconnected).await,
             "/dropped" => {}
             "/cut" => {
                 let _ = responder.send(Frame::Head(head)).await;
@@ -35,7 +35,7 @@
             }
             "/waits" => {
                 responder.gone().await;
-                let _ = self.gone.send(());
+                let _ = self.disconnected.send(());
             }
             _ => {
                 let _ = responder.answer(head, req.body.clone()).await;
@@ -44,11 +44,11 @@
     }
 }
 
-async fn endless(responder: &Responder, head: Head, gone: &flume::Sender<()>) {
+async fn endless(responder: &Responder, head: Head, disconnected: &flume::Sender<()>) {
     let _ = responder.send(Frame::Head(head)).await;
     let data = Bytes::from(vec![b'x'; 16 << 10]);
     while responder.send(Frame::Data(data.clone())).await.is_ok() {}
-    let _ = gone.send(());
+    let _ = disconnected.send(());
 }
 
 fn limits() -> Limits {
@@ -63,9 +63,9 @@
 }
 
 fn start(limits: Limits) -> (Callers, flume::Receiver<()>) {
-    let (gone, rx) = flume::unbounded();
+    let (disconnected, rx) = flume::unbounded();
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
-    let echo = Echo { gone };
+    let echo = Echo { disconnected };
     let callers = Callers::start(address, 1, limits, move || echo.clone());
     (callers.unwrap(), rx)
 }
@@ -189,10 +189,10 @@
     let two = "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nabcde";
     let answer = ask(&callers, two);
     assert!(answer.starts_with("HTTP/1.1 400"), "{answer}");
-    let clash = "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\
+    let conflicting = "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\
                  Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
     let smuggled = "GET /smuggled HTTP/1.1\r\nHost: a\r\n\r\n";
-    let answer = ask(&callers, &format!("{clash}{smuggled}"));
+    let answer = ask(&callers, &format!("{conflicting}{smuggled}"));
     assert_eq!(answer.matches("HTTP/1.1").count(), 1, "{answer}");
 }
 
@@ -200,12 +200,12 @@
 fn can_drop_a_caller_that_does_not_read() {
     // A caller requests a stream and never reads it, so the socket's buffers fill up and the
     // writer waits. Without a timeout its thread and the upstream's slot are lost forever.
-    let (callers, gone) = start(limits());
+    let (callers, disconnected) = start(limits());
     let mut stream = connect(&callers);
     stream
         .write_all(b"GET /endless HTTP/1.1\r\nHost: a\r\n\r\n")
         .unwrap();
-    gone.recv_timeout(TEST_TIMEOUT).unwrap();
+    disconnected.recv_timeout(TEST_TIMEOUT).unwrap();
     let open = callers.counts();
     drop(callers);
     drop(stream);
@@ -214,7 +214,7 @@
 
 #[test]
 fn can_detect_a_caller_that_disconnects() {
-    let (callers, gone) = start(Limits {
+    let (callers, disconnected) = start(Limits {
         write_timeout: Span::from_secs(50),
         ..limits()
     });
@@ -225,20 +225,20 @@
     let mut buf = [0; 1000];
     stream.read_exact(&mut buf).unwrap();
     drop(stream);
-    gone.recv_timeout(TEST_TIMEOUT).unwrap();
+    disconnected.recv_timeout(TEST_TIMEOUT).unwrap();
 }
 
 #[test]
 fn can_detect_a_caller_that_disconnects_before_its_answer() {
     // Guards against upstreams that work for nobody: a caller disconnects while its answer is
     // still being made, which must be detected before the answer is written.
-    let (callers, gone) = start(limits());
+    let (callers, disconnected) = start(limits());
     let mut stream = connect(&callers);
     stream
         .write_all(b"GET /waits HTTP/1.1\r\nHost: a\r\n\r\n")
         .unwrap();
     drop(stream);
-    gone.recv_timeout(TEST_TIMEOUT).unwrap();
+    disconnected.recv_timeout(TEST_TIMEOUT).unwrap();
 }
 
 #[test]
@@ -283,8 +283,8 @@
         connections: 4,
         ..limits()
     });
-    let mut kept: Vec<_> = (0..4).map(|_| connect(&callers)).collect();
-    for stream in &mut kept {
+    let mut held_open: Vec<_> = (0..4).map(|_| connect(&callers)).collect();
+    for stream in &mut held_open {
         stream
             .write_all(b"POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nh")
             .unwrap();
@@ -297,7 +297,7 @@
         let mut extra = connect(&callers);
         assert_eq!(read_all(&mut extra), "");
     }
-    for stream in &mut kept {
+    for stream in &mut held_open {
         stream.write_all(b"i").unwrap();
         let mut head = [0; 12];
         stream.read_exact(&mut head).unwrap();
--- a/components/engine/tests/it/calls.rs
+++ b/components/engine/tests/it/calls.rs
@@ -49,8 +49,8 @@
     let client = Client::default();
     let address = engine.address();
     block_on(client.order_load(address, &version(), 9, TIMEOUT)).unwrap();
-    let late = block_on(client.order_unload(address, &version(), 8, TIMEOUT));
-    assert_eq!(late, Err(OrderError::Fenced { held: 9 }));
+    let outdated = block_on(client.order_unload(address, &version(), 8, TIMEOUT));
+    assert_eq!(outdated, Err(OrderError::Fenced { held: 9 }));
 }
 
 fn booking(method: Method, path: &str) -> PlainRequest {
--- a/components/http1/src/lib.rs
+++ b/components/http1/src/lib.rs
@@ -4,7 +4,7 @@
 //! the body after a head ends. [`BodyReader`] extracts the body from the bytes that arrived, and
 //! [`events::Splitter`] splits a body into server-sent events. [`Wire`] is one connection with
 //! the bytes read from it so far. [`Pool`] keeps idle connections to upstreams.
-//! [`read_response_head`] and [`read_whole`] read an upstream's response, and [`write`] encodes
+//! [`read_response_head`] and [`read_whole`] read an upstream's response, and [`mod@write`] encodes
 //! messages.
 //!
 //! Parsing is strict. If two parties disagree on where a message ends, a caller can smuggle a
--- a/components/mirror/src/message.rs
+++ b/components/mirror/src/message.rs
@@ -27,9 +27,9 @@
 /// Asks a peer for the changes after a revision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Question {
-    /// Revision of the sender's mirror.
+    /// Revision of the requesting mirror.
     pub held: Revision,
-    /// Last key of the previous page, while the sender copies all keys page by page.
+    /// Last key of the previous page, while all keys are copied page by page.
     pub page_after: Option<String>,
 }
 
@@ -45,9 +45,10 @@
         /// Changes in order of their revisions.
         changes: Vec<Change>,
     },
-    /// A page of all keys, since the log no longer holds all the changes.
+    /// A page of all keys, if the log no longer holds all the changes or the request continues a
+    /// copy page by page.
     Page {
-        /// Revision of the sender's mirror. The pages together are no snapshot: a change after the
+        /// Revision of the replying mirror. The pages together are no snapshot: a change after the
         /// first page may already be in a later page, and is sent again among the changes after
         /// the revision of the first page.
         at: Revision,
--- a/components/mirror/tests/mirror.rs
+++ b/components/mirror/tests/mirror.rs
@@ -95,9 +95,9 @@
     assert_eq!(new_changes, Ok(vec![]));
     assert_eq!(value(&mirror, "upstream").as_deref(), Some("leaving"));
     // A peer that lacks the change gets the key's current value.
-    let lacks = mirror.since(Revision(100)).expect("logged");
-    let [change] = &lacks[..] else {
-        panic!("{lacks:?}")
+    let missing = mirror.since(Revision(100)).expect("logged");
+    let [change] = &missing[..] else {
+        panic!("{missing:?}")
     };
     assert_eq!(change.value.as_deref(), Some(&b"leaving"[..]));
 }
@@ -159,10 +159,10 @@
         items.extend(page);
         pages += 1;
         if pages == 2 {
-            let gone = delete(12_001, &key(3));
+            let deletion = delete(12_001, &key(3));
             let new = put(12_002, &key(20_000), "new");
             ahead
-                .apply(Revision(12_000), Revision(12_002), vec![gone, new])
+                .apply(Revision(12_000), Revision(12_002), vec![deletion, new])
                 .expect("connects");
         }
         if !has_more {
