--- a/components/dispatch/src/rate_limits.rs
+++ b/components/dispatch/src/rate_limits.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use ratelimit::{Admission, Advertised, Advertisement, Change, Fleet, RateLimits, RunKey};
+use ratelimit::{Admission, Advertised, Advertisement, Change, Fleet, InstanceKey, RateLimits};
 use routes::Upstream;
 use types::prelude::*;
 
@@ -35,7 +35,7 @@
 
     /// Finds the listed upstream of a run.
     #[must_use]
-    pub fn find_run(&self, run: RunKey) -> Option<&Arc<Upstream>> {
+    pub fn find_run(&self, run: InstanceKey) -> Option<&Arc<Upstream>> {
         let entry = self.entries.values().find(|entry| entry.run == run);
         entry.map(|entry| &entry.spec)
     }
--- a/components/dispatch/src/upstreams.rs
+++ b/components/dispatch/src/upstreams.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use poison::UpstreamRun;
-use ratelimit::{RateLimits, RunKey};
+use ratelimit::{InstanceKey, RateLimits};
 use routes::{Upstream, UpstreamState};
 use serde::{Deserialize, Serialize};
 use types::prelude::*;
@@ -100,15 +100,15 @@
 /// Hashes the id and start of an upstream's run to four bytes. The start is included so that
 /// requests outstanding at a former run do not count as load of the next.
 #[must_use]
-pub fn run_key(id: &UpstreamId, started_at: Option<WallTime>) -> RunKey {
+pub fn run_key(id: &UpstreamId, started_at: Option<WallTime>) -> InstanceKey {
     let started_at = started_at.map_or(0, |at| at.0);
-    RunKey(xxh3_64_with_seed(id.as_str().as_bytes(), started_at) as u32)
+    InstanceKey(xxh3_64_with_seed(id.as_str().as_bytes(), started_at) as u32)
 }
 
 #[derive(Debug)]
 pub(crate) struct Entry {
     pub(crate) spec: Arc<Upstream>,
-    pub(crate) run: RunKey,
+    pub(crate) run: InstanceKey,
     pub(crate) health: Health,
     pub(crate) in_flight: u32,
     /// This daemon's requests there that have not begun to be answered.
--- a/components/fleet/tests/it/rate_limits.rs
+++ b/components/fleet/tests/it/rate_limits.rs
@@ -4,7 +4,7 @@
 use fleet::{Freshness, Heartbeat, SentAt, WireClaim, shares_rate_limits};
 use membership::{Member, MemberRecord, Stamp, State};
 use mirror::Revision;
-use ratelimit::RunKey;
+use ratelimit::InstanceKey;
 use types::prelude::*;
 
 fn member(state: State, since: Time) -> Member {
@@ -49,7 +49,7 @@
         rollouts: Vec::new(),
         loads: Vec::new(),
         rate_limits: vec![Advertisement {
-            run: RunKey(5),
+            instance: InstanceKey(5),
             version: 2,
             rate: Some(2.5),
             age_ms: 40,
--- a/components/ratelimit/src/advertised.rs
+++ b/components/ratelimit/src/advertised.rs
@@ -5,7 +5,7 @@
 
 /// Identifies one run of an upstream's program, by a hash of its id and start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct RunKey(pub u32);
+pub struct InstanceKey(pub u32);
 
 /// What an answer says about its upstream's rate limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Change {
     /// A limit was set where there was none.
-    Named(Rate),
+    Set(Rate),
     /// The limit has a new value.
     Changed(Rate),
     /// The limit was lifted.
@@ -38,8 +38,8 @@
 /// An upstream's limit as daemons exchange it.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Advertisement {
-    /// Run of the upstream that has the limit.
-    pub run: RunKey,
+    /// Instance of the upstream that has the limit.
+    pub instance: InstanceKey,
     /// Version, raised by each change; the highest one wins.
     pub version: u32,
     /// Requests a second; `None` for a lifted limit.
--- a/components/ratelimit/src/fleet.rs
+++ b/components/ratelimit/src/fleet.rs
@@ -3,7 +3,7 @@
 use types::prelude::*;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use crate::advertised::RunKey;
+use crate::advertised::InstanceKey;
 
 /// How long a daemon that just started sends nothing to limited upstreams: it knows too few
 /// others to determine the senders.
@@ -33,10 +33,10 @@
     }
 
     /// Returns this daemon's rank in the order of an upstream's senders, from 0.
-    pub(crate) fn rank(&self, run: RunKey) -> usize {
+    pub(crate) fn rank(&self, instance: InstanceKey) -> usize {
         let score = |daemon: u64| {
             (
-                xxh3_64_with_seed(&daemon.to_le_bytes(), run.0.into()),
+                xxh3_64_with_seed(&daemon.to_le_bytes(), instance.0.into()),
                 daemon,
             )
         };
--- a/components/ratelimit/src/lib.rs
+++ b/components/ratelimit/src/lib.rs
@@ -23,6 +23,6 @@
 mod limit;
 mod table;
 
-pub use advertised::{Advertised, Advertisement, Change, RunKey};
+pub use advertised::{Advertised, Advertisement, Change, InstanceKey};
 pub use fleet::{Fleet, SETTLING_TIME};
 pub use table::{Admission, RateLimits};
--- a/components/ratelimit/src/limit.rs
+++ b/components/ratelimit/src/limit.rs
@@ -2,7 +2,7 @@
 
 use types::prelude::*;
 
-use crate::advertised::{Advertisement, Change, RunKey};
+use crate::advertised::{Advertisement, Change, InstanceKey};
 use crate::bucket::TokenBucket;
 use crate::fleet::{Fleet, senders};
 
@@ -33,14 +33,14 @@
 }
 
 impl Limit {
-    pub(crate) fn new(now: Time, run: RunKey, fleet: &Fleet) -> Self {
+    pub(crate) fn new(now: Time, instance: InstanceKey, fleet: &Fleet) -> Self {
         Self {
             version: 0,
             rate: None,
             changed_at: now,
             confirmed_at: now,
             sent: 0,
-            rank: fleet.rank(run),
+            rank: fleet.rank(instance),
             fleet: fleet.size(),
             bucket: TokenBucket::empty(now),
             probed_at: None,
@@ -68,7 +68,7 @@
         match (before, rate) {
             (None, Some(rate)) => {
                 self.sent = 0;
-                Some(Change::Named(rate))
+                Some(Change::Set(rate))
             }
             (_, Some(rate)) => Some(Change::Changed(rate)),
             (_, None) => Some(Change::Lifted {
@@ -79,9 +79,9 @@
     }
 
     /// Sets the fleet.
-    pub(crate) fn set_fleet(&mut self, now: Time, run: RunKey, fleet: &Fleet) {
+    pub(crate) fn set_fleet(&mut self, now: Time, instance: InstanceKey, fleet: &Fleet) {
         self.change_share(now, |limit| {
-            limit.rank = fleet.rank(run);
+            limit.rank = fleet.rank(instance);
             limit.fleet = fleet.size();
         });
     }
@@ -137,10 +137,10 @@
         }
     }
 
-    pub(crate) fn advertisement(&self, now: Time, run: RunKey) -> Advertisement {
+    pub(crate) fn advertisement(&self, now: Time, instance: InstanceKey) -> Advertisement {
         let age = now.since(self.confirmed_at).as_millis();
         Advertisement {
-            run,
+            instance,
             version: self.version,
             rate: self.rate.map(|rate| rate.0 as f32),
             age_ms: u16::try_from(age).unwrap_or(u16::MAX),
--- a/components/ratelimit/src/table.rs
+++ b/components/ratelimit/src/table.rs
@@ -5,7 +5,7 @@
 
 use types::prelude::*;
 
-use crate::advertised::{Advertised, Advertisement, Change, RunKey};
+use crate::advertised::{Advertised, Advertisement, Change, InstanceKey};
 use crate::fleet::{Fleet, SETTLING_TIME};
 use crate::limit::Limit;
 
@@ -42,11 +42,11 @@
 /// The limits that one daemon knows.
 #[derive(Debug, Default)]
 pub struct RateLimits {
-    limits: BTreeMap<RunKey, Limit>,
+    limits: BTreeMap<InstanceKey, Limit>,
     fleet: Arc<Fleet>,
     settled_at: Time,
     /// The limit that was last advertised in turn.
-    cursor: Option<RunKey>,
+    cursor: Option<InstanceKey>,
 }
 
 impl RateLimits {
@@ -57,8 +57,8 @@
         }
         self.settled_at = Time::ZERO + SETTLING_TIME;
         self.fleet = Arc::clone(fleet);
-        for (run, limit) in &mut self.limits {
-            limit.set_fleet(now, *run, fleet);
+        for (instance, limit) in &mut self.limits {
+            limit.set_fleet(now, *instance, fleet);
         }
     }
 
@@ -70,7 +70,7 @@
     pub fn observe(
         &mut self,
         now: Time,
-        run: RunKey,
+        instance: InstanceKey,
         sent_at: Time,
         advertised: Advertised,
     ) -> Option<Change> {
@@ -80,8 +80,8 @@
             Advertised::Limit(rate) => Some(rounded(rate)),
         };
         let limit = match rate {
-            Some(_) => self.entry(now, run)?,
-            None => self.limits.get_mut(&run)?,
+            Some(_) => self.entry(now, instance)?,
+            None => self.limits.get_mut(&instance)?,
         };
         if rate.is_none() && (limit.rate.is_none() || sent_at <= limit.confirmed_at) {
             return None;
@@ -94,14 +94,14 @@
         limit.set(now, version, rate)
     }
 
-    fn entry(&mut self, now: Time, run: RunKey) -> Option<&mut Limit> {
+    fn entry(&mut self, now: Time, instance: InstanceKey) -> Option<&mut Limit> {
         let is_full = self.limits.len() >= MAX_LIMITS;
-        if is_full && !self.limits.contains_key(&run) {
+        if is_full && !self.limits.contains_key(&instance) {
             return None;
         }
         let fleet = &self.fleet;
-        let entry = self.limits.entry(run);
-        Some(entry.or_insert_with(|| Limit::new(now, run, fleet)))
+        let entry = self.limits.entry(instance);
+        Some(entry.or_insert_with(|| Limit::new(now, instance, fleet)))
     }
 
     /// Merges what another daemon advertises; returns what changed.
@@ -115,8 +115,8 @@
         let rate = ad.rate();
         let confirmed_at = now - Span::from_millis(u64::from(ad.age_ms));
         let limit = match rate {
-            Some(_) => self.entry(now, ad.run)?,
-            None => self.limits.get_mut(&ad.run)?,
+            Some(_) => self.entry(now, ad.instance)?,
+            None => self.limits.get_mut(&ad.instance)?,
         };
         if ad.version < limit.version {
             return None;
@@ -138,14 +138,14 @@
         if known.len() > MAX_ADVERTISED {
             known.sort_by_key(|(_, limit)| std::cmp::Reverse(limit.changed_at));
             let mut others = known.split_off(MAX_NEWEST);
-            others.sort_by_key(|(run, _)| (Some(**run) <= self.cursor, **run));
+            others.sort_by_key(|(instance, _)| (Some(**instance) <= self.cursor, **instance));
             others.truncate(MAX_ADVERTISED - MAX_NEWEST);
-            self.cursor = others.last().map(|(run, _)| **run);
+            self.cursor = others.last().map(|(instance, _)| **instance);
             known.append(&mut others);
         }
         let known = known.into_iter();
         known
-            .map(|(run, limit)| limit.advertisement(now, *run))
+            .map(|(instance, limit)| limit.advertisement(now, *instance))
             .collect()
     }
 
@@ -158,8 +158,8 @@
 
     /// Returns whether this daemon may send to an upstream now.
     #[must_use]
-    pub fn admission(&self, now: Time, run: RunKey) -> Admission {
-        let limit = self.limits.get(&run);
+    pub fn admission(&self, now: Time, instance: InstanceKey) -> Admission {
+        let limit = self.limits.get(&instance);
         match limit.and_then(|limit| limit.ready_at(now, self.settled_at)) {
             Some(until) if until > now => Admission::Limited { until },
             _ => Admission::Open,
@@ -167,16 +167,16 @@
     }
 
     /// Counts a request that is sent.
-    pub fn take(&mut self, now: Time, run: RunKey) {
-        if let Some(limit) = self.limits.get_mut(&run) {
+    pub fn take(&mut self, now: Time, instance: InstanceKey) {
+        if let Some(limit) = self.limits.get_mut(&instance) {
             limit.take(now);
         }
     }
 
     /// Returns an upstream's limit.
     #[must_use]
-    pub fn rate(&self, run: RunKey) -> Option<Rate> {
-        self.limits.get(&run)?.rate
+    pub fn rate(&self, instance: InstanceKey) -> Option<Rate> {
+        self.limits.get(&instance)?.rate
     }
 
     /// Whether no limit is known, lifted ones included.
--- a/components/ratelimit/tests/it/table.rs
+++ b/components/ratelimit/tests/it/table.rs
@@ -2,10 +2,10 @@
 
 use std::sync::Arc;
 
-use ratelimit::{Admission, Advertised, Advertisement, Change, Fleet, RateLimits, RunKey};
+use ratelimit::{Admission, Advertised, Advertisement, Change, Fleet, InstanceKey, RateLimits};
 use types::prelude::*;
 
-const RUN: RunKey = RunKey(7);
+const INSTANCE: InstanceKey = InstanceKey(7);
 
 fn at(ms: u64) -> Time {
     Time::ZERO + Span::from_millis(ms)
@@ -17,7 +17,7 @@
 
 fn advertisement(version: u32, rate: Option<f32>, age_ms: u16) -> Advertisement {
     Advertisement {
-        run: RUN,
+        instance: INSTANCE,
         version,
         rate,
         age_ms,
@@ -27,9 +27,9 @@
 /// Counts the requests that one daemon sends in a span, trying every ms.
 fn count_sent(limits: &mut RateLimits, from: u64, to: u64) -> usize {
     let is_sent = |ms: &u64| {
-        let is_open = limits.admission(at(*ms), RUN) == Admission::Open;
+        let is_open = limits.admission(at(*ms), INSTANCE) == Admission::Open;
         if is_open {
-            limits.take(at(*ms), RUN);
+            limits.take(at(*ms), INSTANCE);
         }
         is_open
     };
@@ -40,8 +40,8 @@
 fn a_single_daemon_uses_the_whole_rate() {
     let mut limits = RateLimits::default();
     assert_eq!(
-        limits.observe(at(0), RUN, at(0), limit(2.0)),
-        Some(Change::Named(Rate(2.0)))
+        limits.observe(at(0), INSTANCE, at(0), limit(2.0)),
+        Some(Change::Set(Rate(2.0)))
     );
     assert_eq!(count_sent(&mut limits, 1, 10_000), 19);
     assert_eq!(
@@ -54,29 +54,35 @@
 #[test]
 fn an_answer_out_of_order_does_not_lift_a_limit() {
     let mut limits = RateLimits::default();
-    limits.observe(at(1_000), RUN, at(900), limit(2.0));
+    limits.observe(at(1_000), INSTANCE, at(900), limit(2.0));
     assert_eq!(
-        limits.observe(at(1_500), RUN, at(999), Advertised::Nothing),
+        limits.observe(at(1_500), INSTANCE, at(999), Advertised::Nothing),
         None
     );
-    assert_eq!(limits.rate(RUN), Some(Rate(2.0)));
-    let lifted = limits.observe(at(2_000), RUN, at(1_600), Advertised::Nothing);
+    assert_eq!(limits.rate(INSTANCE), Some(Rate(2.0)));
+    let lifted = limits.observe(at(2_000), INSTANCE, at(1_600), Advertised::Nothing);
     assert!(matches!(lifted, Some(Change::Lifted { .. })), "{lifted:?}");
-    assert_eq!(limits.admission(at(2_000), RUN), Admission::Open);
+    assert_eq!(limits.admission(at(2_000), INSTANCE), Admission::Open);
 }
 
 #[test]
 fn an_invalid_limit_changes_nothing() {
     let mut limits = RateLimits::default();
-    assert_eq!(limits.observe(at(1), RUN, at(0), Advertised::Invalid), None);
+    assert_eq!(
+        limits.observe(at(1), INSTANCE, at(0), Advertised::Invalid),
+        None
+    );
     assert!(limits.is_empty());
-    limits.observe(at(2), RUN, at(1), limit(2.0));
-    assert_eq!(limits.observe(at(9), RUN, at(8), Advertised::Invalid), None);
-    assert_eq!(limits.rate(RUN), Some(Rate(2.0)));
+    limits.observe(at(2), INSTANCE, at(1), limit(2.0));
+    assert_eq!(
+        limits.observe(at(9), INSTANCE, at(8), Advertised::Invalid),
+        None
+    );
+    assert_eq!(limits.rate(INSTANCE), Some(Rate(2.0)));
     for rate in [f32::NAN, f32::INFINITY, 0.0, -1.0] {
         assert_eq!(limits.merge(at(10), &advertisement(9, Some(rate), 0)), None);
     }
-    assert_eq!(limits.rate(RUN), Some(Rate(2.0)));
+    assert_eq!(limits.rate(INSTANCE), Some(Rate(2.0)));
 }
 
 #[test]
@@ -95,7 +101,7 @@
     assert!(limits.is_empty());
     assert_eq!(
         limits.merge(at(3_000), &advertisement(6, Some(1.0), 0)),
-        Some(Change::Named(Rate(1.0)))
+        Some(Change::Set(Rate(1.0)))
     );
 }
 
@@ -104,10 +110,10 @@
     let mut limits = RateLimits::default();
     limits.merge(at(1_000), &advertisement(4, Some(2.0), 0));
     limits.merge(at(1_000), &advertisement(4, Some(3.0), 0));
-    assert_eq!(limits.rate(RUN), Some(Rate(2.0)));
+    assert_eq!(limits.rate(INSTANCE), Some(Rate(2.0)));
     limits.merge(at(1_000), &advertisement(4, Some(1.0), 0));
     limits.merge(at(1_000), &advertisement(4, None, 0));
-    assert_eq!(limits.rate(RUN), Some(Rate(1.0)));
+    assert_eq!(limits.rate(INSTANCE), Some(Rate(1.0)));
 }
 
 #[test]
@@ -115,11 +121,11 @@
     // A rate that is rounded on its way between daemons would look like a new limit again and
     // again.
     let (mut one, mut other) = (RateLimits::default(), RateLimits::default());
-    one.observe(at(0), RUN, at(0), limit(2.1));
+    one.observe(at(0), INSTANCE, at(0), limit(2.1));
     for ad in one.advertise(at(10)) {
         other.merge(at(10), &ad);
     }
-    assert_eq!(other.observe(at(20), RUN, at(15), limit(2.1)), None);
+    assert_eq!(other.observe(at(20), INSTANCE, at(15), limit(2.1)), None);
     assert_eq!(
         one.advertise(at(30))[0].version,
         other.advertise(at(30))[0].version
@@ -142,20 +148,20 @@
     limits.merge(at(0), &advertisement(1, Some(2.0), 0));
     assert_eq!(limits.advertise(at(59_000)).len(), 1);
     assert!(limits.advertise(at(61_000)).is_empty());
-    assert_eq!(limits.admission(at(61_000), RUN), Admission::Open);
+    assert_eq!(limits.admission(at(61_000), INSTANCE), Admission::Open);
 }
 
 #[test]
 fn a_message_holds_a_bounded_number_of_limits_and_all_take_turns() {
     let mut limits = RateLimits::default();
-    for run in 0..100 {
-        limits.observe(at(1), RunKey(run), at(0), limit(2.0));
+    for instance in 0..100 {
+        limits.observe(at(1), InstanceKey(instance), at(0), limit(2.0));
     }
     let mut named = std::collections::BTreeSet::new();
     for turn in 0..20 {
         let ads = limits.advertise(at(100 + turn));
         assert!(ads.len() <= 32);
-        named.extend(ads.iter().map(|ad| ad.run));
+        named.extend(ads.iter().map(|ad| ad.instance));
     }
     assert_eq!(named.len(), 100);
 }
@@ -173,10 +179,10 @@
     });
     let mut fleet = fleet.by_ref().collect::<Vec<_>>();
     let mut open_at = |ms: u64| {
-        let is_open = |limits: &RateLimits| limits.admission(at(ms), RUN) == Admission::Open;
+        let is_open = |limits: &RateLimits| limits.admission(at(ms), INSTANCE) == Admission::Open;
         let open = (0..fleet.len()).filter(|n| is_open(&fleet[*n]));
         let open = open.collect::<Vec<_>>();
-        open.iter().for_each(|n| fleet[*n].take(at(ms), RUN));
+        open.iter().for_each(|n| fleet[*n].take(at(ms), INSTANCE));
         open
     };
     assert_eq!(open_at(10_100), []);
--- a/components/ratelimit/tests/it/world.rs
+++ b/components/ratelimit/tests/it/world.rs
@@ -10,7 +10,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use ratelimit::{Admission, Advertised, Advertisement, Fleet, RateLimits, RunKey};
+use ratelimit::{Admission, Advertised, Advertisement, Fleet, InstanceKey, RateLimits};
 use types::prelude::*;
 
 /// Window over which requests are counted.
@@ -310,7 +310,7 @@
         };
         let (local, local_sent_at) = (this.local_time(at), this.local_time(sent_at));
         this.limits
-            .observe(local, run(upstream), local_sent_at, answer);
+            .observe(local, instance(upstream), local_sent_at, answer);
     }
 
     fn gossip(&mut self, now: Time) {
@@ -358,14 +358,14 @@
             }
             let local = this.local_time(now);
             let open = (0..self.scenario.limits.len())
-                .filter(|u| this.limits.admission(local, run(*u)) == Admission::Open)
+                .filter(|u| this.limits.admission(local, instance(*u)) == Admission::Open)
                 .collect::<Vec<_>>();
             if open.is_empty() {
                 continue;
             }
             let upstream = open[self.rng.random_range(0..open.len())];
             let this = &mut self.daemons[daemon];
-            this.limits.take(local, run(upstream));
+            this.limits.take(local, instance(upstream));
             let informed_at = this.informed_at.get(&upstream);
             let is_informed =
                 informed_at.is_some_and(|at| now.since(*at) >= Span::from_millis(500));
@@ -387,8 +387,8 @@
     }
 }
 
-fn run(upstream: usize) -> RunKey {
-    RunKey(upstream as u32 * 7_919 + 13)
+fn instance(upstream: usize) -> InstanceKey {
+    InstanceKey(upstream as u32 * 7_919 + 13)
 }
 
 fn outcome(scenario: &Scenario, arrivals: &[(Time, bool)]) -> Outcome {
--- a/components/traffic/src/rate_limits.rs
+++ b/components/traffic/src/rate_limits.rs
@@ -38,7 +38,7 @@
         let mut upstreams = self.upstreams.borrow_mut();
         for ad in ads {
             if let Some(change) = upstreams.merge_rate_limit(now, ad) {
-                let spec = upstreams.find_run(ad.run);
+                let spec = upstreams.find_run(ad.instance);
                 log(spec.map(|spec| &spec.id), "peer", change);
             }
         }
@@ -57,7 +57,7 @@
 fn log(upstream: Option<&UpstreamId>, source: &'static str, change: RateLimitChange) {
     let upstream = upstream.map(UpstreamId::as_str);
     match change {
-        RateLimitChange::Named(rate) => {
+        RateLimitChange::Set(rate) => {
             tracing::info!(upstream, %rate, source, "upstreams: rate limit advertised");
         }
         RateLimitChange::Changed(rate) => {
