--- a/bench/src/cmd/decide/barring.rs
+++ b/bench/src/cmd/decide/barring.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use hdrhistogram::Histogram;
-use poison::{Content, PoisonPolicy, Suspects, Under, UpstreamRun};
+use poison::{Content, CrashedAttempt, PoisonPolicy, Suspects, UpstreamInstance};
 use rand::rngs::SmallRng;
 use rand::{Rng, RngExt};
 use types::prelude::*;
@@ -36,15 +36,15 @@
     let mut suspects = Suspects::new(PoisonPolicy::default(), "daemon-0");
     suspects.set_fleet(DAEMONS, UPSTREAMS);
     for n in 0..FLOODS {
-        let under = (0..LOST).map(|_| lost(rng)).collect::<Vec<_>>();
-        let upstream = UpstreamRun {
+        let crashed = (0..LOST).map(|_| lost(rng)).collect::<Vec<_>>();
+        let upstream = UpstreamInstance {
             id: format!("worker-{n}").parse().expect("a name"),
             started_at: None,
         };
         let now = Time::ZERO + Span::from_secs(n);
         let began = Instant::now();
-        suspects.ended(now, &upstream, &under);
-        suspects.news(now);
+        suspects.upstream_crashed(now, &upstream, &crashed);
+        suspects.take_updates(now);
         note(&mut measured.floods, began);
     }
     measured.bytes = resident_bytes().unwrap_or_default().saturating_sub(before);
@@ -61,12 +61,12 @@
     measured
 }
 
-fn lost(rng: &mut SmallRng) -> Under {
+fn lost(rng: &mut SmallRng) -> CrashedAttempt {
     let body = rng.random::<u64>().to_le_bytes();
-    Under {
+    CrashedAttempt {
         content: Content::of("customer-7", "host.example", "POST", "/drafts/7", &body),
         customer: None,
-        had_begun: true,
+        had_started: true,
         ran: Span::from_millis(rng.random_range(10..3_000)),
     }
 }
--- a/components/dispatch/src/upstreams.rs
+++ b/components/dispatch/src/upstreams.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-use poison::UpstreamRun;
+use poison::UpstreamInstance;
 use ratelimit::{InstanceKey, RateLimits};
 use routes::{Upstream, UpstreamState};
 use serde::{Deserialize, Serialize};
@@ -76,10 +76,10 @@
 }
 
 impl LastSeen {
-    /// Identifies the upstream's run to other daemons.
+    /// Identifies the upstream's instance to other daemons.
     #[must_use]
-    pub fn run(&self) -> UpstreamRun {
-        UpstreamRun {
+    pub fn instance(&self) -> UpstreamInstance {
+        UpstreamInstance {
             id: self.spec.id.clone(),
             started_at: self.spec.started_at,
         }
--- a/components/fleet/src/control.rs
+++ b/components/fleet/src/control.rs
@@ -200,7 +200,7 @@
         match self.peering.receive(now, inbound) {
             Followup::Nothing => {}
             Followup::ApplyAnswer(answer) => self.apply_answer(now, answer, Source::Peer),
-            Followup::MergeWords(words) => self.merge_words(now, words),
+            Followup::MergeContentUpdates(updates) => self.merge_content_updates(now, updates),
             Followup::ServeMirror(from, question, reply) => {
                 self.serve_mirror(now, &from, &question, reply);
             }
--- a/components/fleet/src/control/quarantine.rs
+++ b/components/fleet/src/control/quarantine.rs
@@ -1,6 +1,6 @@
 //! Sharing reports on request contents that crashed upstreams, and the quarantine of such contents.
 
-use poison::{Barred, Change, Content, Words};
+use poison::{Change, Content, ContentUpdates, Quarantine};
 use traffic::Command;
 use types::prelude::*;
 
@@ -17,11 +17,11 @@
     /// Guards against a request that crashes an upstream at each daemon it reaches: one crash at
     /// each of three daemons adds up to three, and every daemon must know before the caller's next
     /// attempt.
-    pub(super) fn merge_words(&mut self, now: Time, words: Words) {
-        let ended = self.traffic.suspects.lock().take(now, words);
-        if !ended.is_empty() {
+    pub(super) fn merge_content_updates(&mut self, now: Time, updates: ContentUpdates) {
+        let crashed = self.traffic.suspects.lock().merge_updates(now, updates);
+        if !crashed.is_empty() {
             // The event loop may have ended before this thread when the process stops.
-            let _ = self.traffic.commands.send(Command::Ended(ended));
+            let _ = self.traffic.commands.send(Command::Ended(crashed));
         }
         self.gossip_suspects(now);
     }
@@ -33,11 +33,11 @@
         }
         self.next_suspect_gossip_at = now + MIN_GOSSIP_INTERVAL;
         let mut suspects = self.traffic.suspects.lock();
-        let words = suspects.news(now);
-        let changes = suspects.changes();
+        let updates = suspects.take_updates(now);
+        let changes = suspects.take_changes();
         drop(suspects);
-        if !words.0.is_empty() {
-            self.peering.send_suspects(now, &words);
+        if !updates.0.is_empty() {
+            self.peering.send_suspects(now, &updates);
         }
         for change in changes {
             log(now, &change);
@@ -64,7 +64,7 @@
                     suspects.restore(now, content, entry.customer.as_ref(), crashes);
                 }
                 Some(Err(e)) => tracing::warn!(%content, "poison: {e}"),
-                None => drop(suspects.lift(now, content)),
+                None => drop(suspects.lift_quarantine(now, content)),
             }
         }
     }
@@ -73,10 +73,10 @@
     /// this daemon's turn.
     pub(super) fn sync_quarantines(&mut self, now: Time, rank: u64) {
         let suspects = self.traffic.suspects.lock();
-        if !suspects.bars() || !self.mirror.is_filled() {
+        if !suspects.is_enabled() || !self.mirror.is_filled() {
             return;
         }
-        let quarantined = suspects.barred();
+        let quarantined = suspects.quarantined();
         drop(suspects);
         let (wall, prefix) = (self.clock.wall(), self.codec.bar_prefix());
         let calls = self
@@ -90,7 +90,7 @@
 
 fn log(now: Time, change: &Change) {
     match change {
-        Change::Barred(quarantined) => tracing::warn!(
+        Change::Quarantined(quarantined) => tracing::warn!(
             content = %quarantined.content,
             for_s = now.until(quarantined.until).as_secs_f64(),
             under = crash_list(quarantined),
@@ -101,8 +101,8 @@
 }
 
 /// The upstreams that crashed, each with the time for which the content had run there.
-fn crash_list(quarantined: &Barred) -> String {
-    let ends = quarantined.ends.iter();
-    let ends = ends.map(|(upstream, ran)| format!("{} {}ms", upstream.id, ran.as_millis()));
-    ends.collect::<Vec<_>>().join("; ")
+fn crash_list(quarantined: &Quarantine) -> String {
+    let crashes = quarantined.crashes.iter();
+    let crashes = crashes.map(|(upstream, ran)| format!("{} {}ms", upstream.id, ran.as_millis()));
+    crashes.collect::<Vec<_>>().join("; ")
 }
--- a/components/fleet/src/peering.rs
+++ b/components/fleet/src/peering.rs
@@ -9,7 +9,7 @@
 use membership::{Event as MemberEvent, Member, MemberRecord, Membership, Outcome, State};
 use mirror::{Answer, Question, Revision};
 use peers::{Handle, Inbound, Part, Payload};
-use poison::Words;
+use poison::ContentUpdates;
 use rand::RngExt;
 use rand::seq::{IndexedRandom, IteratorRandom};
 use types::prelude::*;
@@ -76,7 +76,7 @@
     /// Apply changes from a peer's mirror.
     ApplyAnswer(Answer),
     /// Merge a peer's reports on request contents.
-    MergeWords(Words),
+    MergeContentUpdates(ContentUpdates),
 }
 
 /// Whether a daemon has a share of upstreams' rate limits: it is present, or went silent so
@@ -204,8 +204,8 @@
                 Ok(answer) => return Followup::ApplyAnswer(answer),
                 Err(e) => tracing::warn!(peer = %from, "peers: {e}"),
             },
-            Part::Poison => match Words::decode(body) {
-                Ok(words) => return Followup::MergeWords(words),
+            Part::Poison => match ContentUpdates::decode(body) {
+                Ok(updates) => return Followup::MergeContentUpdates(updates),
                 Err(e) => tracing::warn!(peer = %from, "peers: {e}"),
             },
             other => tracing::warn!(peer = %from, "peers: unexpected message part {other:?}"),
@@ -263,8 +263,8 @@
     }
 
     /// Gossips reports on request contents to a few peers.
-    pub(crate) fn send_suspects(&mut self, now: Time, words: &Words) {
-        match words.encode() {
+    pub(crate) fn send_suspects(&mut self, now: Time, updates: &ContentUpdates) {
+        match updates.encode() {
             Ok(body) => self.send_gossip(now, Part::Poison, &body, GossipKind::Change),
             Err(e) => tracing::error!("peers: {e}"),
         }
--- a/components/fleet/src/quarantine.rs
+++ b/components/fleet/src/quarantine.rs
@@ -12,7 +12,7 @@
 use bytes::Bytes;
 use keyvalue::{Compare, ModRevision, Op, Put, Request, Txn};
 use mirror::Mirror;
-use poison::{Barred, Content, UpstreamRun};
+use poison::{Content, Quarantine, UpstreamInstance};
 use serde::{Deserialize, Serialize};
 use types::prelude::*;
 
@@ -44,7 +44,7 @@
 #[serde(rename_all = "kebab-case")]
 pub struct QuarantineCrash {
     /// The run of the upstream that crashed.
-    pub upstream: UpstreamRun,
+    pub upstream: UpstreamInstance,
     /// Time for which the content had run there.
     pub ran_ms: u64,
 }
@@ -55,8 +55,8 @@
 pub struct QuarantineEntryError(#[from] serde_json::Error);
 
 impl QuarantineEntry {
-    fn of(entry: &Barred, since: WallTime) -> Self {
-        let crashes = entry.ends.iter().map(|(upstream, ran)| QuarantineCrash {
+    fn of(entry: &Quarantine, since: WallTime) -> Self {
+        let crashes = entry.crashes.iter().map(|(upstream, ran)| QuarantineCrash {
             upstream: upstream.clone(),
             ran_ms: ran.as_millis(),
         });
@@ -105,7 +105,7 @@
         wall: WallTime,
         rank: u64,
         prefix: &str,
-        quarantined: &[Barred],
+        quarantined: &[Quarantine],
         mirror: &Mirror,
     ) -> Vec<(Purpose, Request)> {
         self.compare(now, prefix, quarantined, mirror);
@@ -135,7 +135,7 @@
     }
 
     /// Updates the differing entries; each keeps the time since when it differs.
-    fn compare(&mut self, now: Time, prefix: &str, quarantined: &[Barred], mirror: &Mirror) {
+    fn compare(&mut self, now: Time, prefix: &str, quarantined: &[Quarantine], mirror: &Mirror) {
         let local = quarantined.iter().map(|entry| entry.content);
         let local = local.collect::<BTreeSet<_>>();
         let keys = mirror
--- a/components/fleet/tests/it/harness.rs
+++ b/components/fleet/tests/it/harness.rs
@@ -9,7 +9,7 @@
 use dispatch::{Policy, RetryLimits};
 use fleet::{Codec, DecodeError, Running, Settings, StateRecord};
 use http1::Head;
-use poison::{Admission, Content, SharedSuspects, Under, UpstreamRun};
+use poison::{Admission, Content, CrashedAttempt, SharedSuspects, UpstreamInstance};
 use routes::{
     Limits, RolloutOrder, RolloutState, RouteTable, TableVersion, Upstream, UpstreamState,
 };
@@ -240,23 +240,23 @@
 impl Daemon {
     /// Records that an upstream crashed soon after it began to run a content of this daemon.
     pub fn upstream_crashes(&self, upstream: &str, content: Content) {
-        let upstream = UpstreamRun {
+        let upstream = UpstreamInstance {
             id: UpstreamId::new(upstream).expect("a name"),
             started_at: None,
         };
-        let under = Under {
+        let under = CrashedAttempt {
             content,
             customer: None,
-            had_begun: true,
+            had_started: true,
             ran: Span::from_millis(90),
         };
         let mut suspects = self.suspects.lock();
-        suspects.ended(self.clock.now(), &upstream, &[under]);
+        suspects.upstream_crashed(self.clock.now(), &upstream, &[under]);
     }
 
     /// Records that this daemon received a complete answer to a content.
     pub fn completes(&self, content: Content) {
-        self.suspects.lock().whole(self.clock.now(), content);
+        self.suspects.lock().answered(self.clock.now(), content);
     }
 
     /// Whether this daemon quarantines a content.
--- a/components/node/src/barring.rs
+++ b/components/node/src/barring.rs
@@ -5,8 +5,8 @@
 use callers::Request;
 use http1::refuses;
 use poison::{
-    Admission, Content, PoisonPolicy, Run, RunEnd, Runs, SharedSuspects, Suspects, Under,
-    UpstreamRun,
+    Admission, AttemptEnd as AttemptOutcome, AttemptId, Attempts, Content, CrashedAttempt,
+    PoisonPolicy, SharedSuspects, Suspects, UpstreamInstance,
 };
 use requests::attempt::{AttemptEnd, Doubt};
 use routing::UpstreamIndex;
@@ -45,7 +45,7 @@
 pub(crate) struct Barring {
     clock: Clock,
     pub(crate) suspects: SharedSuspects,
-    runs: Mutex<Runs<UpstreamIndex>>,
+    runs: Mutex<Attempts<UpstreamIndex>>,
 }
 
 impl Barring {
@@ -67,16 +67,16 @@
         let mut suspects = self.suspects.lock();
         match suspects.admission(now, asked.content) {
             Admission::Open => None,
-            Admission::Barred { until } => Some(now.until(until)),
+            Admission::Quarantined { until } => Some(now.until(until)),
             Admission::Trial => {
-                suspects.tried(now, asked.content);
+                suspects.trial_sent(now, asked.content);
                 None
             }
         }
     }
 
     /// Notes that a content goes to an upstream.
-    pub(crate) fn sent(&self, taken: &Taken, asked: &Asked) -> Run {
+    pub(crate) fn sent(&self, taken: &Taken, asked: &Asked) -> AttemptId {
         let now = self.clock.now();
         let customer = Some(Arc::clone(&asked.customer));
         lock(&self.runs).sent(now, taken.index, asked.content, customer)
@@ -84,41 +84,48 @@
 
     /// Notes how a run was over; where it broke, waits until it is known whether its upstream has
     /// ended, for a fifth of a second at most.
-    pub(crate) async fn over(&self, taken: &Taken, asked: &Asked, run: Run, end: &AttemptEnd) {
+    pub(crate) async fn over(
+        &self,
+        taken: &Taken,
+        asked: &Asked,
+        run: AttemptId,
+        end: &AttemptEnd,
+    ) {
         let now = self.clock.now();
         let how = run_end(end);
-        if how == RunEnd::Whole {
-            self.suspects.lock().whole(now, asked.content);
+        if how == AttemptOutcome::Answered {
+            self.suspects.lock().answered(now, asked.content);
         }
-        let under = lock(&self.runs).over(now, taken.index, run, how);
+        let under = lock(&self.runs).attempt_ended(now, taken.index, run, how);
         if let Some(under) = under {
             return self.ended(taken, &[under]);
         }
-        if how == RunEnd::Broken && refuses(taken.address).await {
-            let under = lock(&self.runs).ended(self.clock.now(), taken.index, Time::ZERO);
+        if how == AttemptOutcome::Broken && refuses(taken.address).await {
+            let under =
+                lock(&self.runs).upstream_crashed(self.clock.now(), taken.index, Time::ZERO);
             self.ended(taken, &under.unwrap_or_default());
         }
     }
 
-    fn ended(&self, taken: &Taken, under: &[Under]) {
+    fn ended(&self, taken: &Taken, under: &[CrashedAttempt]) {
         tracing::warn!(
             "traffic: upstream {} ended under {} requests",
             taken.id,
             under.len()
         );
-        let upstream = UpstreamRun {
+        let upstream = UpstreamInstance {
             id: taken.id.clone(),
             started_at: Some(about(self.clock.wall())),
         };
         let mut suspects = self.suspects.lock();
-        suspects.ended(self.clock.now(), &upstream, under);
+        suspects.upstream_crashed(self.clock.now(), &upstream, under);
     }
 
     /// What is barred, for operators.
     pub(crate) fn dump(&self, now: Time) -> serde_json::Value {
-        let barred = self.suspects.lock().barred();
+        let barred = self.suspects.lock().quarantined();
         let barred = barred.into_iter().map(|bar| {
-            let ends = bar.ends.iter();
+            let ends = bar.crashes.iter();
             let ends = ends.map(|(upstream, ran)| json!({"upstream": upstream.id, "ran": ran}));
             json!({
                 "content": bar.content,
@@ -133,10 +140,10 @@
 
     /// Forgets what is too old, and takes how large the fleet is.
     pub(crate) fn tidy(&self, now: Time, daemons: usize, upstreams: usize) {
-        lock(&self.runs).tidy(now);
+        lock(&self.runs).expire(now);
         let mut suspects = self.suspects.lock();
         suspects.set_fleet(daemons, upstreams);
-        suspects.tidy(now);
+        suspects.expire(now);
     }
 }
 
@@ -147,12 +154,12 @@
 }
 
 /// What an attempt's end says of the upstream.
-fn run_end(end: &AttemptEnd) -> RunEnd {
+fn run_end(end: &AttemptEnd) -> AttemptOutcome {
     match end {
-        AttemptEnd::Whole { .. } => RunEnd::Whole,
-        AttemptEnd::Unknown(Doubt::Reset) | AttemptEnd::Truncated { .. } => RunEnd::Broken,
-        AttemptEnd::Unknown(Doubt::TimedOut) | AttemptEnd::CallerGone => RunEnd::GivenUp,
-        AttemptEnd::UpstreamError(_) | AttemptEnd::Crossed => RunEnd::Failed,
-        AttemptEnd::NotSent | AttemptEnd::RefusedNotRun { .. } => RunEnd::NotRun,
+        AttemptEnd::Whole { .. } => AttemptOutcome::Answered,
+        AttemptEnd::Unknown(Doubt::Reset) | AttemptEnd::Truncated { .. } => AttemptOutcome::Broken,
+        AttemptEnd::Unknown(Doubt::TimedOut) | AttemptEnd::CallerGone => AttemptOutcome::GivenUp,
+        AttemptEnd::UpstreamError(_) | AttemptEnd::Crossed => AttemptOutcome::Failed,
+        AttemptEnd::NotSent | AttemptEnd::RefusedNotRun { .. } => AttemptOutcome::NotStarted,
     }
 }
--- a/components/node/src/control/barring.rs
+++ b/components/node/src/control/barring.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use peers::Part;
-use poison::{Change, Words};
+use poison::{Change, ContentUpdates};
 use rand::seq::IteratorRandom;
 use types::prelude::*;
 
@@ -16,8 +16,14 @@
 impl Control {
     /// Adds up what a peer tells, and hands on at once what is news.
     pub(super) fn add_up(&mut self, now: Time, from: &DaemonId, body: &Bytes) {
-        match Words::decode(body) {
-            Ok(words) => drop(self.shared.barring.suspects.lock().take(now, words)),
+        match ContentUpdates::decode(body) {
+            Ok(words) => drop(
+                self.shared
+                    .barring
+                    .suspects
+                    .lock()
+                    .merge_updates(now, words),
+            ),
             Err(e) => tracing::warn!("peers: {from}: {e}"),
         }
         self.tell_words(now);
@@ -33,7 +39,7 @@
 
     fn tell_words(&mut self, now: Time) {
         let mut suspects = self.shared.barring.suspects.lock();
-        let (words, changes) = (suspects.news(now), suspects.changes());
+        let (words, changes) = (suspects.take_updates(now), suspects.take_changes());
         drop(suspects);
         changes.iter().for_each(log);
         if words.0.is_empty() {
@@ -52,11 +58,11 @@
 
 fn log(change: &Change) {
     match change {
-        Change::Barred(bar) => tracing::warn!(
+        Change::Quarantined(bar) => tracing::warn!(
             "traffic: request {} of {} is barred, {} upstreams ended under it",
             bar.content,
             bar.customer.as_deref().unwrap_or("nobody known"),
-            bar.ends.len()
+            bar.crashes.len()
         ),
         Change::Cleared(content) => tracing::info!("traffic: request {content} is barred no more"),
     }
--- a/components/poison/src/runs.rs
+++ b/components/poison/src/attempts.rs
@@ -30,13 +30,13 @@
 
 /// Identifies an attempt at an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Run(u64);
+pub struct AttemptId(u64);
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RunEnd {
+pub enum AttemptEnd {
     /// The upstream answered completely.
-    Whole,
+    Answered,
     /// The upstream reported a failure. It may not have run the request at all, so this is no
     /// evidence either way.
     Failed,
@@ -45,40 +45,40 @@
     /// This daemon gave it up: a dropped draft, a silent upstream, a caller that left.
     GivenUp,
     /// The upstream did not start to run it.
-    NotRun,
+    NotStarted,
 }
 
 /// A content that was in flight at an upstream when it crashed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Under {
+pub struct CrashedAttempt {
     /// The content that was in flight.
     pub content: Content,
     /// The customer that sent the request.
     pub customer: Option<Arc<str>>,
     /// Whether the upstream had shown that it started to run it: the first part of an answer.
-    pub had_begun: bool,
+    pub had_started: bool,
     /// How long it had run, counted from that sign, or from its sending if none came.
     pub ran: Span,
 }
 
 #[derive(Debug, Clone)]
 struct Attempt {
-    run: Run,
+    id: AttemptId,
     content: Content,
     customer: Option<Arc<str>>,
     sent_at: Time,
-    had_begun: bool,
+    had_started: bool,
     /// When it was sent, or the last sign that the upstream started to run it.
     began_at: Time,
     /// How and when it ended, if its connection broke or it was given up.
-    ended: Option<(RunEnd, Time)>,
+    ended: Option<(AttemptEnd, Time)>,
 }
 
 impl Attempt {
     /// Describes the attempt for its upstream's crash, if it was in flight then.
-    fn crashed_under(&self, crash: &KnownCrash) -> Option<Under> {
+    fn crashed_under(&self, crash: &KnownCrash) -> Option<CrashedAttempt> {
         let (how, ended_at) = self.ended?;
-        let is_given_up = how == RunEnd::GivenUp;
+        let is_given_up = how == AttemptEnd::GivenUp;
         let slack = match is_given_up {
             true => GIVEN_UP_WINDOW,
             false => BROKEN_WINDOW,
@@ -99,10 +99,10 @@
                 .max(ended_at),
             false => ended_at,
         };
-        Some(Under {
+        Some(CrashedAttempt {
             content: self.content,
             customer: self.customer.clone(),
-            had_begun: self.had_begun,
+            had_started: self.had_started,
             ran: stopped_at.since(self.began_at),
         })
     }
@@ -124,15 +124,15 @@
     crash: Option<KnownCrash>,
 }
 
-/// Attempts in flight or recently ended at each upstream. `U` identifies a run of an upstream's
-/// program.
+/// Attempts in flight or recently ended at each upstream. `U` identifies an instance of an
+/// upstream's program.
 #[derive(Debug)]
-pub struct Runs<U> {
+pub struct Attempts<U> {
     by_upstream: HashMap<U, UpstreamAttempts>,
     next_id: u64,
 }
 
-impl<U> Default for Runs<U> {
+impl<U> Default for Attempts<U> {
     fn default() -> Self {
         Self {
             by_upstream: HashMap::new(),
@@ -141,7 +141,7 @@
     }
 }
 
-impl<U: Copy + Eq + Hash> Runs<U> {
+impl<U: Copy + Eq + Hash> Attempts<U> {
     /// Records that a customer's content is sent to an upstream.
     pub fn sent(
         &mut self,
@@ -149,44 +149,41 @@
         upstream: U,
         content: Content,
         customer: Option<Arc<str>>,
-    ) -> Run {
-        let run = Run(self.next_id);
+    ) -> AttemptId {
+        let id = AttemptId(self.next_id);
         self.next_id += 1;
         let at_upstream = self.by_upstream.entry(upstream).or_default();
         if at_upstream.attempts.len() >= MAX_ATTEMPTS {
             at_upstream.attempts.remove(0);
         }
         at_upstream.attempts.push(Attempt {
-            run,
+            id,
             content,
             customer,
             sent_at: now,
-            had_begun: false,
+            had_started: false,
             began_at: now,
             ended: None,
         });
-        run
+        id
     }
 
     /// Records a sign that the upstream started to run an attempt.
-    pub fn began(&mut self, now: Time, upstream: U, run: Run) {
-        self.forget_crash_if_answering(upstream, run);
-        if let Some(attempt) = self.attempt_mut(upstream, run) {
-            attempt.had_begun = true;
+    pub fn attempt_started(&mut self, now: Time, upstream: U, id: AttemptId) {
+        self.forget_crash_if_answering(upstream, id);
+        if let Some(attempt) = self.attempt_mut(upstream, id) {
+            attempt.had_started = true;
             attempt.began_at = now;
         }
     }
 
     /// Forgets an upstream's crash if it answers an attempt that was sent after it: the program was
     /// restarted under the same name.
-    fn forget_crash_if_answering(&mut self, upstream: U, run: Run) {
+    fn forget_crash_if_answering(&mut self, upstream: U, id: AttemptId) {
         let Some(at_upstream) = self.by_upstream.get_mut(&upstream) else {
             return;
         };
-        let attempt = at_upstream
-            .attempts
-            .iter()
-            .find(|attempt| attempt.run == run);
+        let attempt = at_upstream.attempts.iter().find(|attempt| attempt.id == id);
         let sent_at = attempt.map(|attempt| attempt.sent_at);
         if at_upstream
             .crash
@@ -198,17 +195,23 @@
 
     /// Records that an attempt ended. Returns it for attribution if its upstream is known to have
     /// crashed.
-    pub fn over(&mut self, now: Time, upstream: U, run: Run, end: RunEnd) -> Option<Under> {
-        if end == RunEnd::Whole {
-            self.forget_crash_if_answering(upstream, run);
+    pub fn attempt_ended(
+        &mut self,
+        now: Time,
+        upstream: U,
+        id: AttemptId,
+        end: AttemptEnd,
+    ) -> Option<CrashedAttempt> {
+        if end == AttemptEnd::Answered {
+            self.forget_crash_if_answering(upstream, id);
         }
         let at_upstream = self.by_upstream.get_mut(&upstream)?;
         let place = at_upstream
             .attempts
             .iter()
-            .position(|attempt| attempt.run == run)?;
+            .position(|attempt| attempt.id == id)?;
         match (end, at_upstream.crash) {
-            (RunEnd::Whole | RunEnd::Failed | RunEnd::NotRun, _) => {
+            (AttemptEnd::Answered | AttemptEnd::Failed | AttemptEnd::NotStarted, _) => {
                 at_upstream.attempts.remove(place);
                 None
             }
@@ -229,7 +232,9 @@
     #[must_use]
     pub fn given_up(&self, contents: &BTreeSet<Content>) -> Vec<U> {
         let is_match = |attempt: &Attempt| {
-            let is_given_up = attempt.ended.is_some_and(|(how, _)| how == RunEnd::GivenUp);
+            let is_given_up = attempt
+                .ended
+                .is_some_and(|(how, _)| how == AttemptEnd::GivenUp);
             is_given_up && contents.contains(&attempt.content)
         };
         let not_crashed = self
@@ -243,8 +248,13 @@
 
     /// Records the crash of an upstream from which anything was last read at `heard_at`. Returns
     /// the ended attempts that were in flight then; those whose connections have not broken yet are
-    /// returned by [`Self::over`]. Returns nothing if the crash was known before.
-    pub fn ended(&mut self, now: Time, upstream: U, heard_at: Time) -> Option<Vec<Under>> {
+    /// returned by [`Self::attempt_ended`]. Returns nothing if the crash was known before.
+    pub fn upstream_crashed(
+        &mut self,
+        now: Time,
+        upstream: U,
+        heard_at: Time,
+    ) -> Option<Vec<CrashedAttempt>> {
         let at_upstream = self.by_upstream.entry(upstream).or_default();
         if at_upstream.crash.is_some() {
             return None;
@@ -253,7 +263,7 @@
             .attempts
             .iter()
             .filter_map(|attempt| match attempt.ended {
-                Some((RunEnd::Broken, at)) if heard_at <= at + BROKEN_WINDOW => Some(at),
+                Some((AttemptEnd::Broken, at)) if heard_at <= at + BROKEN_WINDOW => Some(at),
                 _ => None,
             });
         let crash = KnownCrash {
@@ -274,7 +284,7 @@
 
     /// Whether an upstream is known to have crashed.
     #[must_use]
-    pub fn has_ended(&self, upstream: U) -> bool {
+    pub fn has_crashed(&self, upstream: U) -> bool {
         let at_upstream = self.by_upstream.get(&upstream);
         at_upstream.is_some_and(|at_upstream| at_upstream.crash.is_some())
     }
@@ -282,16 +292,16 @@
     /// Whether an attempt broke at an upstream that is not known to have crashed.
     #[must_use]
     pub fn has_broken(&self, upstream: U) -> bool {
-        self.has_ended_as(upstream, RunEnd::Broken)
+        self.has_ended_as(upstream, AttemptEnd::Broken)
     }
 
     /// Whether an attempt was given up at an upstream that is not known to have crashed.
     #[must_use]
     pub fn has_given_up(&self, upstream: U) -> bool {
-        self.has_ended_as(upstream, RunEnd::GivenUp)
+        self.has_ended_as(upstream, AttemptEnd::GivenUp)
     }
 
-    fn has_ended_as(&self, upstream: U, end: RunEnd) -> bool {
+    fn has_ended_as(&self, upstream: U, end: AttemptEnd) -> bool {
         let at_upstream = self.by_upstream.get(&upstream);
         let at_upstream = at_upstream.filter(|at_upstream| at_upstream.crash.is_none());
         let ended_so = |attempt: &Attempt| attempt.ended.is_some_and(|(how, _)| how == end);
@@ -299,7 +309,7 @@
     }
 
     /// Drops attempts and crashes that are too old to matter.
-    pub fn tidy(&mut self, now: Time) {
+    pub fn expire(&mut self, now: Time) {
         self.by_upstream.retain(|_, at_upstream| {
             let is_recent = |attempt: &mut Attempt| {
                 attempt
@@ -325,11 +335,11 @@
         self.by_upstream.is_empty()
     }
 
-    fn attempt_mut(&mut self, upstream: U, run: Run) -> Option<&mut Attempt> {
+    fn attempt_mut(&mut self, upstream: U, id: AttemptId) -> Option<&mut Attempt> {
         let at_upstream = self.by_upstream.get_mut(&upstream)?;
         at_upstream
             .attempts
             .iter_mut()
-            .find(|attempt| attempt.run == run)
+            .find(|attempt| attempt.id == id)
     }
 }
--- a/components/poison/src/lib.rs
+++ b/components/poison/src/lib.rs
@@ -3,23 +3,23 @@
 //! A caller's request may crash each upstream that starts to run it. Retried by this daemon or by
 //! the caller, it crashes the next one as well, and breaks everything else that runs there. An
 //! attempt's id does not identify such a request, but its [`Content`] is the same each time.
-//! [`Runs`] tracks the attempts in flight at each upstream, so that a crash can be attributed to
+//! [`Attempts`] tracks the attempts in flight at each upstream, so that a crash can be attributed to
 //! contents.
 //!
 //! [`Suspects`] combines the crash reports of all daemons and decides which contents are
 //! quarantined: those whose crashes chance does not explain. Everything here is a plain value that
 //! is passed the time and uses no socket, clock or thread.
 
+mod attempts;
 mod content;
 mod policy;
-mod runs;
 mod shared;
 mod suspects;
 mod updates;
 
+pub use attempts::{AttemptEnd, AttemptId, Attempts, CrashedAttempt};
 pub use content::{Content, ContentError};
 pub use policy::PoisonPolicy;
-pub use runs::{Run, RunEnd, Runs, Under};
 pub use shared::SharedSuspects;
-pub use suspects::{Admission, Barred, Change, Suspects};
-pub use updates::{ContentEvent, ContentUpdate, UpdatesError, UpstreamRun, Words};
+pub use suspects::{Admission, Change, Quarantine, Suspects};
+pub use updates::{ContentEvent, ContentUpdate, ContentUpdates, UpdatesError, UpstreamInstance};
--- a/components/poison/src/suspects.rs
+++ b/components/poison/src/suspects.rs
@@ -16,10 +16,10 @@
 use types::prelude::*;
 use xxhash_rust::xxh3::xxh3_64;
 
+use crate::attempts::CrashedAttempt;
 use crate::content::Content;
 use crate::policy::PoisonPolicy;
-use crate::runs::Under;
-use crate::updates::{ContentEvent, ContentUpdate, UpstreamRun, Words};
+use crate::updates::{ContentEvent, ContentUpdate, ContentUpdates, UpstreamInstance};
 use answered::RecentlyAnswered;
 use crashes::UpstreamCrashes;
 use evidence::{Crash, Suspect};
@@ -53,7 +53,7 @@
     /// It may be sent once, as the half-open trial after its quarantine expired.
     Trial,
     /// It is quarantined.
-    Barred {
+    Quarantined {
         /// When a trial may be sent.
         until: Time,
     },
@@ -61,7 +61,7 @@
 
 /// A quarantined content, for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Barred {
+pub struct Quarantine {
     /// The quarantined content.
     pub content: Content,
     /// The customer that sends these requests.
@@ -71,14 +71,14 @@
     /// When the quarantine expires.
     pub until: Time,
     /// Upstreams that crashed under it, and how long it had run there.
-    pub ends: Vec<(UpstreamRun, Span)>,
+    pub crashes: Vec<(UpstreamInstance, Span)>,
 }
 
 /// A change of the set of quarantined contents.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
     /// A content is quarantined.
-    Barred(Barred),
+    Quarantined(Quarantine),
     /// A content is no longer quarantined: it was answered completely, its quarantine was lifted,
     /// or other contents explain its crashes.
     Cleared(Content),
@@ -130,11 +130,11 @@
         let trial_until = suspect.trial_at.map(|at| at + TRIAL_TIMEOUT);
         let until = expires_at.max(trial_until.unwrap_or_default());
         if now < until {
-            return Admission::Barred { until };
+            return Admission::Quarantined { until };
         }
         match now.has_reached(until + self.trial_delay(content)) {
             true => Admission::Trial,
-            false => Admission::Barred {
+            false => Admission::Quarantined {
                 until: until + self.trial_delay(content),
             },
         }
@@ -158,33 +158,38 @@
 
     /// Whether any crash is attributed to a content.
     #[must_use]
-    pub fn is_held(&self, content: Content) -> bool {
+    pub fn has_crashes(&self, content: Content) -> bool {
         self.suspects.contains_key(&content)
     }
 
     /// Records that this daemon sends a content as the trial after its quarantine expired.
-    pub fn tried(&mut self, now: Time, content: Content) {
+    pub fn trial_sent(&mut self, now: Time, content: Content) {
         self.merge(now, content, ContentEvent::Trial, now);
     }
 
     /// Records a crash of an upstream and the requests that this daemon had in flight there.
-    pub fn ended(&mut self, now: Time, upstream: &UpstreamRun, under: &[Under]) {
+    pub fn upstream_crashed(
+        &mut self,
+        now: Time,
+        upstream: &UpstreamInstance,
+        attempts: &[CrashedAttempt],
+    ) {
         self.crashes.record(upstream, now);
-        for under in under {
-            let ran_ms = u32::try_from(under.ran.as_millis()).unwrap_or(u32::MAX);
+        for attempt in attempts {
+            let ran_ms = u32::try_from(attempt.ran.as_millis()).unwrap_or(u32::MAX);
             let event = ContentEvent::Crashed {
                 upstream: upstream.clone(),
-                customer: under.customer.clone(),
-                had_begun: under.had_begun,
+                customer: attempt.customer.clone(),
+                had_started: attempt.had_started,
                 ran_ms,
             };
-            self.merge(now, under.content, event, now);
+            self.merge(now, attempt.content, event, now);
         }
         self.reevaluate(now);
     }
 
     /// Records that this daemon got a complete answer to a content.
-    pub fn whole(&mut self, now: Time, content: Content) {
+    pub fn answered(&mut self, now: Time, content: Content) {
         self.answered.record(now, content);
         if self.suspects.contains_key(&content) {
             self.merge(now, content, ContentEvent::Answered, now);
@@ -203,15 +208,15 @@
         now: Time,
         content: Content,
         customer: Option<&Arc<str>>,
-        ends: impl IntoIterator<Item = (UpstreamRun, Span)>,
+        crashes: impl IntoIterator<Item = (UpstreamInstance, Span)>,
     ) {
         let known = self.suspects.get(&content);
         if known.is_some_and(|suspect| suspect.quarantined_since.is_some()) {
             return;
         }
-        for (upstream, ran) in ends {
+        for (upstream, ran) in crashes {
             let crash = Crash {
-                had_begun: true,
+                had_started: true,
                 ran,
                 at: now,
             };
@@ -225,7 +230,7 @@
 
     /// Whether a quarantined content explains the crash of an upstream.
     #[must_use]
-    pub fn explains(&self, upstream: &UpstreamRun) -> bool {
+    pub fn explains(&self, upstream: &UpstreamInstance) -> bool {
         let mut quarantined = self
             .suspects
             .values()
@@ -235,13 +240,13 @@
 
     /// Whether the policy quarantines contents at all.
     #[must_use]
-    pub fn bars(&self) -> bool {
+    pub fn is_enabled(&self) -> bool {
         self.policy.bars
     }
 
     /// Lifts a content's quarantine for an operator. Returns whether any crash was attributed to
     /// it.
-    pub fn lift(&mut self, now: Time, content: Content) -> bool {
+    pub fn lift_quarantine(&mut self, now: Time, content: Content) -> bool {
         let is_known = self.suspects.contains_key(&content);
         if is_known {
             self.merge(now, content, ContentEvent::Lifted, now);
@@ -251,7 +256,7 @@
     }
 
     /// Merges another daemon's updates. Returns the upstreams that they report as crashed.
-    pub fn take(&mut self, now: Time, updates: Words) -> Vec<UpstreamRun> {
+    pub fn merge_updates(&mut self, now: Time, updates: ContentUpdates) -> Vec<UpstreamInstance> {
         let mut crashed = BTreeSet::new();
         for ContentUpdate {
             content,
@@ -286,11 +291,11 @@
             ContentEvent::Crashed {
                 upstream,
                 customer,
-                had_begun,
+                had_started,
                 ran_ms,
             } => {
                 let crash = Crash {
-                    had_begun: *had_begun,
+                    had_started: *had_started,
                     ran: Span::from_millis(u64::from(*ran_ms)),
                     at,
                 };
@@ -316,7 +321,7 @@
         &mut self,
         content: Content,
         customer: Option<&Arc<str>>,
-        upstream: &UpstreamRun,
+        upstream: &UpstreamInstance,
         crash: Crash,
     ) -> bool {
         if crash.ran > MAX_RAN || self.cleared_until(&content, crash.at).is_some() {
@@ -378,28 +383,28 @@
     }
 
     /// Takes the updates to send to other daemons now.
-    pub fn news(&mut self, now: Time) -> Words {
+    pub fn take_updates(&mut self, now: Time) -> ContentUpdates {
         let suspects = &self.suspects;
         let crash_count = |content: &Content| suspects.get(content).map_or(0, Suspect::count);
         self.outbox.take(now, crash_count)
     }
 
     /// Takes the changes since the last call.
-    pub fn changes(&mut self) -> Vec<Change> {
+    pub fn take_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
 
     /// All quarantined contents.
     #[must_use]
-    pub fn barred(&self) -> Vec<Barred> {
+    pub fn quarantined(&self) -> Vec<Quarantine> {
         let suspects = self.suspects.iter();
-        let barred =
+        let quarantined =
             suspects.filter_map(|(content, suspect)| suspect.quarantine(*content, &self.policy));
-        barred.collect()
+        quarantined.collect()
     }
 
     /// Drops what is too old to matter.
-    pub fn tidy(&mut self, now: Time) {
+    pub fn expire(&mut self, now: Time) {
         self.answered.expire(now);
         self.cleared
             .retain(|_, up_to| now.since(*up_to) < CLEARED_KEPT);
--- a/components/poison/src/suspects/attribution.rs
+++ b/components/poison/src/suspects/attribution.rs
@@ -8,7 +8,7 @@
 use super::evidence::Suspect;
 use super::{Change, Suspects};
 use crate::content::Content;
-use crate::updates::UpstreamRun;
+use crate::updates::UpstreamInstance;
 
 /// Largest chance at which a content is quarantined when several others of its customer are: one in
 /// a thousand of that customer's harmless requests that are in flight at a crash is refused for a
@@ -43,7 +43,7 @@
                 (None, true) => {
                     suspect.quarantined_since = Some(now);
                     let quarantine = suspect.quarantine(*content, &self.policy);
-                    self.changes.extend(quarantine.map(Change::Barred));
+                    self.changes.extend(quarantine.map(Change::Quarantined));
                 }
                 (Some(_), false) => {
                     suspect.quarantined_since = None;
@@ -105,7 +105,7 @@
 struct Culprits {
     contents: BTreeSet<Content>,
     /// Crashes that these contents explain.
-    explained: BTreeSet<UpstreamRun>,
+    explained: BTreeSet<UpstreamInstance>,
     by_customer: HashMap<Arc<str>, usize>,
 }
 
--- a/components/poison/src/suspects/crashes.rs
+++ b/components/poison/src/suspects/crashes.rs
@@ -4,7 +4,7 @@
 
 use types::prelude::*;
 
-use crate::updates::UpstreamRun;
+use crate::updates::UpstreamInstance;
 
 /// Crashes remembered at most, to compute their rate.
 const MAX_CRASHES: usize = 4_096;
@@ -21,12 +21,12 @@
 /// Recent crashes of upstreams, whatever ran there.
 #[derive(Debug, Default)]
 pub(crate) struct UpstreamCrashes {
-    crashed_at: HashMap<UpstreamRun, Time>,
+    crashed_at: HashMap<UpstreamInstance, Time>,
     pub(crate) upstreams: usize,
 }
 
 impl UpstreamCrashes {
-    pub(crate) fn record(&mut self, upstream: &UpstreamRun, at: Time) {
+    pub(crate) fn record(&mut self, upstream: &UpstreamInstance, at: Time) {
         if self.crashed_at.len() < MAX_CRASHES {
             self.crashed_at.entry(upstream.clone()).or_insert(at);
         }
@@ -49,7 +49,7 @@
         before: Span,
         from: Time,
         to: Time,
-        excluded: &BTreeSet<UpstreamRun>,
+        excluded: &BTreeSet<UpstreamInstance>,
     ) -> f64 {
         let from = from - before;
         let over = (to.since(from)).max(before).as_secs_f64();
--- a/components/poison/src/suspects/evidence.rs
+++ b/components/poison/src/suspects/evidence.rs
@@ -11,11 +11,11 @@
 
 use types::prelude::*;
 
-use super::Barred;
+use super::Quarantine;
 use super::crashes::UpstreamCrashes;
 use crate::content::Content;
 use crate::policy::PoisonPolicy;
-use crate::updates::UpstreamRun;
+use crate::updates::UpstreamInstance;
 
 /// Crashes kept per content; more add no information.
 const MAX_CRASHES_PER_CONTENT: usize = 16;
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Crash {
     /// Whether the upstream had shown that it started to run the content.
-    pub(crate) had_begun: bool,
+    pub(crate) had_started: bool,
     /// How long the content had run there.
     pub(crate) ran: Span,
     pub(crate) at: Time,
@@ -53,7 +53,7 @@
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Suspect {
     pub(crate) customer: Option<Arc<str>>,
-    pub(crate) crashes: BTreeMap<UpstreamRun, Crash>,
+    pub(crate) crashes: BTreeMap<UpstreamInstance, Crash>,
     /// When a daemon last sent it as a trial.
     pub(crate) trial_at: Option<Time>,
     /// When this daemon found it quarantined.
@@ -65,11 +65,11 @@
 impl Suspect {
     /// Adds a crash. Returns whether that changed anything. Of two reports on one crash, the one in
     /// which the run had started counts, and of two such the shorter run.
-    pub(crate) fn add(&mut self, upstream: UpstreamRun, crash: Crash) -> bool {
+    pub(crate) fn add(&mut self, upstream: UpstreamInstance, crash: Crash) -> bool {
         if let Some(known) = self.crashes.get_mut(&upstream) {
-            let is_better = (!crash.had_begun, crash.ran) < (!known.had_begun, known.ran);
+            let is_better = (!crash.had_started, crash.ran) < (!known.had_started, known.ran);
             if is_better {
-                known.had_begun = crash.had_begun;
+                known.had_started = crash.had_started;
                 known.ran = crash.ran;
             }
             return is_better;
@@ -92,10 +92,10 @@
     /// content, only crashes at such upstreams count: elsewhere it waited next to the culprit. A
     /// content that crashes upstreams before the first sign of an answer never shows a start, so
     /// all its crashes count.
-    pub(crate) fn counted(&self) -> impl Iterator<Item = (&UpstreamRun, &Crash)> {
-        let has_started = self.crashes.values().any(|crash| crash.had_begun);
+    pub(crate) fn counted(&self) -> impl Iterator<Item = (&UpstreamInstance, &Crash)> {
+        let has_started = self.crashes.values().any(|crash| crash.had_started);
         let crashes = self.crashes.iter();
-        crashes.filter(move |(_, crash)| crash.had_begun || !has_started)
+        crashes.filter(move |(_, crash)| crash.had_started || !has_started)
     }
 
     /// Number of crashes that count.
@@ -115,15 +115,15 @@
     }
 
     /// Its quarantine as shown to operators, if it is quarantined.
-    pub(crate) fn quarantine(&self, content: Content, policy: &PoisonPolicy) -> Option<Barred> {
+    pub(crate) fn quarantine(&self, content: Content, policy: &PoisonPolicy) -> Option<Quarantine> {
         let crashes = self.counted();
         let crashes = crashes.map(|(upstream, crash)| (upstream.clone(), crash.ran));
-        Some(Barred {
+        Some(Quarantine {
             content,
             customer: self.customer.clone(),
             since: self.quarantined_since?,
             until: self.expires_at(policy),
-            ends: crashes.collect(),
+            crashes: crashes.collect(),
         })
     }
 
@@ -133,7 +133,7 @@
     /// culprit is at any point of its run then, and has seldom just started.
     pub(crate) fn chance(
         &self,
-        explained: &BTreeSet<UpstreamRun>,
+        explained: &BTreeSet<UpstreamInstance>,
         upstream_crashes: &UpstreamCrashes,
     ) -> Option<f64> {
         let (explained_crashes, unexplained): (Vec<_>, Vec<_>) = self
--- a/components/poison/src/suspects/outbox.rs
+++ b/components/poison/src/suspects/outbox.rs
@@ -9,7 +9,7 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::content::Content;
-use crate::updates::{ContentEvent, ContentUpdate, Words};
+use crate::updates::{ContentEvent, ContentUpdate, ContentUpdates};
 
 /// Updates that wait at most.
 const MAX_WAITING: usize = 256;
@@ -125,7 +125,11 @@
     ///
     /// Trials and clearings go first, then the contents with the most crashes, and what finds no
     /// room is dropped: a flood of suspects must not delay the report on a proven one.
-    pub(crate) fn take(&mut self, now: Time, crash_count: impl Fn(&Content) -> usize) -> Words {
+    pub(crate) fn take(
+        &mut self,
+        now: Time,
+        crash_count: impl Fn(&Content) -> usize,
+    ) -> ContentUpdates {
         let priority = |update: &Waiting| {
             let is_decisive = !matches!(update.event, ContentEvent::Crashed { .. });
             (is_decisive, crash_count(&update.content))
@@ -135,7 +139,7 @@
         updates.truncate(MAX_WAITING);
         self.waiting = updates.split_off(updates.len().min(MAX_PER_MESSAGE));
         updates.retain(|update| self.sent.record(now, update.content, &update.event));
-        Words(
+        ContentUpdates(
             updates
                 .into_iter()
                 .map(|update| update.into_update(now))
--- a/components/poison/src/updates.rs
+++ b/components/poison/src/updates.rs
@@ -17,7 +17,7 @@
 
 /// One run of an upstream's program. An id may be reused by a later run with another start time.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct UpstreamRun {
+pub struct UpstreamInstance {
     /// Id of the upstream.
     pub id: UpstreamId,
     /// Start of this run by the upstream's own clock, if it reports one.
@@ -30,11 +30,11 @@
     /// An upstream crashed while it was in flight there.
     Crashed {
         /// The upstream that crashed.
-        upstream: UpstreamRun,
+        upstream: UpstreamInstance,
         /// The customer that sent the request.
         customer: Option<Arc<str>>,
         /// Whether the upstream had shown that it started to run the request.
-        had_begun: bool,
+        had_started: bool,
         /// How long the request had run there, in ms.
         ran_ms: u32,
     },
@@ -59,14 +59,14 @@
 
 /// Updates sent in one message.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Words(pub Vec<ContentUpdate>);
+pub struct ContentUpdates(pub Vec<ContentUpdate>);
 
 /// A message of updates that does not decode.
 #[derive(Debug, thiserror::Error)]
 #[error("a peer's updates on request contents cannot be read: {0}")]
 pub struct UpdatesError(#[from] postcard::Error);
 
-impl Words {
+impl ContentUpdates {
     /// Encodes the updates for a message to other daemons.
     ///
     /// # Errors
--- a/components/poison/tests/gossip.rs
+++ b/components/poison/tests/gossip.rs
@@ -1,6 +1,6 @@
 //! Gossip between daemons about contents dies out.
 
-use poison::{Content, PoisonPolicy, Suspects, Under, UpstreamRun, Words};
+use poison::{Content, ContentUpdates, CrashedAttempt, PoisonPolicy, Suspects, UpstreamInstance};
 use rand::seq::IteratorRandom;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -20,7 +20,7 @@
     now: Time,
     daemons: Vec<Suspects>,
     /// Messages in flight, with their time of arrival and receiver.
-    in_flight: Vec<(Time, usize, Words)>,
+    in_flight: Vec<(Time, usize, ContentUpdates)>,
     sent: usize,
 }
 
@@ -41,7 +41,7 @@
     }
 
     fn send_updates(&mut self, from: usize) {
-        let updates = self.daemons[from].news(self.now);
+        let updates = self.daemons[from].take_updates(self.now);
         if updates.0.is_empty() {
             return;
         }
@@ -63,7 +63,7 @@
             self.now = self.now + Span::from_millis(1);
             let due = self.in_flight.extract_if(.., |(at, ..)| *at <= self.now);
             for (_, to, updates) in due.collect::<Vec<_>>() {
-                self.daemons[to].take(self.now, updates);
+                self.daemons[to].merge_updates(self.now, updates);
                 self.send_updates(to);
             }
             if ms % TICK_MS == 0 {
@@ -75,18 +75,18 @@
 
     /// Crashes an upstream while it runs new requests of one daemon.
     fn crash(&mut self, upstream: usize, daemon: usize, requests: usize) {
-        let under = (0..requests).map(|n| Under {
+        let crashed = (0..requests).map(|n| CrashedAttempt {
             content: content(upstream, daemon, n),
             customer: None,
-            had_begun: true,
+            had_started: true,
             ran: Span::from_millis(900),
         });
-        let upstream = UpstreamRun {
+        let upstream = UpstreamInstance {
             id: UpstreamId::new(&format!("u{upstream}")).expect("a name"),
             started_at: None,
         };
-        let under = under.collect::<Vec<_>>();
-        self.daemons[daemon].ended(self.now, &upstream, &under);
+        let crashed = crashed.collect::<Vec<_>>();
+        self.daemons[daemon].upstream_crashed(self.now, &upstream, &crashed);
     }
 
     /// Crashes several upstreams at one moment; their requests are retried elsewhere and answered
@@ -99,7 +99,7 @@
         for upstream in 0..upstreams {
             for daemon in 0..DAEMONS {
                 for n in 0..requests {
-                    self.daemons[daemon].whole(self.now, content(upstream, daemon, n));
+                    self.daemons[daemon].answered(self.now, content(upstream, daemon, n));
                 }
             }
         }
--- a/components/poison/tests/support/simulation.rs
+++ b/components/poison/tests/support/simulation.rs
@@ -9,7 +9,10 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::sync::Arc;
 
-use poison::{Admission, Content, PoisonPolicy, RunEnd, Runs, Suspects, UpstreamRun, Words};
+use poison::{
+    Admission, AttemptEnd, Attempts, Content, ContentUpdates, PoisonPolicy, Suspects,
+    UpstreamInstance,
+};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use types::prelude::*;
@@ -111,7 +114,7 @@
     culprit: Option<usize>,
     daemon: usize,
     runs: u32,
-    at: Option<(UpstreamStart, poison::Run)>,
+    at: Option<(UpstreamStart, poison::AttemptId)>,
     is_retry: bool,
 }
 
@@ -120,7 +123,7 @@
 
 struct Daemon {
     suspects: Suspects,
-    runs: Runs<UpstreamStart>,
+    attempts: Attempts<UpstreamStart>,
 }
 
 pub struct Fleet {
@@ -133,7 +136,7 @@
     /// Number of each upstream's current run, and whether it is up.
     upstreams: Vec<(u64, bool)>,
     requests: Vec<Request>,
-    messages: Vec<Words>,
+    messages: Vec<ContentUpdates>,
     culprit_crashes: BTreeMap<usize, Vec<Time>>,
     culprit_sends: BTreeMap<usize, Vec<Time>>,
     refused: BTreeSet<Content>,
@@ -161,7 +164,7 @@
             suspects.set_fleet(scenario.daemons, scenario.upstreams);
             Daemon {
                 suspects,
-                runs: Runs::default(),
+                attempts: Attempts::default(),
             }
         });
         let mut fleet = Self {
@@ -288,7 +291,9 @@
             }
             Event::ReceivesUpdates(daemon, message) => {
                 let updates = self.messages[message].clone();
-                self.daemons[daemon].suspects.take(self.now, updates);
+                self.daemons[daemon]
+                    .suspects
+                    .merge_updates(self.now, updates);
                 self.send_updates(daemon);
             }
             Event::RackLoss => {
@@ -312,8 +317,8 @@
         let suspects = &mut self.daemons[daemon].suspects;
         match suspects.admission(self.now, content) {
             Admission::Open => {}
-            Admission::Trial => suspects.tried(self.now, content),
-            Admission::Barred { .. } => {
+            Admission::Trial => suspects.trial_sent(self.now, content),
+            Admission::Quarantined { .. } => {
                 if culprit.is_none() {
                     self.refused.insert(content);
                 }
@@ -334,12 +339,12 @@
         }
         let upstream = (upstream, self.upstreams[upstream].0);
         let customer = self.requests[n].customer.clone();
-        let run = self.daemons[daemon]
-            .runs
+        let attempt = self.daemons[daemon]
+            .attempts
             .sent(self.now, upstream, content, customer);
         let request = &mut self.requests[n];
         request.runs += 1;
-        request.at = Some((upstream, run));
+        request.at = Some((upstream, attempt));
         let runs = request.runs;
         let wait = Span::from_millis(self.rng.random_range(5..self.scenario.wait_ms));
         self.schedule_after(wait, Event::Starts(n, runs));
@@ -355,7 +360,7 @@
         }
     }
 
-    fn current_attempt(&self, n: usize, run: u32) -> Option<(UpstreamStart, poison::Run)> {
+    fn current_attempt(&self, n: usize, run: u32) -> Option<(UpstreamStart, poison::AttemptId)> {
         let request = &self.requests[n];
         request.at.filter(|_| request.runs == run)
     }
@@ -366,7 +371,9 @@
         };
         let daemon = self.requests[n].daemon;
         if self.scenario.shows_start {
-            self.daemons[daemon].runs.began(self.now, upstream, attempt);
+            self.daemons[daemon]
+                .attempts
+                .attempt_started(self.now, upstream, attempt);
         }
         match self.requests[n].culprit {
             Some(culprit) => {
@@ -389,8 +396,10 @@
             daemon, content, ..
         } = self.requests[n];
         let daemon = &mut self.daemons[daemon];
-        daemon.runs.over(self.now, upstream, attempt, RunEnd::Whole);
-        daemon.suspects.whole(self.now, content);
+        daemon
+            .attempts
+            .attempt_ended(self.now, upstream, attempt, AttemptEnd::Answered);
+        daemon.suspects.answered(self.now, content);
     }
 
     fn crash_upstream(&mut self, upstream: usize) {
@@ -399,7 +408,7 @@
         }
         let now = self.now;
         let upstream = (upstream, self.upstreams[upstream].0);
-        let run = upstream_run(upstream);
+        let instance = upstream_instance(upstream);
         let in_flight = self.requests.iter().enumerate();
         let in_flight = in_flight.filter(|(_, r)| r.at.is_some_and(|(at, _)| at == upstream));
         let in_flight = in_flight.map(|(n, _)| n).collect::<Vec<_>>();
@@ -410,7 +419,9 @@
                 continue;
             };
             let daemon = &mut self.daemons[request.daemon];
-            daemon.runs.over(now, upstream, attempt, RunEnd::Broken);
+            daemon
+                .attempts
+                .attempt_ended(now, upstream, attempt, AttemptEnd::Broken);
             daemons.insert(request.daemon);
             if request.culprit.is_none() {
                 self.hit.insert(request.content);
@@ -418,8 +429,10 @@
         }
         for daemon in daemons {
             let daemon = &mut self.daemons[daemon];
-            let under = daemon.runs.ended(now, upstream, Time::ZERO);
-            daemon.suspects.ended(now, &run, &under.unwrap_or_default());
+            let crashed = daemon.attempts.upstream_crashed(now, upstream, Time::ZERO);
+            daemon
+                .suspects
+                .upstream_crashed(now, &instance, &crashed.unwrap_or_default());
         }
         in_flight
             .into_iter()
@@ -428,7 +441,7 @@
     }
 
     fn send_updates(&mut self, daemon: usize) {
-        let updates = self.daemons[daemon].suspects.news(self.now);
+        let updates = self.daemons[daemon].suspects.take_updates(self.now);
         if updates.0.is_empty() {
             return;
         }
@@ -466,8 +479,8 @@
     }
 }
 
-fn upstream_run((upstream, start): UpstreamStart) -> UpstreamRun {
-    UpstreamRun {
+fn upstream_instance((upstream, start): UpstreamStart) -> UpstreamInstance {
+    UpstreamInstance {
         id: UpstreamId::new(&format!("u{upstream}-{start}")).expect("a name"),
         started_at: None,
     }
--- a/components/poison/tests/suspects.rs
+++ b/components/poison/tests/suspects.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use poison::{
-    Admission, Change, Content, ContentEvent, ContentUpdate, PoisonPolicy, Suspects, Under,
-    UpstreamRun, Words,
+    Admission, Change, Content, ContentEvent, ContentUpdate, ContentUpdates, CrashedAttempt,
+    PoisonPolicy, Suspects, UpstreamInstance,
 };
 use types::prelude::*;
 
@@ -16,8 +16,8 @@
     Time::ZERO + Span::from_millis(100_000 + ms)
 }
 
-fn upstream(n: u32) -> UpstreamRun {
-    UpstreamRun {
+fn upstream(n: u32) -> UpstreamInstance {
+    UpstreamInstance {
         id: UpstreamId::new(&format!("u{n}")).expect("a name"),
         started_at: None,
     }
@@ -29,25 +29,25 @@
     suspects
 }
 
-fn crashed_under(name: &str, ran_ms: u64) -> Under {
-    Under {
+fn crashed_under(name: &str, ran_ms: u64) -> CrashedAttempt {
+    CrashedAttempt {
         content: content(name),
         customer: None,
-        had_begun: true,
+        had_started: true,
         ran: Span::from_millis(ran_ms),
     }
 }
 
 fn is_quarantined(suspects: &Suspects, now: Time, name: &str) -> bool {
     let admission = suspects.admission(now, content(name));
-    matches!(admission, Admission::Barred { .. })
+    matches!(admission, Admission::Quarantined { .. })
 }
 
 /// Crashes three upstreams under a content within a second, which quarantines it.
 fn quarantine(suspects: &mut Suspects, name: &str) {
     for n in 0..3 {
         let now = at(u64::from(n) * 300);
-        suspects.ended(now, &upstream(n), &[crashed_under(name, 90)]);
+        suspects.upstream_crashed(now, &upstream(n), &[crashed_under(name, 90)]);
     }
 }
 
@@ -59,12 +59,12 @@
             !is_quarantined(&suspects, at(0), "poison"),
             "after {n} crashes"
         );
-        suspects.ended(at(0), &upstream(n), &[crashed_under("poison", 90)]);
+        suspects.upstream_crashed(at(0), &upstream(n), &[crashed_under("poison", 90)]);
     }
     assert!(is_quarantined(&suspects, at(0), "poison"));
     assert!(!is_quarantined(&suspects, at(0), "other"));
-    let changes = suspects.changes();
-    assert!(matches!(&changes[..], [Change::Barred(barred)] if barred.ends.len() == 3));
+    let changes = suspects.take_changes();
+    assert!(matches!(&changes[..], [Change::Quarantined(barred)] if barred.crashes.len() == 3));
 }
 
 #[test]
@@ -72,13 +72,13 @@
     let mut daemons = [suspects("d1"), suspects("d2"), suspects("d3")];
     let mut updates = Vec::new();
     for (n, daemon) in (0..).zip(&mut daemons) {
-        daemon.ended(at(0), &upstream(n), &[crashed_under("poison", 90)]);
-        updates.push(daemon.news(at(10)));
+        daemon.upstream_crashed(at(0), &upstream(n), &[crashed_under("poison", 90)]);
+        updates.push(daemon.take_updates(at(10)));
     }
     for daemon in &mut daemons {
         // In reverse order, and each update twice.
         for updates in updates.iter().rev().chain(&updates) {
-            daemon.take(at(20), updates.clone());
+            daemon.merge_updates(at(20), updates.clone());
         }
         assert!(is_quarantined(daemon, at(30), "poison"));
     }
@@ -90,11 +90,11 @@
     let mut daemons = [suspects("d1"), suspects("d2")];
     for n in 0..2 {
         for daemon in &mut daemons {
-            daemon.ended(at(0), &upstream(n), &[crashed_under("poison", 90)]);
+            daemon.upstream_crashed(at(0), &upstream(n), &[crashed_under("poison", 90)]);
         }
     }
     let [first, second] = &mut daemons;
-    first.take(at(20), second.news(at(10)));
+    first.merge_updates(at(20), second.take_updates(at(10)));
     assert!(!is_quarantined(first, at(30), "poison"));
 }
 
@@ -103,14 +103,18 @@
     let mut first = suspects("d1");
     quarantine(&mut first, "poison");
     let mut second = suspects("d2");
-    second.take(at(700), first.news(at(700)));
+    second.merge_updates(at(700), first.take_updates(at(700)));
     let mut third = suspects("d3");
-    third.take(at(800), second.news(at(800)));
+    third.merge_updates(at(800), second.take_updates(at(800)));
     assert!(is_quarantined(&third, at(800), "poison"));
     // Every daemon knows it now, so no update is forwarded again.
-    assert!(third.take(at(900), second.news(at(900))).is_empty());
-    first.take(at(900), third.news(at(900)));
-    assert!(first.news(at(900)).0.is_empty());
+    assert!(
+        third
+            .merge_updates(at(900), second.take_updates(at(900)))
+            .is_empty()
+    );
+    first.merge_updates(at(900), third.take_updates(at(900)));
+    assert!(first.take_updates(at(900)).0.is_empty());
 }
 
 #[test]
@@ -118,11 +122,11 @@
     // A dozen engines crash in a minute by themselves, and three of them cut off one long answer.
     let mut suspects = suspects("d1");
     for n in 0..9 {
-        suspects.ended(at(n * 6_000), &upstream(100 + n as u32), &[]);
+        suspects.upstream_crashed(at(n * 6_000), &upstream(100 + n as u32), &[]);
     }
     for n in 0..3 {
         let now = at(54_000 + n * 3_000);
-        suspects.ended(now, &upstream(n as u32), &[crashed_under("long", 2_500)]);
+        suspects.upstream_crashed(now, &upstream(n as u32), &[crashed_under("long", 2_500)]);
     }
     assert!(!is_quarantined(&suspects, at(61_000), "long"));
 }
@@ -134,10 +138,10 @@
     let mut suspects = suspects("d1");
     for n in 0..3 {
         let both = [crashed_under("poison", 90), crashed_under("beside", 60)];
-        suspects.ended(at(u64::from(n) * 300), &upstream(n), &both);
+        suspects.upstream_crashed(at(u64::from(n) * 300), &upstream(n), &both);
     }
-    suspects.ended(at(900), &upstream(3), &[crashed_under("poison", 90)]);
-    suspects.ended(at(1_200), &upstream(4), &[crashed_under("poison", 90)]);
+    suspects.upstream_crashed(at(900), &upstream(3), &[crashed_under("poison", 90)]);
+    suspects.upstream_crashed(at(1_200), &upstream(4), &[crashed_under("poison", 90)]);
     assert!(is_quarantined(&suspects, at(1_300), "poison"));
     assert!(!is_quarantined(&suspects, at(1_300), "beside"));
 }
@@ -146,13 +150,13 @@
 fn waiting_request_is_not_blamed_for_a_crash() {
     // A content was seen to run once; elsewhere it only waited while others crashed the engine.
     let mut suspects = suspects("d1");
-    suspects.ended(at(0), &upstream(0), &[crashed_under("waits", 90)]);
+    suspects.upstream_crashed(at(0), &upstream(0), &[crashed_under("waits", 90)]);
     for n in 1..4 {
-        let waiting = Under {
-            had_begun: false,
+        let waiting = CrashedAttempt {
+            had_started: false,
             ..crashed_under("waits", 200)
         };
-        suspects.ended(at(u64::from(n) * 100), &upstream(n), &[waiting]);
+        suspects.upstream_crashed(at(u64::from(n) * 100), &upstream(n), &[waiting]);
     }
     assert!(!is_quarantined(&suspects, at(500), "waits"));
 }
@@ -162,18 +166,18 @@
     // Many callers send the same request, ten times a second. Three upstreams of a rack are lost at
     // one moment, and each was about to answer it.
     let mut suspects = suspects("d1");
-    suspects.whole(at(0), content("popular"));
+    suspects.answered(at(0), content("popular"));
     for n in 0..3 {
-        suspects.ended(at(100), &upstream(n), &[crashed_under("popular", 30)]);
+        suspects.upstream_crashed(at(100), &upstream(n), &[crashed_under("popular", 30)]);
     }
     assert!(!is_quarantined(&suspects, at(200), "popular"));
     // Another daemon, which never saw it answered, receives the update.
     let mut other = self::suspects("d2");
     for n in 0..3 {
-        other.ended(at(100), &upstream(n), &[crashed_under("popular", 30)]);
+        other.upstream_crashed(at(100), &upstream(n), &[crashed_under("popular", 30)]);
     }
-    suspects.take(at(200), other.news(at(200)));
-    other.take(at(250), suspects.news(at(250)));
+    suspects.merge_updates(at(200), other.take_updates(at(200)));
+    other.merge_updates(at(250), suspects.take_updates(at(250)));
     assert!(!is_quarantined(&other, at(300), "popular"));
 }
 
@@ -188,11 +192,11 @@
         for n in 0..3 {
             if daemons[n].admission(at(ms), content("poison")) == Admission::Trial {
                 trials += 1;
-                daemons[n].tried(at(ms), content("poison"));
-                let updates = daemons[n].news(at(ms));
+                daemons[n].trial_sent(at(ms), content("poison"));
+                let updates = daemons[n].take_updates(at(ms));
                 daemons
                     .iter_mut()
-                    .for_each(|d| drop(d.take(at(ms), updates.clone())));
+                    .for_each(|d| drop(d.merge_updates(at(ms), updates.clone())));
             }
         }
     }
@@ -203,8 +207,8 @@
 fn crash_in_a_trial_doubles_the_quarantine() {
     let mut suspects = suspects("d1");
     quarantine(&mut suspects, "poison");
-    suspects.tried(at(40_000), content("poison"));
-    suspects.ended(at(40_100), &upstream(9), &[crashed_under("poison", 90)]);
+    suspects.trial_sent(at(40_000), content("poison"));
+    suspects.upstream_crashed(at(40_100), &upstream(9), &[crashed_under("poison", 90)]);
     assert!(is_quarantined(&suspects, at(99_000), "poison"));
     assert!(!is_quarantined(&suspects, at(104_000), "poison"));
 }
@@ -214,9 +218,9 @@
     let mut daemons = [suspects("d1"), suspects("d2")];
     daemons.iter_mut().for_each(|d| quarantine(d, "poison"));
     let [first, second] = &mut daemons;
-    first.news(at(1_000));
-    first.whole(at(40_000), content("poison"));
-    second.take(at(40_100), first.news(at(40_100)));
+    first.take_updates(at(1_000));
+    first.answered(at(40_000), content("poison"));
+    second.merge_updates(at(40_100), first.take_updates(at(40_100)));
     for daemon in [first, second] {
         assert_eq!(
             daemon.admission(at(40_200), content("poison")),
@@ -224,7 +228,7 @@
         );
         assert!(
             daemon
-                .changes()
+                .take_changes()
                 .contains(&Change::Cleared(content("poison")))
         );
     }
@@ -235,10 +239,10 @@
     let mut daemons = [suspects("d1"), suspects("d2")];
     daemons.iter_mut().for_each(|d| quarantine(d, "poison"));
     let [first, second] = &mut daemons;
-    first.news(at(1_000));
-    assert!(first.lift(at(2_000), content("poison")));
-    assert!(!first.lift(at(2_000), content("other")));
-    second.take(at(2_100), first.news(at(2_100)));
+    first.take_updates(at(1_000));
+    assert!(first.lift_quarantine(at(2_000), content("poison")));
+    assert!(!first.lift_quarantine(at(2_000), content("other")));
+    second.merge_updates(at(2_100), first.take_updates(at(2_100)));
     assert!(!is_quarantined(second, at(2_200), "poison"));
 }
 
@@ -247,19 +251,19 @@
     // Updates on the crashes take two paths, and on the longer one they arrive after the lift.
     let mut first = suspects("d1");
     quarantine(&mut first, "poison");
-    let late = first.news(at(900));
-    first.lift(at(1_000), content("poison"));
-    let lift = first.news(at(1_000));
+    let late = first.take_updates(at(900));
+    first.lift_quarantine(at(1_000), content("poison"));
+    let lift = first.take_updates(at(1_000));
     let mut second = suspects("d2");
-    second.take(at(1_010), lift);
-    second.take(at(1_020), late.clone());
-    first.take(at(1_020), late);
+    second.merge_updates(at(1_010), lift);
+    second.merge_updates(at(1_020), late.clone());
+    first.merge_updates(at(1_020), late);
     for daemon in [&first, &second] {
         assert!(!is_quarantined(daemon, at(1_100), "poison"));
     }
     // Crashes after the lift count again.
     for n in 10..13 {
-        second.ended(at(5_000), &upstream(n), &[crashed_under("poison", 90)]);
+        second.upstream_crashed(at(5_000), &upstream(n), &[crashed_under("poison", 90)]);
     }
     assert!(is_quarantined(&second, at(5_000), "poison"));
 }
@@ -271,13 +275,13 @@
     // it never saw.
     let mut suspects = suspects("d1");
     for n in 20..26 {
-        suspects.ended(at(0), &upstream(n), &[]);
+        suspects.upstream_crashed(at(0), &upstream(n), &[]);
     }
     let ends = (0..3).map(|n| (upstream(n), Span::from_millis(900)));
     suspects.restore(at(0), content("poison"), None, ends);
     assert!(is_quarantined(&suspects, at(100), "poison"));
-    assert!(suspects.news(at(100)).0.is_empty());
-    suspects.whole(at(200), content("poison"));
+    assert!(suspects.take_updates(at(100)).0.is_empty());
+    suspects.answered(at(200), content("poison"));
     assert!(!is_quarantined(&suspects, at(300), "poison"));
 }
 
@@ -286,16 +290,16 @@
     // Thousands of requests lose their upstream at one moment and become suspects.
     let mut suspects = suspects("d1");
     quarantine(&mut suspects, "poison");
-    suspects.news(at(1_000));
+    suspects.take_updates(at(1_000));
     let lost = (0..10_000).map(|n| crashed_under(&n.to_string(), 50));
-    suspects.ended(at(1_100), &upstream(50), &lost.collect::<Vec<_>>());
+    suspects.upstream_crashed(at(1_100), &upstream(50), &lost.collect::<Vec<_>>());
     assert!(suspects.len() <= 1_024);
     assert!(is_quarantined(&suspects, at(1_200), "poison"));
     // A content that is proven meanwhile is reported before the flood.
     for n in 60..63 {
-        suspects.ended(at(1_200), &upstream(n), &[crashed_under("next", 50)]);
+        suspects.upstream_crashed(at(1_200), &upstream(n), &[crashed_under("next", 50)]);
     }
-    let updates = suspects.news(at(1_200));
+    let updates = suspects.take_updates(at(1_200));
     assert!(updates.0.len() <= 64);
     let next = updates
         .0
@@ -306,20 +310,20 @@
 
 #[test]
 fn truncated_updates_are_rejected() {
-    let updates = Words(vec![ContentUpdate {
+    let updates = ContentUpdates(vec![ContentUpdate {
         content: content("poison"),
         event: ContentEvent::Crashed {
             upstream: upstream(1),
             customer: Some(Arc::from("alice")),
-            had_begun: true,
+            had_started: true,
             ran_ms: 90,
         },
         age_ms: 7,
     }]);
     let bytes = updates.encode().expect("updates");
-    assert_eq!(Words::decode(&bytes).expect("updates"), updates);
+    assert_eq!(ContentUpdates::decode(&bytes).expect("updates"), updates);
     for end in 0..bytes.len() {
-        assert!(Words::decode(&bytes[..end]).is_err());
+        assert!(ContentUpdates::decode(&bytes[..end]).is_err());
     }
 }
 
--- a/components/traffic/src/arm.rs
+++ b/components/traffic/src/arm.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use dispatch::{ArmCounts, Choice, Evidence, UpstreamIndex, kind_of};
-use poison::UpstreamRun;
+use poison::UpstreamInstance;
 use types::prelude::*;
 
 use crate::exchange::Request;
@@ -35,7 +35,7 @@
 pub(crate) struct BrokenAnswer {
     arm: Arm,
     index: UpstreamIndex,
-    upstream: UpstreamRun,
+    upstream: UpstreamInstance,
     due_at: Time,
 }
 
@@ -81,7 +81,7 @@
                 broken_answers.push(BrokenAnswer {
                     arm,
                     index,
-                    upstream: upstream.run(),
+                    upstream: upstream.instance(),
                     due_at: self.now() + QUARANTINE_WAIT,
                 })
             }
@@ -99,7 +99,7 @@
         let mut broken_answers = self.broken_answers.borrow_mut();
         let is_decided = |broken: &BrokenAnswer| {
             let is_probing = self.probing.borrow().contains(&broken.index);
-            let has_ended = self.runs.borrow().has_ended(broken.index);
+            let has_ended = self.attempts.borrow().has_crashed(broken.index);
             now.has_reached(broken.due_at) || !(is_probing || has_ended)
         };
         let decided = broken_answers.extract_if(.., |broken| is_decided(broken));
--- a/components/traffic/src/attempt_guard.rs
+++ b/components/traffic/src/attempt_guard.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use dispatch::{ArmCounts, Begun, Choice, Ending, Load, Ticket, UpstreamIndex};
-use poison::{Content, Run, RunEnd};
+use poison::{AttemptEnd, AttemptId, Content};
 use types::prelude::*;
 
 use crate::arm::Arm;
@@ -16,7 +16,7 @@
     shared: Rc<Shared<T>>,
     index: UpstreamIndex,
     ticket: Ticket,
-    run: Run,
+    attempt: AttemptId,
     content: Content,
     load: Load,
     arm: Option<Arm>,
@@ -47,14 +47,14 @@
         let arm = Arm::for_request(shared, choice, request, !has_failed);
         let content = request.content;
         let customer = request.customer.as_ref().map(|c| c.name.clone());
-        let mut runs = shared.runs.borrow_mut();
-        let run = runs.sent(now, choice.index, content, customer);
-        drop(runs);
+        let mut attempts = shared.attempts.borrow_mut();
+        let attempt = attempts.sent(now, choice.index, content, customer);
+        drop(attempts);
         let guard = Self {
             shared: Rc::clone(shared),
             index: choice.index,
             ticket,
-            run,
+            attempt,
             content,
             load: choice.load,
             arm,
@@ -95,8 +95,8 @@
     /// Notes a sign that the upstream runs the request.
     pub(crate) fn note_running(&self) {
         let now = self.shared.now();
-        let mut runs = self.shared.runs.borrow_mut();
-        runs.began(now, self.index, self.run);
+        let mut attempts = self.shared.attempts.borrow_mut();
+        attempts.attempt_started(now, self.index, self.attempt);
     }
 
     /// Notes that something was read from the upstream.
@@ -147,8 +147,12 @@
         let mut upstreams = self.shared.upstreams.borrow_mut();
         upstreams.ended(now, self.index, self.ticket, self.ending);
         drop(upstreams);
-        self.shared
-            .run_ended(self.index, self.run, self.content, run_end(self.ending));
+        self.shared.attempt_ended(
+            self.index,
+            self.attempt,
+            self.content,
+            attempt_end(self.ending),
+        );
         self.count(|counts| counts.out = counts.out.saturating_sub(1));
         let Some(arm) = self.arm.take().filter(|arm| arm.is_evidence) else {
             return;
@@ -163,13 +167,13 @@
     }
 }
 
-/// Translates an ending into what it says of the run at the upstream.
-fn run_end(ending: Ending) -> RunEnd {
+/// Translates an ending into what it says of the attempt at the upstream.
+fn attempt_end(ending: Ending) -> AttemptEnd {
     match ending {
-        Ending::Good => RunEnd::Whole,
-        Ending::Failed => RunEnd::Failed,
-        Ending::Broken => RunEnd::Broken,
-        Ending::Silent | Ending::Dropped => RunEnd::GivenUp,
-        Ending::Unreachable | Ending::Refused | Ending::Replaced => RunEnd::NotRun,
+        Ending::Good => AttemptEnd::Answered,
+        Ending::Failed => AttemptEnd::Failed,
+        Ending::Broken => AttemptEnd::Broken,
+        Ending::Silent | Ending::Dropped => AttemptEnd::GivenUp,
+        Ending::Unreachable | Ending::Refused | Ending::Replaced => AttemptEnd::NotStarted,
     }
 }
--- a/components/traffic/src/crashes.rs
+++ b/components/traffic/src/crashes.rs
@@ -10,7 +10,7 @@
 
 use dispatch::{LastSeen, UpstreamIndex};
 use http1::refuses;
-use poison::{Content, Run, RunEnd, Under, UpstreamRun};
+use poison::{AttemptEnd, AttemptId, Content, CrashedAttempt, UpstreamInstance};
 use tokio::sync::mpsc::UnboundedReceiver;
 use types::prelude::*;
 
@@ -29,7 +29,7 @@
 enum Sign {
     /// It refuses connections.
     Refuses,
-    /// Its entry left the list after a run had broken there.
+    /// Its entry left the list after an attempt had broken there.
     GoneFromList,
     /// Other daemons reported it.
     Told,
@@ -60,29 +60,38 @@
 }
 
 impl<T> Shared<T> {
-    /// Notes that a run of a content has ended.
-    pub(crate) fn run_ended(&self, index: UpstreamIndex, run: Run, content: Content, end: RunEnd) {
+    /// Notes that an attempt of a content has ended.
+    pub(crate) fn attempt_ended(
+        &self,
+        index: UpstreamIndex,
+        attempt: AttemptId,
+        content: Content,
+        end: AttemptEnd,
+    ) {
         let now = self.now();
         // An upstream that is leaving cuts its connections on purpose.
         let was_leaving = self.upstreams.borrow().is_leaving(index);
         let end = match end {
-            RunEnd::Broken if was_leaving => RunEnd::NotRun,
+            AttemptEnd::Broken if was_leaving => AttemptEnd::NotStarted,
             end => end,
         };
-        if end == RunEnd::Whole {
-            self.cfg.suspects.lock().whole(now, content);
+        if end == AttemptEnd::Answered {
+            self.cfg.suspects.lock().answered(now, content);
         }
-        let under = self.runs.borrow_mut().over(now, index, run, end);
+        let crashed = self
+            .attempts
+            .borrow_mut()
+            .attempt_ended(now, index, attempt, end);
         // A dropped draft of a content with crash evidence may still crash the upstream.
         let needs_probe = match end {
-            RunEnd::Broken => true,
-            RunEnd::GivenUp => self.cfg.suspects.lock().is_held(content),
+            AttemptEnd::Broken => true,
+            AttemptEnd::GivenUp => self.cfg.suspects.lock().has_crashes(content),
             _ => false,
         };
-        if let Some(under) = under {
+        if let Some(crashed) = crashed {
             let upstream = self.upstreams.borrow().last_seen(index);
             if let Some(upstream) = upstream {
-                self.record_crash(&upstream, &[under], Sign::Known);
+                self.record_crash(&upstream, &[crashed], Sign::Known);
             }
         } else if needs_probe {
             self.probe(index);
@@ -107,10 +116,12 @@
     /// Notes that an upstream's entry left the list without notice. One at which nothing broke may
     /// still be running: some leave that way.
     pub(crate) fn unlisted(&self, gone: LastSeen) {
-        let runs = self.runs.borrow();
-        let (has_broken, has_given_up) =
-            (runs.has_broken(gone.index), runs.has_given_up(gone.index));
-        drop(runs);
+        let attempts = self.attempts.borrow();
+        let (has_broken, has_given_up) = (
+            attempts.has_broken(gone.index),
+            attempts.has_given_up(gone.index),
+        );
+        drop(attempts);
         if has_broken {
             self.record_upstream_crash(&gone, Sign::GoneFromList);
         } else if has_given_up {
@@ -119,10 +130,13 @@
         }
     }
 
-    /// Applies other daemons' report of a crash: a run that was given up here just before may have
-    /// caused it.
-    pub(crate) fn peer_reported_crash(&self, run: &UpstreamRun) {
-        let found = self.upstreams.borrow().find(&run.id, run.started_at);
+    /// Applies other daemons' report of a crash: an attempt that was given up here just before may
+    /// have caused it.
+    pub(crate) fn peer_reported_crash(&self, instance: &UpstreamInstance) {
+        let found = self
+            .upstreams
+            .borrow()
+            .find(&instance.id, instance.started_at);
         if let Some(upstream) = found {
             self.record_upstream_crash(&upstream, Sign::Told);
         }
@@ -130,8 +144,8 @@
 
     pub(crate) fn tidy_quarantine(&self, now: Time) {
         let mut suspects = self.cfg.suspects.lock();
-        suspects.tidy(now);
-        let quarantined = i64::try_from(suspects.barred().len()).unwrap_or(i64::MAX);
+        suspects.expire(now);
+        let quarantined = i64::try_from(suspects.quarantined().len()).unwrap_or(i64::MAX);
         self.metrics.barred_contents.set(quarantined);
     }
 
@@ -139,39 +153,43 @@
         let LastSeen {
             index, heard_at, ..
         } = *upstream;
-        let under = self.runs.borrow_mut().ended(self.now(), index, heard_at);
-        let Some(under) = under else { return };
-        if sign != Sign::Told || !under.is_empty() {
+        let crashed = self
+            .attempts
+            .borrow_mut()
+            .upstream_crashed(self.now(), index, heard_at);
+        let Some(crashed) = crashed else { return };
+        if sign != Sign::Told || !crashed.is_empty() {
             self.metrics.upstream_ends.inc();
-            self.record_crash(upstream, &under, sign);
+            self.record_crash(upstream, &crashed, sign);
         }
     }
 
-    fn record_crash(&self, upstream: &LastSeen, under: &[Under], sign: Sign) {
+    fn record_crash(&self, upstream: &LastSeen, crashed: &[CrashedAttempt], sign: Sign) {
         let spec = &upstream.spec;
-        let named = under.iter().take(MAX_LOGGED_CONTENTS);
-        let named = named.map(|under| format!("{} {}ms", under.content, under.ran.as_millis()));
+        let named = crashed.iter().take(MAX_LOGGED_CONTENTS);
+        let named =
+            named.map(|crashed| format!("{} {}ms", crashed.content, crashed.ran.as_millis()));
         tracing::warn!(
             upstream = spec.id.as_str(),
             service = &*spec.service,
             version = &*spec.version,
             ?sign,
             under = named.collect::<Vec<_>>().join("; "),
-            count = under.len(),
+            count = crashed.len(),
             "upstreams: ended"
         );
         self.cfg
             .suspects
             .lock()
-            .ended(self.now(), &upstream.run(), under);
-        self.probe_earlier(under);
+            .upstream_crashed(self.now(), &upstream.instance(), crashed);
+        self.probe_earlier(crashed);
     }
 
     /// Probes upstreams at which the same contents were given up before they were suspected: if
     /// nothing else ran there, their crash breaks no connection.
-    fn probe_earlier(&self, under: &[Under]) {
-        let contents = under.iter().map(|under| under.content).collect();
-        let earlier = self.runs.borrow().given_up(&contents);
+    fn probe_earlier(&self, crashed: &[CrashedAttempt]) {
+        let contents = crashed.iter().map(|crashed| crashed.content).collect();
+        let earlier = self.attempts.borrow().given_up(&contents);
         earlier.into_iter().for_each(|index| self.probe(index));
     }
 
--- a/components/traffic/src/exchange/choose.rs
+++ b/components/traffic/src/exchange/choose.rs
@@ -25,9 +25,9 @@
         let mut suspects = self.shared.cfg.suspects.lock();
         match suspects.admission(now, content) {
             Admission::Open => None,
-            Admission::Barred { until } => Some(until),
+            Admission::Quarantined { until } => Some(until),
             Admission::Trial => {
-                suspects.tried(now, content);
+                suspects.trial_sent(now, content);
                 self.is_trial = true;
                 None
             }
--- a/components/traffic/src/server.rs
+++ b/components/traffic/src/server.rs
@@ -9,7 +9,7 @@
 
 use dispatch::{Advertisement, LastSeen, Upstreams};
 use http1::{Pool, Wire, WireOptions};
-use poison::{SharedSuspects, UpstreamRun};
+use poison::{SharedSuspects, UpstreamInstance};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use tokio::net::TcpListener;
@@ -27,7 +27,7 @@
 use crate::status;
 use crate::translate::Translator;
 
-/// Interval at which expired pooled connections and old run records are dropped.
+/// Interval at which expired pooled connections and old attempt records are dropped.
 const TIDY_INTERVAL: Duration = Duration::from_secs(1);
 /// Interval at which loads are published to the control thread, which tells the other daemons.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(100);
@@ -64,7 +64,7 @@
     /// Merge the state of other daemons.
     Others(Others),
     /// These upstreams crashed, as reported by other daemons.
-    Ended(Vec<UpstreamRun>),
+    Ended(Vec<UpstreamInstance>),
     /// Finish the requests in flight, then exit.
     Stop,
 }
@@ -167,7 +167,7 @@
         plan: RefCell::default(),
         upstreams: RefCell::new(upstreams),
         pool: RefCell::new(Pool::default()),
-        runs: RefCell::default(),
+        attempts: RefCell::default(),
         broken_answers: RefCell::default(),
         probing: RefCell::default(),
         probe_tx,
@@ -234,7 +234,9 @@
             shared.proof.set(others.proof);
             shared.merge_rate_limits(&others.rate_limits);
         }
-        Command::Ended(runs) => runs.iter().for_each(|run| shared.peer_reported_crash(run)),
+        Command::Ended(instances) => instances
+            .iter()
+            .for_each(|instance| shared.peer_reported_crash(instance)),
         Command::Stop => {}
     }
 }
@@ -298,7 +300,7 @@
         let upstreams = shared.upstreams.borrow();
         let mut pool = shared.pool.borrow_mut();
         pool.tidy(now, |index| upstreams.spec(index).is_some());
-        shared.runs.borrow_mut().tidy(now);
+        shared.attempts.borrow_mut().expire(now);
         shared.tidy_quarantine(now);
     }
 }
--- a/components/traffic/src/shared.rs
+++ b/components/traffic/src/shared.rs
@@ -9,7 +9,7 @@
     Upstreams, Use,
 };
 use http1::Pool;
-use poison::{Admission, Content, Runs};
+use poison::{Admission, Attempts, Content};
 use rand::rngs::SmallRng;
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::watch;
@@ -124,8 +124,8 @@
     pub(crate) proof: Cell<Option<Proof>>,
     pub(crate) upstreams: RefCell<Upstreams>,
     pub(crate) pool: RefCell<Pool<UpstreamIndex>>,
-    /// Runs in progress at each upstream, and recent ones.
-    pub(crate) runs: RefCell<Runs<UpstreamIndex>>,
+    /// Attempts in flight at each upstream, and recent ones.
+    pub(crate) attempts: RefCell<Attempts<UpstreamIndex>>,
     /// Broken answers that are not counted yet in a rollout.
     pub(crate) broken_answers: RefCell<Vec<BrokenAnswer>>,
     /// Upstreams that are being probed for whether they still listen.
@@ -243,7 +243,7 @@
     pub(crate) fn quarantined_until(&self, content: Content) -> Option<Time> {
         let suspects = self.cfg.suspects.lock();
         match suspects.admission(self.now(), content) {
-            Admission::Barred { until } => Some(until),
+            Admission::Quarantined { until } => Some(until),
             Admission::Open | Admission::Trial => None,
         }
     }
--- a/components/traffic/src/status.rs
+++ b/components/traffic/src/status.rs
@@ -7,7 +7,7 @@
 
 use http1::write::{push_length, push_status};
 use http1::{Head, Kind, Wire};
-use poison::{Barred, Content};
+use poison::{Content, Quarantine};
 use serde::Serialize;
 use types::prelude::*;
 
@@ -59,8 +59,8 @@
 }
 
 impl QuarantinedContent {
-    fn of(now: Time, quarantined: Barred) -> Self {
-        let ended = quarantined.ends.iter();
+    fn of(now: Time, quarantined: Quarantine) -> Self {
+        let ended = quarantined.crashes.iter();
         let ended = ended.map(|(upstream, ran)| (upstream.id.to_string(), ran.as_millis()));
         Self {
             content: quarantined.content,
@@ -130,7 +130,7 @@
 fn dump<T>(shared: &Shared<T>, is_ready: bool) -> String {
     let plan = shared.plan();
     let gates = plan.gates.iter();
-    let (now, quarantined) = (shared.now(), shared.cfg.suspects.lock().barred());
+    let (now, quarantined) = (shared.now(), shared.cfg.suspects.lock().quarantined());
     let dump = Dump {
         stage: format!("{:?}", shared.stage()),
         is_ready,
