--- a/components/dispatch/src/affinity.rs
+++ b/components/dispatch/src/affinity.rs
@@ -7,7 +7,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::need::Need;
+use crate::requirements::Requirements;
 use crate::upstreams::{Entry, UpstreamIndex};
 
 /// Share of a prompt's shared tokens that its preferred upstream is expected to have cached
@@ -82,11 +82,11 @@
 }
 
 /// Hashes of the model and the prompt up to the end of each shared part.
-pub(crate) fn prefixes_of(need: &Need<'_>) -> Vec<u64> {
-    let model = need.model.map_or("", |model| model);
+pub(crate) fn prefixes_of(requirements: &Requirements<'_>) -> Vec<u64> {
+    let model = requirements.model.map_or("", |model| model);
     let mut hash = xxh3_64_with_seed(model.as_bytes(), 0);
-    let shared = need.parts.len().saturating_sub(1);
-    let parts = need.parts.iter().take(shared);
+    let shared = requirements.parts.len().saturating_sub(1);
+    let parts = requirements.parts.iter().take(shared);
     parts
         .map(|part| {
             hash = xxh3_64_with_seed(&part.id.to_le_bytes(), hash);
@@ -96,18 +96,32 @@
 }
 
 /// Number of tokens in the parts that a prompt shares with others.
-pub(crate) fn shared_tokens(need: &Need<'_>) -> u32 {
-    let shared = need.parts.len().saturating_sub(1);
-    need.parts.iter().take(shared).map(|part| part.tokens).sum()
+pub(crate) fn shared_tokens(requirements: &Requirements<'_>) -> u32 {
+    let shared = requirements.parts.len().saturating_sub(1);
+    requirements
+        .parts
+        .iter()
+        .take(shared)
+        .map(|part| part.tokens)
+        .sum()
 }
 
 /// Number of tokens in the longest prefix that this daemon sent to the upstream.
-pub(crate) fn known_cached_tokens(entry: &Entry, need: &Need<'_>, prefixes: &[u64]) -> u32 {
+pub(crate) fn known_cached_tokens(
+    entry: &Entry,
+    requirements: &Requirements<'_>,
+    prefixes: &[u64],
+) -> u32 {
     let known = prefixes
         .iter()
         .take_while(|hash| entry.prefixes.contains_key(hash))
         .count();
-    need.parts.iter().take(known).map(|part| part.tokens).sum()
+    requirements
+        .parts
+        .iter()
+        .take(known)
+        .map(|part| part.tokens)
+        .sum()
 }
 
 /// Positions of the two upstreams whose hash with a prefix is highest.
--- a/components/dispatch/src/aggregation.rs
+++ b/components/dispatch/src/aggregation.rs
@@ -20,14 +20,14 @@
 
 /// The fleet's evidence on a roll-out, as daemons exchange it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct RolloutWord {
+pub struct RolloutSummary {
     /// Sum over the fleet.
     pub fleet: Evidence,
     /// Whether some daemon found the new version bad.
     pub is_bad: bool,
 }
 
-/// Messages on a roll-out between daemons, besides [`RolloutWord`].
+/// Messages on a roll-out between daemons, besides [`RolloutSummary`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum RolloutMessage {
     /// Sent to a watcher: the sender's counts and the active sessions it saw.
@@ -74,7 +74,7 @@
     reports: BTreeMap<DaemonId, Evidence>,
     /// Counts that daemons reported before they restarted.
     before_restarts: Evidence,
-    summary: Option<RolloutWord>,
+    summary: Option<RolloutSummary>,
     staying: BTreeSet<u32>,
     /// Number of staying sessions already announced.
     announced: usize,
@@ -98,11 +98,11 @@
 
 /// Collected evidence, by the order's revision.
 #[derive(Debug, Default)]
-pub struct Gathering {
+pub struct EvidenceAggregator {
     orders: BTreeMap<u64, OrderEvidence>,
 }
 
-impl Gathering {
+impl EvidenceAggregator {
     fn order(&mut self, revision: u64) -> &mut OrderEvidence {
         while self.orders.len() > MAX_ORDERS {
             self.orders.pop_first();
@@ -111,7 +111,7 @@
     }
 
     /// Handles another daemon's message.
-    pub fn take(&mut self, from: DaemonId, message: RolloutMessage) {
+    pub fn handle_message(&mut self, from: DaemonId, message: RolloutMessage) {
         match message {
             RolloutMessage::Report { own, staying } => {
                 let order = self.order(own.order);
@@ -130,21 +130,21 @@
     }
 
     /// Merges a sum; the one with more answers is the later one.
-    pub fn take_word(&mut self, word: &RolloutWord) {
-        let order = self.order(word.fleet.order);
+    pub fn merge_summary(&mut self, summary: &RolloutSummary) {
+        let order = self.order(summary.fleet.order);
         match &mut order.summary {
             Some(previous) => {
-                if answer_count(&word.fleet) > answer_count(&previous.fleet) {
-                    previous.fleet = word.fleet;
+                if answer_count(&summary.fleet) > answer_count(&previous.fleet) {
+                    previous.fleet = summary.fleet;
                 }
-                previous.is_bad |= word.is_bad;
+                previous.is_bad |= summary.is_bad;
             }
-            None => order.summary = Some(word.clone()),
+            None => order.summary = Some(summary.clone()),
         }
     }
 
     /// Records this daemon's own evidence and returns the fleet's as far as known.
-    pub fn fleet(&mut self, me: &DaemonId, own: &Evidence) -> RolloutWord {
+    pub fn fleet(&mut self, me: &DaemonId, own: &Evidence) -> RolloutSummary {
         let order = self.order(own.order);
         order.replace(me.clone(), *own);
         let mut sum = Evidence {
@@ -157,13 +157,13 @@
             sum.elapsed_ms = sum.elapsed_ms.max(report.elapsed_ms);
         }
         let is_bad = order.summary.as_ref().is_some_and(|summary| summary.is_bad);
-        self.take_word(&RolloutWord { fleet: sum, is_bad });
+        self.merge_summary(&RolloutSummary { fleet: sum, is_bad });
         let summary = self.order(own.order).summary.clone();
-        summary.unwrap_or(RolloutWord { fleet: sum, is_bad })
+        summary.unwrap_or(RolloutSummary { fleet: sum, is_bad })
     }
 
     /// Marks a roll-out's new version as bad.
-    pub fn condemn(&mut self, revision: u64) {
+    pub fn mark_bad(&mut self, revision: u64) {
         if let Some(summary) = &mut self.order(revision).summary {
             summary.is_bad = true;
         }
@@ -171,7 +171,7 @@
 
     /// Returns every sum, to be sent with the daemon's heartbeat state.
     #[must_use]
-    pub fn words(&self) -> Vec<RolloutWord> {
+    pub fn summaries(&self) -> Vec<RolloutSummary> {
         let summaries = self
             .orders
             .values()
@@ -187,7 +187,7 @@
     }
 
     /// Returns a message with the staying sessions if some are new since the last call.
-    pub fn staying_news(&mut self, revision: u64) -> Option<RolloutMessage> {
+    pub fn unannounced_staying_sessions(&mut self, revision: u64) -> Option<RolloutMessage> {
         let order = self.order(revision);
         if order.staying.len() == order.announced {
             return None;
--- a/components/dispatch/src/budget.rs
+++ b/components/dispatch/src/budget.rs
@@ -10,7 +10,7 @@
 
 use types::prelude::*;
 
-use crate::policy::RepeatPolicy;
+use crate::policy::RetryPolicy;
 
 /// Number of steps in which the window slides.
 const WINDOW_STEPS: u64 = 20;
@@ -28,7 +28,7 @@
 
 /// Reason for a retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Use {
+pub enum RetryReason {
     /// An attempt failed.
     Failure,
     /// Escalation to a larger model.
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub struct RetryBudget {
     limits: RetryLimits,
-    policy: RepeatPolicy,
+    policy: RetryPolicy,
     steps: VecDeque<WindowStep>,
     /// Number of daemons that share the allowance.
     daemons: usize,
@@ -55,7 +55,7 @@
 impl RetryBudget {
     /// Creates a budget without any requests.
     #[must_use]
-    pub fn new(limits: RetryLimits, policy: RepeatPolicy) -> Self {
+    pub fn new(limits: RetryLimits, policy: RetryPolicy) -> Self {
         Self {
             limits,
             policy,
@@ -70,15 +70,15 @@
     }
 
     /// Records a caller's request.
-    pub fn requested(&mut self, now: Time) {
+    pub fn record_request(&mut self, now: Time) {
         self.step(now).requests += 1;
     }
 
     /// Takes one retry from the budget; returns whether it is allowed.
-    pub fn take(&mut self, now: Time, reason: Use) -> bool {
+    pub fn try_acquire(&mut self, now: Time, reason: RetryReason) -> bool {
         let share = match reason {
-            Use::Failure => self.policy.used_share,
-            Use::LargerModel => self.policy.used_share * self.policy.choice_share,
+            RetryReason::Failure => self.policy.used_share,
+            RetryReason::LargerModel => self.policy.used_share * self.policy.choice_share,
         };
         self.step(now);
         let requests = self
--- a/components/dispatch/src/cascade.rs
+++ b/components/dispatch/src/cascade.rs
@@ -25,11 +25,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Draft {
     /// Position of the model that made it, smallest first.
-    pub asked: usize,
+    pub model_index: usize,
     /// The model's own confidence, 0 to 100.
     pub confidence: u8,
     /// Attempts that the route still allows.
-    pub runs_left: u32,
+    pub attempts_left: u32,
     /// When the request arrived.
     pub arrived_at: Time,
     /// The route's objective for the first event.
@@ -76,11 +76,11 @@
         let left_s = objective_s - now.since(draft.arrived_at).as_secs_f64();
         let mut is_in_time =
             |model: &usize| expected(*model).is_some_and(|span| span.as_secs_f64() < left_s);
-        let larger = draft.asked + 1..models;
+        let larger = draft.model_index + 1..models;
         // The next size may have low confidence too, so it is asked only if an attempt is left
         // to escalate to the largest after it.
         let is_near_acceptance = draft.confidence >= self.policy.next_size_from;
-        let may_try_next = is_near_acceptance && draft.runs_left > 1;
+        let may_try_next = is_near_acceptance && draft.attempts_left > 1;
         let next = larger.clone().next().filter(|_| may_try_next);
         // A request far beyond the smallest model is also beyond the medium-sized ones: asking
         // one of them because the largest would be late costs its time and price for nothing.
@@ -93,7 +93,7 @@
     }
 
     fn is_accepted(&self, draft: Draft) -> bool {
-        let keep_from = match draft.asked {
+        let keep_from = match draft.model_index {
             0 => self.policy.keep_from,
             _ => self.policy.keep_middle_from,
         };
--- a/components/dispatch/src/choose.rs
+++ b/components/dispatch/src/choose.rs
@@ -15,8 +15,8 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::affinity::{AffinityTargets, known_cached_tokens, prefixes_of, shared_tokens};
-use crate::need::Need;
 use crate::policy::PlacingPolicy;
+use crate::requirements::Requirements;
 use crate::trial::Permit;
 use crate::upstreams::{ENGINE_BASE_MS, Entry, Load, UpstreamIndex, Upstreams};
 
@@ -83,16 +83,22 @@
     pub fn choose(
         &self,
         now: Time,
-        need: &Need<'_>,
+        requirements: &Requirements<'_>,
         rng: &mut impl Rng,
     ) -> Result<Choice, NoUpstream> {
-        let listed = self.by_service.get(need.service).into_iter().flatten();
-        let permitted = listed.filter_map(|index| self.permitted(*index, need));
+        let listed = self
+            .by_service
+            .get(requirements.service)
+            .into_iter()
+            .flatten();
+        let permitted = listed.filter_map(|index| self.permitted(*index, requirements));
         let permitted = permitted.collect::<Vec<_>>();
         if permitted.is_empty() {
             return Err(NoUpstream::Unknown);
         }
-        let untried = permitted.iter().filter(|(i, _)| !need.exclude.contains(i));
+        let untried = permitted
+            .iter()
+            .filter(|(i, _)| !requirements.exclude.contains(i));
         let mut untried = untried.copied().collect::<Vec<_>>();
         if untried.is_empty() {
             return Err(NoUpstream::Tried);
@@ -110,18 +116,22 @@
         } else {
             available
         };
-        if let Permit::Few(_, share) = need.permit {
+        if let Permit::Subset(_, share) = requirements.permit {
             retain_subset(&mut eligible, *share, permitted.len());
         }
-        if need.apart {
+        if requirements.isolated {
             retain_least_loaded(&mut eligible);
         }
-        Ok(self.cheapest(now, &eligible, need, rng))
+        Ok(self.cheapest(now, &eligible, requirements, rng))
     }
 
-    fn permitted(&self, index: UpstreamIndex, need: &Need<'_>) -> Option<(UpstreamIndex, &Entry)> {
+    fn permitted(
+        &self,
+        index: UpstreamIndex,
+        requirements: &Requirements<'_>,
+    ) -> Option<(UpstreamIndex, &Entry)> {
         let entry = self.entries.get(&index)?;
-        let is_permitted = !entry.is_leaving && need.permit.allows(&entry.spec.version);
+        let is_permitted = !entry.is_leaving && requirements.permit.allows(&entry.spec.version);
         is_permitted.then_some((index, entry))
     }
 
@@ -129,20 +139,23 @@
         &self,
         now: Time,
         eligible: &[(UpstreamIndex, &Entry)],
-        need: &Need<'_>,
+        requirements: &Requirements<'_>,
         rng: &mut impl Rng,
     ) -> Choice {
-        let prefixes = prefixes_of(need);
+        let prefixes = prefixes_of(requirements);
         let all = (0..eligible.len()).collect::<Vec<_>>();
-        let is_local = |position: &usize| eligible[*position].1.spec.failure_domain == *need.near;
+        let is_local = |position: &usize| {
+            eligible[*position].1.spec.failure_domain == *requirements.local_domain
+        };
         let local = all.iter().copied().filter(is_local).collect::<Vec<_>>();
-        let re_prefill_ms = self.re_prefill_cost_ms(need);
+        let re_prefill_ms = self.re_prefill_cost_ms(requirements);
         let far_ms = self.policy.far_ms;
         let targets = match self.policy.uses_homes {
             true => AffinityTargets::new(eligible, &local, &prefixes, re_prefill_ms, far_ms),
             false => AffinityTargets::default(),
         };
-        let full_prefill_ms = self.prefill_ms(need.model, f64::from(need.prompt_tokens));
+        let full_prefill_ms =
+            self.prefill_ms(requirements.model, f64::from(requirements.prompt_tokens));
         let count = match full_prefill_ms > LONG_PREFILL_MS {
             true => RANDOM_CANDIDATES_LONG,
             false => RANDOM_CANDIDATES,
@@ -152,10 +165,10 @@
         let positions = targets.positions().chain(drawn).chain(drawn_local);
         let priced = positions.map(|position| {
             let (index, entry) = eligible[position];
-            let known = known_cached_tokens(entry, need, &prefixes);
-            let cached = targets.expected_cached(position, known, shared_tokens(need));
-            let load = self.load(now, entry, need, cached);
-            let cost = cost(now, &self.policy, entry, &load, need);
+            let known = known_cached_tokens(entry, requirements, &prefixes);
+            let cached = targets.expected_cached(position, known, shared_tokens(requirements));
+            let load = self.load(now, entry, requirements, cached);
+            let cost = cost(now, &self.policy, entry, &load, requirements);
             (cost, index, load)
         });
         let least = priced.min_by(|a, b| a.0.total_cmp(&b.0));
@@ -167,55 +180,64 @@
         }
     }
 
-    fn load(&self, now: Time, entry: &Entry, need: &Need<'_>, cached: f64) -> Load {
-        if need.parts.is_empty() {
-            return self.plain_load(entry, need);
+    fn load(&self, now: Time, entry: &Entry, requirements: &Requirements<'_>, cached: f64) -> Load {
+        if requirements.parts.is_empty() {
+            return self.plain_load(entry, requirements);
         }
-        let shared = f64::from(shared_tokens(need));
-        let missing = (f64::from(need.prompt_tokens) - cached).max(0.0);
+        let shared = f64::from(shared_tokens(requirements));
+        let uncached = (f64::from(requirements.prompt_tokens) - cached).max(0.0);
         Load {
-            missing: missing as u32,
-            missing_shared: (shared - cached).max(0.0) as u32,
-            expected_ms: ENGINE_BASE_MS + self.prefill_ms(need.model, missing),
-            unheld_ms: ENGINE_BASE_MS + self.prefill_ms(need.model, f64::from(need.prompt_tokens)),
+            uncached_tokens: uncached as u32,
+            uncached_shared_tokens: (shared - cached).max(0.0) as u32,
+            expected_ms: ENGINE_BASE_MS + self.prefill_ms(requirements.model, uncached),
+            expected_uncached_ms: ENGINE_BASE_MS
+                + self.prefill_ms(requirements.model, f64::from(requirements.prompt_tokens)),
             wait_ms: entry.backlog.wait_ms(now) + entry.remote.backlog_ms,
         }
     }
 
     /// Cost of prefilling a prompt's shared parts again, in ms.
-    fn re_prefill_cost_ms(&self, need: &Need<'_>) -> f64 {
-        let shared = f64::from(shared_tokens(need));
-        self.prefill_ms(need.model, shared) + shared / 1_000.0 * self.policy.read_again_ms_per_1000
+    fn re_prefill_cost_ms(&self, requirements: &Requirements<'_>) -> f64 {
+        let shared = f64::from(shared_tokens(requirements));
+        self.prefill_ms(requirements.model, shared)
+            + shared / 1_000.0 * self.policy.read_again_ms_per_1000
     }
 
-    fn plain_load(&self, entry: &Entry, need: &Need<'_>) -> Load {
-        let expected_ms = self.plain_ms(need.service);
+    fn plain_load(&self, entry: &Entry, requirements: &Requirements<'_>) -> Load {
+        let expected_ms = self.plain_ms(requirements.service);
         let outstanding = entry.in_flight + entry.remote.in_flight;
         let slots = entry.spec.slots.max(1);
         let waiting = outstanding.saturating_sub(slots - 1);
         Load {
-            missing: 0,
-            missing_shared: 0,
+            uncached_tokens: 0,
+            uncached_shared_tokens: 0,
             expected_ms,
-            unheld_ms: expected_ms,
+            expected_uncached_ms: expected_ms,
             wait_ms: f64::from(waiting) * expected_ms / f64::from(slots),
         }
     }
 }
 
-fn cost(now: Time, policy: &PlacingPolicy, entry: &Entry, load: &Load, need: &Need<'_>) -> f64 {
-    let is_cross_domain = entry.spec.failure_domain != *need.near;
+fn cost(
+    now: Time,
+    policy: &PlacingPolicy,
+    entry: &Entry,
+    load: &Load,
+    requirements: &Requirements<'_>,
+) -> f64 {
+    let is_cross_domain = entry.spec.failure_domain != *requirements.local_domain;
     let cross_domain = if is_cross_domain { policy.far_ms } else { 0.0 };
     let cold_factor = match entry.spec.cold_for > Span::ZERO {
         true => COLD_FACTOR,
         false => 1.0,
     };
     let outstanding = f64::from(entry.in_flight + entry.remote.in_flight);
-    let per_request_ms = match need.parts.is_empty() {
+    let per_request_ms = match requirements.parts.is_empty() {
         true => load.expected_ms / f64::from(entry.spec.slots.max(1)),
         false => RUNNING_REQUEST_MS + policy.harm_share * load.expected_ms,
     };
-    let re_prefill = f64::from(load.missing_shared) / 1_000.0 * policy.read_again_ms_per_1000;
+    let re_prefill =
+        f64::from(load.uncached_shared_tokens) / 1_000.0 * policy.read_again_ms_per_1000;
     let silence = entry.silent_ms(now) * policy.silence_share;
     (load.wait_ms + load.expected_ms + outstanding * per_request_ms) * cold_factor
         + cross_domain
--- a/components/dispatch/src/evidence.rs
+++ b/components/dispatch/src/evidence.rs
@@ -46,9 +46,9 @@
     /// judged: of 68 requests that it got in 16 s, 16 had ended, the fast ones. Expecting the
     /// whole prompt to be prefilled, wherever it went, guards against a good version that looks
     /// slow because its upstreams are new and have no prompts cached yet.
-    pub fn note_begun(&mut self, measured_ms: f64, load: &Load) {
+    pub fn record_answer_start(&mut self, measured_ms: f64, load: &Load) {
         self.begun += 1;
-        let expected_ms = load.wait_ms + load.unheld_ms;
+        let expected_ms = load.wait_ms + load.expected_uncached_ms;
         if measured_ms > SLOW_FACTOR * expected_ms.max(1.0) {
             self.slow += 1;
         }
@@ -83,11 +83,11 @@
 /// Number of request kinds, each of which is compared only with its own. Some kinds fail far
 /// more often than others whatever the version, and a mix of them would hide a version that
 /// fails.
-pub const KINDS: usize = 3;
+pub const REQUEST_KINDS: usize = 3;
 
-/// Returns the position of a kind of request, below [`KINDS`].
+/// Returns the position of a kind of request, below [`REQUEST_KINDS`].
 #[must_use]
-pub fn kind_of(repeat: Repeat) -> usize {
+pub fn request_kind(repeat: Repeat) -> usize {
     match repeat {
         Repeat::Never => 0,
         Repeat::Any => 1,
@@ -98,8 +98,8 @@
 /// Outcomes of one version's requests, by kind of request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Arm {
-    /// Counts at the position that [`kind_of`] returns.
-    pub kinds: [ArmCounts; KINDS],
+    /// Counts at the position that [`request_kind`] returns.
+    pub kinds: [ArmCounts; REQUEST_KINDS],
 }
 
 impl Arm {
--- a/components/dispatch/src/health.rs
+++ b/components/dispatch/src/health.rs
@@ -21,13 +21,13 @@
 
 /// How a request at an upstream ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ending {
+pub enum UpstreamOutcome {
     /// A complete good answer.
     Good,
     /// A complete answer in which the upstream reports a failure.
     Failed,
     /// An incomplete or malformed answer: reset, truncated or garbled.
-    Broken,
+    Incomplete,
     /// No data for too long.
     Silent,
     /// The upstream could not be reached.
@@ -37,7 +37,7 @@
     /// Another program run now has the upstream's address.
     Replaced,
     /// Ended by the caller or by a larger model's answer; says nothing about the upstream.
-    Dropped,
+    Cancelled,
 }
 
 /// Decaying counts of one upstream's outcomes.
@@ -55,24 +55,24 @@
 impl Health {
     /// Records how a request ended; `peers_share` is the share of failures of the whole
     /// service.
-    pub(crate) fn record(&mut self, now: Time, ending: Ending, peers_share: f64) {
+    pub(crate) fn record(&mut self, now: Time, outcome: UpstreamOutcome, peers_share: f64) {
         self.decay(now);
         self.is_probing = false;
-        match ending {
-            Ending::Good => {
+        match outcome {
+            UpstreamOutcome::Good => {
                 self.good += 1.0;
                 self.consecutive_ejections = 0;
             }
-            Ending::Failed | Ending::Broken => {
+            UpstreamOutcome::Failed | UpstreamOutcome::Incomplete => {
                 self.bad += 1.0;
                 self.eject_if_outlier(now, peers_share);
             }
-            Ending::Silent => {
+            UpstreamOutcome::Silent => {
                 self.bad += 1.0;
                 self.eject(now);
             }
-            Ending::Unreachable | Ending::Replaced => self.eject(now),
-            Ending::Refused | Ending::Dropped => {}
+            UpstreamOutcome::Unreachable | UpstreamOutcome::Replaced => self.eject(now),
+            UpstreamOutcome::Refused | UpstreamOutcome::Cancelled => {}
         }
     }
 
--- a/components/dispatch/src/lapsed.rs
+++ b/components/dispatch/src/lapsed.rs
@@ -16,7 +16,7 @@
 /// counted from the store's return, so that an upstream which really left while only this
 /// daemon was cut off gets no requests after it.
 #[derive(Debug)]
-pub struct Lapsed {
+pub struct LapsedUpstreams {
     relisted_within: Span,
     /// Whether the store is unreachable now.
     is_store_unreachable: bool,
@@ -25,7 +25,7 @@
     lapsed: BTreeMap<UpstreamId, (Arc<Upstream>, Time)>,
 }
 
-impl Lapsed {
+impl LapsedUpstreams {
     /// Creates an empty set while the store is reachable. Lapsed entries are expected back
     /// within `relisted_within` of the store's return.
     #[must_use]
@@ -56,7 +56,7 @@
     }
 
     /// Records an entry that disappeared. It is kept for a while if it may only have lapsed.
-    pub fn gone(&mut self, now: Time, upstream: Arc<Upstream>) {
+    pub fn record_removed(&mut self, now: Time, upstream: Arc<Upstream>) {
         let until = match self.is_store_unreachable {
             true => now + self.relisted_within + WATCH_DELAY,
             false => self.grace_until,
@@ -67,7 +67,7 @@
     }
 
     /// Records an entry that is listed.
-    pub fn listed(&mut self, id: &UpstreamId) {
+    pub fn record_listed(&mut self, id: &UpstreamId) {
         self.lapsed.remove(id);
     }
 
--- a/components/dispatch/src/lib.rs
+++ b/components/dispatch/src/lib.rs
@@ -15,26 +15,28 @@
 mod evidence;
 mod health;
 mod lapsed;
-mod need;
 mod peer_loads;
 mod pins;
 mod policy;
 mod prefill;
 mod rate_limits;
+mod requirements;
 mod trial;
 mod upstreams;
 
-pub use aggregation::{Gathering, RolloutMessage, RolloutMessageError, RolloutWord};
-pub use budget::{RetryBudget, RetryLimits, Use};
+pub use aggregation::{EvidenceAggregator, RolloutMessage, RolloutMessageError, RolloutSummary};
+pub use budget::{RetryBudget, RetryLimits, RetryReason};
 pub use cascade::{Cascade, Draft};
 pub use choose::{Choice, NoUpstream};
-pub use evidence::{Arm, ArmCounts, Evidence, KINDS, kind_of};
-pub use health::Ending;
-pub use lapsed::Lapsed;
-pub use need::{Need, PromptPart};
+pub use evidence::{Arm, ArmCounts, Evidence, REQUEST_KINDS, request_kind};
+pub use health::UpstreamOutcome;
+pub use lapsed::LapsedUpstreams;
 pub use peer_loads::PeerLoads;
 pub use pins::Pins;
-pub use policy::{CascadePolicy, PlacingPolicy, Policy, PolicyError, RepeatPolicy, TimingPolicy};
+pub use policy::{CascadePolicy, PlacingPolicy, Policy, PolicyError, RetryPolicy, TimingPolicy};
 pub use ratelimit::{Advertised, Advertisement, Change as RateLimitChange, Fleet};
+pub use requirements::{PromptPart, Requirements};
 pub use trial::{Gate, Permit, Trial, TrialLimits, TrialStep, Verdict};
-pub use upstreams::{Begun, LastSeen, Load, SharedLoad, Ticket, UpstreamIndex, Upstreams, run_key};
+pub use upstreams::{
+    AnswerStart, LastSeen, Load, SharedLoad, Ticket, UpstreamIndex, Upstreams, instance_key,
+};
--- a/components/dispatch/src/peer_loads.rs
+++ b/components/dispatch/src/peer_loads.rs
@@ -27,13 +27,13 @@
 
 impl PeerLoads {
     /// Replaces a daemon's report.
-    pub fn take(&mut self, now: Time, daemon: DaemonId, loads: Vec<SharedLoad>) {
+    pub fn update(&mut self, now: Time, daemon: DaemonId, loads: Vec<SharedLoad>) {
         let until = now + REPORT_LIFETIME;
         self.by_daemon.insert(daemon, Report { until, loads });
     }
 
-    /// Sums the backlog, in ms, and the outstanding requests over all unexpired reports, by run
-    /// key.
+    /// Sums the backlog, in ms, and the outstanding requests over all unexpired reports, by
+    /// instance key.
     pub fn sums(&mut self, now: Time) -> HashMap<u32, (f64, u32)> {
         self.by_daemon.retain(|_, report| now < report.until);
         let mut sums = HashMap::<u32, (f64, u32)>::new();
--- a/components/dispatch/src/pins.rs
+++ b/components/dispatch/src/pins.rs
@@ -49,7 +49,7 @@
     }
 
     /// Iterates over the active sessions on another version than this one.
-    pub fn not_on<'a>(
+    pub fn on_other_versions<'a>(
         &'a self,
         now: Time,
         version: &'a Arc<str>,
--- a/components/dispatch/src/policy.rs
+++ b/components/dispatch/src/policy.rs
@@ -51,7 +51,7 @@
     /// Which upstream gets a request.
     pub placing: PlacingPolicy,
     /// How much of the fleet's retry budget is used.
-    pub repeats: RepeatPolicy,
+    pub repeats: RetryPolicy,
     /// How late upstreams and requests are handled.
     pub timing: TimingPolicy,
     /// When a request content that crashes upstreams is quarantined.
@@ -98,7 +98,7 @@
 /// Settings for the use of the fleet's retry budget.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct RepeatPolicy {
+pub struct RetryPolicy {
     /// Share of the budget that is used at all.
     pub used_share: f64,
     /// Share of the used budget that escalations may take; the rest is reserved for failures.
@@ -144,7 +144,7 @@
     }
 }
 
-impl Default for RepeatPolicy {
+impl Default for RetryPolicy {
     fn default() -> Self {
         Self {
             used_share: USED_BUDGET_SHARE,
--- a/components/dispatch/src/rate_limits.rs
+++ b/components/dispatch/src/rate_limits.rs
@@ -23,20 +23,23 @@
     /// Returns an upstream's rate limit.
     #[must_use]
     pub fn rate_limit(&self, index: UpstreamIndex) -> Option<Rate> {
-        self.limits.rate(self.entries.get(&index)?.run)
+        self.limits.rate(self.entries.get(&index)?.instance)
     }
 
     /// Iterates over the ids and limits of the upstreams that have a rate limit.
     pub fn limited(&self) -> impl Iterator<Item = (String, Rate)> {
-        let rate = |entry: &Entry| self.limits.rate(entry.run);
+        let rate = |entry: &Entry| self.limits.rate(entry.instance);
         let entries = self.entries.values();
         entries.filter_map(move |entry| Some((entry.spec.id.to_string(), rate(entry)?)))
     }
 
-    /// Finds the listed upstream of a run.
+    /// Finds the listed upstream of an instance.
     #[must_use]
-    pub fn find_run(&self, run: InstanceKey) -> Option<&Arc<Upstream>> {
-        let entry = self.entries.values().find(|entry| entry.run == run);
+    pub fn find_instance(&self, instance: InstanceKey) -> Option<&Arc<Upstream>> {
+        let entry = self
+            .entries
+            .values()
+            .find(|entry| entry.instance == instance);
         entry.map(|entry| &entry.spec)
     }
 
@@ -53,8 +56,8 @@
         sent_at: Time,
         advertised: Advertised,
     ) -> Option<Change> {
-        let run = self.entries.get(&index)?.run;
-        self.limits.observe(now, run, sent_at, advertised)
+        let instance = self.entries.get(&index)?.instance;
+        self.limits.observe(now, instance, sent_at, advertised)
     }
 
     /// Merges a rate limit that another daemon advertises.
@@ -68,20 +71,20 @@
     }
 
     /// Takes a token for one more request to an upstream, if its rate limit allows it.
-    pub fn take_send(&mut self, now: Time, index: UpstreamIndex) -> bool {
+    pub fn try_acquire(&mut self, now: Time, index: UpstreamIndex) -> bool {
         let Some(entry) = self.entries.get(&index) else {
             return false;
         };
-        let is_open = self.limits.admission(now, entry.run) == Admission::Open;
+        let is_open = self.limits.admission(now, entry.instance) == Admission::Open;
         if is_open {
-            self.limits.take(now, entry.run);
+            self.limits.take(now, entry.instance);
         }
         is_open
     }
 
     /// Leaves an upstream alone until `until`, as it asked for, but no longer than
     /// `MAX_BACKOFF`.
-    pub fn leave_alone(&mut self, now: Time, index: UpstreamIndex, until: Time) {
+    pub fn back_off(&mut self, now: Time, index: UpstreamIndex, until: Time) {
         if let Some(entry) = self.entries.get_mut(&index) {
             entry.backoff_until = until.min(now + MAX_BACKOFF);
         }
@@ -100,13 +103,15 @@
             return Ok(());
         }
         let mut earliest = Time::NEVER;
-        candidates.retain(|(_, entry)| match self.limits.admission(now, entry.run) {
-            Admission::Open => true,
-            Admission::Limited { until } => {
-                earliest = earliest.min(until);
-                false
-            }
-        });
+        candidates.retain(
+            |(_, entry)| match self.limits.admission(now, entry.instance) {
+                Admission::Open => true,
+                Admission::Limited { until } => {
+                    earliest = earliest.min(until);
+                    false
+                }
+            },
+        );
         match candidates.is_empty() {
             true => Err(NoUpstream::Limited { until: earliest }),
             false => Ok(()),
--- a/components/dispatch/src/need.rs
+++ b/components/dispatch/src/requirements.rs
@@ -18,7 +18,7 @@
 
 /// What a request requires of an upstream.
 #[derive(Debug, Clone)]
-pub struct Need<'a> {
+pub struct Requirements<'a> {
     /// Requested service.
     pub service: &'a Arc<str>,
     /// Requested model; `None` for services that are not engines.
@@ -33,7 +33,7 @@
     pub exclude: &'a [UpstreamIndex],
     /// Whether to choose the upstream with the fewest outstanding requests, since this request
     /// may crash it.
-    pub apart: bool,
+    pub isolated: bool,
     /// The daemon's own failure domain.
-    pub near: &'a FailureDomain,
+    pub local_domain: &'a FailureDomain,
 }
--- a/components/dispatch/src/trial.rs
+++ b/components/dispatch/src/trial.rs
@@ -181,7 +181,7 @@
     /// Carries over the barred versions of the roll-out that this order replaces: what that one
     /// reverted stays barred, unless it is ordered now.
     #[must_use]
-    pub fn after(mut self, earlier: &Self) -> Self {
+    pub fn carry_over_barred(mut self, earlier: &Self) -> Self {
         let is_bad = earlier.verdict.is_bad() || earlier.state == RolloutState::Reverted;
         let skipped = usize::from(!is_bad);
         let reverted = earlier.barred.iter().skip(skipped);
@@ -217,13 +217,13 @@
     ///
     /// Guards against a daemon that restarts in the middle of a roll-out and begins it again:
     /// it would send sessions back to the old version, up to its end.
-    pub fn known_for(&mut self, now: Time, elapsed: Span) {
+    pub fn adopt_elapsed(&mut self, now: Time, elapsed: Span) {
         let ahead = elapsed - self.elapsed(now);
         self.peers_ahead = self.peers_ahead + ahead;
     }
 
     /// Adds sessions that some daemon saw active on another version.
-    pub fn keep(&mut self, sessions: impl IntoIterator<Item = u32>) {
+    pub fn add_staying(&mut self, sessions: impl IntoIterator<Item = u32>) {
         let unknown = sessions.into_iter().filter(|s| !self.staying.contains(s));
         let unknown = unknown.collect::<Vec<_>>();
         if !unknown.is_empty() {
@@ -232,7 +232,7 @@
     }
 
     /// Marks the new version as bad, as a peer found.
-    pub fn condemn(&mut self, verdict: Verdict) {
+    pub fn mark_bad(&mut self, verdict: Verdict) {
         if !self.verdict.is_bad() {
             self.verdict = verdict;
         }
--- a/components/dispatch/src/trial/gate.rs
+++ b/components/dispatch/src/trial/gate.rs
@@ -13,9 +13,9 @@
     /// Only this version.
     Only(Arc<str>),
     /// Only this version, and only this share of its upstreams.
-    Few(Arc<str>, Share),
+    Subset(Arc<str>, Share),
     /// Any version but these.
-    Not(Arc<[Arc<str>]>),
+    Except(Arc<[Arc<str>]>),
 }
 
 impl Permit {
@@ -24,8 +24,8 @@
     pub fn allows(&self, version: &Arc<str>) -> bool {
         match self {
             Self::Any => true,
-            Self::Only(only) | Self::Few(only, _) => only == version,
-            Self::Not(not) => !not.contains(version),
+            Self::Only(only) | Self::Subset(only, _) => only == version,
+            Self::Except(except) => !except.contains(version),
         }
     }
 }
@@ -57,26 +57,26 @@
 }
 
 impl Gate {
-    /// Returns the versions that a session may run on; `place` is the session's hash, `pinned`
+    /// Returns the versions that a session may run on; `session_hash` is its hash, `pinned`
     /// the version it is on.
     #[must_use]
-    pub fn permit(&self, place: u64, pinned: Option<&Arc<str>>) -> Permit {
+    pub fn permit(&self, session_hash: u64, pinned: Option<&Arc<str>>) -> Permit {
         if self.share >= 1.0 {
             return Permit::Only(self.to.clone());
         }
         if self.share <= 0.0 {
-            return Permit::Not(Arc::clone(&self.barred));
+            return Permit::Except(Arc::clone(&self.barred));
         }
         let is_on_old = pinned.is_some_and(|version| *version != self.to)
-            || self.staying.contains(&Self::mark(place));
+            || self.staying.contains(&Self::mark(session_hash));
         let is_on_new = pinned.is_some_and(|version| *version == self.to);
-        let is_chosen = position_in_range(place) < self.share;
+        let is_chosen = position_in_range(session_hash) < self.share;
         match is_on_new || (is_chosen && !(is_on_old && self.keeps_sessions)) {
             // Spread over all of its upstreams, a part of the requests would not show a version
             // that is bad under load. Sent to an equal part of the upstreams, it causes the
             // load to come.
-            true => Permit::Few(self.to.clone(), Share::clamped(self.share)),
-            false => Permit::Not(Arc::clone(&self.barred)),
+            true => Permit::Subset(self.to.clone(), Share::clamped(self.share)),
+            false => Permit::Except(Arc::clone(&self.barred)),
         }
     }
 }
@@ -84,8 +84,8 @@
 impl Gate {
     /// Shortens a session's hash to four bytes.
     #[must_use]
-    pub fn mark(place: u64) -> u32 {
-        place as u32
+    pub fn mark(session_hash: u64) -> u32 {
+        session_hash as u32
     }
 
     /// Whether an active session is to be noted, so that every daemon keeps it on its version.
@@ -93,12 +93,14 @@
     /// Guards against a session whose requests come through several daemons: one that never saw
     /// it takes it for new and moves it to the other version.
     #[must_use]
-    pub fn notes(&self, place: u64) -> bool {
-        self.share <= 0.0 && self.keeps_sessions && position_in_range(place) < self.first_share
+    pub fn should_note(&self, session_hash: u64) -> bool {
+        self.share <= 0.0
+            && self.keeps_sessions
+            && position_in_range(session_hash) < self.first_share
     }
 }
 
 /// Maps a hash to the range from 0 to 1.
-fn position_in_range(place: u64) -> f64 {
-    place as f64 / u64::MAX as f64
+fn position_in_range(session_hash: u64) -> f64 {
+    session_hash as f64 / u64::MAX as f64
 }
--- a/components/dispatch/src/trial/judge.rs
+++ b/components/dispatch/src/trial/judge.rs
@@ -6,7 +6,7 @@
 
 use types::prelude::*;
 
-use crate::evidence::{Arm, ArmCounts, Evidence, KINDS};
+use crate::evidence::{Arm, ArmCounts, Evidence, REQUEST_KINDS};
 
 /// Fewest bad or slow answers for a proof: five by chance at a failure rate of 2% and 40
 /// answers have a probability under 0.002.
@@ -203,11 +203,15 @@
 
 impl Excess {
     /// Computes the excess of each kind of request, and of all together.
-    fn of(new: &Arm, old: &Arm, part: impl Fn(&ArmCounts) -> Proportion) -> [Self; KINDS + 1] {
-        let mut excess = [Self::default(); KINDS + 1];
+    fn of(
+        new: &Arm,
+        old: &Arm,
+        part: impl Fn(&ArmCounts) -> Proportion,
+    ) -> [Self; REQUEST_KINDS + 1] {
+        let mut excess = [Self::default(); REQUEST_KINDS + 1];
         for (kind, (new, old)) in new.kinds.iter().zip(&old.kinds).enumerate() {
             excess[kind].add(part(new), part(old));
-            excess[KINDS].add(part(new), part(old));
+            excess[REQUEST_KINDS].add(part(new), part(old));
         }
         excess
     }
--- a/components/dispatch/src/upstreams.rs
+++ b/components/dispatch/src/upstreams.rs
@@ -11,7 +11,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::backlog::Backlog;
-use crate::health::{Ending, Health};
+use crate::health::{Health, UpstreamOutcome};
 use crate::policy::PlacingPolicy;
 use crate::prefill::PrefillTimes;
 
@@ -34,13 +34,13 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Load {
     /// Tokens to prefill that the upstream is not known to have cached.
-    pub missing: u32,
+    pub uncached_tokens: u32,
     /// Those of them in parts that other requests share.
-    pub missing_shared: u32,
+    pub uncached_shared_tokens: u32,
     /// Expected time until the first event once the upstream starts on the request, in ms.
     pub expected_ms: f64,
     /// The same if the upstream had nothing of the prompt cached, in ms.
-    pub unheld_ms: f64,
+    pub expected_uncached_ms: f64,
     /// Expected time until the upstream starts on the request, in ms.
     pub wait_ms: f64,
 }
@@ -51,7 +51,7 @@
 
 /// The start of an answer.
 #[derive(Debug)]
-pub struct Begun<'a> {
+pub struct AnswerStart<'a> {
     /// The upstream that answers.
     pub index: UpstreamIndex,
     /// The request that is answered.
@@ -61,7 +61,7 @@
     /// The model; `None` for services that are not engines.
     pub model: Option<&'a Arc<str>>,
     /// Time from sending the request to the start of the answer, in ms.
-    pub ms: f64,
+    pub elapsed_ms: f64,
 }
 
 /// An upstream as this daemon last knew it.
@@ -89,7 +89,7 @@
 /// One daemon's outstanding requests at an upstream, in compact form.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SharedLoad {
-    /// Hash of the upstream's id and start, see [`run_key`].
+    /// Hash of the upstream's id and start, see [`instance_key`].
     pub upstream: u32,
     /// Expected time of the requests that have not begun to be answered, in ms.
     pub backlog_ms: u16,
@@ -100,7 +100,7 @@
 /// Hashes the id and start of an upstream's run to four bytes. The start is included so that
 /// requests outstanding at a former run do not count as load of the next.
 #[must_use]
-pub fn run_key(id: &UpstreamId, started_at: Option<WallTime>) -> InstanceKey {
+pub fn instance_key(id: &UpstreamId, started_at: Option<WallTime>) -> InstanceKey {
     let started_at = started_at.map_or(0, |at| at.0);
     InstanceKey(xxh3_64_with_seed(id.as_str().as_bytes(), started_at) as u32)
 }
@@ -108,7 +108,7 @@
 #[derive(Debug)]
 pub(crate) struct Entry {
     pub(crate) spec: Arc<Upstream>,
-    pub(crate) run: InstanceKey,
+    pub(crate) instance: InstanceKey,
     pub(crate) health: Health,
     pub(crate) in_flight: u32,
     /// This daemon's requests there that have not begun to be answered.
@@ -257,7 +257,7 @@
         self.next_index += 1;
         let entry = Entry {
             spec: Arc::clone(spec),
-            run: run_key(&spec.id, spec.started_at),
+            instance: instance_key(&spec.id, spec.started_at),
             health: Health::default(),
             in_flight: 0,
             backlog: Backlog::default(),
@@ -294,7 +294,7 @@
 
     /// Records that a request is sent to an upstream; the returned ticket identifies it from
     /// then on.
-    pub fn started(
+    pub fn record_start(
         &mut self,
         now: Time,
         index: UpstreamIndex,
@@ -309,7 +309,7 @@
         if entry.in_flight == 0 {
             entry.busy_since = now;
         }
-        self.limits.take(now, entry.run);
+        self.limits.take(now, entry.instance);
         entry.in_flight += 1;
         entry.backlog.push(now, ticket.0, load.expected_ms);
         entry.health.note_chosen();
@@ -323,7 +323,7 @@
     }
 
     /// Records that something was read from an upstream.
-    pub fn heard(&mut self, now: Time, index: UpstreamIndex) {
+    pub fn record_received(&mut self, now: Time, index: UpstreamIndex) {
         if let Some(entry) = self.entries.get_mut(&index) {
             entry.heard_at = now;
         }
@@ -332,35 +332,46 @@
     /// How long an upstream has sent nothing on any connection, counted from `since` at the
     /// earliest.
     #[must_use]
-    pub fn mute_for(&self, now: Time, index: UpstreamIndex, since: Time) -> Span {
+    pub fn silent_for(&self, now: Time, index: UpstreamIndex, since: Time) -> Span {
         let heard_at = self.entries.get(&index).map(|entry| entry.heard_at);
         now.since(heard_at.unwrap_or_default().max(since))
     }
 
     /// Records the start of an answer.
-    pub fn answering(&mut self, now: Time, begun: &Begun<'_>) {
-        let Some(entry) = self.entries.get_mut(&begun.index) else {
+    pub fn record_answer_start(&mut self, now: Time, start: &AnswerStart<'_>) {
+        let Some(entry) = self.entries.get_mut(&start.index) else {
             return;
         };
-        entry.backlog.remove(now, begun.ticket.0);
+        entry.backlog.remove(now, start.ticket.0);
         entry.heard_at = now;
-        let load = begun.load;
+        let load = start.load;
         let service = entry.spec.service.clone();
-        match begun.model {
-            Some(model) if load.missing >= MIN_SAMPLE_TOKENS && load.wait_ms < ENGINE_BASE_MS => {
+        match start.model {
+            Some(model)
+                if load.uncached_tokens >= MIN_SAMPLE_TOKENS && load.wait_ms < ENGINE_BASE_MS =>
+            {
                 let prefill_times = self.prefill_times.entry(model.clone()).or_default();
-                prefill_times.record(load.missing, (begun.ms - ENGINE_BASE_MS).max(1.0));
+                prefill_times.record(
+                    load.uncached_tokens,
+                    (start.elapsed_ms - ENGINE_BASE_MS).max(1.0),
+                );
             }
             Some(_) => {}
             None => {
                 let mean = &mut means_of(&mut self.means, &service).plain_ms;
-                *mean += MEAN_WEIGHT * (begun.ms.min(*mean * 4.0) - *mean);
+                *mean += MEAN_WEIGHT * (start.elapsed_ms.min(*mean * 4.0) - *mean);
             }
         }
     }
 
     /// Records the end of a request.
-    pub fn ended(&mut self, now: Time, index: UpstreamIndex, ticket: Ticket, ending: Ending) {
+    pub fn record_end(
+        &mut self,
+        now: Time,
+        index: UpstreamIndex,
+        ticket: Ticket,
+        outcome: UpstreamOutcome,
+    ) {
         let Some(entry) = self.entries.get_mut(&index) else {
             return;
         };
@@ -368,10 +379,10 @@
         entry.backlog.remove(now, ticket.0);
         let service = entry.spec.service.clone();
         let means = means_of(&mut self.means, &service);
-        means.record(ending);
+        means.record(outcome);
         let peers_share = means.failure_share();
-        entry.health.record(now, ending, peers_share);
-        entry.is_replaced |= ending == Ending::Replaced;
+        entry.health.record(now, outcome, peers_share);
+        entry.is_replaced |= outcome == UpstreamOutcome::Replaced;
         entry.is_leaving |= entry.is_replaced;
         if entry.in_flight == 0 && !entry.is_listed {
             self.forget_idle();
@@ -384,21 +395,21 @@
     pub fn own_loads(&self, now: Time) -> Vec<SharedLoad> {
         let busy = self.entries.values().filter(|entry| entry.in_flight > 0);
         let loads = busy.map(|entry| SharedLoad {
-            upstream: entry.run.0,
+            upstream: entry.instance.0,
             backlog_ms: entry.backlog.wait_ms(now).min(f64::from(u16::MAX)) as u16,
             in_flight: u16::try_from(entry.in_flight).unwrap_or(u16::MAX),
         });
         loads.collect()
     }
 
-    /// Sets the sums of all other daemons' backlogs, in ms, and outstanding requests, by run
-    /// key.
-    pub fn set_others(&mut self, loads: &HashMap<u32, (f64, u32)>) {
+    /// Sets the sums of all other daemons' backlogs, in ms, and outstanding requests, by
+    /// instance key.
+    pub fn set_remote_loads(&mut self, loads: &HashMap<u32, (f64, u32)>) {
         if !self.policy.counts_others {
             return;
         }
         for entry in self.entries.values_mut() {
-            let load = loads.get(&entry.run.0).copied();
+            let load = loads.get(&entry.instance.0).copied();
             let (backlog_ms, in_flight) = load.unwrap_or_default();
             entry.remote = RemoteLoad {
                 backlog_ms,
@@ -432,10 +443,12 @@
 }
 
 impl ServiceMeans {
-    fn record(&mut self, ending: Ending) {
-        let (good, bad) = match ending {
-            Ending::Good => (1.0, 0.0),
-            Ending::Failed | Ending::Broken | Ending::Silent => (0.0, 1.0),
+    fn record(&mut self, outcome: UpstreamOutcome) {
+        let (good, bad) = match outcome {
+            UpstreamOutcome::Good => (1.0, 0.0),
+            UpstreamOutcome::Failed | UpstreamOutcome::Incomplete | UpstreamOutcome::Silent => {
+                (0.0, 1.0)
+            }
             _ => return,
         };
         self.good += MEAN_WEIGHT * (good - self.good);
--- a/components/dispatch/tests/budget.rs
+++ b/components/dispatch/tests/budget.rs
@@ -1,6 +1,6 @@
 //! Tests of the retry budget.
 
-use dispatch::{RepeatPolicy, RetryBudget, RetryLimits, Use};
+use dispatch::{RetryBudget, RetryLimits, RetryPolicy, RetryReason};
 use types::prelude::*;
 
 fn budget(daemons: usize) -> RetryBudget {
@@ -9,7 +9,7 @@
         allowance: 20.0,
         window: Span::from_secs(10),
     };
-    let mut budget = RetryBudget::new(limits, RepeatPolicy::default());
+    let mut budget = RetryBudget::new(limits, RetryPolicy::default());
     budget.set_daemons(daemons);
     budget
 }
@@ -18,8 +18,10 @@
     Time::ZERO + Span::from_millis(millis)
 }
 
-fn count_allowed(budget: &mut RetryBudget, now: Time, reason: Use) -> usize {
-    (0..1_000).take_while(|_| budget.take(now, reason)).count()
+fn count_allowed(budget: &mut RetryBudget, now: Time, reason: RetryReason) -> usize {
+    (0..1_000)
+        .take_while(|_| budget.try_acquire(now, reason))
+        .count()
 }
 
 #[test]
@@ -31,9 +33,9 @@
     let mut callers = Vec::new();
     for step in 0..6_000 {
         let now = at(step * 10);
-        budget.requested(now);
+        budget.record_request(now);
         callers.push(now);
-        if budget.take(now, Use::Failure) {
+        if budget.try_acquire(now, RetryReason::Failure) {
             retries.push(now);
         }
     }
@@ -50,16 +52,25 @@
 
 #[test]
 fn the_allowance_is_shared_by_all_daemons() {
-    assert_eq!(count_allowed(&mut budget(1), at(0), Use::Failure), 18);
-    assert_eq!(count_allowed(&mut budget(10), at(0), Use::Failure), 1);
+    assert_eq!(
+        count_allowed(&mut budget(1), at(0), RetryReason::Failure),
+        18
+    );
+    assert_eq!(
+        count_allowed(&mut budget(10), at(0), RetryReason::Failure),
+        1
+    );
 }
 
 #[test]
 fn escalations_leave_a_share_for_failures() {
     let mut budget = budget(1);
-    (0..100).for_each(|_| budget.requested(at(0)));
-    assert_eq!(count_allowed(&mut budget, at(1), Use::LargerModel), 61);
-    assert_eq!(count_allowed(&mut budget, at(2), Use::Failure), 4);
+    (0..100).for_each(|_| budget.record_request(at(0)));
+    assert_eq!(
+        count_allowed(&mut budget, at(1), RetryReason::LargerModel),
+        61
+    );
+    assert_eq!(count_allowed(&mut budget, at(2), RetryReason::Failure), 4);
 }
 
 #[test]
@@ -74,10 +85,10 @@
         if step % 400 == 0 {
             fleet[(step / 400 % 20) as usize] = budget(20);
         }
-        fleet[place].requested(now);
+        fleet[place].record_request(now);
         asked.push(now);
-        for reason in [Use::LargerModel, Use::Failure] {
-            if fleet[place].take(now, reason) {
+        for reason in [RetryReason::LargerModel, RetryReason::Failure] {
+            if fleet[place].try_acquire(now, reason) {
                 repeats.push(now);
             }
         }
@@ -102,25 +113,25 @@
         allowance: 2.5,
         window: Span::from_secs(10),
     };
-    let mut budget = RetryBudget::new(limits, RepeatPolicy::default());
+    let mut budget = RetryBudget::new(limits, RetryPolicy::default());
     for step in 0..100 {
-        budget.requested(at(step * 100));
+        budget.record_request(at(step * 100));
         if step % 2 == 0 {
             assert!(
-                budget.take(at(step * 100), Use::LargerModel),
+                budget.try_acquire(at(step * 100), RetryReason::LargerModel),
                 "before, at {step}"
             );
         }
     }
     let broken = (0..15)
-        .filter(|_| budget.take(at(10_000), Use::Failure))
+        .filter(|_| budget.try_acquire(at(10_000), RetryReason::Failure))
         .count();
     assert_eq!(broken, 15, "all that the crash broke");
     let mut kept = 0;
     for step in 100..200 {
-        budget.requested(at(step * 100));
+        budget.record_request(at(step * 100));
         if step % 2 == 0 {
-            kept += usize::from(!budget.take(at(step * 100), Use::LargerModel));
+            kept += usize::from(!budget.try_acquire(at(step * 100), RetryReason::LargerModel));
         }
     }
     assert!(kept <= 2, "{kept} of 50 unsure answers were kept");
--- a/components/dispatch/tests/cascade.rs
+++ b/components/dispatch/tests/cascade.rs
@@ -11,11 +11,11 @@
     in_time_share: 0.8,
 };
 
-fn draft(asked: usize, confidence: u8) -> Draft {
+fn draft(model_index: usize, confidence: u8) -> Draft {
     Draft {
-        asked,
+        model_index,
         confidence,
-        runs_left: 2,
+        attempts_left: 2,
         arrived_at: Time::ZERO,
         objective: Span::from_secs(2),
     }
@@ -66,7 +66,7 @@
     // A route allows two attempts, or an upstream's failure used one up. The next size would
     // have low confidence in every third such request, with no attempt left to escalate.
     let last = Draft {
-        runs_left: 1,
+        attempts_left: 1,
         ..draft(0, 50)
     };
     assert_eq!(next(last, 100, [10, 20, 30]), Some(2));
--- a/components/dispatch/tests/choose.rs
+++ b/components/dispatch/tests/choose.rs
@@ -3,7 +3,9 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use dispatch::{Ending, Need, NoUpstream, Permit, PromptPart, UpstreamIndex, Upstreams};
+use dispatch::{
+    NoUpstream, Permit, PromptPart, Requirements, UpstreamIndex, UpstreamOutcome, Upstreams,
+};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use routes::{Upstream, UpstreamState};
@@ -53,38 +55,38 @@
         permit: &Permit,
     ) -> Result<UpstreamIndex, NoUpstream> {
         let tokens = parts.iter().map(|part| part.tokens).sum();
-        let need = Need {
+        let requirements = Requirements {
             service: &self.service,
             model: (!parts.is_empty()).then_some(&self.model),
             parts,
             prompt_tokens: tokens,
             permit,
-            apart: false,
+            isolated: false,
             exclude,
-            near: &self.near,
+            local_domain: &self.near,
         };
-        let choice = self.upstreams.choose(now, &need, &mut self.rng)?;
+        let choice = self.upstreams.choose(now, &requirements, &mut self.rng)?;
         let ticket = self
             .upstreams
-            .started(now, choice.index, &choice.load, &choice.prefixes);
+            .record_start(now, choice.index, &choice.load, &choice.prefixes);
         self.upstreams
-            .ended(now, choice.index, ticket, Ending::Dropped);
+            .record_end(now, choice.index, ticket, UpstreamOutcome::Cancelled);
         Ok(choice.index)
     }
 
     /// Chooses an upstream without sending a request.
     fn choice(&mut self, now: Time, parts: &[PromptPart]) -> dispatch::Choice {
-        let need = Need {
+        let requirements = Requirements {
             service: &self.service,
             model: Some(&self.model),
             parts,
             prompt_tokens: parts.iter().map(|part| part.tokens).sum(),
             permit: &Permit::Any,
-            apart: false,
+            isolated: false,
             exclude: &[],
-            near: &self.near,
+            local_domain: &self.near,
         };
-        let choice = self.upstreams.choose(now, &need, &mut self.rng);
+        let choice = self.upstreams.choose(now, &requirements, &mut self.rng);
         choice.expect("one is listed")
     }
 }
@@ -121,7 +123,7 @@
     let hash = xxhash_rust::xxh3::xxh3_64(id.as_str().as_bytes()) as u32;
     setup
         .upstreams
-        .set_others(&HashMap::from([(hash, (4_000.0, 9))]));
+        .set_remote_loads(&HashMap::from([(hash, (4_000.0, 9))]));
     let next = setup.pick(at(10), &prompt(1), &[], &Permit::Any);
     assert_ne!(next, Ok(home));
 }
@@ -131,10 +133,10 @@
     let mut setup = Setup::new(2);
     let first = setup.pick(at(0), &[], &[], &Permit::Any).expect("one");
     let load = dispatch::Load::default();
-    let ticket = setup.upstreams.started(at(0), first, &load, &[]);
+    let ticket = setup.upstreams.record_start(at(0), first, &load, &[]);
     setup
         .upstreams
-        .ended(at(0), first, ticket, Ending::Unreachable);
+        .record_end(at(0), first, ticket, UpstreamOutcome::Unreachable);
     for millis in 0..400 {
         assert_ne!(setup.pick(at(millis), &[], &[], &Permit::Any), Ok(first));
     }
@@ -147,10 +149,10 @@
     let mut setup = Setup::new(1);
     let only = setup.pick(at(0), &[], &[], &Permit::Any).expect("one");
     let load = dispatch::Load::default();
-    let ticket = setup.upstreams.started(at(0), only, &load, &[]);
+    let ticket = setup.upstreams.record_start(at(0), only, &load, &[]);
     setup
         .upstreams
-        .ended(at(0), only, ticket, Ending::Unreachable);
+        .record_end(at(0), only, ticket, UpstreamOutcome::Unreachable);
     assert_eq!(setup.pick(at(1), &[], &[], &Permit::Any), Ok(only));
 }
 
@@ -163,12 +165,14 @@
     let load = dispatch::Load::default();
     for round in 0..8 {
         for index in setup.listed_upstreams() {
-            let ending = match index == failing && round % 2 == 0 {
-                true => Ending::Failed,
-                false => Ending::Good,
+            let outcome = match index == failing && round % 2 == 0 {
+                true => UpstreamOutcome::Failed,
+                false => UpstreamOutcome::Good,
             };
-            let ticket = setup.upstreams.started(at(round), index, &load, &[]);
-            setup.upstreams.ended(at(round), index, ticket, ending);
+            let ticket = setup.upstreams.record_start(at(round), index, &load, &[]);
+            setup
+                .upstreams
+                .record_end(at(round), index, ticket, outcome);
         }
     }
     assert!((10..200).all(|t| setup.pick(at(t), &[], &[], &Permit::Any) != Ok(failing)));
@@ -210,7 +214,7 @@
     let index = setup.pick(at(0), &[], &[], &Permit::Any).expect("one");
     let ticket = setup
         .upstreams
-        .started(at(0), index, &dispatch::Load::default(), &[]);
+        .record_start(at(0), index, &dispatch::Load::default(), &[]);
     setup.upstreams.configure(&[]);
     assert_eq!(
         setup.pick(at(1), &[], &[], &Permit::Any),
@@ -218,13 +222,15 @@
     );
     setup.upstreams.configure(&listed);
     assert_eq!(setup.pick(at(2), &[], &[], &Permit::Any), Ok(index));
-    setup.upstreams.ended(at(3), index, ticket, Ending::Good);
+    setup
+        .upstreams
+        .record_end(at(3), index, ticket, UpstreamOutcome::Good);
 }
 
 #[test]
 fn a_canary_uses_a_subset_of_the_new_upstreams() {
     let mut setup = Setup::new(10);
-    let permit = Permit::Few(Arc::from("v1"), Share::clamped(0.15));
+    let permit = Permit::Subset(Arc::from("v1"), Share::clamped(0.15));
     let picks = (0..200).map(|_| setup.pick(at(0), &[], &[], &permit).expect("one"));
     let picks = picks.collect::<std::collections::BTreeSet<_>>();
     assert_eq!(picks.len(), 2, "15% of ten, rounded up");
@@ -237,10 +243,10 @@
     let mut setup = Setup::new(1);
     let index = setup.pick(at(0), &[], &[], &Permit::Any).expect("one");
     let load = dispatch::Load::default();
-    let ticket = setup.upstreams.started(at(0), index, &load, &[]);
+    let ticket = setup.upstreams.record_start(at(0), index, &load, &[]);
     setup
         .upstreams
-        .ended(at(0), index, ticket, Ending::Replaced);
+        .record_end(at(0), index, ticket, UpstreamOutcome::Replaced);
     setup
         .upstreams
         .configure(&[upstream(0, "v1", UpstreamState::Ready)]);
@@ -268,22 +274,25 @@
         .pick(at(0), &prompt(1), &[], &Permit::Any)
         .expect("one");
     let second = setup.choice(at(1), &prompt(1));
-    assert_eq!(second.load.missing_shared, 0, "sent there before");
+    assert_eq!(second.load.uncached_shared_tokens, 0, "sent there before");
     let ticket = setup
         .upstreams
-        .started(at(1), first, &second.load, &second.prefixes);
+        .record_start(at(1), first, &second.load, &second.prefixes);
     setup.upstreams.configure(&[upstream_run(0, 8)]);
     let next = setup.choice(at(2), &prompt(1));
     assert_ne!(next.index, first);
-    assert!(next.load.missing_shared > 0, "nothing is held any more");
+    assert!(
+        next.load.uncached_shared_tokens > 0,
+        "nothing is held any more"
+    );
     assert_eq!(next.load.wait_ms, 0.0);
     // How the former run's request ends says nothing about the present run.
     setup
         .upstreams
-        .ended(at(3), first, ticket, Ending::Unreachable);
+        .record_end(at(3), first, ticket, UpstreamOutcome::Unreachable);
     setup
         .upstreams
-        .ended(at(3), first, ticket, Ending::Replaced);
+        .record_end(at(3), first, ticket, UpstreamOutcome::Replaced);
     let last = setup.choice(at(4), &prompt(1));
     assert_eq!(last.index, next.index);
     assert!(setup.upstreams.spec(first).is_none(), "forgotten once idle");
@@ -296,12 +305,12 @@
     let choice = setup.choice(at(0), &prompt(1));
     setup
         .upstreams
-        .started(at(0), choice.index, &choice.load, &choice.prefixes);
+        .record_start(at(0), choice.index, &choice.load, &choice.prefixes);
     let loads = setup.upstreams.own_loads(at(0));
     let mut other = Setup::new(0);
     other.upstreams.configure(&[upstream_run(0, 8)]);
     let told = loads.iter().map(|l| (l.upstream, (4_000.0, 9)));
-    other.upstreams.set_others(&told.collect());
+    other.upstreams.set_remote_loads(&told.collect());
     assert_eq!(other.choice(at(1), &prompt(1)).load.wait_ms, 0.0);
 }
 
@@ -352,15 +361,15 @@
     let load = dispatch::Load::default();
     let all = setup.listed_upstreams();
     for index in &all {
-        setup.upstreams.started(at(0), *index, &load, &[]);
+        setup.upstreams.record_start(at(0), *index, &load, &[]);
     }
     let silent = all[0];
     for index in &all[1..] {
-        setup.upstreams.heard(at(900), *index);
+        setup.upstreams.record_received(at(900), *index);
     }
     let picks = (0..50).map(|n| setup.choice(at(1_000), &prompt(n)).index);
     assert!(picks.into_iter().all(|index| index != silent));
-    setup.upstreams.heard(at(1_000), silent);
+    setup.upstreams.record_received(at(1_000), silent);
     let picks = (0..200).map(|n| setup.choice(at(1_001), &prompt(100 + n)).index);
     assert!(picks.into_iter().any(|index| index == silent), "it is back");
 }
--- a/components/dispatch/tests/lapsed.rs
+++ b/components/dispatch/tests/lapsed.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use dispatch::Lapsed;
+use dispatch::LapsedUpstreams;
 use routes::{Upstream, UpstreamState};
 use types::prelude::*;
 
@@ -28,13 +28,13 @@
 fn entries_that_lapsed_in_a_store_outage_are_kept_for_two_seconds() {
     // The store is down for some seconds, in which all leases expire. When it is back its list
     // is empty for a moment, and all callers would be refused though every upstream serves.
-    let mut lapsed = Lapsed::new(Span::from_secs(2));
+    let mut lapsed = LapsedUpstreams::new(Span::from_secs(2));
     lapsed.store_failed();
     lapsed.store_answered(at(10));
-    lapsed.gone(at(10), upstream("one"));
-    lapsed.gone(at(10), upstream("two"));
+    lapsed.record_removed(at(10), upstream("one"));
+    lapsed.record_removed(at(10), upstream("two"));
     assert_eq!(lapsed.iter().count(), 2);
-    lapsed.listed(&UpstreamId::new("one").expect("a name"));
+    lapsed.record_listed(&UpstreamId::new("one").expect("a name"));
     assert!(!lapsed.expire(at(12)));
     assert_eq!(lapsed.iter().count(), 1);
     assert!(lapsed.expire(at(13)));
@@ -46,10 +46,10 @@
     // One daemon alone is cut off and comes back at 10 s. An upstream leaves at 11 s. If it
     // were kept for two seconds from then, it would get requests until after 13 s, longer than
     // an upstream that leaves may.
-    let mut lapsed = Lapsed::new(Span::from_secs(2));
+    let mut lapsed = LapsedUpstreams::new(Span::from_secs(2));
     lapsed.store_failed();
     lapsed.store_answered(at(10));
-    lapsed.gone(at(11), upstream("one"));
+    lapsed.record_removed(at(11), upstream("one"));
     assert_eq!(lapsed.iter().count(), 1);
     assert!(lapsed.expire(at(10) + Span::from_millis(2_200)));
     assert_eq!(lapsed.iter().count(), 0);
@@ -57,7 +57,7 @@
 
 #[test]
 fn an_entry_removed_while_the_store_is_reachable_is_not_kept() {
-    let mut lapsed = Lapsed::new(Span::from_secs(2));
-    lapsed.gone(at(11), upstream("one"));
+    let mut lapsed = LapsedUpstreams::new(Span::from_secs(2));
+    lapsed.record_removed(at(11), upstream("one"));
     assert_eq!(lapsed.iter().count(), 0);
 }
--- a/components/dispatch/tests/limits.rs
+++ b/components/dispatch/tests/limits.rs
@@ -2,7 +2,9 @@
 
 use std::sync::Arc;
 
-use dispatch::{Advertised, Ending, Need, NoUpstream, Permit, UpstreamIndex, Upstreams};
+use dispatch::{
+    Advertised, NoUpstream, Permit, Requirements, UpstreamIndex, UpstreamOutcome, Upstreams,
+};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use routes::{Upstream, UpstreamState};
@@ -46,20 +48,23 @@
     }
 
     /// Sends a request that ends as given.
-    fn send(&mut self, now: Time, ending: Ending) -> Result<UpstreamIndex, NoUpstream> {
-        let need = Need {
+    fn send(&mut self, now: Time, outcome: UpstreamOutcome) -> Result<UpstreamIndex, NoUpstream> {
+        let requirements = Requirements {
             service: &self.service,
             model: None,
             parts: &[],
             prompt_tokens: 0,
             permit: &Permit::Any,
-            apart: false,
+            isolated: false,
             exclude: &[],
-            near: &self.near,
+            local_domain: &self.near,
         };
-        let choice = self.upstreams.choose(now, &need, &mut self.rng)?;
-        let ticket = self.upstreams.started(now, choice.index, &choice.load, &[]);
-        self.upstreams.ended(now, choice.index, ticket, ending);
+        let choice = self.upstreams.choose(now, &requirements, &mut self.rng)?;
+        let ticket = self
+            .upstreams
+            .record_start(now, choice.index, &choice.load, &[]);
+        self.upstreams
+            .record_end(now, choice.index, ticket, outcome);
         Ok(choice.index)
     }
 
@@ -72,9 +77,15 @@
 #[test]
 fn requests_beyond_a_limit_go_to_other_upstreams() {
     let mut setup = Setup::new(3);
-    let first = setup.send(at(0), Ending::Good).expect("one is listed");
+    let first = setup
+        .send(at(0), UpstreamOutcome::Good)
+        .expect("one is listed");
     setup.observe(at(0), first, Advertised::Limit(Rate(2.0)));
-    let sent = (1..10_000).map(|ms| setup.send(at(ms), Ending::Good).expect("others are free"));
+    let sent = (1..10_000).map(|ms| {
+        setup
+            .send(at(ms), UpstreamOutcome::Good)
+            .expect("others are free")
+    });
     let limited = sent.filter(|index| *index == first).count();
     assert!((10..=20).contains(&limited), "{limited}");
 }
@@ -82,40 +93,48 @@
 #[test]
 fn a_rate_limit_does_not_eject_an_upstream() {
     let mut setup = Setup::new(1);
-    let only = setup.send(at(0), Ending::Good).expect("one is listed");
+    let only = setup
+        .send(at(0), UpstreamOutcome::Good)
+        .expect("one is listed");
     setup.observe(at(0), only, Advertised::Limit(Rate(2.0)));
     assert_eq!(
-        setup.send(at(100), Ending::Good),
+        setup.send(at(100), UpstreamOutcome::Good),
         Err(NoUpstream::Limited {
             until: at(500) + Span::from_micros(1)
         })
     );
-    assert_eq!(setup.send(at(501), Ending::Good), Ok(only));
+    assert_eq!(setup.send(at(501), UpstreamOutcome::Good), Ok(only));
     setup
         .upstreams
         .observe_rate_limit(at(700), only, at(650), Advertised::Nothing);
-    assert_eq!(setup.send(at(701), Ending::Good), Ok(only));
+    assert_eq!(setup.send(at(701), UpstreamOutcome::Good), Ok(only));
 }
 
 #[test]
 fn the_next_run_of_an_upstream_has_no_limit() {
     let mut setup = Setup::new(1);
-    let only = setup.send(at(0), Ending::Good).expect("one is listed");
+    let only = setup
+        .send(at(0), UpstreamOutcome::Good)
+        .expect("one is listed");
     setup.observe(at(0), only, Advertised::Limit(Rate(0.5)));
-    assert!(setup.send(at(100), Ending::Good).is_err());
+    assert!(setup.send(at(100), UpstreamOutcome::Good).is_err());
     setup.upstreams.configure(&[upstream(0, 2)]);
-    assert!(setup.send(at(101), Ending::Good).is_ok());
+    assert!(setup.send(at(101), UpstreamOutcome::Good).is_ok());
 }
 
 #[test]
 fn an_upstream_that_refused_is_chosen_when_there_is_no_other() {
     let mut setup = Setup::new(1);
-    let only = setup.send(at(0), Ending::Refused).expect("one is listed");
-    setup.upstreams.leave_alone(at(0), only, at(60_000));
-    assert_eq!(setup.send(at(10), Ending::Good), Ok(only));
+    let only = setup
+        .send(at(0), UpstreamOutcome::Refused)
+        .expect("one is listed");
+    setup.upstreams.back_off(at(0), only, at(60_000));
+    assert_eq!(setup.send(at(10), UpstreamOutcome::Good), Ok(only));
     let mut setup = Setup::new(2);
-    let first = setup.send(at(0), Ending::Refused).expect("one is listed");
-    setup.upstreams.leave_alone(at(0), first, at(60_000));
-    assert!((1..4_999).all(|ms| setup.send(at(ms), Ending::Good) != Ok(first)));
-    assert!((5_000..6_000).any(|ms| setup.send(at(ms), Ending::Good) == Ok(first)));
+    let first = setup
+        .send(at(0), UpstreamOutcome::Refused)
+        .expect("one is listed");
+    setup.upstreams.back_off(at(0), first, at(60_000));
+    assert!((1..4_999).all(|ms| setup.send(at(ms), UpstreamOutcome::Good) != Ok(first)));
+    assert!((5_000..6_000).any(|ms| setup.send(at(ms), UpstreamOutcome::Good) == Ok(first)));
 }
--- a/components/dispatch/tests/trial.rs
+++ b/components/dispatch/tests/trial.rs
@@ -32,14 +32,14 @@
 fn load_of(ms: f64) -> Load {
     Load {
         expected_ms: ms,
-        unheld_ms: ms,
+        expected_uncached_ms: ms,
         ..Load::default()
     }
 }
 
 /// Counts a good answer that began after `ms` where `load` was expected.
 fn note_answer(counts: &mut ArmCounts, ms: f64, load: &Load) {
-    counts.note_begun(ms, load);
+    counts.record_answer_start(ms, load);
     counts.good += 1;
 }
 
@@ -273,7 +273,7 @@
     let mut counts = ArmCounts::default();
     let load = Load {
         expected_ms: 50.0,
-        unheld_ms: 500.0,
+        expected_uncached_ms: 500.0,
         ..Load::default()
     };
     note_answer(&mut counts, 500.0, &load);
@@ -356,7 +356,7 @@
 fn a_share_of_the_requests_goes_to_the_same_share_of_the_new_upstreams() {
     // A version fails only under load. Spread over all of its upstreams, the first requests
     // would look fine until it has the full share.
-    let few = |share| Permit::Few(Arc::from("v2"), Share::clamped(share));
+    let few = |share| Permit::Subset(Arc::from("v2"), Share::clamped(share));
     assert_eq!(gate(0.25, true).permit(0, None), few(0.25));
     assert_eq!(gate(0.5, false).permit(0, None), few(0.5));
     assert_eq!(
@@ -381,7 +381,7 @@
     // zero. If it took the order for new, it would send sessions back to the old version until
     // that is stopped, and cut their streams.
     let mut trial = trial(at(0.05));
-    trial.known_for(at(0.1), Span::from_millis(16_300));
+    trial.adopt_elapsed(at(0.1), Span::from_millis(16_300));
     let good = evidence(arm(40, 1, 1.0), arm(400, 5, 1.0));
     assert_eq!(trial.step(at(2.6), &good, 1.0).gate.share, 1.0);
 }
@@ -421,7 +421,7 @@
     assert!(second_half.permit(low, Some(&old)).allows(&new));
     assert_eq!(
         gate(0.0, true).permit(low, Some(&new)),
-        Permit::Not(Arc::from([new.clone()]))
+        Permit::Except(Arc::from([new.clone()]))
     );
 }
 
@@ -431,11 +431,14 @@
     // of them. The second daemon never saw the session and would take it for a new one.
     let (old, new) = (Arc::from("v1"), Arc::from("v2"));
     let (session, other) = (5, 6);
-    assert!(gate(0.0, true).notes(session), "of those that would move");
-    assert!(!gate(0.0, true).notes(u64::MAX));
-    assert!(!gate(0.25, true).notes(session), "opened");
+    assert!(
+        gate(0.0, true).should_note(session),
+        "of those that would move"
+    );
+    assert!(!gate(0.0, true).should_note(u64::MAX));
+    assert!(!gate(0.25, true).should_note(session), "opened");
     let mut trial = trial(Time::ZERO);
-    trial.keep([Gate::mark(session)]);
+    trial.add_staying([Gate::mark(session)]);
     let none = evidence(arm(0, 0, 1.0), arm(0, 0, 1.0));
     let gate = trial.step(at(3.0), &none, 1.0).gate;
     assert!(gate.permit(session, None).allows(&old));
@@ -532,7 +535,7 @@
     let mut trial = trial(Time::ZERO);
     let mut new = slow(13, 3);
     for _ in 0..22 {
-        new.note_begun(800.0, &load_of(100.0));
+        new.record_answer_start(800.0, &load_of(100.0));
         new.sent += 1;
         new.out += 1;
     }
@@ -557,19 +560,19 @@
         let gate = trial.step(at(6.0), &fine, 1.0).gate;
         gate.permit(u64::MAX, None).allows(&Arc::from(version))
     };
-    let mut second = Trial::new(at(5.0), next("v3"), LIMITS).after(&first);
+    let mut second = Trial::new(at(5.0), next("v3"), LIMITS).carry_over_barred(&first);
     let allowed = ["v1", "v2", "v3"].map(|version| allows(&mut second, version));
     assert_eq!(allowed, [true, false, false]);
     // Ordering the version again starts a new trial of it.
-    let again = Trial::new(at(5.0), next("v2"), LIMITS).after(&second);
+    let again = Trial::new(at(5.0), next("v2"), LIMITS).carry_over_barred(&second);
     let third = Trial::new(at(5.0), next("v4"), LIMITS);
     assert!(
-        allows(&mut third.after(&again), "v3"),
+        allows(&mut third.carry_over_barred(&again), "v3"),
         "v3 was not taken back"
     );
     // A completed version is not barred.
     let mut good = trial(Time::ZERO);
     good.set_state(RolloutState::Completed);
-    let mut after = Trial::new(at(5.0), next("v3"), LIMITS).after(&good);
+    let mut after = Trial::new(at(5.0), next("v3"), LIMITS).carry_over_barred(&good);
     assert!(allows(&mut after, "v2"));
 }
--- a/components/fleet/src/heartbeat.rs
+++ b/components/fleet/src/heartbeat.rs
@@ -14,7 +14,7 @@
 use std::collections::HashMap;
 
 use bytes::Bytes;
-use dispatch::{Advertisement, RolloutWord, SharedLoad};
+use dispatch::{Advertisement, RolloutSummary, SharedLoad};
 use mirror::Revision;
 use serde::{Deserialize, Serialize};
 use types::prelude::*;
@@ -72,7 +72,7 @@
     /// Daemons that get no answer from the store, as far as the sender knows.
     pub store_unreachable: Vec<StoreReport>,
     /// The fleet's evidence on roll-outs, as far as the sender knows.
-    pub rollouts: Vec<RolloutWord>,
+    pub rollouts: Vec<RolloutSummary>,
     /// The sender's requests in flight, by upstream.
     pub loads: Vec<SharedLoad>,
     /// Rate limits advertised by upstreams, as far as the sender knows.
--- a/components/fleet/src/peering.rs
+++ b/components/fleet/src/peering.rs
@@ -5,7 +5,9 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use dispatch::{Advertisement, Evidence, Fleet, Gathering, PeerLoads, RolloutMessage, RolloutWord};
+use dispatch::{
+    Advertisement, Evidence, EvidenceAggregator, Fleet, PeerLoads, RolloutMessage, RolloutSummary,
+};
 use membership::{Event as MemberEvent, Member, MemberRecord, Membership, Outcome, State};
 use mirror::{Answer, Question, Revision};
 use peers::{Handle, Inbound, Part, Payload};
@@ -51,7 +53,7 @@
     loads: PeerLoads,
     peer_states: PeerStates,
     claims: Claims,
-    gathering: Gathering,
+    aggregator: EvidenceAggregator,
     /// Rate limits advertised by peers and not yet taken by the control thread.
     rate_limits: Vec<Advertisement>,
     ticks: u32,
@@ -99,7 +101,7 @@
             loads: PeerLoads::default(),
             peer_states: PeerStates::default(),
             claims: Claims::default(),
-            gathering: Gathering::default(),
+            aggregator: EvidenceAggregator::default(),
             rate_limits: Vec::new(),
             ticks: 0,
             must_send_heartbeat: false,
@@ -189,15 +191,15 @@
                     self.peer_states.take(now, &from, &heartbeat, report_ttl);
                     self.merge_claims(now, &from, &heartbeat);
                     for rollout in &heartbeat.rollouts {
-                        self.gathering.take_word(rollout);
+                        self.aggregator.merge_summary(rollout);
                     }
                     self.note_rate_limits(heartbeat.rate_limits);
-                    self.loads.take(now, from, heartbeat.loads);
+                    self.loads.update(now, from, heartbeat.loads);
                 }
                 Err(e) => tracing::warn!(peer = %from, "peers: {e}"),
             },
             Part::Rollout => match RolloutMessage::decode(body) {
-                Ok(message) => self.gathering.take(from, message),
+                Ok(message) => self.aggregator.handle_message(from, message),
                 Err(e) => tracing::warn!(peer = %from, "peers: {e}"),
             },
             Part::Mirror => match Answer::decode(body) {
@@ -352,20 +354,20 @@
     }
 
     /// Records this daemon's evidence on a roll-out and returns the fleet's.
-    pub(crate) fn gather(&mut self, own: &Evidence) -> RolloutWord {
+    pub(crate) fn gather(&mut self, own: &Evidence) -> RolloutSummary {
         let me = self.members.me().id.clone();
-        self.gathering.fleet(&me, own)
+        self.aggregator.fleet(&me, own)
     }
 
     /// Announces to all daemons at once that an order's version is bad.
     pub(crate) fn mark_bad(&mut self, order: u64) {
-        self.gathering.condemn(order);
+        self.aggregator.mark_bad(order);
         self.must_send_heartbeat = true;
     }
 
     /// Sessions that stay on their version during a roll-out, as known by all daemons.
     pub(crate) fn staying(&self, order: u64) -> BTreeSet<u32> {
-        self.gathering.staying(order)
+        self.aggregator.staying(order)
     }
 
     /// Reports this daemon's evidence on a roll-out to the collectors and gossips the sessions that
@@ -375,7 +377,7 @@
         let order = own.order;
         let sessions = staying.iter().copied().collect();
         let sessions = RolloutMessage::Staying { order, sessions };
-        self.gathering.take(me.clone(), sessions);
+        self.aggregator.handle_message(me.clone(), sessions);
         let report = RolloutMessage::Report {
             own: *own,
             staying: staying.iter().copied().collect(),
@@ -386,7 +388,7 @@
             collectors.filter_map(|collector| Some(self.members.member(collector)?.record.address));
         let addresses = addresses.collect::<Vec<_>>();
         self.send_message(&report, &addresses);
-        if let Some(news) = self.gathering.staying_news(order) {
+        if let Some(news) = self.aggregator.unannounced_staying_sessions(order) {
             let recipients = self.recipients(now, GossipKind::Change);
             self.send_message(&news, &recipients);
         }
--- a/components/fleet/src/peering/heartbeat.rs
+++ b/components/fleet/src/peering/heartbeat.rs
@@ -60,7 +60,7 @@
             held: mirror.held,
             watchers,
             store_unreachable: self.peer_states.store_unreachable(now),
-            rollouts: self.gathering.words(),
+            rollouts: self.aggregator.summaries(),
             loads,
             rate_limits,
             sent_at: Some(self.sent_at(now)),
--- a/components/fleet/src/planner.rs
+++ b/components/fleet/src/planner.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use dispatch::Lapsed;
+use dispatch::LapsedUpstreams;
 use mirror::{Change, Mirror};
 use routes::{RouteTable, TableVersion, Upstream};
 use types::prelude::*;
@@ -19,7 +19,7 @@
     upstreams: BTreeMap<String, Arc<Upstream>>,
     /// Ids whose entry in the store is not a valid upstream.
     unreadable: BTreeSet<String>,
-    pub(crate) lapsed: Lapsed,
+    pub(crate) lapsed: LapsedUpstreams,
 }
 
 impl Planner {
@@ -29,7 +29,7 @@
             is_readable: true,
             upstreams: BTreeMap::new(),
             unreadable: BTreeSet::new(),
-            lapsed: Lapsed::new(relisted_within),
+            lapsed: LapsedUpstreams::new(relisted_within),
         }
     }
 
@@ -116,7 +116,7 @@
                 if is_logged {
                     tracing::info!(upstream = id, "upstreams: removed");
                 }
-                self.lapsed.gone(now, upstream);
+                self.lapsed.record_removed(now, upstream);
             }
             return true;
         };
@@ -150,7 +150,7 @@
         if is_logged {
             log_listed(&upstream);
         }
-        self.lapsed.listed(&upstream.id);
+        self.lapsed.record_listed(&upstream.id);
         self.upstreams.insert(id.to_owned(), Arc::new(upstream));
     }
 
--- a/components/fleet/src/rollouts.rs
+++ b/components/fleet/src/rollouts.rs
@@ -104,7 +104,7 @@
         let trial = Trial::new(now, order, self.limits);
         let rollout = Rollout {
             trial: match held {
-                Some(held) => trial.after(&held.trial),
+                Some(held) => trial.carry_over_barred(&held.trial),
                 None => trial,
             },
             gate: None,
@@ -141,10 +141,10 @@
         };
         let order = rollout.trial.order().revision;
         let fleet = known.fleet;
-        rollout.trial.known_for(now, fleet.elapsed());
-        rollout.trial.keep(known.staying);
+        rollout.trial.adopt_elapsed(now, fleet.elapsed());
+        rollout.trial.add_staying(known.staying);
         if known.is_marked_bad {
-            rollout.trial.condemn(Verdict::Failing);
+            rollout.trial.mark_bad(Verdict::Failing);
         }
         let step = rollout.trial.step(now, fleet, known.serving_capacity);
         let state = match step.verdict {
--- a/components/traffic/src/arm.rs
+++ b/components/traffic/src/arm.rs
@@ -5,7 +5,7 @@
 
 use std::sync::Arc;
 
-use dispatch::{ArmCounts, Choice, Evidence, UpstreamIndex, kind_of};
+use dispatch::{ArmCounts, Choice, Evidence, UpstreamIndex, request_kind};
 use poison::UpstreamInstance;
 use types::prelude::*;
 
@@ -55,7 +55,7 @@
             service: spec.service.clone(),
             order: gate.order,
             is_new: spec.version == gate.to,
-            kind: kind_of(request.route.repeat),
+            kind: request_kind(request.route.repeat),
             is_evidence,
         })
     }
--- a/components/traffic/src/attempt.rs
+++ b/components/traffic/src/attempt.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dispatch::{Advertised, Choice, Ending, UpstreamIndex, Use};
+use dispatch::{Advertised, Choice, RetryReason, UpstreamIndex, UpstreamOutcome};
 use http1::write::push_length;
 use http1::{
     BodyReader, Framing, Head, Kind, Wire, WireOptions, connect, read_response_head, read_whole,
@@ -76,13 +76,13 @@
 
 impl Failure {
     /// What this says of the upstream, and of the request.
-    fn outcome<T>(self) -> (Ending, SendResult<T>) {
+    fn outcome<T>(self) -> (UpstreamOutcome, SendResult<T>) {
         match self {
-            Self::Unreachable => (Ending::Unreachable, SendResult::Unreachable),
-            Self::Silent => (Ending::Silent, SendResult::MayHaveRun("silent")),
-            Self::Broken(why) => (Ending::Broken, SendResult::MayHaveRun(why)),
+            Self::Unreachable => (UpstreamOutcome::Unreachable, SendResult::Unreachable),
+            Self::Silent => (UpstreamOutcome::Silent, SendResult::MayHaveRun("silent")),
+            Self::Broken(why) => (UpstreamOutcome::Incomplete, SendResult::MayHaveRun(why)),
             Self::Quarantined => (
-                Ending::Dropped,
+                UpstreamOutcome::Cancelled,
                 SendResult::MayHaveRun("barred while it waited"),
             ),
         }
@@ -126,9 +126,9 @@
     }
 
     /// Ends the attempt. The connection returns to the pool after a complete stream.
-    pub(crate) fn finish(self, ending: Ending) {
-        self.guard.end(ending);
-        if ending == Ending::Good && !self.reader.ends_with_connection() {
+    pub(crate) fn finish(self, outcome: UpstreamOutcome) {
+        self.guard.end(outcome);
+        if outcome == UpstreamOutcome::Good && !self.reader.ends_with_connection() {
             let now = self.shared.now();
             let mut pool = self.shared.pool.borrow_mut();
             pool.keep(now, self.index, self.wire, &self.head);
@@ -163,15 +163,15 @@
         let (wire, answer) = match self.request_head(choice.index, &spec, &guard).await {
             Ok(answer) => answer,
             Err(failure) => {
-                let (ending, sent) = failure.outcome();
-                guard.end(ending);
+                let (outcome, sent) = failure.outcome();
+                guard.end(outcome);
                 return sent;
             }
         };
         guard.note_heard();
         self.observe_rate_limit(choice.index, &guard, &answer.reply);
-        if let Some((ending, sent)) = self.refusal(choice.index, &answer) {
-            guard.end(ending);
+        if let Some((outcome, sent)) = self.refusal(choice.index, &answer) {
+            guard.end(outcome);
             return sent;
         }
         guard.note_running();
@@ -258,8 +258,8 @@
             return false;
         }
         let now = self.shared.now();
-        let has_send_left = self.shared.upstreams.borrow_mut().take_send(now, index);
-        has_send_left && self.shared.take_retry(self.service, Use::Failure)
+        let has_send_left = self.shared.upstreams.borrow_mut().try_acquire(now, index);
+        has_send_left && self.shared.take_retry(self.service, RetryReason::Failure)
     }
 
     async fn open_connection(
@@ -295,21 +295,24 @@
         &self,
         index: UpstreamIndex,
         answer: &AnswerHead,
-    ) -> Option<(Ending, SendResult<T>)> {
+    ) -> Option<(UpstreamOutcome, SendResult<T>)> {
         match answer.reply.standing {
             Standing::NotRun => {
                 if let Some(wait) = answer.reply.retry_after {
                     self.shared.back_off(index, wait);
                 }
-                return Some((Ending::Refused, SendResult::NotRun("refused")));
+                return Some((UpstreamOutcome::Refused, SendResult::NotRun("refused")));
+            }
+            Standing::OtherRun => {
+                return Some((UpstreamOutcome::Replaced, SendResult::NotRun("replaced")));
             }
-            Standing::OtherRun => return Some((Ending::Replaced, SendResult::NotRun("replaced"))),
             Standing::Ran => {}
         }
         let is_success = (200..300).contains(&answer.head.status());
         let is_own = answer.reply.is_signed && !answer.reply.is_encoded;
         let why = "not the upstream's own answer";
-        (is_success && !is_own).then_some((Ending::Broken, SendResult::MayHaveRun(why)))
+        (is_success && !is_own)
+            .then_some((UpstreamOutcome::Incomplete, SendResult::MayHaveRun(why)))
     }
 
     /// Applies the rate limit that an answer of this run carries. Only an answer that the upstream
@@ -451,14 +454,14 @@
         guard: AttemptGuard<T>,
     ) -> SendResult<T> {
         let Ok(body) = read_whole(&wire, &mut reader, MAX_BODY).await else {
-            guard.end(Ending::Broken);
+            guard.end(UpstreamOutcome::Incomplete);
             return SendResult::MayHaveRun("broke within its answer");
         };
         let is_success = head.status() < 500;
         guard.end(if is_success {
-            Ending::Good
+            UpstreamOutcome::Good
         } else {
-            Ending::Failed
+            UpstreamOutcome::Failed
         });
         if !reader.ends_with_connection() {
             let mut pool = self.shared.pool.borrow_mut();
--- a/components/traffic/src/attempt_guard.rs
+++ b/components/traffic/src/attempt_guard.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use dispatch::{ArmCounts, Begun, Choice, Ending, Load, Ticket, UpstreamIndex};
+use dispatch::{AnswerStart, ArmCounts, Choice, Load, Ticket, UpstreamIndex, UpstreamOutcome};
 use poison::{AttemptEnd, AttemptId, Content};
 use types::prelude::*;
 
@@ -11,7 +11,7 @@
 use crate::exchange::Request;
 use crate::shared::Shared;
 
-/// Accounts for one attempt at an upstream when dropped. Without an ending it counts as cancelled.
+/// Accounts for one attempt at an upstream when dropped. Without an outcome it counts as cancelled.
 pub(crate) struct AttemptGuard<T> {
     shared: Rc<Shared<T>>,
     index: UpstreamIndex,
@@ -22,7 +22,7 @@
     arm: Option<Arm>,
     sent_at: Time,
     began_at: Option<Time>,
-    ending: Ending,
+    outcome: UpstreamOutcome,
 }
 
 impl<T> AttemptGuard<T> {
@@ -39,7 +39,7 @@
     ) -> Self {
         let now = shared.now();
         let mut upstreams = shared.upstreams.borrow_mut();
-        let ticket = upstreams.started(now, choice.index, &choice.load, &choice.prefixes);
+        let ticket = upstreams.record_start(now, choice.index, &choice.load, &choice.prefixes);
         if upstreams.rate_limit(choice.index).is_some() {
             shared.metrics.limited_sends.inc();
         }
@@ -60,7 +60,7 @@
             arm,
             sent_at: now,
             began_at: None,
-            ending: Ending::Dropped,
+            outcome: UpstreamOutcome::Cancelled,
         };
         guard.count(|counts| {
             counts.sent += 1;
@@ -72,23 +72,23 @@
     /// Notes the first output of the answer itself.
     pub(crate) fn note_first_output(&mut self, model: Option<&Arc<str>>) {
         let now = self.shared.now();
-        let ms = now.since(self.sent_at).as_secs_f64() * 1_000.0;
+        let elapsed_ms = now.since(self.sent_at).as_secs_f64() * 1_000.0;
         let mut upstreams = self.shared.upstreams.borrow_mut();
-        upstreams.answering(
+        upstreams.record_answer_start(
             now,
-            &Begun {
+            &AnswerStart {
                 index: self.index,
                 ticket: self.ticket,
                 load: &self.load,
                 model,
-                ms,
+                elapsed_ms,
             },
         );
         drop(upstreams);
         self.began_at = Some(now);
         self.note_running();
         if self.arm.as_ref().is_some_and(|arm| arm.is_evidence) {
-            self.count(|counts| counts.note_begun(ms, &self.load));
+            self.count(|counts| counts.record_answer_start(elapsed_ms, &self.load));
         }
     }
 
@@ -102,7 +102,10 @@
     /// Notes that something was read from the upstream.
     pub(crate) fn note_heard(&self) {
         let now = self.shared.now();
-        self.shared.upstreams.borrow_mut().heard(now, self.index);
+        self.shared
+            .upstreams
+            .borrow_mut()
+            .record_received(now, self.index);
     }
 
     /// When the request was sent.
@@ -119,7 +122,7 @@
     pub(crate) fn upstream_silent_for(&self) -> Span {
         let now = self.shared.now();
         let upstreams = self.shared.upstreams.borrow();
-        upstreams.mute_for(now, self.index, self.sent_at)
+        upstreams.silent_for(now, self.index, self.sent_at)
     }
 
     /// Time within which the first output can be expected: the estimate, and twice as much again
@@ -130,8 +133,8 @@
     }
 
     /// Sets how the attempt ended; dropping the guard counts it.
-    pub(crate) fn end(mut self, ending: Ending) {
-        self.ending = ending;
+    pub(crate) fn end(mut self, outcome: UpstreamOutcome) {
+        self.outcome = outcome;
     }
 
     fn count(&self, f: impl FnOnce(&mut ArmCounts)) {
@@ -145,35 +148,37 @@
     fn drop(&mut self) {
         let now = self.shared.now();
         let mut upstreams = self.shared.upstreams.borrow_mut();
-        upstreams.ended(now, self.index, self.ticket, self.ending);
+        upstreams.record_end(now, self.index, self.ticket, self.outcome);
         drop(upstreams);
         self.shared.attempt_ended(
             self.index,
             self.attempt,
             self.content,
-            attempt_end(self.ending),
+            attempt_end(self.outcome),
         );
         self.count(|counts| counts.out = counts.out.saturating_sub(1));
         let Some(arm) = self.arm.take().filter(|arm| arm.is_evidence) else {
             return;
         };
-        match self.ending {
-            Ending::Good => arm.count(&self.shared, |counts| counts.good += 1),
-            Ending::Failed => arm.count(&self.shared, |counts| counts.bad += 1),
-            Ending::Silent => arm.count(&self.shared, |counts| counts.broken += 1),
-            Ending::Broken => self.shared.note_broken_answer(arm, self.index),
+        match self.outcome {
+            UpstreamOutcome::Good => arm.count(&self.shared, |counts| counts.good += 1),
+            UpstreamOutcome::Failed => arm.count(&self.shared, |counts| counts.bad += 1),
+            UpstreamOutcome::Silent => arm.count(&self.shared, |counts| counts.broken += 1),
+            UpstreamOutcome::Incomplete => self.shared.note_broken_answer(arm, self.index),
             _ => {}
         }
     }
 }
 
-/// Translates an ending into what it says of the attempt at the upstream.
-fn attempt_end(ending: Ending) -> AttemptEnd {
-    match ending {
-        Ending::Good => AttemptEnd::Answered,
-        Ending::Failed => AttemptEnd::Failed,
-        Ending::Broken => AttemptEnd::Broken,
-        Ending::Silent | Ending::Dropped => AttemptEnd::GivenUp,
-        Ending::Unreachable | Ending::Refused | Ending::Replaced => AttemptEnd::NotStarted,
+/// Translates an outcome into what it says of the attempt at the upstream.
+fn attempt_end(outcome: UpstreamOutcome) -> AttemptEnd {
+    match outcome {
+        UpstreamOutcome::Good => AttemptEnd::Answered,
+        UpstreamOutcome::Failed => AttemptEnd::Failed,
+        UpstreamOutcome::Incomplete => AttemptEnd::Broken,
+        UpstreamOutcome::Silent | UpstreamOutcome::Cancelled => AttemptEnd::GivenUp,
+        UpstreamOutcome::Unreachable | UpstreamOutcome::Refused | UpstreamOutcome::Replaced => {
+            AttemptEnd::NotStarted
+        }
     }
 }
--- a/components/traffic/src/exchange.rs
+++ b/components/traffic/src/exchange.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use dispatch::{Cascade, Ending, Load, NoUpstream, UpstreamIndex, Use};
+use dispatch::{Cascade, Load, NoUpstream, RetryReason, UpstreamIndex, UpstreamOutcome};
 use http1::{Head, Wire};
 use poison::Content;
 use routes::{Customer, Route, RouteTable};
@@ -50,7 +50,7 @@
 enum Next {
     Finished(Finish),
     /// It did not run, or may be retried: try another upstream, at the cost of a retry.
-    Retry(Use),
+    Retry(RetryReason),
     /// Nothing arrived at the upstream: try another, at no cost to the retry budget.
     TryAnother,
     /// Stop: it failed or its outcome is unknown, and it must not be retried.
@@ -154,7 +154,7 @@
                 Next::GiveUp(why) => return self.give_up(why).await,
                 Next::NoneAvailable(no) => return self.refuse(no).await,
                 // A content quarantined in the meantime takes no retry: the next pass refuses it.
-                Next::Retry(what) => self.is_quarantined() || self.may_retry(what),
+                Next::Retry(reason) => self.is_quarantined() || self.may_retry(reason),
                 Next::TryAnother => self.unreachable < MAX_UNREACHABLE,
             };
             if !may_go_on {
@@ -250,7 +250,7 @@
             }
             SendResult::NotRun(what) => {
                 self.record_try(index, what);
-                Next::Retry(Use::Failure)
+                Next::Retry(RetryReason::Failure)
             }
             SendResult::MayHaveRun(what) => {
                 self.record_try(index, what);
@@ -275,7 +275,7 @@
                     self.record_try(index, &format!("dropped as unsure ({confidence})"));
                     self.model_index = Some(larger);
                     self.tried.clear();
-                    return Next::Retry(Use::LargerModel);
+                    return Next::Retry(RetryReason::LargerModel);
                 }
                 self.relay_stream(index, *stream).await
             }
@@ -285,7 +285,7 @@
     fn retry_or_give_up(&mut self, why: &'static str) -> Next {
         self.has_failed = true;
         match self.request.route.repeat.is_allowed() {
-            true => Next::Retry(Use::Failure),
+            true => Next::Retry(RetryReason::Failure),
             false => Next::GiveUp(why),
         }
     }
@@ -320,7 +320,7 @@
                     .confidence
                     .map(|confidence| format!("streamed ({confidence})"));
                 self.record_try(index, what.as_deref().unwrap_or("streamed"));
-                stream.finish(Ending::Good);
+                stream.finish(UpstreamOutcome::Good);
                 Next::Finished(Finish {
                     outcome: Outcome::Answered,
                     status: 200,
@@ -332,9 +332,9 @@
                 self.record_try(index, "caller gone");
                 Next::Finished(Finish::caller_gone())
             }
-            RelayEnd::Broken(why, ending) => {
+            RelayEnd::Broken(why, outcome) => {
                 self.record_try(index, why);
-                stream.finish(ending);
+                stream.finish(outcome);
                 if self.relay.has_begun() && self.version.is_none() {
                     let upstreams = self.shared.upstreams.borrow();
                     self.version = upstreams.spec(index).map(|spec| spec.version.clone());
--- a/components/traffic/src/exchange/choose.rs
+++ b/components/traffic/src/exchange/choose.rs
@@ -2,7 +2,9 @@
 
 use std::sync::Arc;
 
-use dispatch::{Cascade, Choice, Draft, Gate, Need, NoUpstream, Permit, UpstreamIndex, Use};
+use dispatch::{
+    Cascade, Choice, Draft, Gate, NoUpstream, Permit, Requirements, RetryReason, UpstreamIndex,
+};
 use poison::Admission;
 use types::prelude::*;
 
@@ -55,19 +57,19 @@
     ) -> Result<Choice, NoUpstream> {
         let permit = self.permit();
         let prompt = self.request.ask.prompt.as_ref();
-        let need = Need {
+        let requirements = Requirements {
             service: &self.service,
             model,
             parts: prompt.map_or(&[], |prompt| &prompt.parts),
             prompt_tokens: prompt.map_or(0, |prompt| prompt.tokens),
             permit: &permit,
-            apart: self.is_trial || self.is_suspect(),
+            isolated: self.is_trial || self.is_suspect(),
             exclude: tried,
-            near: &self.shared.cfg.failure_domain,
+            local_domain: &self.shared.cfg.failure_domain,
         };
         let now = self.shared.now();
         let upstreams = self.shared.upstreams.borrow();
-        upstreams.choose(now, &need, &mut *self.shared.rng.borrow_mut())
+        upstreams.choose(now, &requirements, &mut *self.shared.rng.borrow_mut())
     }
 
     /// Expected time until a model's first event.
@@ -96,7 +98,7 @@
         let Some(gate) = plan.gate(&self.service) else {
             return Permit::Any;
         };
-        if gate.notes(self.placement_hash) {
+        if gate.should_note(self.placement_hash) {
             self.shared
                 .seen
                 .add_staying(gate.order, [Gate::mark(self.placement_hash)]);
@@ -120,8 +122,8 @@
             return None;
         }
         let draft = Draft {
-            asked: self.model_index?,
-            runs_left: self.request.route.max_runs - self.runs,
+            model_index: self.model_index?,
+            attempts_left: self.request.route.max_runs - self.runs,
             confidence: confidence?,
             arrived_at: self.request.arrived_at,
             objective: self.request.route.objective,
@@ -131,14 +133,17 @@
         let expected = |index| self.expected_first_event(index);
         let cascade = Cascade::new(self.shared.cfg.policy.cascade);
         let larger = cascade.next(now, models, draft, expected)?;
-        let is_paid = self.shared.take_retry(&self.service, Use::LargerModel);
+        let is_paid = self
+            .shared
+            .take_retry(&self.service, RetryReason::LargerModel);
         is_paid.then_some(larger)
     }
 
-    pub(super) fn may_retry(&self, what: Use) -> bool {
+    pub(super) fn may_retry(&self, reason: RetryReason) -> bool {
         let max_runs = self.request.route.max_runs;
         let has_room = self.runs < max_runs && self.sends < max_runs + MAX_EXTRA_SENDS;
         // The escalation took its retry when the smaller model's answer was dropped.
-        has_room && (what == Use::LargerModel || self.shared.take_retry(&self.service, what))
+        has_room
+            && (reason == RetryReason::LargerModel || self.shared.take_retry(&self.service, reason))
     }
 }
--- a/components/traffic/src/rate_limits.rs
+++ b/components/traffic/src/rate_limits.rs
@@ -29,7 +29,7 @@
     pub(crate) fn back_off(&self, index: UpstreamIndex, wait: Span) {
         let now = self.now();
         let mut upstreams = self.upstreams.borrow_mut();
-        upstreams.leave_alone(now, index, now + wait);
+        upstreams.back_off(now, index, now + wait);
     }
 
     /// Merges the rate limits that other daemons advertise.
@@ -38,7 +38,7 @@
         let mut upstreams = self.upstreams.borrow_mut();
         for ad in ads {
             if let Some(change) = upstreams.merge_rate_limit(now, ad) {
-                let spec = upstreams.find_run(ad.instance);
+                let spec = upstreams.find_instance(ad.instance);
                 log(spec.map(|spec| &spec.id), "peer", change);
             }
         }
--- a/components/traffic/src/relay.rs
+++ b/components/traffic/src/relay.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dispatch::Ending;
+use dispatch::UpstreamOutcome;
 use http1::events::{Event, Splitter};
 use http1::write::{LAST_CHUNK, push_chunk};
 use http1::{Progress, Wire};
@@ -41,7 +41,7 @@
     /// The caller disconnected.
     CallerGone,
     /// The upstream broke off; the events delivered so far are whole.
-    Broken(&'static str, Ending),
+    Broken(&'static str, UpstreamOutcome),
 }
 
 /// The stream to one caller, across upstreams.
@@ -56,7 +56,7 @@
 enum NextRead {
     Events(Vec<Event>),
     End,
-    Broken(&'static str, Ending),
+    Broken(&'static str, UpstreamOutcome),
 }
 
 impl Relay {
@@ -106,7 +106,7 @@
                 biased;
                 next = next(stream, &mut splitter) => next,
                 _ = ticker.tick() => match stream.give_up_reason(request, heard_at, has_event) {
-                    Some(why) if stream.may_switch => NextRead::Broken(why, Ending::Silent),
+                    Some(why) if stream.may_switch => NextRead::Broken(why, UpstreamOutcome::Silent),
                     _ => continue,
                 },
             };
@@ -115,7 +115,7 @@
             let events = match next {
                 NextRead::Events(events) => events,
                 NextRead::End => return self.end(caller, stream, has_event, keeps_alive).await,
-                NextRead::Broken(why, ending) => return RelayEnd::Broken(why, ending),
+                NextRead::Broken(why, outcome) => return RelayEnd::Broken(why, outcome),
             };
             if !has_event {
                 has_event = true;
@@ -131,7 +131,10 @@
                 return RelayEnd::CallerGone;
             }
             if !is_in_order {
-                return RelayEnd::Broken("an event was missing or repeated", Ending::Broken);
+                return RelayEnd::Broken(
+                    "an event was missing or repeated",
+                    UpstreamOutcome::Incomplete,
+                );
             }
         }
     }
@@ -166,7 +169,7 @@
         let mut out = Vec::new();
         if !self.has_begun() {
             if !has_event && self.last.is_none() {
-                return RelayEnd::Broken("ended without an event", Ending::Broken);
+                return RelayEnd::Broken("ended without an event", UpstreamOutcome::Incomplete);
             }
             push_stream_head(&mut out, stream, keeps_alive);
         }
@@ -198,20 +201,27 @@
                     has_ended = true;
                     break;
                 }
-                Err(_) => return NextRead::Broken("garbled within its stream", Ending::Broken),
+                Err(_) => {
+                    return NextRead::Broken(
+                        "garbled within its stream",
+                        UpstreamOutcome::Incomplete,
+                    );
+                }
             }
         }
         match take_events(splitter) {
             Ok(events) if !events.is_empty() => return NextRead::Events(events),
             Ok(_) => {}
-            Err(why) => return NextRead::Broken(why, Ending::Broken),
+            Err(why) => return NextRead::Broken(why, UpstreamOutcome::Incomplete),
         }
         if has_ended {
             return end_reason(splitter);
         }
         match stream.wire.fill().await {
             Ok(0) if stream.reader.ends_with_connection() => return end_reason(splitter),
-            Ok(0) | Err(_) => return NextRead::Broken("cut within its stream", Ending::Broken),
+            Ok(0) | Err(_) => {
+                return NextRead::Broken("cut within its stream", UpstreamOutcome::Incomplete);
+            }
             Ok(_) => {}
         }
     }
@@ -219,7 +229,7 @@
 
 fn end_reason(splitter: &Splitter) -> NextRead {
     match splitter.has_rest() {
-        true => NextRead::Broken("ended within an event", Ending::Broken),
+        true => NextRead::Broken("ended within an event", UpstreamOutcome::Incomplete),
         false => NextRead::End,
     }
 }
--- a/components/traffic/src/server.rs
+++ b/components/traffic/src/server.rs
@@ -230,7 +230,10 @@
     match command {
         Command::Plan(plan) => shared.set_plan(plan),
         Command::Others(others) => {
-            shared.upstreams.borrow_mut().set_others(&others.loads);
+            shared
+                .upstreams
+                .borrow_mut()
+                .set_remote_loads(&others.loads);
             shared.proof.set(others.proof);
             shared.merge_rate_limits(&others.rate_limits);
         }
--- a/components/traffic/src/shared.rs
+++ b/components/traffic/src/shared.rs
@@ -5,8 +5,8 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use dispatch::{
-    Advertisement, Evidence, Gate, LastSeen, Pins, RetryBudget, SharedLoad, UpstreamIndex,
-    Upstreams, Use,
+    Advertisement, Evidence, Gate, LastSeen, Pins, RetryBudget, RetryReason, SharedLoad,
+    UpstreamIndex, Upstreams,
 };
 use http1::Pool;
 use poison::{Admission, Attempts, Content};
@@ -211,8 +211,8 @@
         let pins = self.pins.borrow();
         for gate in plan.gates.iter().filter(|gate| gate.share <= 0.0) {
             let active = pins
-                .not_on(now, &gate.to)
-                .filter(|session| gate.notes(*session));
+                .on_other_versions(now, &gate.to)
+                .filter(|session| gate.should_note(*session));
             self.seen.add_staying(gate.order, active.map(Gate::mark));
         }
     }
@@ -220,13 +220,13 @@
     /// Counts a caller's request towards the retry budget of a service.
     pub(crate) fn count_request(&self, service: &Arc<str>) {
         let now = self.now();
-        self.with_budget(service, |budget| budget.requested(now));
+        self.with_budget(service, |budget| budget.record_request(now));
     }
 
     /// Takes a retry from the budget of a service; false if none is left.
-    pub(crate) fn take_retry(&self, service: &Arc<str>, what: Use) -> bool {
+    pub(crate) fn take_retry(&self, service: &Arc<str>, reason: RetryReason) -> bool {
         let now = self.now();
-        self.with_budget(service, |budget| budget.take(now, what))
+        self.with_budget(service, |budget| budget.try_acquire(now, reason))
     }
 
     fn with_budget<R>(&self, service: &Arc<str>, f: impl FnOnce(&mut RetryBudget) -> R) -> R {
--- a/components/traffic/tests/it/harness.rs
+++ b/components/traffic/tests/it/harness.rs
@@ -354,7 +354,7 @@
     /// Reports a rate limit of an upstream as a peer does.
     pub fn send_peer_limit(&self, id: &str, rate: f32) {
         let limit = dispatch::Advertisement {
-            instance: dispatch::run_key(&UpstreamId::new(id).expect("a name"), None),
+            instance: dispatch::instance_key(&UpstreamId::new(id).expect("a name"), None),
             version: 1,
             rate: Some(rate),
             age_ms: 0,
