--- a/components/fleet/src/control.rs
+++ b/components/fleet/src/control.rs
@@ -7,7 +7,7 @@
 use mirror::{Answer, Change, Mirror, Question, Revision};
 use peers::{AskError, Inbound, Part, Payload};
 use routes::TableVersion;
-use traffic::{Command, Others, Plan};
+use traffic::{Command, PeerState, Plan};
 use types::prelude::*;
 
 use crate::codec::Codec;
@@ -435,22 +435,22 @@
     }
 
     /// Sends a heartbeat, and tells the event loop the load from peers and how current its plan is.
-    /// The plan goes first, because the proof of freshness refers to it.
+    /// The plan goes first, because the validation of freshness refers to it.
     fn share_status(&mut self, now: Time) {
         self.plan();
         let watches = self.watch_works(now);
-        let loads = self.traffic.seen.loads();
-        let rate_limits = self.traffic.seen.rate_limits();
+        let loads = self.traffic.observed.loads();
+        let rate_limits = self.traffic.observed.rate_limits();
         let copy = self.mirror_state();
         self.peering
             .send_heartbeat(now, copy, watches, loads, rate_limits);
-        let others = Others {
+        let peer_state = PeerState {
             rate_limits: self.peering.take_rate_limits(),
             loads: self.peering.peer_loads(now),
-            proof: self.proof(),
+            validation: self.validation(),
         };
         // The event loop may have ended before this thread when the process stops.
-        let _ = self.traffic.commands.send(Command::Others(others));
+        let _ = self.traffic.commands.send(Command::PeerState(peer_state));
     }
 
     /// Whether this daemon keeps an entry in the store by which others find it: the first few do,
@@ -488,7 +488,7 @@
             gates: self.rollouts.gates(),
             daemons: self.daemons,
             fleet: Arc::clone(&self.fleet),
-            unreadable: self.planner.unreadable(),
+            unreadable_upstreams: self.planner.unreadable(),
             is_ready,
         };
         // The event loop may have ended before this thread when the process stops.
--- a/components/fleet/src/control/freshness.rs
+++ b/components/fleet/src/control/freshness.rs
@@ -4,7 +4,7 @@
 //! from the own watch or from another daemon. That knowledge is a lease: once it runs out, the
 //! daemon watches the store itself, whatever it hears of other watchers.
 
-use traffic::Proof;
+use traffic::Validation;
 use types::prelude::*;
 
 use super::Control;
@@ -42,13 +42,16 @@
 
     /// How current the configuration in force is known to be; `None` if the store holds one that
     /// cannot be read.
-    pub(super) fn proof(&self) -> Option<Proof> {
+    pub(super) fn validation(&self) -> Option<Validation> {
         let version = self
             .planner
             .version()
             .filter(|_| self.planner.is_readable());
-        let (version, at) = version.zip(self.validated_at)?;
-        Some(Proof { version, at })
+        let (version, validated_at) = version.zip(self.validated_at)?;
+        Some(Validation {
+            version,
+            validated_at,
+        })
     }
 
     /// Updates [`Self::validated_at`] from the known claims.
--- a/components/fleet/src/control/quarantine.rs
+++ b/components/fleet/src/control/quarantine.rs
@@ -21,7 +21,7 @@
         let crashed = self.traffic.suspects.lock().merge_updates(now, updates);
         if !crashed.is_empty() {
             // The event loop may have ended before this thread when the process stops.
-            let _ = self.traffic.commands.send(Command::Ended(crashed));
+            let _ = self.traffic.commands.send(Command::Crashed(crashed));
         }
         self.gossip_suspects(now);
     }
--- a/components/fleet/src/control/rollouts.rs
+++ b/components/fleet/src/control/rollouts.rs
@@ -28,9 +28,9 @@
         if services.is_empty() {
             return;
         }
-        let seen = self.traffic.seen.evidence();
+        let observed = self.traffic.observed.evidence();
         for (service, order) in services {
-            let mut own = seen.get(&service).copied().unwrap_or_default();
+            let mut own = observed.get(&service).copied().unwrap_or_default();
             if own.order != order.revision {
                 own = Evidence::default();
             }
@@ -56,7 +56,7 @@
                 continue;
             }
             if is_tick && self.is_report_due(known_for) {
-                let staying = self.traffic.seen.staying(order.revision);
+                let staying = self.traffic.observed.staying(order.revision);
                 self.peering.report(now, &own, &staying);
             }
         }
--- a/components/fleet/src/start.rs
+++ b/components/fleet/src/start.rs
@@ -41,7 +41,7 @@
 pub struct Running {
     events: flume::Sender<Event>,
     commands: flume::Sender<Command>,
-    ended: flume::Receiver<()>,
+    stopped: flume::Receiver<()>,
     control: JoinHandle<()>,
 }
 
@@ -79,7 +79,7 @@
     spawn("watch", move || watcher.run())?;
     let calls = spawn_calls(store, events.clone())?;
     let commands = traffic.commands.clone();
-    let ended = traffic.ended.clone();
+    let stopped = traffic.stopped.clone();
     let key = format!("{}{}", codec.daemon_prefix(), settings.me);
     let control = Control {
         mirror: Mirror::default(),
@@ -113,7 +113,7 @@
     Ok(Running {
         events,
         commands,
-        ended,
+        stopped,
         control,
     })
 }
@@ -199,7 +199,7 @@
     pub fn stop(self) {
         // Fails only if the event loop has already ended.
         let _ = self.commands.send(Command::Stop);
-        let _ = self.ended.recv();
+        let _ = self.stopped.recv();
         let _ = self.events.send(Event::Stop);
         if self.control.join().is_err() {
             tracing::error!("control: the thread panicked");
--- a/components/fleet/tests/it/freshness.rs
+++ b/components/fleet/tests/it/freshness.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use fleet::Running;
-use traffic::{Command, Seen};
+use traffic::{Command, Observed};
 use types::prelude::*;
 
 use crate::harness::{
@@ -21,20 +21,20 @@
     rx: flume::Receiver<Command>,
     clock_began: Instant,
     running: Running,
-    ended: flume::Sender<()>,
+    stopped: flume::Sender<()>,
 }
 
 fn observed(memory: &MemoryStore, table_decode_time: Duration) -> ObservedControl {
     let (commands, rx) = flume::unbounded();
-    let (ended_tx, ended) = flume::bounded(1);
+    let (stopped_tx, stopped) = flume::bounded(1);
     let none = SocketAddr::from(([127, 0, 0, 1], 0));
     let traffic = traffic::Handle {
         callers: none,
         status: none,
         commands,
-        seen: Seen::default(),
+        observed: Observed::default(),
         suspects: poison::SharedSuspects::default(),
-        ended,
+        stopped,
     };
     let codec = TextCodec { table_decode_time };
     let clock_began = Instant::now();
@@ -45,7 +45,7 @@
         rx,
         clock_began,
         running: running.expect("starts"),
-        ended: ended_tx,
+        stopped: stopped_tx,
     }
 }
 
@@ -56,13 +56,13 @@
     }
 
     fn stop(self) {
-        drop(self.ended);
+        drop(self.stopped);
         self.running.stop();
     }
 }
 
-/// Guards against a proof for a new configuration that reaches the event loop before its plan: new
-/// routes were refused as unknown by the old configuration.
+/// Guards against a validation for a new configuration that reaches the event loop before its plan:
+/// new routes were refused as unknown by the old configuration.
 #[test]
 fn validation_never_precedes_its_configuration() {
     let memory = MemoryStore::default();
@@ -80,10 +80,14 @@
                 {
                     break;
                 }
-                Command::Others(others) => {
-                    let proven_at = others.proof.map(|proof| proof.at).unwrap_or_default();
-                    let proven_at = daemon.clock_began + proven_at.since(Time::ZERO).to_duration();
-                    assert!(proven_at < written_at, "version {version}");
+                Command::PeerState(peer_state) => {
+                    let validated_at = peer_state
+                        .validation
+                        .map(|validation| validation.validated_at)
+                        .unwrap_or_default();
+                    let validated_at =
+                        daemon.clock_began + validated_at.since(Time::ZERO).to_duration();
+                    assert!(validated_at < written_at, "version {version}");
                 }
                 _ => {}
             }
@@ -103,7 +107,7 @@
     let until_proven = |is_proven: bool| {
         let deadline = Instant::now() + Duration::from_secs(20);
         let matches_expectation = || match daemon.next() {
-            Command::Others(others) => others.proof.is_some() == is_proven,
+            Command::PeerState(peer_state) => peer_state.validation.is_some() == is_proven,
             _ => false,
         };
         while !matches_expectation() {
--- a/components/fleet/tests/it/harness.rs
+++ b/components/fleet/tests/it/harness.rs
@@ -13,7 +13,7 @@
 use routes::{
     Limits, RolloutOrder, RolloutState, RouteTable, TableVersion, Upstream, UpstreamState,
 };
-use traffic::{Ask, AskError, Forwarding, Standing, Translator};
+use traffic::{Ask, AskError, Execution, Forwarding, Translator};
 use types::prelude::*;
 
 pub use crate::memory::{MemoryStore, StoreLink};
@@ -137,11 +137,11 @@
         traffic::Reply {
             attempt: None,
             is_signed: false,
-            standing: Standing::Ran,
+            execution: Execution::Ran,
             confidence: None,
             retry_after: None,
             rate_limit: dispatch::Advertised::Nothing,
-            is_encoded: false,
+            is_reencoded: false,
         }
     }
 }
@@ -209,8 +209,8 @@
         status: any,
         ready_path: "/ready".to_owned(),
         failure_domain: settings.failure_domain.clone(),
-        max_callers: 10,
-        max_held: ByteSize(1_000),
+        max_caller_connections: 10,
+        max_held_body_bytes: ByteSize(1_000),
         policy: Policy::default(),
         retries: RetryLimits {
             ratio: 1.0,
@@ -218,9 +218,9 @@
             window: Span::from_secs(1),
         },
         suspects: SharedSuspects::default(),
-        current_within: Span::from_secs(2),
+        max_staleness: Span::from_secs(2),
         session_idle: Span::from_secs(1),
-        grace: Span::from_secs(4),
+        grace_period: Span::from_secs(4),
         dropped_logs: telemetry::logs::Dropped::default(),
     };
     let traffic = traffic::start(traffic, NoTranslator, clock).expect("starts");
--- a/components/traffic/src/arm.rs
+++ b/components/traffic/src/arm.rs
@@ -66,7 +66,7 @@
             false => f(&mut evidence.old.kinds[self.kind]),
         };
         shared
-            .seen
+            .observed
             .update_evidence(&self.service, self.order, change);
     }
 }
--- a/components/traffic/src/attempt.rs
+++ b/components/traffic/src/attempt.rs
@@ -18,7 +18,7 @@
 use crate::exchange::Request;
 use crate::relay::{SILENCE_POLL, give_up_reason};
 use crate::shared::Shared;
-use crate::translate::{Forwarding, Reply, Standing, Translator};
+use crate::translate::{Execution, Forwarding, Reply, Translator};
 
 /// A live upstream accepts a connection within milliseconds; one behind a network partition never
 /// answers.
@@ -296,31 +296,31 @@
         index: UpstreamIndex,
         answer: &AnswerHead,
     ) -> Option<(UpstreamOutcome, SendResult<T>)> {
-        match answer.reply.standing {
-            Standing::NotRun => {
+        match answer.reply.execution {
+            Execution::NotRun => {
                 if let Some(wait) = answer.reply.retry_after {
                     self.shared.back_off(index, wait);
                 }
                 return Some((UpstreamOutcome::Refused, SendResult::NotRun("refused")));
             }
-            Standing::OtherRun => {
+            Execution::OtherInstance => {
                 return Some((UpstreamOutcome::Replaced, SendResult::NotRun("replaced")));
             }
-            Standing::Ran => {}
+            Execution::Ran => {}
         }
         let is_success = (200..300).contains(&answer.head.status());
-        let is_own = answer.reply.is_signed && !answer.reply.is_encoded;
+        let is_own = answer.reply.is_signed && !answer.reply.is_reencoded;
         let why = "not the upstream's own answer";
         (is_success && !is_own)
             .then_some((UpstreamOutcome::Incomplete, SendResult::MayHaveRun(why)))
     }
 
-    /// Applies the rate limit that an answer of this run carries. Only an answer that the upstream
-    /// signed can lift a limit.
+    /// Applies the rate limit that an answer of this instance carries. Only an answer that the
+    /// upstream signed can lift a limit.
     fn observe_rate_limit(&self, index: UpstreamIndex, guard: &AttemptGuard<T>, reply: &Reply) {
-        let is_of_run = reply.standing != Standing::OtherRun && !reply.is_encoded;
+        let is_of_instance = reply.execution != Execution::OtherInstance && !reply.is_reencoded;
         let says_nothing = reply.rate_limit == Advertised::Nothing;
-        if is_of_run && (reply.is_signed || !says_nothing) {
+        if is_of_instance && (reply.is_signed || !says_nothing) {
             let shared = self.shared;
             shared.observe_rate_limit(index, guard.sent_at(), reply.rate_limit);
         }
@@ -339,7 +339,7 @@
         let customer = self.request.customer.as_ref();
         let forwarding = Forwarding {
             head: &self.request.head,
-            patience: self.shared.now().until(self.request.deadline),
+            timeout: self.shared.now().until(self.request.deadline),
             upstream,
             customer: customer.map(|customer| &*customer.name),
             model: self.model.map(|model| &**model),
--- a/components/traffic/src/caller.rs
+++ b/components/traffic/src/caller.rs
@@ -113,11 +113,11 @@
         Ok(ask) => ask,
         Err(e) => return refuse("", LocalReply::Malformed, &e.to_string()).await,
     };
-    wait_for_table(shared, ask.patience).await;
+    wait_for_table(shared, ask.timeout).await;
     let routed = find_route(shared, &head, &ask);
     let timeout = match &routed {
         Ok(routed) => timeout_of(&ask, &routed.route),
-        Err(_) => ask.patience.unwrap_or(UNREADY_RETRY),
+        Err(_) => ask.timeout.unwrap_or(UNREADY_RETRY),
     };
     let deadline = arrived_at + timeout;
     // The body is read even if the request is refused: a caller that is still writing may not see
@@ -185,7 +185,7 @@
 }
 
 fn timeout_of(ask: &Ask, route: &Route) -> Span {
-    let asked = ask.patience.unwrap_or(route.timeout);
+    let asked = ask.timeout.unwrap_or(route.timeout);
     asked.min(route.timeout)
 }
 
@@ -200,7 +200,7 @@
     }
     let plan = shared.plan();
     let Some(table) = &plan.table else {
-        let min_pause = unready_retry_after(shared.now().since(Time::ZERO), ask.patience);
+        let min_pause = unready_retry_after(shared.now().since(Time::ZERO), ask.timeout);
         let retry_after = add_jitter(min_pause, &mut *shared.rng.borrow_mut());
         return Err((
             LocalReply::NotRun { retry_after },
@@ -241,7 +241,7 @@
     if !shared.may_be_stale() {
         return (reply, why);
     }
-    let retry_after = cap_retry_after(STALE_RETRY, ask.patience);
+    let retry_after = cap_retry_after(STALE_RETRY, ask.timeout);
     let retry_after = add_jitter(retry_after, &mut *shared.rng.borrow_mut());
     (
         LocalReply::NotRun { retry_after },
--- a/components/traffic/src/config.rs
+++ b/components/traffic/src/config.rs
@@ -19,9 +19,9 @@
     /// The failure domain of this daemon.
     pub failure_domain: FailureDomain,
     /// Largest number of callers' connections, from the process's file descriptors.
-    pub max_callers: usize,
+    pub max_caller_connections: usize,
     /// Largest total of request bodies held, from the process's memory.
-    pub max_held: ByteSize,
+    pub max_held_body_bytes: ByteSize,
     /// Policy of all decisions, with its bounds.
     pub policy: Policy,
     /// Limits of the retry budgets.
@@ -31,10 +31,10 @@
     /// Longest pause between two requests of a session.
     pub session_idle: Span,
     /// A route or key missing from the configuration is called unknown only if the configuration
-    /// was proven current within this time; a change is in force everywhere by then.
-    pub current_within: Span,
+    /// was validated within this time; a change is in force everywhere by then.
+    pub max_staleness: Span,
     /// Longest time from the stop command until the last request has ended.
-    pub grace: Span,
+    pub grace_period: Span,
     /// Counts the log lines that were dropped.
     pub dropped_logs: Dropped,
 }
--- a/components/traffic/src/exchange/choose.rs
+++ b/components/traffic/src/exchange/choose.rs
@@ -100,7 +100,7 @@
         };
         if gate.should_note(self.placement_hash) {
             self.shared
-                .seen
+                .observed
                 .add_staying(gate.order, [Gate::mark(self.placement_hash)]);
         }
         let pins = self.shared.pins.borrow();
--- a/components/traffic/src/lib.rs
+++ b/components/traffic/src/lib.rs
@@ -8,7 +8,7 @@
 //! component. A [`Translator`] maps header names on the wire.
 //!
 //! The control thread sends a [`Plan`] whenever the configuration, the upstreams or a rollout
-//! changes, and reads back what was observed of rollouts ([`Seen`]).
+//! changes, and reads back what was observed of rollouts ([`Observed`]).
 
 mod answer;
 mod arm;
@@ -31,7 +31,7 @@
 
 pub use config::Config;
 pub use metrics::Metrics;
-pub use plan::{Plan, Proof};
-pub use server::{Command, Handle, Others, StartError, start};
-pub use shared::{Seen, Stage};
-pub use translate::{Ask, AskError, Forwarding, Prompt, Reply, Standing, Translator};
+pub use plan::{Plan, Validation};
+pub use server::{Command, Handle, PeerState, StartError, start};
+pub use shared::{Observed, Stage};
+pub use translate::{Ask, AskError, Execution, Forwarding, Prompt, Reply, Translator};
--- a/components/traffic/src/plan.rs
+++ b/components/traffic/src/plan.rs
@@ -6,13 +6,13 @@
 use routes::{RouteTable, TableVersion, Upstream};
 use types::prelude::*;
 
-/// Proof that a configuration was current: no newer one had been acknowledged.
+/// Validation that a configuration was current: no newer one had been acknowledged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Proof {
+pub struct Validation {
     /// The version that was current.
     pub version: TableVersion,
     /// When it was current.
-    pub at: Time,
+    pub validated_at: Time,
 }
 
 /// What the control thread knows, as one value.
@@ -29,19 +29,19 @@
     /// The daemons that share upstreams' rate limits.
     pub fleet: Arc<Fleet>,
     /// Number of upstream entries that cannot be read.
-    pub unreadable: usize,
+    pub unreadable_upstreams: usize,
     /// Whether enough is known to serve.
     pub is_ready: bool,
 }
 
 impl Plan {
-    /// Returns when the configuration was last known to be current, by a proof of its version or of
-    /// an older one.
+    /// Returns when the configuration was last known to be current, by a validation of its version
+    /// or of an older one.
     #[must_use]
-    pub fn proven_at(&self, proof: Option<Proof>) -> Option<Time> {
+    pub fn validated_at(&self, validation: Option<Validation>) -> Option<Time> {
         let version = self.table.as_ref()?.version;
-        let proof = proof.filter(|proof| proof.version <= version);
-        proof.map(|proof| proof.at)
+        let validation = validation.filter(|validation| validation.version <= version);
+        validation.map(|validation| validation.validated_at)
     }
 
     /// Returns the rollout of a service.
--- a/components/traffic/src/rate_limits.rs
+++ b/components/traffic/src/rate_limits.rs
@@ -47,7 +47,7 @@
     /// Publishes the rate limits that the control thread is to advertise.
     pub(crate) fn publish_rate_limits(&self) {
         let mut upstreams = self.upstreams.borrow_mut();
-        self.seen
+        self.observed
             .set_rate_limits(upstreams.advertise_rate_limits(self.now()));
         let limited = i64::try_from(upstreams.rate_limits().len()).unwrap_or(i64::MAX);
         self.metrics.limited_upstreams.set(limited);
--- a/components/traffic/src/request.rs
+++ b/components/traffic/src/request.rs
@@ -101,7 +101,7 @@
     let until = shared.instant(deadline);
     let bytes = callers::read_body(wire, head, framing, max, until).await?;
     let held = shared.held_body_bytes.get() + bytes.len() as u64;
-    if held > shared.cfg.max_held.0 {
+    if held > shared.cfg.max_held_body_bytes.0 {
         let retry_after = MEMORY_FULL_RETRY;
         return Err(NoRequest::Answer(LocalReply::NotRun { retry_after }));
     }
--- a/components/traffic/src/server.rs
+++ b/components/traffic/src/server.rs
@@ -22,8 +22,8 @@
 use crate::config::Config;
 use crate::crashes;
 use crate::metrics::Metrics;
-use crate::plan::{Plan, Proof};
-use crate::shared::{Seen, Shared, Stage};
+use crate::plan::{Plan, Validation};
+use crate::shared::{Observed, Shared, Stage};
 use crate::status;
 use crate::translate::Translator;
 
@@ -47,11 +47,11 @@
 
 /// State received from other daemons.
 #[derive(Debug, Default)]
-pub struct Others {
+pub struct PeerState {
     /// Load that all other daemons together have in flight, by upstream.
     pub loads: HashMap<u32, (f64, u32)>,
-    /// The configuration version last proven to be current.
-    pub proof: Option<Proof>,
+    /// The configuration version last validated as current.
+    pub validation: Option<Validation>,
     /// Rate limits of upstreams that other daemons advertise.
     pub rate_limits: Vec<Advertisement>,
 }
@@ -62,9 +62,9 @@
     /// Serve by this plan from now on.
     Plan(Arc<Plan>),
     /// Merge the state of other daemons.
-    Others(Others),
+    PeerState(PeerState),
     /// These upstreams crashed, as reported by other daemons.
-    Ended(Vec<UpstreamInstance>),
+    Crashed(Vec<UpstreamInstance>),
     /// Finish the requests in flight, then exit.
     Stop,
 }
@@ -95,11 +95,11 @@
     /// Sends commands to it.
     pub commands: flume::Sender<Command>,
     /// What it observed of rollouts, and its loads.
-    pub seen: Seen,
+    pub observed: Observed,
     /// Crash evidence against request contents, shared with the control thread.
     pub suspects: SharedSuspects,
     /// Disconnected once the event loop has ended.
-    pub ended: flume::Receiver<()>,
+    pub stopped: flume::Receiver<()>,
 }
 
 /// Starts the event loop on a thread of its own.
@@ -113,9 +113,9 @@
 ) -> Result<Handle, StartError> {
     let (tx, rx) = flume::unbounded();
     let (started_tx, started_rx) = flume::bounded(1);
-    let (ended_tx, ended) = flume::bounded(1);
-    let seen = Seen::default();
-    let published = seen.clone();
+    let (stopped_tx, stopped) = flume::bounded(1);
+    let observed = Observed::default();
+    let published = observed.clone();
     let suspects = cfg.suspects.clone();
     let thread = std::thread::Builder::new().name("traffic".to_owned());
     let run = move || {
@@ -134,7 +134,7 @@
         let tasks = LocalSet::new();
         tasks.spawn_local(crashes::probe_doubtful(Rc::clone(&shared), probe_rx));
         tasks.block_on(&runtime, serve(shared, rx, started_tx));
-        drop(ended_tx);
+        drop(stopped_tx);
     };
     thread.spawn(run).map_err(StartError::Thread)?;
     let started = started_rx.recv();
@@ -144,9 +144,9 @@
         callers,
         status,
         commands: tx,
-        seen,
+        observed,
         suspects,
-        ended,
+        stopped,
     })
 }
 
@@ -154,7 +154,7 @@
     cfg: Config,
     translator: T,
     clock: Clock,
-    seen: Seen,
+    observed: Observed,
     probe_tx: UnboundedSender<LastSeen>,
 ) -> Rc<Shared<T>> {
     let upstreams = Upstreams::new(cfg.policy.placing);
@@ -162,7 +162,7 @@
         cfg,
         translator,
         clock,
-        proof: Cell::default(),
+        validation: Cell::default(),
         metrics: Metrics::new(),
         plan: RefCell::default(),
         upstreams: RefCell::new(upstreams),
@@ -174,7 +174,7 @@
         pins: RefCell::default(),
         budgets: RefCell::new(HashMap::new()),
         rng: RefCell::new(SmallRng::seed_from_u64(rand::random())),
-        seen,
+        observed,
         stage: watch::Sender::new(Stage::Serving),
         requests_in_flight: Cell::new(0),
         caller_connections: Cell::new(0),
@@ -229,15 +229,15 @@
 fn apply<T>(shared: &Shared<T>, command: Command) {
     match command {
         Command::Plan(plan) => shared.set_plan(plan),
-        Command::Others(others) => {
+        Command::PeerState(peer_state) => {
             shared
                 .upstreams
                 .borrow_mut()
-                .set_remote_loads(&others.loads);
-            shared.proof.set(others.proof);
-            shared.merge_rate_limits(&others.rate_limits);
+                .set_remote_loads(&peer_state.loads);
+            shared.validation.set(peer_state.validation);
+            shared.merge_rate_limits(&peer_state.rate_limits);
         }
-        Command::Ended(instances) => instances
+        Command::Crashed(instances) => instances
             .iter()
             .for_each(|instance| shared.peer_reported_crash(instance)),
         Command::Stop => {}
@@ -264,7 +264,7 @@
         };
         // A connection beyond the limit is closed unread, which tells the caller that nothing was
         // run.
-        if shared.caller_connections.get() >= shared.cfg.max_callers {
+        if shared.caller_connections.get() >= shared.cfg.max_caller_connections {
             tracing::warn!(
                 callers = shared.caller_connections.get(),
                 "callers: connection limit reached, new connection closed"
@@ -312,7 +312,7 @@
     loop {
         tokio::time::sleep(PUBLISH_INTERVAL).await;
         let loads = shared.upstreams.borrow().own_loads(shared.now());
-        shared.seen.set_loads(loads);
+        shared.observed.set_loads(loads);
         shared.publish_rate_limits();
         shared.count_broken_answers();
     }
@@ -322,7 +322,7 @@
 /// or connection is left or the grace period ends.
 async fn drain<T>(shared: &Shared<T>, commands: &flume::Receiver<Command>) {
     let stop_at = shared.now();
-    let deadline = stop_at + (shared.cfg.grace - EXIT_MARGIN);
+    let deadline = stop_at + (shared.cfg.grace_period - EXIT_MARGIN);
     shared.stage.send_replace(Stage::Leaving);
     tracing::info!(
         requests = shared.requests_in_flight.get(),
--- a/components/traffic/src/shared.rs
+++ b/components/traffic/src/shared.rs
@@ -18,7 +18,7 @@
 use crate::arm::BrokenAnswer;
 use crate::config::Config;
 use crate::metrics::Metrics;
-use crate::plan::{Plan, Proof};
+use crate::plan::{Plan, Validation};
 
 /// Stage of this daemon's shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -46,9 +46,9 @@
 /// What the event loop publishes to the control thread: evidence on rollouts, and its loads and
 /// rate limits.
 #[derive(Debug, Clone, Default)]
-pub struct Seen(Arc<Mutex<Published>>);
+pub struct Observed(Arc<Mutex<Published>>);
 
-impl Seen {
+impl Observed {
     fn lock(&self) -> MutexGuard<'_, Published> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -120,8 +120,8 @@
     pub(crate) clock: Clock,
     pub(crate) metrics: Metrics,
     pub(crate) plan: RefCell<Arc<Plan>>,
-    /// The version last proven to be the newest, and when.
-    pub(crate) proof: Cell<Option<Proof>>,
+    /// The version last validated as the newest, and when.
+    pub(crate) validation: Cell<Option<Validation>>,
     pub(crate) upstreams: RefCell<Upstreams>,
     pub(crate) pool: RefCell<Pool<UpstreamIndex>>,
     /// Attempts in flight at each upstream, and recent ones.
@@ -135,7 +135,7 @@
     pub(crate) pins: RefCell<Pins>,
     pub(crate) budgets: RefCell<HashMap<Arc<str>, RetryBudget>>,
     pub(crate) rng: RefCell<SmallRng>,
-    pub(crate) seen: Seen,
+    pub(crate) observed: Observed,
     pub(crate) stage: watch::Sender<Stage>,
     /// Callers' requests in flight.
     pub(crate) requests_in_flight: Cell<usize>,
@@ -156,9 +156,9 @@
 
     /// Whether the configuration may lack a change that should be in force by now.
     pub(crate) fn may_be_stale(&self) -> bool {
-        let bound = self.cfg.current_within;
-        let proven_at = self.plan.borrow().proven_at(self.proof.get());
-        proven_at.is_none_or(|at| self.now().since(at) > bound)
+        let bound = self.cfg.max_staleness;
+        let validated_at = self.plan.borrow().validated_at(self.validation.get());
+        validated_at.is_none_or(|at| self.now().since(at) > bound)
     }
 
     pub(crate) fn stage(&self) -> Stage {
@@ -183,12 +183,13 @@
         suspects.set_fleet(plan.daemons, plan.upstreams.len());
         drop(suspects);
         self.publish_staying(&plan);
-        let unreadable = i64::try_from(plan.unreadable).unwrap_or(i64::MAX);
+        let unreadable = i64::try_from(plan.unreadable_upstreams).unwrap_or(i64::MAX);
         self.metrics.unreadable.set(unreadable);
         *self.plan.borrow_mut() = plan;
     }
 
-    /// Logs the configuration now in use, and the age of the proof that went with the former one.
+    /// Logs the configuration now in use, and the age of the validation that went with the
+    /// former one.
     fn log_table_version(&self, now: Time, plan: &Plan) {
         let version_of = |plan: &Plan| plan.table.as_ref().map(|table| table.version.0);
         let former = version_of(&self.plan.borrow());
@@ -201,8 +202,8 @@
 
     /// Milliseconds since the configuration was last known to be current.
     pub(crate) fn proven_ms(&self, now: Time) -> Option<u64> {
-        let proven_at = self.plan.borrow().proven_at(self.proof.get());
-        proven_at.map(|at| now.since(at).as_millis())
+        let validated_at = self.plan.borrow().validated_at(self.validation.get());
+        validated_at.map(|at| now.since(at).as_millis())
     }
 
     /// At the start of a rollout, publishes the active sessions that stay on another version.
@@ -213,7 +214,8 @@
             let active = pins
                 .on_other_versions(now, &gate.to)
                 .filter(|session| gate.should_note(*session));
-            self.seen.add_staying(gate.order, active.map(Gate::mark));
+            self.observed
+                .add_staying(gate.order, active.map(Gate::mark));
         }
     }
 
--- a/components/traffic/src/status.rs
+++ b/components/traffic/src/status.rs
@@ -138,7 +138,7 @@
         proven_ms: shared.proven_ms(now),
         upstreams: plan.upstreams.len(),
         versions: versions(&plan),
-        unreadable_upstreams: plan.unreadable,
+        unreadable_upstreams: plan.unreadable_upstreams,
         daemons: plan.daemons,
         rollouts: gates
             .map(|gate| (&*gate.service, &*gate.to, gate.share))
--- a/components/traffic/src/translate.rs
+++ b/components/traffic/src/translate.rs
@@ -24,7 +24,7 @@
     /// The caller's id of this attempt.
     pub attempt: Arc<str>,
     /// How long the caller waits for an answer.
-    pub patience: Option<Span>,
+    pub timeout: Option<Span>,
     /// The caller's API key.
     pub key: Option<ApiKey>,
     /// The model named by the caller; none where the daemon chooses.
@@ -54,8 +54,8 @@
     /// The caller's head.
     pub head: &'a Head,
     /// How long the answer is waited for.
-    pub patience: Span,
-    /// The run of the upstream that is meant.
+    pub timeout: Span,
+    /// The instance of the upstream that is meant.
     pub upstream: &'a UpstreamId,
     /// Name of the customer.
     pub customer: Option<&'a str>,
@@ -69,13 +69,13 @@
 
 /// Whether an upstream ran a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum Execution {
     /// It ran, or may have.
     Ran,
     /// The upstream promises that it did not run.
     NotRun,
-    /// Another run of the upstream's program answered; it did not run the request.
-    OtherRun,
+    /// Another instance of the upstream's program answered; it did not run the request.
+    OtherInstance,
 }
 
 /// An upstream's reply, as read from its head.
@@ -86,7 +86,7 @@
     /// Whether the upstream signed the answer as its own.
     pub is_signed: bool,
     /// Whether the request ran.
-    pub standing: Standing,
+    pub execution: Execution,
     /// The model's confidence in its answer, 0 to 100.
     pub confidence: Option<u8>,
     /// The rate limit that the upstream advertises.
@@ -94,7 +94,7 @@
     /// When the upstream may be asked again, if the request did not run.
     pub retry_after: Option<Span>,
     /// Whether the body was encoded on the way, so that it isn't the upstream's own.
-    pub is_encoded: bool,
+    pub is_reencoded: bool,
 }
 
 /// Maps requests and replies to header names on the wire.
--- a/components/traffic/tests/it/answers.rs
+++ b/components/traffic/tests/it/answers.rs
@@ -253,7 +253,7 @@
     running.send_plan(Repeat::Any, &[failing(), failing()], vec![gate_of_all()]);
     let answer = running.caller().ask("a1");
     assert_eq!(status_of(&answer), 500);
-    let seen = running.handle.seen.evidence();
-    let new = seen["service"].new.sum();
+    let observed = running.handle.observed.evidence();
+    let new = observed["service"].new.sum();
     assert_eq!((new.sent, new.bad, new.out), (2, 1, 0));
 }
--- a/components/traffic/tests/it/bounds.rs
+++ b/components/traffic/tests/it/bounds.rs
@@ -124,10 +124,10 @@
         };
         assert!((0..500).any(has_status), "{status} never came");
     };
-    // Last proven current longer ago than a change may take, or never.
-    for proven_at in [Some(Time::ZERO), None] {
-        running.prove_current(proven_at);
-        if proven_at.is_some() {
+    // Last validated longer ago than a change may take, or never.
+    for validated_at in [Some(Time::ZERO), None] {
+        running.prove_current(validated_at);
+        if validated_at.is_some() {
             std::thread::sleep(Duration::from_millis(2_100));
         }
         wait_for_status(503);
@@ -139,7 +139,7 @@
     running.prove_current(Some(Time::NEVER));
     wait_for_status(404);
     assert_eq!(status_of(&answer(&new_key)), 401);
-    // The proof is for another version than the one in use.
+    // The validation is for another version than the one in use.
     running.prove_newer();
     wait_for_status(503);
     assert_eq!(status_of(&answer(&new_key)), 503);
--- a/components/traffic/tests/it/harness.rs
+++ b/components/traffic/tests/it/harness.rs
@@ -13,8 +13,8 @@
 };
 use telemetry::logs::Dropped;
 use traffic::{
-    Ask, AskError, Command, Config, Forwarding, Handle, Plan, Prompt, Proof, Reply, Standing,
-    Translator,
+    Ask, AskError, Command, Config, Execution, Forwarding, Handle, Plan, Prompt, Reply, Translator,
+    Validation,
 };
 use types::prelude::*;
 
@@ -27,7 +27,7 @@
 impl Translator for TestTranslator {
     fn ask(&self, head: &Head) -> Result<Ask, AskError> {
         let attempt = head.text("id").ok_or(AskError::NotOnce("id"))?;
-        let patience = head.text("wait").and_then(|ms| ms.parse().ok());
+        let timeout = head.text("wait").and_then(|ms| ms.parse().ok());
         let prompt = head.text("prompt").map(|tokens| Prompt {
             parts: vec![PromptPart {
                 id: 1,
@@ -38,7 +38,7 @@
         });
         Ok(Ask {
             attempt: Arc::from(attempt),
-            patience: patience.map(Span::from_millis),
+            timeout: timeout.map(Span::from_millis),
             key: head.text("key").map(ApiKey::new),
             model: None,
             prompt,
@@ -66,10 +66,10 @@
         Reply {
             attempt: head.text("id").map(Arc::from),
             is_signed: head.get("signed").is_some(),
-            standing: match head.status() {
-                421 => Standing::OtherRun,
-                503 => Standing::NotRun,
-                _ => Standing::Ran,
+            execution: match head.status() {
+                421 => Execution::OtherInstance,
+                503 => Execution::NotRun,
+                _ => Execution::Ran,
             },
             confidence: head.text("sure").and_then(|sure| sure.parse().ok()),
             rate_limit: rate_limit(head),
@@ -77,7 +77,7 @@
                 .text("again")
                 .and_then(|ms| ms.parse().ok())
                 .map(Span::from_millis),
-            is_encoded: head.get("content-encoding").is_some(),
+            is_reencoded: head.get("content-encoding").is_some(),
         }
     }
 }
@@ -223,8 +223,8 @@
         status: any,
         ready_path: "/ready".to_owned(),
         failure_domain: FailureDomain::new("east").expect("a name"),
-        max_callers: 100,
-        max_held: ByteSize(1 << 20),
+        max_caller_connections: 100,
+        max_held_body_bytes: ByteSize(1 << 20),
         policy: Policy::default(),
         retries: RetryLimits {
             ratio: 1.0,
@@ -232,9 +232,9 @@
             window: Span::from_secs(10),
         },
         suspects: poison::SharedSuspects::default(),
-        current_within: Span::from_secs(2),
+        max_staleness: Span::from_secs(2),
         session_idle: Span::from_secs(5),
-        grace: Span::from_secs(8),
+        grace_period: Span::from_secs(8),
         dropped_logs: Dropped::default(),
     };
     let handle = traffic::start(cfg, TestTranslator, Clock::new()).expect("starts");
@@ -277,10 +277,14 @@
     }
 }
 
-/// Proof that the configuration `newer` versions after that of [`table`] was current at a time.
-fn proof(newer: u64, at: Time) -> Proof {
+/// Validation that the configuration `newer` versions after that of [`table`] was current at a
+/// time.
+fn validation(newer: u64, validated_at: Time) -> Validation {
     let version = TableVersion(table(Repeat::Any).version.0 + newer);
-    Proof { version, at }
+    Validation {
+        version,
+        validated_at,
+    }
 }
 
 fn table(repeat: Repeat) -> RouteTable {
@@ -342,13 +346,13 @@
 
 impl TestLoop {
     /// Tells the event loop when its configuration was last known to be current.
-    pub fn prove_current(&self, proven_at: Option<Time>) {
-        self.send_others(proven_at.map(|at| proof(0, at)), Vec::new());
+    pub fn prove_current(&self, validated_at: Option<Time>) {
+        self.send_peer_state(validated_at.map(|at| validation(0, at)), Vec::new());
     }
 
     /// Tells the event loop that a configuration newer than its own is current.
     pub fn prove_newer(&self) {
-        self.send_others(Some(proof(1, Time::NEVER)), Vec::new());
+        self.send_peer_state(Some(validation(1, Time::NEVER)), Vec::new());
     }
 
     /// Reports a rate limit of an upstream as a peer does.
@@ -359,16 +363,20 @@
             rate: Some(rate),
             age_ms: 0,
         };
-        self.send_others(Some(proof(0, Time::NEVER)), vec![limit]);
+        self.send_peer_state(Some(validation(0, Time::NEVER)), vec![limit]);
     }
 
-    fn send_others(&self, proof: Option<Proof>, rate_limits: Vec<dispatch::Advertisement>) {
-        let others = traffic::Others {
-            proof,
+    fn send_peer_state(
+        &self,
+        validation: Option<Validation>,
+        rate_limits: Vec<dispatch::Advertisement>,
+    ) {
+        let peer_state = traffic::PeerState {
+            validation,
             rate_limits,
-            ..traffic::Others::default()
+            ..traffic::PeerState::default()
         };
-        let sent = self.handle.commands.send(Command::Others(others));
+        let sent = self.handle.commands.send(Command::PeerState(peer_state));
         sent.expect("the loop runs");
     }
 
@@ -387,7 +395,7 @@
             gates,
             daemons: 1,
             fleet: Arc::default(),
-            unreadable: 0,
+            unreadable_upstreams: 0,
             is_ready: true,
         };
         let sent = self.handle.commands.send(Command::Plan(Arc::new(plan)));
--- a/components/traffic/tests/it/quarantine.rs
+++ b/components/traffic/tests/it/quarantine.rs
@@ -227,7 +227,7 @@
     std::thread::sleep(Duration::from_millis(2_500));
     running.caller().ask("innocent");
     // It is counted a moment after its caller has the answer.
-    let counts = || running.handle.seen.evidence()["service"].new.sum();
+    let counts = || running.handle.observed.evidence()["service"].new.sum();
     let is_counted = |_| {
         std::thread::sleep(Duration::from_millis(20));
         counts().out == 0
@@ -245,7 +245,12 @@
     let running = serving(Repeat::Never, &[address]);
     running.send_plan(Repeat::Never, &[address], vec![gate_of_all()]);
     running.caller().ask("r1");
-    let broken = || running.handle.seen.evidence()["service"].new.sum().broken;
+    let broken = || {
+        running.handle.observed.evidence()["service"]
+            .new
+            .sum()
+            .broken
+    };
     for _ in 0..500 {
         if broken() == 1 {
             return;
--- a/components/traffic/tests/it/shutdown.rs
+++ b/components/traffic/tests/it/shutdown.rs
@@ -43,7 +43,7 @@
         "not noticed yet"
     );
     assert_eq!(idle.stream.read(&mut [0; 16]).expect("closed"), 0);
-    let ended = running.handle.ended.recv_timeout(Duration::from_secs(20));
-    assert_eq!(ended, Err(flume::RecvTimeoutError::Disconnected));
+    let stopped = running.handle.stopped.recv_timeout(Duration::from_secs(20));
+    assert_eq!(stopped, Err(flume::RecvTimeoutError::Disconnected));
     assert!(std::net::TcpStream::connect(running.callers).is_err());
 }
