--- a/components/dispatch/src/evidence.rs
+++ b/components/dispatch/src/evidence.rs
@@ -1,6 +1,6 @@
 //! Outcomes of requests to two versions of a service, as counted during a roll-out.
 
-use routes::Repeat;
+use routes::Retry;
 use serde::{Deserialize, Serialize};
 use types::prelude::*;
 
@@ -87,11 +87,11 @@
 
 /// Returns the position of a kind of request, below [`REQUEST_KINDS`].
 #[must_use]
-pub fn request_kind(repeat: Repeat) -> usize {
-    match repeat {
-        Repeat::Never => 0,
-        Repeat::Any => 1,
-        Repeat::Stream { .. } => 2,
+pub fn request_kind(retry: Retry) -> usize {
+    match retry {
+        Retry::Never => 0,
+        Retry::Any => 1,
+        Retry::Stream { .. } => 2,
     }
 }
 
--- a/components/fleet/tests/it/harness.rs
+++ b/components/fleet/tests/it/harness.rs
@@ -63,7 +63,7 @@
         let limits = Limits {
             head: ByteSize(1_000),
             body: ByteSize(1_000),
-            head_within: Span::from_secs(1),
+            head_timeout: Span::from_secs(1),
             idle: Span::from_secs(1),
         };
         let table = RouteTable::new(TableVersion(version), limits, vec![], vec![], None);
--- a/components/routes/src/lib.rs
+++ b/components/routes/src/lib.rs
@@ -12,5 +12,5 @@
 
 pub use key::{ApiKey, Customer};
 pub use rollout::{RolloutOrder, RolloutState};
-pub use table::{Limits, Repeat, Route, RouteTable, Service, TableError, TableVersion, Target};
+pub use table::{Limits, Retry, Route, RouteTable, Service, TableError, TableVersion, Target};
 pub use upstream::{Engine, Upstream, UpstreamState};
--- a/components/routes/src/table.rs
+++ b/components/routes/src/table.rs
@@ -19,9 +19,9 @@
     }
 }
 
-/// What may be repeated on a route.
+/// What may be retried on a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Retry {
     /// Idempotent: may run more than once.
     Any,
     /// At most once for each attempt of a caller.
@@ -33,7 +33,7 @@
     },
 }
 
-impl Repeat {
+impl Retry {
     /// Whether a request of unknown outcome may be sent again.
     #[must_use]
     pub fn is_allowed(self) -> bool {
@@ -65,14 +65,14 @@
     pub host: Arc<str>,
     /// Begins the path.
     pub prefix: Arc<str>,
-    /// What may be repeated.
-    pub repeat: Repeat,
+    /// What may be retried.
+    pub retry: Retry,
     /// A caller is not kept waiting longer.
     pub timeout: Span,
     /// An answer within this is on time; of a stream, its first event.
     pub objective: Span,
     /// Longest pause between two events that is on time.
-    pub pause: Option<Span>,
+    pub max_pause: Option<Span>,
     /// Rank, 0 first.
     pub rank: u8,
     /// Models to choose from, smallest first; empty where the caller names one.
@@ -125,7 +125,7 @@
     /// Longest body.
     pub body: ByteSize,
     /// A head must be complete within.
-    pub head_within: Span,
+    pub head_timeout: Span,
     /// A connection without a request is kept for.
     pub idle: Span,
 }
--- a/components/traffic/src/arm.rs
+++ b/components/traffic/src/arm.rs
@@ -55,7 +55,7 @@
             service: spec.service.clone(),
             order: gate.order,
             is_new: spec.version == gate.to,
-            kind: request_kind(request.route.repeat),
+            kind: request_kind(request.route.retry),
             is_evidence,
         })
     }
--- a/components/traffic/src/attempt.rs
+++ b/components/traffic/src/attempt.rs
@@ -177,7 +177,7 @@
         guard.note_running();
         let reader = BodyReader::new(answer.framing);
         let is_success = (200..300).contains(&answer.head.status());
-        if is_success && self.request.route.repeat.is_stream() {
+        if is_success && self.request.route.retry.is_stream() {
             return SendResult::Stream(Box::new(Stream {
                 head: answer.head,
                 confidence: answer.reply.confidence,
@@ -247,14 +247,14 @@
     /// breaks, it cannot be told whether the other end had closed it before, and a new one costs a
     /// millisecond.
     fn take_pooled(&self, index: UpstreamIndex) -> Option<Wire> {
-        if !self.request.route.repeat.is_allowed() {
+        if !self.request.route.retry.is_allowed() {
             return None;
         }
         self.shared.pool.borrow_mut().take(self.shared.now(), index)
     }
 
     fn may_resend(&self, index: UpstreamIndex) -> bool {
-        if !self.request.route.repeat.is_allowed() {
+        if !self.request.route.retry.is_allowed() {
             return false;
         }
         let now = self.shared.now();
@@ -407,7 +407,7 @@
     fn is_silent_too_long(&self, guard: &AttemptGuard<T>) -> bool {
         let route = &self.request.route;
         let silent = guard.outstanding_for();
-        if !route.repeat.is_stream() {
+        if !route.retry.is_stream() {
             let objective = route.objective.as_secs_f64();
             let share = Span::from_secs_f64(objective * SILENT_SHARE);
             return silent > share.max(guard.first_output_within());
--- a/components/traffic/src/exchange.rs
+++ b/components/traffic/src/exchange.rs
@@ -284,7 +284,7 @@
 
     fn retry_or_give_up(&mut self, why: &'static str) -> Next {
         self.has_failed = true;
-        match self.request.route.repeat.is_allowed() {
+        match self.request.route.retry.is_allowed() {
             true => Next::Retry(RetryReason::Failure),
             false => Next::GiveUp(why),
         }
@@ -300,7 +300,7 @@
         self.pin(index, self.request.deadline + idle);
         let keeps_alive = self.keeps_alive();
         let leaves_silent = self.shared.cfg.policy.timing.leaves_silent;
-        let is_allowed = self.request.route.repeat.is_allowed();
+        let is_allowed = self.request.route.retry.is_allowed();
         stream.may_switch = leaves_silent && is_allowed && self.runs < self.request.route.max_runs;
         let end = self
             .relay
--- a/components/traffic/src/exchange/choose.rs
+++ b/components/traffic/src/exchange/choose.rs
@@ -83,7 +83,7 @@
     /// Whether to switch away from a silent upstream: only while another run is left for an
     /// upstream that breaks.
     pub(super) fn may_switch(&self) -> bool {
-        let is_allowed = self.request.route.repeat.is_allowed();
+        let is_allowed = self.request.route.retry.is_allowed();
         let is_allowed = is_allowed && self.shared.cfg.policy.timing.leaves_silent;
         is_allowed && self.runs + 1 < self.request.route.max_runs
     }
--- a/components/traffic/src/relay.rs
+++ b/components/traffic/src/relay.rs
@@ -253,7 +253,7 @@
     has_event: bool,
 ) -> Option<&'static str> {
     let route = &request.route;
-    let pause = route.pause.unwrap_or(DEFAULT_PAUSE).as_secs_f64();
+    let pause = route.max_pause.unwrap_or(DEFAULT_PAUSE).as_secs_f64();
     let slack = route.objective.as_secs_f64() * FIRST_SLACK_SHARE;
     let (expected, stalled) = match has_event {
         true => (Span::ZERO, Span::from_secs_f64(pause * STALLED_PAUSES)),
--- a/components/traffic/src/request.rs
+++ b/components/traffic/src/request.rs
@@ -58,7 +58,7 @@
         |limits| Bounds {
             head: limits.head.as_usize(),
             body: limits.body.0,
-            head_within: limits.head_within.to_duration(),
+            head_within: limits.head_timeout.to_duration(),
             idle: limits.idle.to_duration(),
         },
     )
--- a/components/traffic/tests/it/answers.rs
+++ b/components/traffic/tests/it/answers.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use routes::Repeat;
+use routes::Retry;
 
 use crate::harness::*;
 
@@ -21,7 +21,7 @@
             served.write(&answer(id_of(&request), "world"));
         }
     });
-    let running = serving(Repeat::Any, &[address]);
+    let running = serving(Retry::Any, &[address]);
     let mut caller = running.caller();
     for n in 0..5 {
         let text = caller.ask(&format!("r{n}"));
@@ -43,7 +43,7 @@
             served.write(&answer(id_of(&next), "own"));
         }
     });
-    let running = serving(Repeat::Any, &[address]);
+    let running = serving(Retry::Any, &[address]);
     let mut caller = running.caller();
     assert!(caller.ask("r1").ends_with("first"));
     let text = caller.ask("r2");
@@ -59,7 +59,7 @@
             served.write(&(answer(id, "own") + &answer("other", "stray")));
         }
     });
-    let running = serving(Repeat::Any, &[address]);
+    let running = serving(Retry::Any, &[address]);
     let mut caller = running.caller();
     for n in 0..3 {
         let text = caller.ask(&format!("r{n}"));
@@ -79,7 +79,7 @@
         let text = answer(id_of(&request), "world");
         served.write(&text[..text.len() - 2]);
     });
-    let running = serving(Repeat::Never, &[address, address]);
+    let running = serving(Retry::Never, &[address, address]);
     assert_eq!(status_of(&running.caller().ask("r1")), 502);
     assert_eq!(runs.load(Ordering::SeqCst), 1);
 }
@@ -97,7 +97,7 @@
         }
     });
     for _ in 0..4 {
-        let running = serving(Repeat::Any, &[bad, good]);
+        let running = serving(Retry::Any, &[bad, good]);
         assert!(running.caller().ask("r1").ends_with("world"));
     }
 }
@@ -119,7 +119,7 @@
             served.write(&answer(id_of(&request), "world"));
         }
     });
-    let running = serving(Repeat::Never, &[full, other_run, good]);
+    let running = serving(Retry::Never, &[full, other_run, good]);
     for n in 0..5 {
         let text = running.caller().ask(&format!("r{n}"));
         assert!(text.ends_with("world"), "{text}");
@@ -133,7 +133,7 @@
             served.write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
         }
     });
-    let running = serving(Repeat::Never, &[full]);
+    let running = serving(Retry::Never, &[full]);
     let text = running.caller().ask("r1");
     assert_eq!(status_of(&text), 503);
     let span = field(&text, "Retry-After").expect("given").parse::<f64>();
@@ -152,7 +152,7 @@
                 ));
             }
         });
-        let running = serving(Repeat::Never, &[address]);
+        let running = serving(Retry::Never, &[address]);
         assert_eq!(status_of(&running.caller().ask("r1")), 502);
     }
 }
@@ -167,7 +167,7 @@
             ));
         }
     });
-    let running = serving(Repeat::Never, &[address]);
+    let running = serving(Retry::Never, &[address]);
     let text = running.caller().ask("r1");
     assert_eq!(status_of(&text), 500);
     assert!(text.contains("signed: 1"), "{text}");
@@ -183,7 +183,7 @@
             "HTTP/1.1 200 OK\r\nid: {id}\r\nsigned: 1\r\n\r\nworld"
         ));
     });
-    let running = serving(Repeat::Never, &[address]);
+    let running = serving(Retry::Never, &[address]);
     let text = running.caller().ask("r1");
     assert_eq!(field(&text, "Content-Length"), Some("5"));
     assert!(text.ends_with("world"));
@@ -197,7 +197,7 @@
             served.write(&answer(id_of(&request), "world"));
         }
     });
-    let running = serving(Repeat::Never, &[gone, gone, gone, gone, gone, good]);
+    let running = serving(Retry::Never, &[gone, gone, gone, gone, gone, good]);
     assert!(running.caller().ask("r1").ends_with("world"));
 }
 
@@ -211,7 +211,7 @@
         // The next request is read, and the connection closes without an answer.
         served.request();
     });
-    let running = serving(Repeat::Any, &[address]);
+    let running = serving(Retry::Any, &[address]);
     let mut caller = running.caller();
     for n in 0..4 {
         let text = caller.ask(&format!("r{n}"));
@@ -228,7 +228,7 @@
         served.write(&answer(id_of(&request), "world"));
         served.request();
     });
-    let running = serving(Repeat::Never, &[address]);
+    let running = serving(Retry::Never, &[address]);
     let mut caller = running.caller();
     for n in 0..4 {
         assert!(caller.ask(&format!("r{n}")).ends_with("world"));
@@ -250,7 +250,7 @@
         })
     };
     let running = start();
-    running.send_plan(Repeat::Any, &[failing(), failing()], vec![gate_of_all()]);
+    running.send_plan(Retry::Any, &[failing(), failing()], vec![gate_of_all()]);
     let answer = running.caller().ask("a1");
     assert_eq!(status_of(&answer), 500);
     let observed = running.handle.observed.evidence();
--- a/components/traffic/tests/it/bounds.rs
+++ b/components/traffic/tests/it/bounds.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use routes::Repeat;
+use routes::Retry;
 use types::prelude::*;
 
 use crate::harness::*;
@@ -19,7 +19,7 @@
             served.write(&answer(id_of(&request), "world"));
         }
     });
-    (serving(Repeat::Any, &[address]), runs)
+    (serving(Retry::Any, &[address]), runs)
 }
 
 #[test]
@@ -88,7 +88,7 @@
             served.write(&answer(id_of(&request), "ok"));
         }
     });
-    let running = serving(Repeat::Any, &[address]);
+    let running = serving(Retry::Any, &[address]);
     let mut caller = running.caller();
     let head = post("r", "").replace("Content-Length: 0", "Transfer-Encoding: chunked");
     caller.send(&(head + "5\r\nhello\r\n5\r\nworld\r\n0\r\n\r\n"));
@@ -169,7 +169,7 @@
     let mut caller = running.caller();
     caller.send(&post("r1", "x"));
     std::thread::sleep(Duration::from_millis(20));
-    running.send_plan(Repeat::Any, &[address], Vec::new());
+    running.send_plan(Retry::Any, &[address], Vec::new());
     assert_eq!(status_of(&caller.answer()), 200);
 }
 
@@ -189,7 +189,7 @@
     let mut hasty = running.caller();
     hasty.send(&post("r2", "x").replace("wait: 9000", "wait: 1500"));
     assert_eq!(status_of(&hasty.answer()), 503);
-    running.send_plan(Repeat::Any, &[address], Vec::new());
+    running.send_plan(Retry::Any, &[address], Vec::new());
     assert_eq!(status_of(&patient.answer()), 200);
 }
 
--- a/components/traffic/tests/it/crashes.rs
+++ b/components/traffic/tests/it/crashes.rs
@@ -3,7 +3,7 @@
 use std::net::TcpListener;
 use std::time::Duration;
 
-use routes::Repeat;
+use routes::Retry;
 
 use crate::harness::*;
 
@@ -32,7 +32,7 @@
         let mut served = Served::new(stream);
         served.request();
     });
-    let running = serving(Repeat::Never, &[address]);
+    let running = serving(Retry::Never, &[address]);
     assert_eq!(status_of(&running.caller().ask("r1")), 502);
     assert_eq!(crash_count(&running, 1), 1);
 }
@@ -42,7 +42,7 @@
     let address = upstream(|served| {
         served.request();
     });
-    let running = serving(Repeat::Never, &[address]);
+    let running = serving(Retry::Never, &[address]);
     assert_eq!(status_of(&running.caller().ask("r1")), 502);
     std::thread::sleep(Duration::from_millis(100));
     assert_eq!(crash_count(&running, 0), 0);
--- a/components/traffic/tests/it/harness.rs
+++ b/components/traffic/tests/it/harness.rs
@@ -8,7 +8,7 @@
 use dispatch::{Advertised, Gate, Policy, PromptPart, RetryLimits};
 use http1::Head;
 use routes::{
-    ApiKey, Customer, Limits, Repeat, Route, RouteTable, Service, TableVersion, Target, Upstream,
+    ApiKey, Customer, Limits, Retry, Route, RouteTable, Service, TableVersion, Target, Upstream,
     UpstreamState,
 };
 use telemetry::logs::Dropped;
@@ -246,15 +246,15 @@
 }
 
 /// Starts an event loop with one route of this kind and upstreams at these addresses.
-pub fn serving(repeat: Repeat, upstreams: &[SocketAddr]) -> TestLoop {
+pub fn serving(retry: Retry, upstreams: &[SocketAddr]) -> TestLoop {
     let running = start();
-    running.send_plan(repeat, upstreams, Vec::new());
+    running.send_plan(retry, upstreams, Vec::new());
     running.prove_current(Some(Time::NEVER));
     running
 }
 
-fn route(repeat: Repeat) -> Route {
-    let models = match repeat.is_stream() {
+fn route(retry: Retry) -> Route {
+    let models = match retry.is_stream() {
         true => vec![Arc::from("small"), Arc::from("large")],
         false => Vec::new(),
     };
@@ -262,10 +262,10 @@
         name: Arc::from("route"),
         host: Arc::from("host"),
         prefix: Arc::from("/a/"),
-        repeat,
+        retry,
         timeout: Span::from_secs(10),
         objective: Span::from_secs(5),
-        pause: Some(Span::from_secs(2)),
+        max_pause: Some(Span::from_secs(2)),
         rank: 0,
         models,
         targets: vec![Target {
@@ -280,14 +280,14 @@
 /// Validation that the configuration `newer` versions after that of [`table`] was current at a
 /// time.
 fn validation(newer: u64, validated_at: Time) -> Validation {
-    let version = TableVersion(table(Repeat::Any).version.0 + newer);
+    let version = TableVersion(table(Retry::Any).version.0 + newer);
     Validation {
         version,
         validated_at,
     }
 }
 
-fn table(repeat: Repeat) -> RouteTable {
+fn table(retry: Retry) -> RouteTable {
     let customer = Arc::new(Customer {
         name: Arc::from("alice"),
         rank: None,
@@ -295,7 +295,7 @@
     let limits = Limits {
         head: ByteSize(4_096),
         body: ByteSize(10_000),
-        head_within: Span::from_millis(400),
+        head_timeout: Span::from_millis(400),
         idle: Span::from_secs(10),
     };
     let service = Service {
@@ -304,7 +304,7 @@
         engine: None,
     };
     let customers = [(ApiKey::new("secret"), customer)].into();
-    let routes = vec![route(repeat)];
+    let routes = vec![route(retry)];
     let table = RouteTable::new(
         TableVersion(1),
         limits,
@@ -381,16 +381,16 @@
     }
 
     /// Sends a plan with upstreams at these addresses.
-    pub fn send_plan(&self, repeat: Repeat, upstreams: &[SocketAddr], gates: Vec<Gate>) {
+    pub fn send_plan(&self, retry: Retry, upstreams: &[SocketAddr], gates: Vec<Gate>) {
         let listed = upstreams.iter().enumerate();
         let listed = listed.map(|(n, address)| listed_upstream(&format!("u{n}"), *address));
-        self.send_plan_of(repeat, listed.collect(), gates);
+        self.send_plan_of(retry, listed.collect(), gates);
     }
 
     /// Sends a plan with these upstreams.
-    pub fn send_plan_of(&self, repeat: Repeat, upstreams: Vec<Arc<Upstream>>, gates: Vec<Gate>) {
+    pub fn send_plan_of(&self, retry: Retry, upstreams: Vec<Arc<Upstream>>, gates: Vec<Gate>) {
         let plan = Plan {
-            table: Some(Arc::new(table(repeat))),
+            table: Some(Arc::new(table(retry))),
             upstreams,
             gates,
             daemons: 1,
--- a/components/traffic/tests/it/limits.rs
+++ b/components/traffic/tests/it/limits.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-use routes::Repeat;
+use routes::Retry;
 
 use crate::harness::*;
 
@@ -49,7 +49,7 @@
     let limited = Limited::start("1");
     let free = Limited::start("1");
     free.advertises.store(false, Ordering::SeqCst);
-    let running = serving(Repeat::Any, &[limited.address, free.address]);
+    let running = serving(Retry::Any, &[limited.address, free.address]);
     let mut caller = running.caller();
     let began = Instant::now();
     for n in 0..80 {
@@ -68,7 +68,7 @@
 #[test]
 fn refuses_at_once_with_retry_after_when_every_upstream_is_limited() {
     let limited = Limited::start("0.2");
-    let running = serving(Repeat::Any, &[limited.address]);
+    let running = serving(Retry::Any, &[limited.address]);
     let mut caller = running.caller();
     assert_eq!(status_of(&caller.ask("first")), 200);
     let refused = caller.ask("second");
@@ -83,7 +83,7 @@
     let limited = Limited::start("5");
     let free = Limited::start("5");
     free.advertises.store(false, Ordering::SeqCst);
-    let running = serving(Repeat::Any, &[limited.address, free.address]);
+    let running = serving(Retry::Any, &[limited.address, free.address]);
     let mut caller = running.caller();
     let mut ask = |n: usize| assert_eq!(status_of(&caller.ask(&format!("r{n}"))), 200);
     (0..20).for_each(&mut ask);
@@ -105,7 +105,7 @@
 #[test]
 fn a_limit_from_a_peer_applies_before_the_first_answer() {
     let limited = Limited::start("0.5");
-    let running = serving(Repeat::Any, &[limited.address]);
+    let running = serving(Retry::Any, &[limited.address]);
     running.send_peer_limit("u0", 0.5);
     let refused = running.caller().ask("first");
     assert_eq!(status_of(&refused), 503, "{refused}");
@@ -115,7 +115,7 @@
 #[test]
 fn an_invalid_limit_is_counted_and_ignored() {
     let limited = Limited::start("soon");
-    let running = serving(Repeat::Any, &[limited.address]);
+    let running = serving(Retry::Any, &[limited.address]);
     let mut caller = running.caller();
     for n in 0..10 {
         assert_eq!(status_of(&caller.ask(&format!("r{n}"))), 200);
@@ -142,7 +142,7 @@
             count.fetch_add(1, Ordering::SeqCst);
         }
     });
-    let running = serving(Repeat::Any, &[address]);
+    let running = serving(Retry::Any, &[address]);
     let mut caller = running.caller();
     assert_eq!(status_of(&caller.ask("first")), 200);
     let until = Instant::now() + TEST_TIMEOUT;
@@ -174,7 +174,7 @@
             served.write(&answer(id_of(&request), "world"));
         }
     });
-    let running = serving(Repeat::Any, &[busy, free]);
+    let running = serving(Retry::Any, &[busy, free]);
     let mut caller = running.caller();
     for n in 0..60 {
         assert_eq!(status_of(&caller.ask(&format!("r{n}"))), 200);
--- a/components/traffic/tests/it/quarantine.rs
+++ b/components/traffic/tests/it/quarantine.rs
@@ -5,11 +5,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use routes::Repeat;
+use routes::Retry;
 
 use crate::harness::*;
 
-const RESUMABLE: Repeat = Repeat::Stream { resumable: true };
+const RESUMABLE: Retry = Retry::Stream { resumable: true };
 /// The request body that crashes engines.
 const POISON: &str = "poison";
 /// Time after which an engine crashes once it runs the poison: the daemon may have closed the
@@ -162,10 +162,10 @@
 }
 
 /// Alternates the poison with other requests, and checks that the poison is soon sent no more.
-fn check_plain_quarantine(repeat: Repeat) {
+fn check_plain_quarantine(retry: Retry) {
     let tally = Tally::default();
     let upstreams = (0..40).map(|_| Engine::start_plain(&tally));
-    let running = serving(repeat, &upstreams.collect::<Vec<_>>());
+    let running = serving(retry, &upstreams.collect::<Vec<_>>());
     for n in 0..12 {
         let mut caller = running.caller();
         caller.send(&post(&format!("poison-{n}"), POISON));
@@ -181,13 +181,13 @@
 #[test]
 fn quarantines_a_plain_call_that_crashes_upstreams() {
     // Nothing shows that a plain upstream runs a call: it crashes before its first byte.
-    check_plain_quarantine(Repeat::Any);
+    check_plain_quarantine(Retry::Any);
 }
 
 #[test]
 fn quarantines_a_non_idempotent_call_that_crashes_upstreams() {
     // Each attempt is a single send; the caller makes new attempts, and each crashes an upstream.
-    check_plain_quarantine(Repeat::Never);
+    check_plain_quarantine(Retry::Never);
 }
 
 #[test]
@@ -242,8 +242,8 @@
     let address = upstream(|served| {
         served.request();
     });
-    let running = serving(Repeat::Never, &[address]);
-    running.send_plan(Repeat::Never, &[address], vec![gate_of_all()]);
+    let running = serving(Retry::Never, &[address]);
+    running.send_plan(Retry::Never, &[address], vec![gate_of_all()]);
     running.caller().ask("r1");
     let broken = || {
         running.handle.observed.evidence()["service"]
--- a/components/traffic/tests/it/shutdown.rs
+++ b/components/traffic/tests/it/shutdown.rs
@@ -3,7 +3,7 @@
 use std::io::Read;
 use std::time::Duration;
 
-use routes::Repeat;
+use routes::Retry;
 use traffic::Command;
 
 use crate::harness::*;
@@ -21,7 +21,7 @@
 fn a_stopping_daemon_finishes_requests_and_reports_not_ready() {
     // A daemon is told to stop while it serves. A request it has read must not end without an
     // answer, and load balancers must stop sending new ones.
-    let running = serving(Repeat::Never, &[slow_upstream()]);
+    let running = serving(Retry::Never, &[slow_upstream()]);
     let mut busy = running.caller();
     let mut idle = running.caller();
     assert_eq!(status_of(&idle.ask("r0")), 200);
--- a/components/traffic/tests/it/streams.rs
+++ b/components/traffic/tests/it/streams.rs
@@ -3,11 +3,11 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use routes::Repeat;
+use routes::Retry;
 
 use crate::harness::*;
 
-const RESUMABLE: Repeat = Repeat::Stream { resumable: true };
+const RESUMABLE: Retry = Retry::Stream { resumable: true };
 
 /// Streams the events after `after` up to `last`, then completes or breaks off within an event.
 fn serve_stream(served: &mut Served, after: u64, last: u64, completes: bool) {
@@ -82,7 +82,7 @@
         count.fetch_add(1, Ordering::SeqCst);
         serve_stream(served, 0, 3, false);
     });
-    let running = serving(Repeat::Stream { resumable: false }, &[address, address]);
+    let running = serving(Retry::Stream { resumable: false }, &[address, address]);
     let text = running.caller().ask("r1");
     assert_eq!(events_of(&text), [1, 2, 3]);
     assert!(!text.ends_with(END), "{text}");
