--- a/components/http1/src/lib.rs
+++ b/components/http1/src/lib.rs
@@ -25,6 +25,6 @@
 pub use framing::{Framing, FramingError};
 pub use head::{Head, HeadError, Kind, is_hop_by_hop};
 pub use pool::Pool;
-pub use probe::refuses;
+pub use probe::probe_refused;
 pub use response::{ResponseError, read_response_head, read_whole};
 pub use wire::{Wire, WireOptions, connect};
--- a/components/node/src/barring.rs
+++ b/components/node/src/barring.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex};
 
 use callers::Request;
-use http1::refuses;
+use http1::probe_refused;
 use poison::{
     Admission, AttemptEnd as AttemptOutcome, AttemptId, Attempts, Content, CrashedAttempt,
     PoisonPolicy, SharedSuspects, Suspects, UpstreamInstance,
@@ -100,7 +100,7 @@
         if let Some(under) = under {
             return self.ended(taken, &[under]);
         }
-        if how == AttemptOutcome::Broken && refuses(taken.address).await {
+        if how == AttemptOutcome::Broken && probe_refused(taken.address).await {
             let under =
                 lock(&self.runs).upstream_crashed(self.clock.now(), taken.index, Time::ZERO);
             self.ended(taken, &under.unwrap_or_default());
--- a/components/traffic/src/crashes.rs
+++ b/components/traffic/src/crashes.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use dispatch::{LastSeen, UpstreamIndex};
-use http1::refuses;
+use http1::probe_refused;
 use poison::{AttemptEnd, AttemptId, Content, CrashedAttempt, UpstreamInstance};
 use tokio::sync::mpsc::UnboundedReceiver;
 use types::prelude::*;
@@ -50,7 +50,7 @@
         let shared = Rc::clone(&shared);
         tokio::task::spawn_local(async move {
             let index = upstream.index;
-            if refuses(upstream.spec.address).await {
+            if probe_refused(upstream.spec.address).await {
                 let latest = shared.upstreams.borrow().last_seen(index);
                 shared.record_upstream_crash(&latest.unwrap_or(upstream), Sign::Refuses);
             }
