--- a/components/fleet/src/codec.rs
+++ b/components/fleet/src/codec.rs
@@ -35,7 +35,7 @@
     /// Prefix of daemons' keys, followed by the daemon's name.
     fn daemon_prefix(&self) -> &str;
     /// Prefix of quarantine entries' keys, followed by the request content.
-    fn bar_prefix(&self) -> &str;
+    fn quarantine_prefix(&self) -> &str;
 
     /// Decodes the configuration.
     ///
--- a/components/fleet/src/control/quarantine.rs
+++ b/components/fleet/src/control/quarantine.rs
@@ -49,7 +49,7 @@
     /// Applies quarantine entries that others wrote to the store, and lifts those deleted from it
     /// by an operator or another daemon.
     pub(super) fn apply_quarantine_changes(&mut self, now: Time, changes: &[mirror::Change]) {
-        let prefix = self.codec.bar_prefix();
+        let prefix = self.codec.quarantine_prefix();
         for change in changes {
             let name = change.key.strip_prefix(prefix);
             let Some(Ok(content)) = name.map(str::parse::<Content>) else {
@@ -78,7 +78,7 @@
         }
         let quarantined = suspects.quarantined();
         drop(suspects);
-        let (wall, prefix) = (self.clock.wall(), self.codec.bar_prefix());
+        let (wall, prefix) = (self.clock.wall(), self.codec.quarantine_prefix());
         let calls = self
             .quarantine_sync
             .calls(now, wall, rank, prefix, &quarantined, &self.mirror);
--- a/components/fleet/tests/it/harness.rs
+++ b/components/fleet/tests/it/harness.rs
@@ -49,7 +49,7 @@
         "daemon/"
     }
 
-    fn bar_prefix(&self) -> &str {
+    fn quarantine_prefix(&self) -> &str {
         "bar/"
     }
 
