--- a/components/fleet/src/control.rs
+++ b/components/fleet/src/control.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use keyvalue::{CallError, Outcome, Request};
-use mirror::{Answer, Change, Mirror, Question, Revision};
+use mirror::{Change, Mirror, Revision, SyncReply, SyncRequest};
 use peers::{AskError, Inbound, Part, Payload};
 use routes::TableVersion;
 use traffic::{Command, PeerState, Plan};
@@ -175,8 +175,8 @@
                 changes,
                 current_at,
             } => {
-                let answer = Answer::Changes { after, at, changes };
-                self.apply_answer(now, answer, Source::Store);
+                let reply = SyncReply::Changes { after, at, changes };
+                self.apply_reply(now, reply, Source::Store);
                 self.peering.note_claim(Claim {
                     held: at,
                     at: current_at,
@@ -199,10 +199,10 @@
     fn handle_inbound(&mut self, now: Time, inbound: Inbound) {
         match self.peering.receive(now, inbound) {
             Followup::Nothing => {}
-            Followup::ApplyAnswer(answer) => self.apply_answer(now, answer, Source::Peer),
+            Followup::ApplyReply(reply) => self.apply_reply(now, reply, Source::Peer),
             Followup::MergeContentUpdates(updates) => self.merge_content_updates(now, updates),
-            Followup::ServeMirror(from, question, reply) => {
-                self.serve_mirror(now, &from, &question, reply);
+            Followup::ServeMirror(from, request, reply) => {
+                self.serve_mirror(now, &from, &request, reply);
             }
         }
     }
@@ -212,10 +212,10 @@
         &mut self,
         now: Time,
         from: &DaemonId,
-        question: &Question,
+        request: &SyncRequest,
         reply: peers::Reply,
     ) {
-        match self.snapshots.answer(now, from, question, &self.mirror) {
+        match self.snapshots.answer(now, from, request, &self.mirror) {
             Ok(Some(body)) => {
                 let part = Part::Mirror;
                 reply.send(Payload::Part { part, body });
@@ -276,9 +276,9 @@
                 return;
             }
         };
-        match Answer::decode(&body) {
-            Ok(answer) => {
-                self.apply_answer(now, answer, Source::Peer);
+        match SyncReply::decode(&body) {
+            Ok(reply) => {
+                self.apply_reply(now, reply, Source::Peer);
                 tracing::debug!(at = self.mirror.at().0, "peers: caught up");
             }
             Err(e) => tracing::warn!("peers: {e}"),
@@ -300,10 +300,10 @@
     }
 
     /// Applies changes or a snapshot page from the own watch or a peer to the mirror.
-    fn apply_answer(&mut self, now: Time, answer: Answer, source: Source) {
+    fn apply_reply(&mut self, now: Time, reply: SyncReply, source: Source) {
         let before = self.mirror.at();
-        let changes = match answer {
-            Answer::Changes { after, at, changes } => {
+        let changes = match reply {
+            SyncReply::Changes { after, at, changes } => {
                 match self.mirror.apply(after, at, changes) {
                     Ok(changes) => changes,
                     Err(e) => {
@@ -313,7 +313,7 @@
                     }
                 }
             }
-            Answer::Page {
+            SyncReply::Page {
                 at,
                 items,
                 has_more,
@@ -328,7 +328,7 @@
                 }
                 None => return,
             },
-            Answer::Nothing => {
+            SyncReply::Nothing => {
                 self.peer_sync.retry_later(now);
                 return;
             }
@@ -346,8 +346,8 @@
         if before == Revision::default() || !is_told {
             return;
         }
-        if let Some(answer) = Answer::news(&self.mirror, before) {
-            self.peering.send_changes(now, &answer);
+        if let Some(reply) = SyncReply::news(&self.mirror, before) {
+            self.peering.send_changes(now, &reply);
         }
     }
 
--- a/components/fleet/src/peer_sync.rs
+++ b/components/fleet/src/peer_sync.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use mirror::{Change, Listing, Question, Revision};
+use mirror::{Change, Listing, Revision, SyncRequest};
 use peers::{AskError, Handle, Part, Payload};
 use rand::RngExt;
 use types::prelude::*;
@@ -72,7 +72,7 @@
         self.next_request_at = None;
         self.download = Some(SnapshotDownload::new(address));
         let page_after = None;
-        self.ask(now, address, &Question { held, page_after });
+        self.ask(now, address, &SyncRequest { held, page_after });
     }
 
     /// The peer that the last request went to, and when.
@@ -80,9 +80,9 @@
         self.last_request
     }
 
-    fn ask(&mut self, now: Time, address: SocketAddr, question: &Question) {
+    fn ask(&mut self, now: Time, address: SocketAddr, request: &SyncRequest) {
         self.last_request = Some((address, now));
-        match question.encode() {
+        match request.encode() {
             Ok(body) => {
                 let part = Part::Mirror;
                 let payload = Payload::Part { part, body };
@@ -107,7 +107,7 @@
             DownloadStep::More(last_key) => {
                 let address = download.from;
                 let page_after = Some(last_key);
-                self.ask(now, address, &Question { held, page_after });
+                self.ask(now, address, &SyncRequest { held, page_after });
                 None
             }
         }
--- a/components/fleet/src/peering.rs
+++ b/components/fleet/src/peering.rs
@@ -9,7 +9,7 @@
     Advertisement, Evidence, EvidenceAggregator, Fleet, PeerLoads, RolloutMessage, RolloutSummary,
 };
 use membership::{Event as MemberEvent, Member, MemberRecord, Membership, Outcome, State};
-use mirror::{Answer, Question, Revision};
+use mirror::{Revision, SyncReply, SyncRequest};
 use peers::{Handle, Inbound, Part, Payload};
 use poison::ContentUpdates;
 use rand::RngExt;
@@ -74,9 +74,9 @@
 pub(crate) enum Followup {
     Nothing,
     /// Answer a peer's request for changes of the mirror.
-    ServeMirror(DaemonId, Question, peers::Reply),
+    ServeMirror(DaemonId, SyncRequest, peers::Reply),
     /// Apply changes from a peer's mirror.
-    ApplyAnswer(Answer),
+    ApplyReply(SyncReply),
     /// Merge a peer's reports on request contents.
     MergeContentUpdates(ContentUpdates),
 }
@@ -172,8 +172,8 @@
                 from,
                 payload: Payload::Part { body, .. },
                 reply,
-            } => match Question::decode(&body) {
-                Ok(question) => Followup::ServeMirror(from.id, question, reply),
+            } => match SyncRequest::decode(&body) {
+                Ok(request) => Followup::ServeMirror(from.id, request, reply),
                 Err(e) => {
                     tracing::warn!("peers: {e}");
                     Followup::Nothing
@@ -202,8 +202,8 @@
                 Ok(message) => self.aggregator.handle_message(from, message),
                 Err(e) => tracing::warn!(peer = %from, "peers: {e}"),
             },
-            Part::Mirror => match Answer::decode(body) {
-                Ok(answer) => return Followup::ApplyAnswer(answer),
+            Part::Mirror => match SyncReply::decode(body) {
+                Ok(reply) => return Followup::ApplyReply(reply),
                 Err(e) => tracing::warn!(peer = %from, "peers: {e}"),
             },
             Part::Poison => match ContentUpdates::decode(body) {
@@ -257,8 +257,8 @@
     }
 
     /// Gossips changes of the store's keys to a few peers.
-    pub(crate) fn send_changes(&mut self, now: Time, answer: &Answer) {
-        match answer.encode() {
+    pub(crate) fn send_changes(&mut self, now: Time, reply: &SyncReply) {
+        match reply.encode() {
             Ok(body) => self.send_gossip(now, Part::Mirror, &body, GossipKind::Change),
             Err(e) => tracing::warn!("peers: {e}"),
         }
--- a/components/fleet/src/snapshot.rs
+++ b/components/fleet/src/snapshot.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use mirror::{Answer, Change, Listing, MessageError, Mirror, Question, Revision};
+use mirror::{Change, Listing, MessageError, Mirror, Revision, SyncReply, SyncRequest};
 use types::prelude::*;
 
 /// Downloads served at a time. A receiver spends most of its time processing pages. More downloads
@@ -55,17 +55,17 @@
         &mut self,
         now: Time,
         from: &DaemonId,
-        question: &Question,
+        request: &SyncRequest,
         mirror: &Mirror,
     ) -> Result<Option<Bytes>, MessageError> {
-        let is_copy = question.page_after.is_some() || mirror.since(question.held).is_none();
-        if !is_copy || mirror.at() <= question.held {
-            return Answer::to(question, mirror).encode().map(Some);
+        let is_copy = request.page_after.is_some() || mirror.since(request.held).is_none();
+        if !is_copy || mirror.at() <= request.held {
+            return SyncReply::to(request, mirror).encode().map(Some);
         }
         if !self.admit(now, from) {
             return Ok(None);
         }
-        let page = self.page(now, question, mirror)?;
+        let page = self.page(now, request, mirror)?;
         if page.is_last {
             self.downloads.remove(from);
         }
@@ -85,7 +85,7 @@
     fn page(
         &mut self,
         now: Time,
-        question: &Question,
+        request: &SyncRequest,
         mirror: &Mirror,
     ) -> Result<Page, MessageError> {
         if self.pages.is_empty() || now.since(self.pages_since) >= PAGE_TTL {
@@ -93,18 +93,18 @@
             self.pages_at = mirror.at();
             self.pages_since = now;
         }
-        if let Some(page) = self.pages.get(&question.page_after) {
+        if let Some(page) = self.pages.get(&request.page_after) {
             return Ok(page.clone());
         }
-        let mut answer = Answer::to(question, mirror);
-        if let Answer::Page { at, .. } = &mut answer {
+        let mut reply = SyncReply::to(request, mirror);
+        if let SyncReply::Page { at, .. } = &mut reply {
             *at = self.pages_at;
         }
         let page = Page {
-            body: answer.encode()?,
-            is_last: !matches!(answer, Answer::Page { has_more: true, .. }),
+            body: reply.encode()?,
+            is_last: !matches!(reply, SyncReply::Page { has_more: true, .. }),
         };
-        self.pages.insert(question.page_after.clone(), page.clone());
+        self.pages.insert(request.page_after.clone(), page.clone());
         Ok(page)
     }
 }
--- a/components/fleet/tests/it/snapshots.rs
+++ b/components/fleet/tests/it/snapshots.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use fleet::{DownloadStep, SnapshotDownload, SnapshotServer};
-use mirror::{Answer, Change, Listing, Mirror, Question, Revision};
+use mirror::{Change, Listing, Mirror, Revision, SyncReply, SyncRequest};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use types::prelude::*;
@@ -44,17 +44,17 @@
         let changes = vec![change(rng, next.0)];
         source.apply(at, next, changes).expect("in order");
         now = now + Span::from_millis(rng.random_range(0..400));
-        let question = Question {
+        let request = SyncRequest {
             held: Revision::default(),
             page_after: page_after.take(),
         };
-        let answer = snapshots.answer(now, &receiver, &question, source);
+        let answer = snapshots.answer(now, &receiver, &request, source);
         let body = answer.expect("it fits").expect("a free place");
-        let Answer::Page {
+        let SyncReply::Page {
             at,
             items,
             has_more,
-        } = Answer::decode(&body).expect("its own")
+        } = SyncReply::decode(&body).expect("its own")
         else {
             panic!("not a page");
         };
--- a/components/mirror/src/lib.rs
+++ b/components/mirror/src/lib.rs
@@ -9,5 +9,5 @@
 mod message;
 mod mirror;
 
-pub use message::{Answer, MAX_ANSWER_BYTES, MessageError, Question};
+pub use message::{MAX_ANSWER_BYTES, MessageError, SyncReply, SyncRequest};
 pub use mirror::{Change, GapError, Listing, Mirror, Revision};
--- a/components/mirror/src/message.rs
+++ b/components/mirror/src/message.rs
@@ -26,7 +26,7 @@
 
 /// What is new after this?
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Question {
+pub struct SyncRequest {
     /// What the asker holds.
     pub held: Revision,
     /// Within a whole copy: the last key of the page before.
@@ -35,7 +35,7 @@
 
 /// What a peer lacked.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Answer {
+pub enum SyncReply {
     /// The changes after the revision asked for.
     Changes {
         /// After this.
@@ -73,11 +73,11 @@
     Packed,
 }
 
-impl Question {
+impl SyncRequest {
     /// As bytes.
     ///
     /// # Errors
-    /// Never for a question of this form.
+    /// Never for a request of this form.
     pub fn encode(&self) -> Result<Bytes, MessageError> {
         Ok(postcard::to_allocvec(self)?.into())
     }
@@ -91,25 +91,25 @@
     }
 }
 
-impl Answer {
+impl SyncReply {
     /// What `mirror` has for a peer.
     #[must_use]
-    pub fn to(question: &Question, mirror: &Mirror) -> Self {
-        if mirror.at() <= question.held {
+    pub fn to(request: &SyncRequest, mirror: &Mirror) -> Self {
+        if mirror.at() <= request.held {
             return Self::Nothing;
         }
-        let is_within_copy = question.page_after.is_some();
+        let is_within_copy = request.page_after.is_some();
         let changes = match is_within_copy {
             true => None,
-            false => mirror.since(question.held),
+            false => mirror.since(request.held),
         };
         match changes {
             Some(changes) => Self::Changes {
-                after: question.held,
+                after: request.held,
                 at: mirror.at(),
                 changes,
             },
-            None => Self::page(mirror, question.page_after.as_deref()),
+            None => Self::page(mirror, request.page_after.as_deref()),
         }
     }
 
