--- a/components/dispatch/src/health.rs
+++ b/components/dispatch/src/health.rs
@@ -34,7 +34,7 @@
     Unreachable,
     /// The upstream said that it did not run the request.
     Refused,
-    /// Another program run now has the upstream's address.
+    /// Another instance now has the upstream's address.
     Replaced,
     /// Ended by the caller or by a larger model's answer; says nothing about the upstream.
     Cancelled,
--- a/components/dispatch/src/upstreams.rs
+++ b/components/dispatch/src/upstreams.rs
@@ -26,7 +26,7 @@
 /// Weight of a new sample in the means of a service.
 const MEAN_WEIGHT: f64 = 0.05;
 
-/// Identifies one run of an upstream while it is listed or has outstanding requests.
+/// Identifies one instance of an upstream while it is listed or has outstanding requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UpstreamIndex(u64);
 
@@ -67,7 +67,7 @@
 /// An upstream as this daemon last knew it.
 #[derive(Debug, Clone)]
 pub struct LastSeen {
-    /// Identifies the upstream's run.
+    /// Identifies the upstream's instance.
     pub index: UpstreamIndex,
     /// The upstream's entry in the list.
     pub spec: Arc<Upstream>,
@@ -97,8 +97,8 @@
     pub in_flight: u16,
 }
 
-/// Hashes the id and start of an upstream's run to four bytes. The start is included so that
-/// requests outstanding at a former run do not count as load of the next.
+/// Hashes the id and start of an upstream's instance to four bytes. The start is included so
+/// that requests outstanding at a former instance do not count as load of the next.
 #[must_use]
 pub fn instance_key(id: &UpstreamId, started_at: Option<WallTime>) -> InstanceKey {
     let started_at = started_at.map_or(0, |at| at.0);
@@ -125,7 +125,7 @@
     pub(crate) backoff_until: Time,
     /// Gets no new requests: it is draining or not listed, or said itself that it leaves.
     pub(crate) is_leaving: bool,
-    /// Another program run has its address, so this run is over even if it is still listed.
+    /// Another instance has its address, so this one is gone even if it is still listed.
     is_replaced: bool,
     is_listed: bool,
 }
@@ -218,7 +218,7 @@
         Some(entry.last_seen(index))
     }
 
-    /// Finds a run of an upstream's program by its id and start.
+    /// Finds an instance of an upstream by its id and start.
     #[must_use]
     pub fn find(&self, id: &UpstreamId, started_at: Option<WallTime>) -> Option<LastSeen> {
         let is_match = |entry: &Entry| entry.spec.id == *id && entry.spec.started_at == started_at;
@@ -238,7 +238,7 @@
 
     /// Adds or updates a listed upstream.
     ///
-    /// Guards against an upstream that restarts under its id: the state of the former run
+    /// Guards against an upstream that restarts under its id: the state of the former instance
     /// (cached prompts, backlog, health, leaving, and kept connections, which are stored by
     /// index) is not true of the next, which therefore gets an entry of its own.
     fn upsert(&mut self, spec: &Arc<Upstream>) {
--- a/components/dispatch/tests/choose.rs
+++ b/components/dispatch/tests/choose.rs
@@ -255,7 +255,7 @@
 }
 
 /// The same upstream as listed by a later run under its id.
-fn upstream_run(id: usize, started_at: u64) -> Arc<Upstream> {
+fn upstream_instance(id: usize, started_at: u64) -> Arc<Upstream> {
     let spec = upstream(id, "v1", UpstreamState::Ready);
     Arc::new(Upstream {
         started_at: Some(WallTime(started_at)),
@@ -264,12 +264,12 @@
 }
 
 #[test]
-fn a_restarted_upstream_does_not_inherit_the_state_of_its_former_run() {
+fn a_restarted_upstream_does_not_inherit_the_state_of_its_former_instance() {
     // An engine crashes with a long backlog and restarts under its id, without cached prompts
     // or requests. Taken for the former run, it would get prompts for their shared parts and be
     // avoided for everything else until answers came that never will.
     let mut setup = Setup::new(0);
-    setup.upstreams.configure(&[upstream_run(0, 7)]);
+    setup.upstreams.configure(&[upstream_instance(0, 7)]);
     let first = setup
         .pick(at(0), &prompt(1), &[], &Permit::Any)
         .expect("one");
@@ -278,7 +278,7 @@
     let ticket = setup
         .upstreams
         .record_start(at(1), first, &second.load, &second.prefixes);
-    setup.upstreams.configure(&[upstream_run(0, 8)]);
+    setup.upstreams.configure(&[upstream_instance(0, 8)]);
     let next = setup.choice(at(2), &prompt(1));
     assert_ne!(next.index, first);
     assert!(
@@ -299,16 +299,16 @@
 }
 
 #[test]
-fn requests_outstanding_at_a_former_run_are_no_load_of_the_next() {
+fn requests_outstanding_at_a_former_instance_are_no_load_of_the_next() {
     let mut setup = Setup::new(0);
-    setup.upstreams.configure(&[upstream_run(0, 7)]);
+    setup.upstreams.configure(&[upstream_instance(0, 7)]);
     let choice = setup.choice(at(0), &prompt(1));
     setup
         .upstreams
         .record_start(at(0), choice.index, &choice.load, &choice.prefixes);
     let loads = setup.upstreams.own_loads(at(0));
     let mut other = Setup::new(0);
-    other.upstreams.configure(&[upstream_run(0, 8)]);
+    other.upstreams.configure(&[upstream_instance(0, 8)]);
     let told = loads.iter().map(|l| (l.upstream, (4_000.0, 9)));
     other.upstreams.set_remote_loads(&told.collect());
     assert_eq!(other.choice(at(1), &prompt(1)).load.wait_ms, 0.0);
--- a/components/dispatch/tests/limits.rs
+++ b/components/dispatch/tests/limits.rs
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn the_next_run_of_an_upstream_has_no_limit() {
+fn the_next_instance_of_an_upstream_has_no_limit() {
     let mut setup = Setup::new(1);
     let only = setup
         .send(at(0), UpstreamOutcome::Good)
--- a/components/fleet/src/control/rollouts.rs
+++ b/components/fleet/src/control/rollouts.rs
@@ -39,11 +39,11 @@
             let elapsed = known_for.as_millis();
             let elapsed = elapsed - elapsed % ELAPSED_STEP_MS;
             own.elapsed_ms = u32::try_from(elapsed).unwrap_or(u32::MAX);
-            let word = self.peering.gather(&own);
+            let summary = self.peering.aggregate(&own);
             let findings = FleetFindings {
-                fleet: &word.fleet,
+                fleet: &summary.fleet,
                 serving_capacity: self.serving_capacity(&service, &order.to),
-                is_marked_bad: word.is_bad,
+                is_marked_bad: summary.is_bad,
                 staying: self.peering.staying(order.revision),
             };
             let stepped = self.rollouts.step(now, &service, findings);
--- a/components/fleet/src/peering.rs
+++ b/components/fleet/src/peering.rs
@@ -354,7 +354,7 @@
     }
 
     /// Records this daemon's evidence on a roll-out and returns the fleet's.
-    pub(crate) fn gather(&mut self, own: &Evidence) -> RolloutSummary {
+    pub(crate) fn aggregate(&mut self, own: &Evidence) -> RolloutSummary {
         let me = self.members.me().id.clone();
         self.aggregator.fleet(&me, own)
     }
--- a/components/fleet/src/quarantine.rs
+++ b/components/fleet/src/quarantine.rs
@@ -43,7 +43,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct QuarantineCrash {
-    /// The run of the upstream that crashed.
+    /// The instance of the upstream that crashed.
     pub upstream: UpstreamInstance,
     /// Time for which the content had run there.
     pub ran_ms: u64,
--- a/components/fleet/tests/it/control.rs
+++ b/components/fleet/tests/it/control.rs
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn an_entry_of_a_former_run_does_not_replace_the_current_run() {
+fn an_entry_of_a_former_instance_does_not_replace_the_current_one() {
     // An upstream restarts under its id with another version, and a delayed entry of its former run
     // arrives last. Guards against requests being routed by that entry.
     let memory = seeded_store();
--- a/components/node/src/barring.rs
+++ b/components/node/src/barring.rs
@@ -5,7 +5,7 @@
 use callers::Request;
 use http1::probe_refused;
 use poison::{
-    Admission, AttemptEnd as AttemptOutcome, AttemptId, Attempts, Content, CrashedAttempt,
+    Admission, AttemptEnd as PoisonAttemptEnd, AttemptId, Attempts, Content, CrashedAttempt,
     PoisonPolicy, SharedSuspects, Suspects, UpstreamInstance,
 };
 use requests::attempt::{AttemptEnd, Doubt};
@@ -93,14 +93,14 @@
     ) {
         let now = self.clock.now();
         let how = run_end(end);
-        if how == AttemptOutcome::Answered {
+        if how == PoisonAttemptEnd::Answered {
             self.suspects.lock().answered(now, asked.content);
         }
         let under = lock(&self.runs).attempt_ended(now, taken.index, run, how);
         if let Some(under) = under {
             return self.ended(taken, &[under]);
         }
-        if how == AttemptOutcome::Broken && probe_refused(taken.address).await {
+        if how == PoisonAttemptEnd::Broken && probe_refused(taken.address).await {
             let under =
                 lock(&self.runs).upstream_crashed(self.clock.now(), taken.index, Time::ZERO);
             self.ended(taken, &under.unwrap_or_default());
@@ -154,12 +154,14 @@
 }
 
 /// What an attempt's end says of the upstream.
-fn run_end(end: &AttemptEnd) -> AttemptOutcome {
+fn run_end(end: &AttemptEnd) -> PoisonAttemptEnd {
     match end {
-        AttemptEnd::Whole { .. } => AttemptOutcome::Answered,
-        AttemptEnd::Unknown(Doubt::Reset) | AttemptEnd::Truncated { .. } => AttemptOutcome::Broken,
-        AttemptEnd::Unknown(Doubt::TimedOut) | AttemptEnd::CallerGone => AttemptOutcome::GivenUp,
-        AttemptEnd::UpstreamError(_) | AttemptEnd::Crossed => AttemptOutcome::Failed,
-        AttemptEnd::NotSent | AttemptEnd::RefusedNotRun { .. } => AttemptOutcome::NotStarted,
+        AttemptEnd::Whole { .. } => PoisonAttemptEnd::Answered,
+        AttemptEnd::Unknown(Doubt::Reset) | AttemptEnd::Truncated { .. } => {
+            PoisonAttemptEnd::Broken
+        }
+        AttemptEnd::Unknown(Doubt::TimedOut) | AttemptEnd::CallerGone => PoisonAttemptEnd::GivenUp,
+        AttemptEnd::UpstreamError(_) | AttemptEnd::Crossed => PoisonAttemptEnd::Failed,
+        AttemptEnd::NotSent | AttemptEnd::RefusedNotRun { .. } => PoisonAttemptEnd::NotStarted,
     }
 }
--- a/components/poison/src/updates.rs
+++ b/components/poison/src/updates.rs
@@ -15,12 +15,13 @@
 /// Updates read from one message at most.
 const MAX_UPDATES: usize = 256;
 
-/// One run of an upstream's program. An id may be reused by a later run with another start time.
+/// One run of an upstream's program. An id may be reused by a later instance with another start
+/// time.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct UpstreamInstance {
     /// Id of the upstream.
     pub id: UpstreamId,
-    /// Start of this run by the upstream's own clock, if it reports one.
+    /// Start of this instance by the upstream's own clock, if it reports one.
     pub started_at: Option<WallTime>,
 }
 
--- a/components/traffic/tests/it/answers.rs
+++ b/components/traffic/tests/it/answers.rs
@@ -109,7 +109,7 @@
             served.write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
         }
     });
-    let other_run = upstream(|served| {
+    let other_instance = upstream(|served| {
         while served.request().is_some() {
             served.write("HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n");
         }
@@ -119,7 +119,7 @@
             served.write(&answer(id_of(&request), "world"));
         }
     });
-    let running = serving(Retry::Never, &[full, other_run, good]);
+    let running = serving(Retry::Never, &[full, other_instance, good]);
     for n in 0..5 {
         let text = running.caller().ask(&format!("r{n}"));
         assert!(text.ends_with("world"), "{text}");
--- a/components/traffic/tests/it/bounds.rs
+++ b/components/traffic/tests/it/bounds.rs
@@ -126,7 +126,7 @@
     };
     // Last validated longer ago than a change may take, or never.
     for validated_at in [Some(Time::ZERO), None] {
-        running.prove_current(validated_at);
+        running.validate_current(validated_at);
         if validated_at.is_some() {
             std::thread::sleep(Duration::from_millis(2_100));
         }
@@ -136,7 +136,7 @@
         assert!(field(&text, "Retry-After").is_some());
         assert_eq!(status_of(&answer(&proper)), 200);
     }
-    running.prove_current(Some(Time::NEVER));
+    running.validate_current(Some(Time::NEVER));
     wait_for_status(404);
     assert_eq!(status_of(&answer(&new_key)), 401);
     // The validation is for another version than the one in use.
--- a/components/traffic/tests/it/harness.rs
+++ b/components/traffic/tests/it/harness.rs
@@ -249,7 +249,7 @@
 pub fn serving(retry: Retry, upstreams: &[SocketAddr]) -> TestLoop {
     let running = start();
     running.send_plan(retry, upstreams, Vec::new());
-    running.prove_current(Some(Time::NEVER));
+    running.validate_current(Some(Time::NEVER));
     running
 }
 
@@ -346,7 +346,7 @@
 
 impl TestLoop {
     /// Tells the event loop when its configuration was last known to be current.
-    pub fn prove_current(&self, validated_at: Option<Time>) {
+    pub fn validate_current(&self, validated_at: Option<Time>) {
         self.send_peer_state(validated_at.map(|at| validation(0, at)), Vec::new());
     }
 
