--- a/components/fleet/src/control/rollouts.rs
+++ b/components/fleet/src/control/rollouts.rs
@@ -28,9 +28,9 @@
         if services.is_empty() {
             return;
         }
-        let seen = self.traffic.seen.evidence();
+        let observed = self.traffic.observed.evidence();
         for (service, order) in services {
-            let mut own = seen.get(&service).copied().unwrap_or_default();
+            let mut own = observed.get(&service).copied().unwrap_or_default();
             if own.order != order.revision {
                 own = Evidence::default();
             }
@@ -39,11 +39,11 @@
             let elapsed = known_for.as_millis();
             let elapsed = elapsed - elapsed % ELAPSED_STEP_MS;
             own.elapsed_ms = u32::try_from(elapsed).unwrap_or(u32::MAX);
-            let word = self.peering.gather(&own);
+            let summary = self.peering.aggregate(&own);
             let findings = FleetFindings {
-                fleet: &word.fleet,
+                fleet: &summary.fleet,
                 serving_capacity: self.serving_capacity(&service, &order.to),
-                is_marked_bad: word.is_bad,
+                is_marked_bad: summary.is_bad,
                 staying: self.peering.staying(order.revision),
             };
             let stepped = self.rollouts.step(now, &service, findings);
@@ -56,7 +56,7 @@
                 continue;
             }
             if is_tick && self.is_report_due(known_for) {
-                let staying = self.traffic.seen.staying(order.revision);
+                let staying = self.traffic.observed.staying(order.revision);
                 self.peering.report(now, &own, &staying);
             }
         }
--- a/components/fleet/src/peering.rs
+++ b/components/fleet/src/peering.rs
@@ -5,11 +5,13 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use dispatch::{Advertisement, Evidence, Fleet, Gathering, PeerLoads, RolloutMessage, RolloutWord};
+use dispatch::{
+    Advertisement, Evidence, EvidenceAggregator, Fleet, PeerLoads, RolloutMessage, RolloutSummary,
+};
 use membership::{Event as MemberEvent, Member, MemberRecord, Membership, Outcome, State};
-use mirror::{Answer, Question, Revision};
+use mirror::{Revision, SyncReply, SyncRequest};
 use peers::{Handle, Inbound, Part, Payload};
-use poison::Words;
+use poison::ContentUpdates;
 use rand::RngExt;
 use rand::seq::{IndexedRandom, IteratorRandom};
 use types::prelude::*;
@@ -51,7 +53,7 @@
     loads: PeerLoads,
     peer_states: PeerStates,
     claims: Claims,
-    gathering: Gathering,
+    aggregator: EvidenceAggregator,
     /// Rate limits advertised by peers and not yet taken by the control thread.
     rate_limits: Vec<Advertisement>,
     ticks: u32,
@@ -72,11 +74,11 @@
 pub(crate) enum Followup {
     Nothing,
     /// Answer a peer's request for changes of the mirror.
-    ServeMirror(DaemonId, Question, peers::Reply),
+    ServeMirror(DaemonId, SyncRequest, peers::Reply),
     /// Apply changes from a peer's mirror.
-    ApplyAnswer(Answer),
+    ApplyReply(SyncReply),
     /// Merge a peer's reports on request contents.
-    MergeWords(Words),
+    MergeContentUpdates(ContentUpdates),
 }
 
 /// Whether a daemon has a share of upstreams' rate limits: it is present, or went silent so
@@ -99,7 +101,7 @@
             loads: PeerLoads::default(),
             peer_states: PeerStates::default(),
             claims: Claims::default(),
-            gathering: Gathering::default(),
+            aggregator: EvidenceAggregator::default(),
             rate_limits: Vec::new(),
             ticks: 0,
             must_send_heartbeat: false,
@@ -170,8 +172,8 @@
                 from,
                 payload: Payload::Part { body, .. },
                 reply,
-            } => match Question::decode(&body) {
-                Ok(question) => Followup::ServeMirror(from.id, question, reply),
+            } => match SyncRequest::decode(&body) {
+                Ok(request) => Followup::ServeMirror(from.id, request, reply),
                 Err(e) => {
                     tracing::warn!("peers: {e}");
                     Followup::Nothing
@@ -189,23 +191,23 @@
                     self.peer_states.take(now, &from, &heartbeat, report_ttl);
                     self.merge_claims(now, &from, &heartbeat);
                     for rollout in &heartbeat.rollouts {
-                        self.gathering.take_word(rollout);
+                        self.aggregator.merge_summary(rollout);
                     }
                     self.note_rate_limits(heartbeat.rate_limits);
-                    self.loads.take(now, from, heartbeat.loads);
+                    self.loads.update(now, from, heartbeat.loads);
                 }
                 Err(e) => tracing::warn!(peer = %from, "peers: {e}"),
             },
             Part::Rollout => match RolloutMessage::decode(body) {
-                Ok(message) => self.gathering.take(from, message),
+                Ok(message) => self.aggregator.handle_message(from, message),
                 Err(e) => tracing::warn!(peer = %from, "peers: {e}"),
             },
-            Part::Mirror => match Answer::decode(body) {
-                Ok(answer) => return Followup::ApplyAnswer(answer),
+            Part::Mirror => match SyncReply::decode(body) {
+                Ok(reply) => return Followup::ApplyReply(reply),
                 Err(e) => tracing::warn!(peer = %from, "peers: {e}"),
             },
-            Part::Poison => match Words::decode(body) {
-                Ok(words) => return Followup::MergeWords(words),
+            Part::Poison => match ContentUpdates::decode(body) {
+                Ok(updates) => return Followup::MergeContentUpdates(updates),
                 Err(e) => tracing::warn!(peer = %from, "peers: {e}"),
             },
             other => tracing::warn!(peer = %from, "peers: unexpected message part {other:?}"),
@@ -255,16 +257,16 @@
     }
 
     /// Gossips changes of the store's keys to a few peers.
-    pub(crate) fn send_changes(&mut self, now: Time, answer: &Answer) {
-        match answer.encode() {
+    pub(crate) fn send_changes(&mut self, now: Time, reply: &SyncReply) {
+        match reply.encode() {
             Ok(body) => self.send_gossip(now, Part::Mirror, &body, GossipKind::Change),
             Err(e) => tracing::warn!("peers: {e}"),
         }
     }
 
     /// Gossips reports on request contents to a few peers.
-    pub(crate) fn send_suspects(&mut self, now: Time, words: &Words) {
-        match words.encode() {
+    pub(crate) fn send_suspects(&mut self, now: Time, updates: &ContentUpdates) {
+        match updates.encode() {
             Ok(body) => self.send_gossip(now, Part::Poison, &body, GossipKind::Change),
             Err(e) => tracing::error!("peers: {e}"),
         }
@@ -352,20 +354,20 @@
     }
 
     /// Records this daemon's evidence on a roll-out and returns the fleet's.
-    pub(crate) fn gather(&mut self, own: &Evidence) -> RolloutWord {
+    pub(crate) fn aggregate(&mut self, own: &Evidence) -> RolloutSummary {
         let me = self.members.me().id.clone();
-        self.gathering.fleet(&me, own)
+        self.aggregator.fleet(&me, own)
     }
 
     /// Announces to all daemons at once that an order's version is bad.
     pub(crate) fn mark_bad(&mut self, order: u64) {
-        self.gathering.condemn(order);
+        self.aggregator.mark_bad(order);
         self.must_send_heartbeat = true;
     }
 
     /// Sessions that stay on their version during a roll-out, as known by all daemons.
     pub(crate) fn staying(&self, order: u64) -> BTreeSet<u32> {
-        self.gathering.staying(order)
+        self.aggregator.staying(order)
     }
 
     /// Reports this daemon's evidence on a roll-out to the collectors and gossips the sessions that
@@ -375,7 +377,7 @@
         let order = own.order;
         let sessions = staying.iter().copied().collect();
         let sessions = RolloutMessage::Staying { order, sessions };
-        self.gathering.take(me.clone(), sessions);
+        self.aggregator.handle_message(me.clone(), sessions);
         let report = RolloutMessage::Report {
             own: *own,
             staying: staying.iter().copied().collect(),
@@ -386,7 +388,7 @@
             collectors.filter_map(|collector| Some(self.members.member(collector)?.record.address));
         let addresses = addresses.collect::<Vec<_>>();
         self.send_message(&report, &addresses);
-        if let Some(news) = self.gathering.staying_news(order) {
+        if let Some(news) = self.aggregator.unannounced_staying_sessions(order) {
             let recipients = self.recipients(now, GossipKind::Change);
             self.send_message(&news, &recipients);
         }
--- a/components/fleet/tests/it/harness.rs
+++ b/components/fleet/tests/it/harness.rs
@@ -9,11 +9,11 @@
 use dispatch::{Policy, RetryLimits};
 use fleet::{Codec, DecodeError, Running, Settings, StateRecord};
 use http1::Head;
-use poison::{Admission, Content, SharedSuspects, Under, UpstreamRun};
+use poison::{Admission, Content, CrashedAttempt, SharedSuspects, UpstreamInstance};
 use routes::{
     Limits, RolloutOrder, RolloutState, RouteTable, TableVersion, Upstream, UpstreamState,
 };
-use traffic::{Ask, AskError, Forwarding, Standing, Translator};
+use traffic::{Ask, AskError, Execution, Forwarding, Translator};
 use types::prelude::*;
 
 pub use crate::memory::{MemoryStore, StoreLink};
@@ -49,7 +49,7 @@
         "daemon/"
     }
 
-    fn bar_prefix(&self) -> &str {
+    fn quarantine_prefix(&self) -> &str {
         "bar/"
     }
 
@@ -63,7 +63,7 @@
         let limits = Limits {
             head: ByteSize(1_000),
             body: ByteSize(1_000),
-            head_within: Span::from_secs(1),
+            head_timeout: Span::from_secs(1),
             idle: Span::from_secs(1),
         };
         let table = RouteTable::new(TableVersion(version), limits, vec![], vec![], None);
@@ -137,11 +137,11 @@
         traffic::Reply {
             attempt: None,
             is_signed: false,
-            standing: Standing::Ran,
+            execution: Execution::Ran,
             confidence: None,
             retry_after: None,
             rate_limit: dispatch::Advertised::Nothing,
-            is_encoded: false,
+            is_reencoded: false,
         }
     }
 }
@@ -209,8 +209,8 @@
         status: any,
         ready_path: "/ready".to_owned(),
         failure_domain: settings.failure_domain.clone(),
-        max_callers: 10,
-        max_held: ByteSize(1_000),
+        max_caller_connections: 10,
+        max_held_body_bytes: ByteSize(1_000),
         policy: Policy::default(),
         retries: RetryLimits {
             ratio: 1.0,
@@ -218,9 +218,9 @@
             window: Span::from_secs(1),
         },
         suspects: SharedSuspects::default(),
-        current_within: Span::from_secs(2),
+        max_staleness: Span::from_secs(2),
         session_idle: Span::from_secs(1),
-        grace: Span::from_secs(4),
+        grace_period: Span::from_secs(4),
         dropped_logs: telemetry::logs::Dropped::default(),
     };
     let traffic = traffic::start(traffic, NoTranslator, clock).expect("starts");
@@ -240,23 +240,23 @@
 impl Daemon {
     /// Records that an upstream crashed soon after it began to run a content of this daemon.
     pub fn upstream_crashes(&self, upstream: &str, content: Content) {
-        let upstream = UpstreamRun {
+        let upstream = UpstreamInstance {
             id: UpstreamId::new(upstream).expect("a name"),
             started_at: None,
         };
-        let under = Under {
+        let under = CrashedAttempt {
             content,
             customer: None,
-            had_begun: true,
+            had_started: true,
             ran: Span::from_millis(90),
         };
         let mut suspects = self.suspects.lock();
-        suspects.ended(self.clock.now(), &upstream, &[under]);
+        suspects.upstream_crashed(self.clock.now(), &upstream, &[under]);
     }
 
     /// Records that this daemon received a complete answer to a content.
     pub fn completes(&self, content: Content) {
-        self.suspects.lock().whole(self.clock.now(), content);
+        self.suspects.lock().answered(self.clock.now(), content);
     }
 
     /// Whether this daemon quarantines a content.
--- a/components/mirror/src/message.rs
+++ b/components/mirror/src/message.rs
@@ -96,22 +96,22 @@
 impl Answer {
     /// Creates the reply of `mirror` to a peer's request.
     #[must_use]
-    pub fn to(question: &Question, mirror: &Mirror) -> Self {
-        if mirror.at() <= question.held {
+    pub fn to(request: &SyncRequest, mirror: &Mirror) -> Self {
+        if mirror.at() <= request.held {
             return Self::Nothing;
         }
         let is_next_page = question.page_after.is_some();
         let changes = match is_next_page {
             true => None,
-            false => mirror.since(question.held),
+            false => mirror.since(request.held),
         };
         match changes {
             Some(changes) => Self::Changes {
-                after: question.held,
+                after: request.held,
                 at: mirror.at(),
                 changes,
             },
-            None => Self::page(mirror, question.page_after.as_deref()),
+            None => Self::page(mirror, request.page_after.as_deref()),
         }
     }
 
--- a/components/mirror/tests/mirror.rs
+++ b/components/mirror/tests/mirror.rs
@@ -1,7 +1,7 @@
 //! Tests of the copy of the store's keys and of its synchronisation.
 
 use bytes::Bytes;
-use mirror::{Answer, Change, Listing, Mirror, Question, Revision};
+use mirror::{Change, Listing, Mirror, Revision, SyncReply, SyncRequest};
 
 fn put(revision: u64, key: &str, value: &str) -> Change {
     Change {
@@ -121,7 +121,7 @@
         at: Revision(121),
         changes: newer,
     };
-    assert_eq!(Answer::news(&mirror, at), Some(news));
+    assert_eq!(SyncReply::news(&mirror, at), Some(news));
 }
 
 fn request(held: u64, page_after: Option<&str>) -> Question {
@@ -150,7 +150,7 @@
             at,
             items: page,
             has_more,
-        } = Answer::decode(&bytes).expect("our own")
+        } = SyncReply::decode(&bytes).expect("our own")
         else {
             panic!("a page was asked for");
         };
--- a/components/node/src/quarantine.rs
+++ b/components/node/src/quarantine.rs
@@ -4,10 +4,10 @@
 use std::sync::{Arc, Mutex};
 
 use callers::Request;
-use http1::refuses;
+use http1::probe_refused;
 use poison::{
-    Admission, Content, PoisonPolicy, Run, RunEnd, Runs, SharedSuspects, Suspects, Under,
-    UpstreamRun,
+    Admission, AttemptEnd as PoisonAttemptEnd, AttemptId, Attempts, Content, CrashedAttempt,
+    PoisonPolicy, SharedSuspects, Suspects, UpstreamInstance,
 };
 use requests::attempt::{AttemptEnd, Doubt};
 use routing::UpstreamIndex;
@@ -46,7 +46,7 @@
 pub(crate) struct Quarantine {
     clock: Clock,
     pub(crate) suspects: SharedSuspects,
-    runs: Mutex<Runs<UpstreamIndex>>,
+    runs: Mutex<Attempts<UpstreamIndex>>,
 }
 
 impl Quarantine {
@@ -69,7 +69,7 @@
         let mut suspects = self.suspects.lock();
         match suspects.admission(now, content.content) {
             Admission::Open => None,
-            Admission::Barred { until } => Some(now.until(until)),
+            Admission::Quarantined { until } => Some(now.until(until)),
             Admission::Trial => {
                 suspects.tried(now, content.content);
                 None
@@ -119,14 +119,14 @@
             started_at: Some(rounded(self.clock.wall())),
         };
         let mut suspects = self.suspects.lock();
-        suspects.ended(self.clock.now(), &upstream, under);
+        suspects.upstream_crashed(self.clock.now(), &upstream, under);
     }
 
     /// The quarantined contents, for the dump.
     pub(crate) fn dump(&self, now: Time) -> serde_json::Value {
-        let barred = self.suspects.lock().barred();
+        let barred = self.suspects.lock().quarantined();
         let barred = barred.into_iter().map(|bar| {
-            let ends = bar.ends.iter();
+            let ends = bar.crashes.iter();
             let ends = ends.map(|(upstream, ran)| json!({"upstream": upstream.id, "ran": ran}));
             json!({
                 "content": bar.content,
@@ -144,7 +144,7 @@
         lock(&self.runs).tidy(now);
         let mut suspects = self.suspects.lock();
         suspects.set_fleet(daemons, upstreams);
-        suspects.tidy(now);
+        suspects.expire(now);
     }
 }
 
@@ -158,10 +158,12 @@
 /// What an attempt's end says about its upstream.
 fn run_end(end: &AttemptEnd) -> RunEnd {
     match end {
-        AttemptEnd::Whole { .. } => RunEnd::Whole,
-        AttemptEnd::Unknown(Doubt::Reset) | AttemptEnd::Truncated { .. } => RunEnd::Broken,
-        AttemptEnd::Unknown(Doubt::TimedOut) | AttemptEnd::CallerGone => RunEnd::GivenUp,
-        AttemptEnd::UpstreamError(_) | AttemptEnd::Crossed => RunEnd::Failed,
-        AttemptEnd::NotSent | AttemptEnd::RefusedNotRun { .. } => RunEnd::NotRun,
+        AttemptEnd::Whole { .. } => PoisonAttemptEnd::Answered,
+        AttemptEnd::Unknown(Doubt::Reset) | AttemptEnd::Truncated { .. } => {
+            PoisonAttemptEnd::Broken
+        }
+        AttemptEnd::Unknown(Doubt::TimedOut) | AttemptEnd::CallerGone => PoisonAttemptEnd::GivenUp,
+        AttemptEnd::UpstreamError(_) | AttemptEnd::Crossed => PoisonAttemptEnd::Failed,
+        AttemptEnd::NotSent | AttemptEnd::RefusedNotRun { .. } => PoisonAttemptEnd::NotStarted,
     }
 }
--- a/components/traffic/src/attempt.rs
+++ b/components/traffic/src/attempt.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dispatch::{Advertised, Choice, Ending, UpstreamIndex, Use};
+use dispatch::{Advertised, Choice, RetryReason, UpstreamIndex, UpstreamOutcome};
 use http1::write::push_length;
 use http1::{
     BodyReader, Framing, Head, Kind, Wire, WireOptions, connect, read_response_head, read_whole,
@@ -18,7 +18,7 @@
 use crate::exchange::Request;
 use crate::relay::{SILENCE_POLL, give_up_reason};
 use crate::shared::Shared;
-use crate::translate::{Forwarding, Reply, Standing, Translator};
+use crate::translate::{Execution, Forwarding, Reply, Translator};
 
 /// A live upstream accepts a connection within milliseconds; one behind a network partition never
 /// answers.
@@ -76,13 +76,13 @@
 
 impl Failure {
     /// What this says of the upstream, and of the request.
-    fn outcome<T>(self) -> (Ending, SendResult<T>) {
+    fn outcome<T>(self) -> (UpstreamOutcome, SendResult<T>) {
         match self {
-            Self::Unreachable => (Ending::Unreachable, SendResult::Unreachable),
-            Self::Silent => (Ending::Silent, SendResult::MayHaveRun("silent")),
-            Self::Broken(why) => (Ending::Broken, SendResult::MayHaveRun(why)),
+            Self::Unreachable => (UpstreamOutcome::Unreachable, SendResult::Unreachable),
+            Self::Silent => (UpstreamOutcome::Silent, SendResult::MayHaveRun("silent")),
+            Self::Broken(why) => (UpstreamOutcome::Incomplete, SendResult::MayHaveRun(why)),
             Self::Quarantined => (
-                Ending::Dropped,
+                UpstreamOutcome::Cancelled,
                 SendResult::MayHaveRun("barred while it waited"),
             ),
         }
@@ -126,9 +126,9 @@
     }
 
     /// Ends the attempt. The connection returns to the pool after a complete stream.
-    pub(crate) fn finish(self, ending: Ending) {
-        self.guard.end(ending);
-        if ending == Ending::Good && !self.reader.ends_with_connection() {
+    pub(crate) fn finish(self, outcome: UpstreamOutcome) {
+        self.guard.end(outcome);
+        if outcome == UpstreamOutcome::Good && !self.reader.ends_with_connection() {
             let now = self.shared.now();
             let mut pool = self.shared.pool.borrow_mut();
             pool.keep(now, self.index, self.wire, &self.head);
@@ -163,21 +163,21 @@
         let (wire, answer) = match self.request_head(choice.index, &spec, &guard).await {
             Ok(answer) => answer,
             Err(failure) => {
-                let (ending, sent) = failure.outcome();
-                guard.end(ending);
+                let (outcome, sent) = failure.outcome();
+                guard.end(outcome);
                 return sent;
             }
         };
         guard.note_heard();
         self.observe_rate_limit(choice.index, &guard, &answer.reply);
-        if let Some((ending, sent)) = self.refusal(choice.index, &answer) {
-            guard.end(ending);
+        if let Some((outcome, sent)) = self.refusal(choice.index, &answer) {
+            guard.end(outcome);
             return sent;
         }
         guard.note_running();
         let reader = BodyReader::new(answer.framing);
         let is_success = (200..300).contains(&answer.head.status());
-        if is_success && self.request.route.repeat.is_stream() {
+        if is_success && self.request.route.retry.is_stream() {
             return SendResult::Stream(Box::new(Stream {
                 head: answer.head,
                 confidence: answer.reply.confidence,
@@ -247,19 +247,19 @@
     /// breaks, it cannot be told whether the other end had closed it before, and a new one costs a
     /// millisecond.
     fn take_pooled(&self, index: UpstreamIndex) -> Option<Wire> {
-        if !self.request.route.repeat.is_allowed() {
+        if !self.request.route.retry.is_allowed() {
             return None;
         }
         self.shared.pool.borrow_mut().take(self.shared.now(), index)
     }
 
     fn may_resend(&self, index: UpstreamIndex) -> bool {
-        if !self.request.route.repeat.is_allowed() {
+        if !self.request.route.retry.is_allowed() {
             return false;
         }
         let now = self.shared.now();
-        let has_send_left = self.shared.upstreams.borrow_mut().take_send(now, index);
-        has_send_left && self.shared.take_retry(self.service, Use::Failure)
+        let has_send_left = self.shared.upstreams.borrow_mut().try_acquire(now, index);
+        has_send_left && self.shared.take_retry(self.service, RetryReason::Failure)
     }
 
     async fn open_connection(
@@ -295,29 +295,32 @@
         &self,
         index: UpstreamIndex,
         answer: &AnswerHead,
-    ) -> Option<(Ending, SendResult<T>)> {
-        match answer.reply.standing {
-            Standing::NotRun => {
+    ) -> Option<(UpstreamOutcome, SendResult<T>)> {
+        match answer.reply.execution {
+            Execution::NotRun => {
                 if let Some(wait) = answer.reply.retry_after {
                     self.shared.back_off(index, wait);
                 }
-                return Some((Ending::Refused, SendResult::NotRun("refused")));
+                return Some((UpstreamOutcome::Refused, SendResult::NotRun("refused")));
             }
-            Standing::OtherRun => return Some((Ending::Replaced, SendResult::NotRun("replaced"))),
-            Standing::Ran => {}
+            Execution::OtherInstance => {
+                return Some((UpstreamOutcome::Replaced, SendResult::NotRun("replaced")));
+            }
+            Execution::Ran => {}
         }
         let is_success = (200..300).contains(&answer.head.status());
-        let is_own = answer.reply.is_signed && !answer.reply.is_encoded;
+        let is_own = answer.reply.is_signed && !answer.reply.is_reencoded;
         let why = "not the upstream's own answer";
-        (is_success && !is_own).then_some((Ending::Broken, SendResult::MayHaveRun(why)))
+        (is_success && !is_own)
+            .then_some((UpstreamOutcome::Incomplete, SendResult::MayHaveRun(why)))
     }
 
-    /// Applies the rate limit that an answer of this run carries. Only an answer that the upstream
-    /// signed can lift a limit.
+    /// Applies the rate limit that an answer of this instance carries. Only an answer that the
+    /// upstream signed can lift a limit.
     fn observe_rate_limit(&self, index: UpstreamIndex, guard: &AttemptGuard<T>, reply: &Reply) {
-        let is_of_run = reply.standing != Standing::OtherRun && !reply.is_encoded;
+        let is_of_instance = reply.execution != Execution::OtherInstance && !reply.is_reencoded;
         let says_nothing = reply.rate_limit == Advertised::Nothing;
-        if is_of_run && (reply.is_signed || !says_nothing) {
+        if is_of_instance && (reply.is_signed || !says_nothing) {
             let shared = self.shared;
             shared.observe_rate_limit(index, guard.sent_at(), reply.rate_limit);
         }
@@ -336,7 +339,7 @@
         let customer = self.request.customer.as_ref();
         let forwarding = Forwarding {
             head: &self.request.head,
-            patience: self.shared.now().until(self.request.deadline),
+            timeout: self.shared.now().until(self.request.deadline),
             upstream,
             customer: customer.map(|customer| &*customer.name),
             model: self.model.map(|model| &**model),
@@ -404,7 +407,7 @@
     fn is_silent_too_long(&self, guard: &AttemptGuard<T>) -> bool {
         let route = &self.request.route;
         let silent = guard.outstanding_for();
-        if !route.repeat.is_stream() {
+        if !route.retry.is_stream() {
             let objective = route.objective.as_secs_f64();
             let share = Span::from_secs_f64(objective * SILENT_SHARE);
             return silent > share.max(guard.first_output_within());
@@ -451,14 +454,14 @@
         guard: AttemptGuard<T>,
     ) -> SendResult<T> {
         let Ok(body) = read_whole(&wire, &mut reader, MAX_BODY).await else {
-            guard.end(Ending::Broken);
+            guard.end(UpstreamOutcome::Incomplete);
             return SendResult::MayHaveRun("broke within its answer");
         };
         let is_success = head.status() < 500;
         guard.end(if is_success {
-            Ending::Good
+            UpstreamOutcome::Good
         } else {
-            Ending::Failed
+            UpstreamOutcome::Failed
         });
         if !reader.ends_with_connection() {
             let mut pool = self.shared.pool.borrow_mut();
--- a/components/traffic/src/rate_limits.rs
+++ b/components/traffic/src/rate_limits.rs
@@ -29,7 +29,7 @@
     pub(crate) fn back_off(&self, index: UpstreamIndex, wait: Span) {
         let now = self.now();
         let mut upstreams = self.upstreams.borrow_mut();
-        upstreams.leave_alone(now, index, now + wait);
+        upstreams.back_off(now, index, now + wait);
     }
 
     /// Merges the rate limits that other daemons advertise.
@@ -38,7 +38,7 @@
         let mut upstreams = self.upstreams.borrow_mut();
         for ad in ads {
             if let Some(change) = upstreams.merge_rate_limit(now, ad) {
-                let spec = upstreams.find_run(ad.run);
+                let spec = upstreams.find_instance(ad.instance);
                 log(spec.map(|spec| &spec.id), "peer", change);
             }
         }
@@ -47,7 +47,7 @@
     /// Publishes the rate limits that the control thread is to advertise.
     pub(crate) fn publish_rate_limits(&self) {
         let mut upstreams = self.upstreams.borrow_mut();
-        self.seen
+        self.observed
             .set_rate_limits(upstreams.advertise_rate_limits(self.now()));
         let limited = i64::try_from(upstreams.rate_limits().len()).unwrap_or(i64::MAX);
         self.metrics.limited_upstreams.set(limited);
@@ -57,7 +57,7 @@
 fn log(upstream: Option<&UpstreamId>, source: &'static str, change: RateLimitChange) {
     let upstream = upstream.map(UpstreamId::as_str);
     match change {
-        RateLimitChange::Named(rate) => {
+        RateLimitChange::Set(rate) => {
             tracing::info!(upstream, %rate, source, "upstreams: rate limit advertised");
         }
         RateLimitChange::Changed(rate) => {
--- a/components/traffic/src/shared.rs
+++ b/components/traffic/src/shared.rs
@@ -5,11 +5,11 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use dispatch::{
-    Advertisement, Evidence, Gate, LastSeen, Pins, RetryBudget, SharedLoad, UpstreamIndex,
-    Upstreams, Use,
+    Advertisement, Evidence, Gate, LastSeen, Pins, RetryBudget, RetryReason, SharedLoad,
+    UpstreamIndex, Upstreams,
 };
 use http1::Pool;
-use poison::{Admission, Content, Runs};
+use poison::{Admission, Attempts, Content};
 use rand::rngs::SmallRng;
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::watch;
@@ -18,7 +18,7 @@
 use crate::arm::BrokenAnswer;
 use crate::config::Config;
 use crate::metrics::Metrics;
-use crate::plan::{Plan, Proof};
+use crate::plan::{Plan, Validation};
 
 /// Stage of this daemon's shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -46,9 +46,9 @@
 /// What the event loop publishes to the control thread: evidence on rollouts, and its loads and
 /// rate limits.
 #[derive(Debug, Clone, Default)]
-pub struct Seen(Arc<Mutex<Published>>);
+pub struct Observed(Arc<Mutex<Published>>);
 
-impl Seen {
+impl Observed {
     fn lock(&self) -> MutexGuard<'_, Published> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -120,12 +120,12 @@
     pub(crate) clock: Clock,
     pub(crate) metrics: Metrics,
     pub(crate) plan: RefCell<Arc<Plan>>,
-    /// The version last proven to be the newest, and when.
-    pub(crate) proof: Cell<Option<Proof>>,
+    /// The version last validated as the newest, and when.
+    pub(crate) validation: Cell<Option<Validation>>,
     pub(crate) upstreams: RefCell<Upstreams>,
     pub(crate) pool: RefCell<Pool<UpstreamIndex>>,
-    /// Runs in progress at each upstream, and recent ones.
-    pub(crate) runs: RefCell<Runs<UpstreamIndex>>,
+    /// Attempts in flight at each upstream, and recent ones.
+    pub(crate) attempts: RefCell<Attempts<UpstreamIndex>>,
     /// Broken answers that are not counted yet in a rollout.
     pub(crate) broken_answers: RefCell<Vec<BrokenAnswer>>,
     /// Upstreams that are being probed for whether they still listen.
@@ -135,7 +135,7 @@
     pub(crate) pins: RefCell<Pins>,
     pub(crate) budgets: RefCell<HashMap<Arc<str>, RetryBudget>>,
     pub(crate) rng: RefCell<SmallRng>,
-    pub(crate) seen: Seen,
+    pub(crate) observed: Observed,
     pub(crate) stage: watch::Sender<Stage>,
     /// Callers' requests in flight.
     pub(crate) requests_in_flight: Cell<usize>,
@@ -156,9 +156,9 @@
 
     /// Whether the configuration may lack a change that should be in force by now.
     pub(crate) fn may_be_stale(&self) -> bool {
-        let bound = self.cfg.current_within;
-        let proven_at = self.plan.borrow().proven_at(self.proof.get());
-        proven_at.is_none_or(|at| self.now().since(at) > bound)
+        let bound = self.cfg.max_staleness;
+        let validated_at = self.plan.borrow().validated_at(self.validation.get());
+        validated_at.is_none_or(|at| self.now().since(at) > bound)
     }
 
     pub(crate) fn stage(&self) -> Stage {
@@ -183,12 +183,13 @@
         suspects.set_fleet(plan.daemons, plan.upstreams.len());
         drop(suspects);
         self.publish_staying(&plan);
-        let unreadable = i64::try_from(plan.unreadable).unwrap_or(i64::MAX);
+        let unreadable = i64::try_from(plan.unreadable_upstreams).unwrap_or(i64::MAX);
         self.metrics.unreadable.set(unreadable);
         *self.plan.borrow_mut() = plan;
     }
 
-    /// Logs the configuration now in use, and the age of the proof that went with the former one.
+    /// Logs the configuration now in use, and the age of the validation that went with the
+    /// former one.
     fn log_table_version(&self, now: Time, plan: &Plan) {
         let version_of = |plan: &Plan| plan.table.as_ref().map(|table| table.version.0);
         let former = version_of(&self.plan.borrow());
@@ -201,8 +202,8 @@
 
     /// Milliseconds since the configuration was last known to be current.
     pub(crate) fn proven_ms(&self, now: Time) -> Option<u64> {
-        let proven_at = self.plan.borrow().proven_at(self.proof.get());
-        proven_at.map(|at| now.since(at).as_millis())
+        let validated_at = self.plan.borrow().validated_at(self.validation.get());
+        validated_at.map(|at| now.since(at).as_millis())
     }
 
     /// At the start of a rollout, publishes the active sessions that stay on another version.
@@ -211,22 +212,23 @@
         let pins = self.pins.borrow();
         for gate in plan.gates.iter().filter(|gate| gate.share <= 0.0) {
             let active = pins
-                .not_on(now, &gate.to)
-                .filter(|session| gate.notes(*session));
-            self.seen.add_staying(gate.order, active.map(Gate::mark));
+                .on_other_versions(now, &gate.to)
+                .filter(|session| gate.should_note(*session));
+            self.observed
+                .add_staying(gate.order, active.map(Gate::mark));
         }
     }
 
     /// Counts a caller's request towards the retry budget of a service.
     pub(crate) fn count_request(&self, service: &Arc<str>) {
         let now = self.now();
-        self.with_budget(service, |budget| budget.requested(now));
+        self.with_budget(service, |budget| budget.record_request(now));
     }
 
     /// Takes a retry from the budget of a service; false if none is left.
-    pub(crate) fn take_retry(&self, service: &Arc<str>, what: Use) -> bool {
+    pub(crate) fn take_retry(&self, service: &Arc<str>, reason: RetryReason) -> bool {
         let now = self.now();
-        self.with_budget(service, |budget| budget.take(now, what))
+        self.with_budget(service, |budget| budget.try_acquire(now, reason))
     }
 
     fn with_budget<R>(&self, service: &Arc<str>, f: impl FnOnce(&mut RetryBudget) -> R) -> R {
@@ -243,7 +245,7 @@
     pub(crate) fn quarantined_until(&self, content: Content) -> Option<Time> {
         let suspects = self.cfg.suspects.lock();
         match suspects.admission(self.now(), content) {
-            Admission::Barred { until } => Some(until),
+            Admission::Quarantined { until } => Some(until),
             Admission::Open | Admission::Trial => None,
         }
     }
--- a/components/traffic/tests/it/bounds.rs
+++ b/components/traffic/tests/it/bounds.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use routes::Repeat;
+use routes::Retry;
 use types::prelude::*;
 
 use crate::harness::*;
@@ -19,7 +19,7 @@
             served.write(&answer(id_of(&request), "world"));
         }
     });
-    (serving(Repeat::Any, &[address]), runs)
+    (serving(Retry::Any, &[address]), runs)
 }
 
 #[test]
@@ -88,7 +88,7 @@
             served.write(&answer(id_of(&request), "ok"));
         }
     });
-    let running = serving(Repeat::Any, &[address]);
+    let running = serving(Retry::Any, &[address]);
     let mut caller = running.caller();
     let head = post("r", "").replace("Content-Length: 0", "Transfer-Encoding: chunked");
     caller.send(&(head + "5\r\nhello\r\n5\r\nworld\r\n0\r\n\r\n"));
@@ -124,10 +124,10 @@
         };
         assert!((0..500).any(has_status), "{status} never came");
     };
-    // Last proven current longer ago than a change may take, or never.
-    for proven_at in [Some(Time::ZERO), None] {
-        running.prove_current(proven_at);
-        if proven_at.is_some() {
+    // Last validated longer ago than a change may take, or never.
+    for validated_at in [Some(Time::ZERO), None] {
+        running.validate_current(validated_at);
+        if validated_at.is_some() {
             std::thread::sleep(Duration::from_millis(2_100));
         }
         wait_for_status(503);
@@ -136,10 +136,10 @@
         assert!(field(&text, "Retry-After").is_some());
         assert_eq!(status_of(&answer(&proper)), 200);
     }
-    running.prove_current(Some(Time::NEVER));
+    running.validate_current(Some(Time::NEVER));
     wait_for_status(404);
     assert_eq!(status_of(&answer(&new_key)), 401);
-    // The proof is for another version than the one in use.
+    // The validation is for another version than the one in use.
     running.prove_newer();
     wait_for_status(503);
     assert_eq!(status_of(&answer(&new_key)), 503);
@@ -169,7 +169,7 @@
     let mut caller = running.caller();
     caller.send(&post("r1", "x"));
     std::thread::sleep(Duration::from_millis(20));
-    running.send_plan(Repeat::Any, &[address], Vec::new());
+    running.send_plan(Retry::Any, &[address], Vec::new());
     assert_eq!(status_of(&caller.answer()), 200);
 }
 
@@ -189,7 +189,7 @@
     let mut hasty = running.caller();
     hasty.send(&post("r2", "x").replace("wait: 9000", "wait: 1500"));
     assert_eq!(status_of(&hasty.answer()), 503);
-    running.send_plan(Repeat::Any, &[address], Vec::new());
+    running.send_plan(Retry::Any, &[address], Vec::new());
     assert_eq!(status_of(&patient.answer()), 200);
 }
 
--- a/components/traffic/tests/it/harness.rs
+++ b/components/traffic/tests/it/harness.rs
@@ -8,13 +8,13 @@
 use dispatch::{Advertised, Gate, Policy, PromptPart, RetryLimits};
 use http1::Head;
 use routes::{
-    ApiKey, Customer, Limits, Repeat, Route, RouteTable, Service, TableVersion, Target, Upstream,
+    ApiKey, Customer, Limits, Retry, Route, RouteTable, Service, TableVersion, Target, Upstream,
     UpstreamState,
 };
 use telemetry::logs::Dropped;
 use traffic::{
-    Ask, AskError, Command, Config, Forwarding, Handle, Plan, Prompt, Proof, Reply, Standing,
-    Translator,
+    Ask, AskError, Command, Config, Execution, Forwarding, Handle, Plan, Prompt, Reply, Translator,
+    Validation,
 };
 use types::prelude::*;
 
@@ -27,7 +27,7 @@
 impl Translator for TestTranslator {
     fn ask(&self, head: &Head) -> Result<Ask, AskError> {
         let attempt = head.text("id").ok_or(AskError::NotOnce("id"))?;
-        let patience = head.text("wait").and_then(|ms| ms.parse().ok());
+        let timeout = head.text("wait").and_then(|ms| ms.parse().ok());
         let prompt = head.text("prompt").map(|tokens| Prompt {
             parts: vec![PromptPart {
                 id: 1,
@@ -38,7 +38,7 @@
         });
         Ok(Ask {
             attempt: Arc::from(attempt),
-            patience: patience.map(Span::from_millis),
+            timeout: timeout.map(Span::from_millis),
             key: head.text("key").map(ApiKey::new),
             model: None,
             prompt,
@@ -66,10 +66,10 @@
         Reply {
             attempt: head.text("id").map(Arc::from),
             is_signed: head.get("signed").is_some(),
-            standing: match head.status() {
-                421 => Standing::OtherRun,
-                503 => Standing::NotRun,
-                _ => Standing::Ran,
+            execution: match head.status() {
+                421 => Execution::OtherInstance,
+                503 => Execution::NotRun,
+                _ => Execution::Ran,
             },
             confidence: head.text("sure").and_then(|sure| sure.parse().ok()),
             rate_limit: rate_limit(head),
@@ -77,7 +77,7 @@
                 .text("again")
                 .and_then(|ms| ms.parse().ok())
                 .map(Span::from_millis),
-            is_encoded: head.get("content-encoding").is_some(),
+            is_reencoded: head.get("content-encoding").is_some(),
         }
     }
 }
@@ -223,8 +223,8 @@
         status: any,
         ready_path: "/ready".to_owned(),
         failure_domain: FailureDomain::new("east").expect("a name"),
-        max_callers: 100,
-        max_held: ByteSize(1 << 20),
+        max_caller_connections: 100,
+        max_held_body_bytes: ByteSize(1 << 20),
         policy: Policy::default(),
         retries: RetryLimits {
             ratio: 1.0,
@@ -232,9 +232,9 @@
             window: Span::from_secs(10),
         },
         suspects: poison::SharedSuspects::default(),
-        current_within: Span::from_secs(2),
+        max_staleness: Span::from_secs(2),
         session_idle: Span::from_secs(5),
-        grace: Span::from_secs(8),
+        grace_period: Span::from_secs(8),
         dropped_logs: Dropped::default(),
     };
     let handle = traffic::start(cfg, TestTranslator, Clock::new()).expect("starts");
@@ -246,15 +246,15 @@
 }
 
 /// Starts an event loop with one route of this kind and upstreams at these addresses.
-pub fn serving(repeat: Repeat, upstreams: &[SocketAddr]) -> TestLoop {
+pub fn serving(retry: Retry, upstreams: &[SocketAddr]) -> TestLoop {
     let running = start();
-    running.send_plan(repeat, upstreams, Vec::new());
-    running.prove_current(Some(Time::NEVER));
+    running.send_plan(retry, upstreams, Vec::new());
+    running.validate_current(Some(Time::NEVER));
     running
 }
 
-fn route(repeat: Repeat) -> Route {
-    let models = match repeat.is_stream() {
+fn route(retry: Retry) -> Route {
+    let models = match retry.is_stream() {
         true => vec![Arc::from("small"), Arc::from("large")],
         false => Vec::new(),
     };
@@ -262,10 +262,10 @@
         name: Arc::from("route"),
         host: Arc::from("host"),
         prefix: Arc::from("/a/"),
-        repeat,
+        retry,
         timeout: Span::from_secs(10),
         objective: Span::from_secs(5),
-        pause: Some(Span::from_secs(2)),
+        max_pause: Some(Span::from_secs(2)),
         rank: 0,
         models,
         targets: vec![Target {
@@ -277,13 +277,17 @@
     }
 }
 
-/// Proof that the configuration `newer` versions after that of [`table`] was current at a time.
-fn proof(newer: u64, at: Time) -> Proof {
-    let version = TableVersion(table(Repeat::Any).version.0 + newer);
-    Proof { version, at }
+/// Validation that the configuration `newer` versions after that of [`table`] was current at a
+/// time.
+fn validation(newer: u64, validated_at: Time) -> Validation {
+    let version = TableVersion(table(Retry::Any).version.0 + newer);
+    Validation {
+        version,
+        validated_at,
+    }
 }
 
-fn table(repeat: Repeat) -> RouteTable {
+fn table(retry: Retry) -> RouteTable {
     let customer = Arc::new(Customer {
         name: Arc::from("alice"),
         rank: None,
@@ -291,7 +295,7 @@
     let limits = Limits {
         head: ByteSize(4_096),
         body: ByteSize(10_000),
-        head_within: Span::from_millis(400),
+        head_timeout: Span::from_millis(400),
         idle: Span::from_secs(10),
     };
     let service = Service {
@@ -300,7 +304,7 @@
         engine: None,
     };
     let customers = [(ApiKey::new("secret"), customer)].into();
-    let routes = vec![route(repeat)];
+    let routes = vec![route(retry)];
     let table = RouteTable::new(
         TableVersion(1),
         limits,
@@ -342,52 +346,56 @@
 
 impl TestLoop {
     /// Tells the event loop when its configuration was last known to be current.
-    pub fn prove_current(&self, proven_at: Option<Time>) {
-        self.send_others(proven_at.map(|at| proof(0, at)), Vec::new());
+    pub fn validate_current(&self, validated_at: Option<Time>) {
+        self.send_peer_state(validated_at.map(|at| validation(0, at)), Vec::new());
     }
 
     /// Tells the event loop that a configuration newer than its own is current.
     pub fn prove_newer(&self) {
-        self.send_others(Some(proof(1, Time::NEVER)), Vec::new());
+        self.send_peer_state(Some(validation(1, Time::NEVER)), Vec::new());
     }
 
     /// Reports a rate limit of an upstream as a peer does.
     pub fn send_peer_limit(&self, id: &str, rate: f32) {
         let limit = dispatch::Advertisement {
-            run: dispatch::run_key(&UpstreamId::new(id).expect("a name"), None),
+            instance: dispatch::instance_key(&UpstreamId::new(id).expect("a name"), None),
             version: 1,
             rate: Some(rate),
             age_ms: 0,
         };
-        self.send_others(Some(proof(0, Time::NEVER)), vec![limit]);
+        self.send_peer_state(Some(validation(0, Time::NEVER)), vec![limit]);
     }
 
-    fn send_others(&self, proof: Option<Proof>, rate_limits: Vec<dispatch::Advertisement>) {
-        let others = traffic::Others {
-            proof,
+    fn send_peer_state(
+        &self,
+        validation: Option<Validation>,
+        rate_limits: Vec<dispatch::Advertisement>,
+    ) {
+        let peer_state = traffic::PeerState {
+            validation,
             rate_limits,
-            ..traffic::Others::default()
+            ..traffic::PeerState::default()
         };
-        let sent = self.handle.commands.send(Command::Others(others));
+        let sent = self.handle.commands.send(Command::PeerState(peer_state));
         sent.expect("the loop runs");
     }
 
     /// Sends a plan with upstreams at these addresses.
-    pub fn send_plan(&self, repeat: Repeat, upstreams: &[SocketAddr], gates: Vec<Gate>) {
+    pub fn send_plan(&self, retry: Retry, upstreams: &[SocketAddr], gates: Vec<Gate>) {
         let listed = upstreams.iter().enumerate();
         let listed = listed.map(|(n, address)| listed_upstream(&format!("u{n}"), *address));
-        self.send_plan_of(repeat, listed.collect(), gates);
+        self.send_plan_of(retry, listed.collect(), gates);
     }
 
     /// Sends a plan with these upstreams.
-    pub fn send_plan_of(&self, repeat: Repeat, upstreams: Vec<Arc<Upstream>>, gates: Vec<Gate>) {
+    pub fn send_plan_of(&self, retry: Retry, upstreams: Vec<Arc<Upstream>>, gates: Vec<Gate>) {
         let plan = Plan {
-            table: Some(Arc::new(table(repeat))),
+            table: Some(Arc::new(table(retry))),
             upstreams,
             gates,
             daemons: 1,
             fleet: Arc::default(),
-            unreadable: 0,
+            unreadable_upstreams: 0,
             is_ready: true,
         };
         let sent = self.handle.commands.send(Command::Plan(Arc::new(plan)));
