--- a/components/mirror/src/lib.rs
+++ b/components/mirror/src/lib.rs
@@ -9,5 +9,5 @@
 mod message;
 mod mirror;
 
-pub use message::{MAX_ANSWER_BYTES, MessageError, SyncReply, SyncRequest};
+pub use message::{MAX_REPLY_BYTES, MessageError, SyncReply, SyncRequest};
 pub use mirror::{Change, GapError, Listing, Mirror, Revision};
--- a/components/mirror/src/message.rs
+++ b/components/mirror/src/message.rs
@@ -14,7 +14,7 @@
 use crate::mirror::{Change, Mirror, Revision};
 
 /// Largest encoded reply, in bytes. Less than the limit on one message between daemons.
-pub const MAX_ANSWER_BYTES: usize = 512 * 1024;
+pub const MAX_REPLY_BYTES: usize = 512 * 1024;
 
 /// A page ends once its keys and values reach this many bytes before compression. This is about
 /// 30 KB on the wire, which takes a host's link of 10 Mbit/s a fortieth of a second.
@@ -26,7 +26,7 @@
 
 /// Asks a peer for the changes after a revision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Question {
+pub struct SyncRequest {
     /// Revision of the requesting mirror.
     pub held: Revision,
     /// Last key of the previous page, while all keys are copied page by page.
@@ -35,7 +35,7 @@
 
 /// The reply to a peer's request for changes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Answer {
+pub enum SyncReply {
     /// The changes after the requested revision.
     Changes {
         /// Revision after which the changes begin.
@@ -64,7 +64,7 @@
 /// Why a message cannot be encoded or decoded.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// The encoded reply has this many bytes, more than [`MAX_ANSWER_BYTES`].
+    /// The encoded reply has this many bytes, more than [`MAX_REPLY_BYTES`].
     #[error("an answer of {0} bytes is too large for a peer; it must list from the store")]
     TooLarge(usize),
     /// The bytes are not a valid message.
@@ -75,7 +75,7 @@
     Packed,
 }
 
-impl Question {
+impl SyncRequest {
     /// Encodes the request.
     ///
     /// # Errors
@@ -93,14 +93,14 @@
     }
 }
 
-impl Answer {
+impl SyncReply {
     /// Creates the reply of `mirror` to a peer's request.
     #[must_use]
     pub fn to(request: &SyncRequest, mirror: &Mirror) -> Self {
         if mirror.at() <= request.held {
             return Self::Nothing;
         }
-        let is_next_page = question.page_after.is_some();
+        let is_next_page = request.page_after.is_some();
         let changes = match is_next_page {
             true => None,
             false => mirror.since(request.held),
@@ -156,7 +156,7 @@
             .write_all(&plain)
             .map_err(|_| MessageError::Packed)?;
         let bytes = encoder.finish().map_err(|_| MessageError::Packed)?;
-        if bytes.len() > MAX_ANSWER_BYTES {
+        if bytes.len() > MAX_REPLY_BYTES {
             return Err(MessageError::TooLarge(bytes.len()));
         }
         Ok(bytes.into())
--- a/components/mirror/tests/mirror.rs
+++ b/components/mirror/tests/mirror.rs
@@ -112,11 +112,11 @@
     let items = vec![put(118, "a", "2"), put(115, "config", "2")];
     let new_changes = mirror.take_listing(Listing { at, items });
     assert_eq!(new_changes, [put(118, "a", "2")]);
-    assert_eq!(Answer::news(&mirror, Revision(100)), None);
+    assert_eq!(SyncReply::news(&mirror, Revision(100)), None);
     let newer = vec![put(121, "config", "3")];
     let new_changes = mirror.apply(at, Revision(121), newer.clone());
     assert_eq!(new_changes, Ok(newer.clone()));
-    let news = Answer::Changes {
+    let news = SyncReply::Changes {
         after: at,
         at: Revision(121),
         changes: newer,
@@ -124,8 +124,8 @@
     assert_eq!(SyncReply::news(&mirror, at), Some(news));
 }
 
-fn request(held: u64, page_after: Option<&str>) -> Question {
-    Question {
+fn request(held: u64, page_after: Option<&str>) -> SyncRequest {
+    SyncRequest {
         held: Revision(held),
         page_after: page_after.map(str::to_owned),
     }
@@ -144,9 +144,9 @@
     let mut pages = 0;
     let mut after = None;
     loop {
-        let answer = Answer::to(&request(0, after.as_deref()), &ahead);
-        let bytes = answer.encode().expect("a page is small");
-        let Answer::Page {
+        let reply = SyncReply::to(&request(0, after.as_deref()), &ahead);
+        let bytes = reply.encode().expect("a page is small");
+        let SyncReply::Page {
             at,
             items: page,
             has_more,
@@ -173,8 +173,8 @@
     let at = copied_at.expect("a page");
     let mut copy = Mirror::default();
     copy.take_listing(Listing { at, items });
-    let rest = Answer::to(&request(at.0, None), &ahead);
-    let Answer::Changes { after, at, changes } = rest else {
+    let rest = SyncReply::to(&request(at.0, None), &ahead);
+    let SyncReply::Changes { after, at, changes } = rest else {
         panic!("the copy is just behind");
     };
     copy.apply(after, at, changes).expect("connects");
@@ -195,19 +195,19 @@
             vec![put(3, "b", "1"), delete(4, "a")],
         )
         .expect("connects");
-    let answer = Answer::to(&request(3, None), &ahead);
-    let expected = Answer::Changes {
+    let reply = SyncReply::to(&request(3, None), &ahead);
+    let expected = SyncReply::Changes {
         after: Revision(3),
         at: Revision(4),
         changes: vec![delete(4, "a")],
     };
-    assert_eq!(answer, expected);
-    let too_far_behind = Answer::to(&request(1, None), &ahead);
-    assert!(matches!(too_far_behind, Answer::Page { .. }));
-    let up_to_date = Answer::to(&request(4, None), &ahead);
-    assert_eq!(up_to_date, Answer::Nothing);
-    let bytes = answer.encode().expect("small");
-    assert_eq!(Answer::decode(&bytes), Ok(answer));
+    assert_eq!(reply, expected);
+    let too_far_behind = SyncReply::to(&request(1, None), &ahead);
+    assert!(matches!(too_far_behind, SyncReply::Page { .. }));
+    let up_to_date = SyncReply::to(&request(4, None), &ahead);
+    assert_eq!(up_to_date, SyncReply::Nothing);
+    let bytes = reply.encode().expect("small");
+    assert_eq!(SyncReply::decode(&bytes), Ok(reply));
 }
 
 #[test]
@@ -245,14 +245,14 @@
             .apply(Revision(n - 1), Revision(n), changes)
             .expect("connects");
     }
-    let answer = Answer::to(&request(1, None), &ahead);
-    assert!(matches!(&answer, Answer::Changes { changes, .. } if changes.len() == 1));
-    let bytes = answer.encode().expect("small enough");
+    let reply = SyncReply::to(&request(1, None), &ahead);
+    assert!(matches!(&reply, SyncReply::Changes { changes, .. } if changes.len() == 1));
+    let bytes = reply.encode().expect("small enough");
     let whole = ahead.get("config").expect("held").1.len();
     assert!(bytes.len() * 5 < whole, "{} of {whole}", bytes.len());
-    assert_eq!(Answer::decode(&bytes), Ok(answer));
+    assert_eq!(SyncReply::decode(&bytes), Ok(reply));
     let bomb = decompression_bomb();
-    assert!(Answer::decode(&bomb).is_err());
+    assert!(SyncReply::decode(&bomb).is_err());
 }
 
 /// A few KB that expand to 64 MB.
--- a/components/node/src/control/quarantine.rs
+++ b/components/node/src/control/quarantine.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use peers::Part;
-use poison::{Change, Words};
+use poison::{Change, ContentUpdates};
 use rand::seq::IteratorRandom;
 use types::prelude::*;
 
@@ -16,8 +16,14 @@
 impl Control {
     /// Merges a peer's updates, and forwards at once those that are new.
     pub(super) fn merge_quarantine(&mut self, now: Time, from: &DaemonId, body: &Bytes) {
-        match Words::decode(body) {
-            Ok(updates) => drop(self.shared.quarantine.suspects.lock().take(now, updates)),
+        match ContentUpdates::decode(body) {
+            Ok(updates) => drop(
+                self.shared
+                    .quarantine
+                    .suspects
+                    .lock()
+                    .merge_updates(now, updates),
+            ),
             Err(e) => tracing::warn!("peers: {from}: {e}"),
         }
         self.gossip_quarantine(now);
@@ -33,7 +39,7 @@
 
     fn gossip_quarantine(&mut self, now: Time) {
         let mut suspects = self.shared.quarantine.suspects.lock();
-        let (updates, changes) = (suspects.news(now), suspects.changes());
+        let (updates, changes) = (suspects.take_updates(now), suspects.take_changes());
         drop(suspects);
         changes.iter().for_each(log_change);
         if updates.0.is_empty() {
@@ -52,11 +58,11 @@
 
 fn log_change(change: &Change) {
     match change {
-        Change::Barred(bar) => tracing::warn!(
+        Change::Quarantined(bar) => tracing::warn!(
             "traffic: request {} of {} is quarantined, {} upstreams crashed under it",
             bar.content,
             bar.customer.as_deref().unwrap_or("an unknown customer"),
-            bar.ends.len()
+            bar.crashes.len()
         ),
         Change::Cleared(content) => {
             tracing::info!("traffic: request {content} is no longer quarantined")
--- a/components/node/src/quarantine.rs
+++ b/components/node/src/quarantine.rs
@@ -71,14 +71,18 @@
             Admission::Open => None,
             Admission::Quarantined { until } => Some(now.until(until)),
             Admission::Trial => {
-                suspects.tried(now, content.content);
+                suspects.trial_sent(now, content.content);
                 None
             }
         }
     }
 
     /// Records that a content is sent to an upstream.
-    pub(crate) fn run_started(&self, picked: &PickedUpstream, content: &CustomerContent) -> Run {
+    pub(crate) fn run_started(
+        &self,
+        picked: &PickedUpstream,
+        content: &CustomerContent,
+    ) -> AttemptId {
         let now = self.clock.now();
         let customer = Some(Arc::clone(&content.customer));
         lock(&self.runs).sent(now, picked.index, content.content, customer)
@@ -90,31 +94,32 @@
         &self,
         picked: &PickedUpstream,
         content: &CustomerContent,
-        run: Run,
+        run: AttemptId,
         end: &AttemptEnd,
     ) {
         let now = self.clock.now();
         let kind = run_end(end);
-        if kind == RunEnd::Whole {
-            self.suspects.lock().whole(now, content.content);
+        if kind == PoisonAttemptEnd::Answered {
+            self.suspects.lock().answered(now, content.content);
         }
-        let under = lock(&self.runs).over(now, picked.index, run, kind);
+        let under = lock(&self.runs).attempt_ended(now, picked.index, run, kind);
         if let Some(under) = under {
             return self.record_crash(picked, &[under]);
         }
-        if kind == RunEnd::Broken && refuses(picked.address).await {
-            let under = lock(&self.runs).ended(self.clock.now(), picked.index, Time::ZERO);
+        if kind == PoisonAttemptEnd::Broken && probe_refused(picked.address).await {
+            let under =
+                lock(&self.runs).upstream_crashed(self.clock.now(), picked.index, Time::ZERO);
             self.record_crash(picked, &under.unwrap_or_default());
         }
     }
 
-    fn record_crash(&self, picked: &PickedUpstream, under: &[Under]) {
+    fn record_crash(&self, picked: &PickedUpstream, under: &[CrashedAttempt]) {
         tracing::warn!(
             "traffic: upstream {} crashed with {} requests in flight",
             picked.id,
             under.len()
         );
-        let upstream = UpstreamRun {
+        let upstream = UpstreamInstance {
             id: picked.id.clone(),
             started_at: Some(rounded(self.clock.wall())),
         };
@@ -141,7 +146,7 @@
 
     /// Drops expired records, and sets the size of the fleet.
     pub(crate) fn expire(&self, now: Time, daemons: usize, upstreams: usize) {
-        lock(&self.runs).tidy(now);
+        lock(&self.runs).expire(now);
         let mut suspects = self.suspects.lock();
         suspects.set_fleet(daemons, upstreams);
         suspects.expire(now);
@@ -156,7 +161,7 @@
 }
 
 /// What an attempt's end says about its upstream.
-fn run_end(end: &AttemptEnd) -> RunEnd {
+fn run_end(end: &AttemptEnd) -> PoisonAttemptEnd {
     match end {
         AttemptEnd::Whole { .. } => PoisonAttemptEnd::Answered,
         AttemptEnd::Unknown(Doubt::Reset) | AttemptEnd::Truncated { .. } => {
--- a/components/routes/src/table.rs
+++ b/components/routes/src/table.rs
@@ -21,7 +21,7 @@
 
 /// Which requests of a route may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Retry {
     /// Requests are idempotent: they may run more than once.
     Any,
     /// Requests run at most once for each attempt of a caller.
@@ -33,7 +33,7 @@
     },
 }
 
-impl Repeat {
+impl Retry {
     /// Whether a request with an unknown outcome may be retried.
     #[must_use]
     pub fn is_allowed(self) -> bool {
@@ -66,13 +66,13 @@
     /// Prefix of the path; begins and ends with a slash.
     pub prefix: Arc<str>,
     /// Which requests may be retried.
-    pub repeat: Repeat,
+    pub retry: Retry,
     /// Longest time that a caller waits for the answer.
     pub timeout: Span,
     /// Time within which an answer, or the first event of a stream, counts as on time.
     pub objective: Span,
     /// Longest pause between two events that is on time.
-    pub pause: Option<Span>,
+    pub max_pause: Option<Span>,
     /// Priority; 0 is served first.
     pub rank: u8,
     /// Models to choose from, smallest first; empty if the caller names the model.
@@ -125,7 +125,7 @@
     /// Largest request body.
     pub body: ByteSize,
     /// Longest time from the first byte of a head to its end.
-    pub head_within: Span,
+    pub head_timeout: Span,
     /// Longest time that a connection may be idle.
     pub idle: Span,
 }
