--- a/components/standins/src/engine.rs
+++ b/components/standins/src/engine.rs
@@ -1,9 +1,11 @@
-//! Stand-in of a model engine: OpenAI's chat API, orders, load reports, cache events.
+//! Stand-in model engine: OpenAI's chat API, load and unload orders, load reports and
+//! prefix cache events.
 //!
-//! It batches continuously: a bounded number of requests runs at once, all of them get a
-//! token each step, and a step takes longer the more of them run. Answers are a pure
-//! function of version, prompt and length (see [`text`]), so that a test can tell a whole
-//! answer from a cut or crossed one, and any engine can resume another's answer.
+//! The engine uses continuous batching: a bounded number of requests runs at once, each of
+//! them gets one token per step, and a step takes longer the more requests run. An answer
+//! is a pure function of model version, prompt and length (see [`text`]), so that a test
+//! can tell a complete answer from a truncated one or from another request's, and any
+//! engine can resume an answer that another engine began.
 
 mod batch;
 mod cache;
--- a/components/standins/src/engine/batch.rs
+++ b/components/standins/src/engine/batch.rs
@@ -1,28 +1,28 @@
-//! Which requests run, wait and get a token: continuous batching as a pure table.
+//! Continuous batching without I/O: decides which requests run, wait and get a token.
 
 use std::collections::BTreeMap;
 
 use types::prelude::*;
 
-/// Steps made up for at once when the thread was late.
+/// Decode steps that one tick may catch up on when the thread was late; the rest are skipped.
 const MAX_STEPS: u32 = 64;
 
-/// A request's number within the engine.
+/// Identifies a request within one engine.
 pub(super) type JobId = u64;
 
-/// What the table must know of a request.
+/// The scheduling parameters of a request.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Job {
     pub(super) id: JobId,
-    /// Lower goes first.
+    /// Requests with a lower value get a slot first.
     pub(super) priority: i64,
-    /// Waits no longer than this.
+    /// The request expires if it has no slot by this time.
     pub(super) deadline: Time,
-    /// From its slot to its first token.
+    /// Time between getting a slot and the first token.
     pub(super) prefill: Span,
     /// Tokens to generate.
     pub(super) tokens: u32,
-    /// Gives no token after so many.
+    /// Number of tokens after which the request stalls.
     pub(super) stall_after: Option<u32>,
 }
 
@@ -39,18 +39,18 @@
     }
 }
 
-/// Something that happened to a request.
+/// A change in the state of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Event {
-    /// It has a slot.
+    /// The request got a slot.
     Started(JobId),
-    /// It got a token.
+    /// The request got a token.
     Token(JobId),
-    /// It waited past its deadline and is gone.
+    /// The request waited past its deadline and was removed.
     Expired(JobId),
 }
 
-/// The requests of an engine.
+/// The waiting and running requests of an engine.
 #[derive(Debug, Default)]
 pub(super) struct Batch {
     waiting: BTreeMap<(i64, JobId), Job>,
@@ -58,7 +58,7 @@
     next_step: Time,
 }
 
-/// How fast a batch goes.
+/// The slot limit and step times of a batch.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Pace {
     pub(super) slots: usize,
@@ -79,14 +79,14 @@
         self.waiting.insert((job.priority, job.id), job);
     }
 
-    /// Forgets a request; whether it was there.
+    /// Removes a request and returns whether it was present.
     pub(super) fn cancel(&mut self, id: JobId) -> bool {
         let waiting = self.waiting.len();
         self.waiting.retain(|(_, waiting), _| *waiting != id);
         self.running.remove(&id).is_some() || self.waiting.len() < waiting
     }
 
-    /// Gives slots and tokens that are due.
+    /// Expires waiting requests, fills free slots and runs the decode steps that are due.
     pub(super) fn tick(&mut self, now: Time, pace: Pace) -> Vec<Event> {
         let mut events = Vec::new();
         self.expire(now, &mut events);
@@ -104,10 +104,11 @@
         events
     }
 
-    /// When the next tick is due; nothing while no request is there.
+    /// Returns the time of the next tick, or `None` while there is nothing to wait for.
     pub(super) fn next_tick(&self) -> Option<Time> {
         let deadline = self.waiting.values().map(|job| job.deadline).min();
-        // Not for a request that stalled or still reads its prompt: the thread would spin.
+        // Stalled requests are left out and prefilling ones count from when they are ready, or
+        // the thread would spin.
         let going = self
             .running
             .values()
--- a/components/standins/src/engine/cache.rs
+++ b/components/standins/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache: which beginnings of chats need not be read again.
+//! The prefix cache: tracks the chat prefixes that need no prefill.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,7 +7,7 @@
 
 use super::text::{Message, prefix_hashes};
 
-/// Events kept for readers that come late.
+/// Events kept for readers that poll late.
 const MAX_EVENTS: usize = 4096;
 
 #[derive(Debug)]
@@ -24,7 +24,7 @@
     told_from: Time,
 }
 
-/// A bounded cache that forgets what was used longest ago.
+/// A cache bounded in tokens that evicts the least recently used prefix.
 #[derive(Debug)]
 pub(super) struct PrefixCache {
     max_tokens: u64,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Tokens of a chat's beginning that are cached.
+    /// Counts the tokens in the longest cached prefix of a chat.
     pub(super) fn cached_tokens(&self, messages: &[Message]) -> u64 {
         let mut tokens = 0;
         for (message, hash) in messages.iter().zip(prefix_hashes(messages)) {
@@ -63,7 +63,7 @@
         tokens
     }
 
-    /// Holds a chat's beginnings from now on.
+    /// Caches every prefix of a chat, evicting older prefixes as needed.
     pub(super) fn store(&mut self, now: Time, messages: &[Message]) {
         self.uses += 1;
         for (message, hash) in messages.iter().zip(prefix_hashes(messages)) {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// The events after a number that may be told by now.
+    /// Returns the events with a sequence number above `after` whose lag has passed, as JSON.
     pub(super) fn events_after(&self, now: Time, after: u64) -> Value {
         let told = self.events.iter().filter(|e| now.has_reached(e.told_from));
         let told = told.filter(|e| e.seq > after).collect::<Vec<_>>();
--- a/components/standins/src/engine/config.rs
+++ b/components/standins/src/engine/config.rs
@@ -1,46 +1,46 @@
-//! Settings, faults and counters of a stand-in engine.
+//! Configuration, faults and counters of a stand-in engine.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
 use types::prelude::*;
 
-/// How a stand-in engine is started.
+/// Configuration of a stand-in engine.
 #[derive(Debug, Clone)]
 pub struct EngineConfig {
-    /// Where to listen; port 0 lets the kernel choose.
+    /// Address to listen on; port 0 lets the kernel choose.
     pub address: SocketAddr,
-    /// Versions loaded at the start.
+    /// Model versions loaded at the start.
     pub versions: Vec<VersionId>,
-    /// Versions that it has room for.
+    /// Most model versions that may be loaded or loading at once.
     pub max_versions: usize,
-    /// Requests that run at once.
+    /// Most requests that run at once.
     pub slots: u32,
-    /// Requests that may wait; more are refused as not run.
+    /// Most requests that may wait for a slot; further ones are refused as not run.
     pub max_waiting: usize,
-    /// Time of a decode step with nothing else running.
+    /// Base time of a decode step.
     pub token_time: Span,
-    /// Added to a step's time for each request that runs.
+    /// Time added to a decode step for each running request.
     pub token_time_per_running: Span,
-    /// Time to read a thousand prompt tokens that are not cached.
+    /// Prefill time for 1000 prompt tokens that are not cached.
     pub prefill_per_1000: Span,
-    /// Length of an answer unless the request says less.
+    /// Length of an answer in tokens, unless the request asks for fewer.
     pub answer_tokens: u32,
-    /// Prompt tokens that the prefix cache holds.
+    /// Capacity of the prefix cache in prompt tokens.
     pub cache_tokens: u64,
-    /// Cache events are told so much later.
+    /// Delay before a cache event becomes visible.
     pub cache_event_lag: Span,
-    /// Every so manieth cache event is lost; 0 for none.
+    /// Every n-th cache event is lost; 0 loses none.
     pub cache_event_gap: u64,
-    /// Load reports are up to so old.
+    /// Greatest age of a load report.
     pub load_lag: Span,
-    /// Time that loading a version takes.
+    /// Time to load a model version.
     pub load_time: Span,
-    /// Slots that are out of use while a version loads.
+    /// Slots that are unavailable while a model version loads.
     pub load_slots: u32,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether orders with a stale fencing token are refused.
     pub checks_fencing: bool,
-    /// Runs noted one by one, at most; counters go on beyond.
+    /// Most run records kept; later runs appear in the counters only.
     pub max_run_records: usize,
 }
 
@@ -68,69 +68,71 @@
     }
 }
 
-/// What goes wrong, from now on.
+/// Faults in effect until they are changed.
 #[derive(Debug, Clone, Default)]
 pub struct EngineFaults {
-    /// Connections are closed without an answer, streams break.
+    /// Closes connections without an answer and breaks open streams.
     pub down: bool,
-    /// Every request waits so much longer for its first token.
+    /// Extra wait of every request for its first token.
     pub delay: Span,
-    /// Steps take so many times as long; 0 counts as 1.
+    /// Factor on the time of a decode step; 0 counts as 1.
     pub slow_factor: u64,
-    /// No answer is adequate, whatever the version.
+    /// Makes every answer inadequate, whatever the model version.
     pub bad_answers: bool,
-    /// One each for the next requests, in order.
+    /// Faults for the next requests, one each, in order.
     pub next: VecDeque<EngineFault>,
 }
 
-/// What goes wrong with one request.
+/// A fault in the handling of one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EngineFault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// 503 with `X-Not-Run: true`, not run.
+    /// Replies 503 with `X-Not-Run: true` without running the request.
     RefuseNotRun,
-    /// 503 without it, although not run.
+    /// Replies 503 without `X-Not-Run`, although the request was not run.
     Refuse,
-    /// 503 with `X-Not-Run: true` that belongs to another request; not run.
+    /// Replies 503 with `X-Not-Run: true` and another request's id, without running this one.
     CrossedRefusal,
-    /// Runs to the end, then 503 without `X-Not-Run`.
+    /// Runs the request to its end, then replies 503 without `X-Not-Run`.
     RefuseAfterRun,
-    /// Closes the connection before it runs.
+    /// Closes the connection without running the request.
     ResetBefore,
-    /// Runs to the end, then closes the connection without an answer.
+    /// Runs the request to its end, then closes the connection without an answer.
     ResetAfter,
-    /// Gives no further token after so many and keeps the connection open.
+    /// Sends no further token after this many and keeps the connection open.
     Stall(u32),
-    /// Ends the stream after so many tokens in due form but without `[DONE]`.
+    /// Ends the stream after this many tokens with a valid HTTP end but without `[DONE]`.
     Truncate(u32),
-    /// Breaks the connection after so many tokens; a whole answer in its middle.
+    /// Breaks the connection after this many tokens, or halfway through the body of an answer
+    /// that is not streamed.
     Break(u32),
-    /// Answers with another request's id and text.
+    /// Answers with another request's id and text, in both header and body.
     Crossed,
-    /// Answers with another request's id and text under the right header.
+    /// Answers with another request's id and text in the body but the right id in the header.
     CrossedBody,
-    /// Goes on with another request's id and text after so many tokens.
+    /// Continues with another request's id and text after this many tokens.
     CrossedAfter(u32),
-    /// Answers so much later.
+    /// Delays the first token by this much.
     Late(Span),
-    /// Drops the answer's last chunk before `[DONE]`, with its finish reason.
+    /// Leaves out the chunk with the finish reason, which precedes `[DONE]`.
     NoFinish,
 }
 
 impl EngineFault {
-    /// Whether the whole answer is another request's.
+    /// Returns whether the answer is entirely another request's.
     pub(super) fn is_crossed(self) -> bool {
         matches!(self, Self::Crossed | Self::CrossedBody)
     }
 
-    /// Whether the body of an answer that is not streamed is another request's. An answer
-    /// with our id and a foreign text could not be told from our own.
+    /// Returns whether the body of an answer that is not streamed carries another request's
+    /// id. A body with the right id and another request's text could not be told from a
+    /// correct answer.
     pub(super) fn crosses_body(self) -> bool {
         self.is_crossed() || matches!(self, Self::CrossedAfter(_))
     }
 
-    /// Tokens after which nothing more comes.
+    /// Returns the number of tokens after which the request stalls, if it does.
     pub(super) fn stall_after(self) -> Option<u32> {
         match self {
             Self::Stall(after) => Some(after),
@@ -139,42 +141,42 @@
     }
 }
 
-/// What the engine did so far.
+/// Counts of what the engine did since its start.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EngineCounters {
     /// Chat requests received.
     pub requests: u64,
-    /// Refused as not run, for whatever reason.
+    /// Chat requests refused as not run on arrival; excludes those that expired in the queue.
     pub refused: u64,
-    /// Begun.
+    /// Requests that got a slot.
     pub runs: u64,
-    /// Ended with their last token.
+    /// Requests that ended with their last token.
     pub finished: u64,
-    /// Left by their client before that.
+    /// Requests whose client disconnected before their last token.
     pub cancelled: u64,
     /// Tokens generated.
     pub tokens: u64,
-    /// Prompt tokens read.
+    /// Prompt tokens received, cached ones included.
     pub prompt_tokens: u64,
     /// Prompt tokens found in the prefix cache.
     pub cached_tokens: u64,
-    /// Orders carried out.
+    /// Orders applied.
     pub orders: u64,
-    /// Orders refused for an old fencing number.
+    /// Orders refused, for a stale fencing token or any other reason.
     pub orders_refused: u64,
-    /// Load reports given.
+    /// Load reports sent.
     pub load_reports: u64,
 }
 
-/// One run, noted when it begins.
+/// A record of one run, made when the request gets a slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunRecord {
-    /// `X-Request-Id` as received.
+    /// Value of the `X-Request-Id` header as received.
     pub attempt: String,
-    /// The version that ran.
+    /// Model version that ran.
     pub version: VersionId,
-    /// First word of the last user message, by which a test knows its request.
+    /// First word of the last user message, by which a test recognizes its request.
     pub tag: String,
-    /// Whether it went on from a partial answer.
+    /// Whether the run resumed a partial answer.
     pub resumed: bool,
 }
--- a/components/standins/src/engine/job.rs
+++ b/components/standins/src/engine/job.rs
@@ -1,4 +1,4 @@
-//! One request's way from its slot to its answer.
+//! Generates the tokens of one request and sends its answer.
 
 use bytes::Bytes;
 use tokio::sync::{mpsc, oneshot};
@@ -8,41 +8,41 @@
 use super::wire::{DONE, Head, Usage};
 use crate::server::{Broken, Piece, break_soon};
 
-/// Changes an answer's hash into that of a request which never was.
+/// XORed with an answer's hash to get the hash of a made-up other request's answer.
 const OTHER_ANSWER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// How an answer that is not streamed ended.
+/// The text of an answer that is not streamed, with how it ended.
 #[derive(Debug)]
 pub(super) enum Whole {
-    /// With its last token.
+    /// All tokens were generated.
     Finished(String),
-    /// A fault cut it.
+    /// A fault interrupted the answer.
     Cut(String),
 }
 
-/// Where tokens go.
+/// Destination of the generated tokens.
 #[derive(Debug)]
 pub(super) enum Output {
     Stream(mpsc::UnboundedSender<Piece>),
     Whole(Option<oneshot::Sender<Whole>>, String),
 }
 
-/// Whether a request goes on after a token.
+/// State of a request after a token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Progress {
     GoesOn,
     Finished,
-    /// By a fault, or since its client left.
+    /// A fault interrupted the answer.
     Cut,
     Left,
 }
 
-/// A request that waits or runs, as its answer sees it.
+/// A waiting or running request with the state of its answer.
 #[derive(Debug)]
 pub(super) struct Task {
     pub(super) head: Head,
     pub(super) answer: u64,
-    /// The next token's place in the answer.
+    /// Index of the next token in the answer.
     pub(super) index: u32,
     pub(super) length: u32,
     pub(super) reason: &'static str,
@@ -54,7 +54,7 @@
 }
 
 impl Task {
-    /// Whether its client left.
+    /// Returns whether the client disconnected.
     pub(super) fn is_left(&self) -> bool {
         let unstarted = self.started.as_ref();
         if unstarted.is_some_and(oneshot::Sender::is_closed) {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Makes the next token.
+    /// Generates and sends the next token; `bad` makes the marker that no rater accepts.
     pub(super) fn emit(&mut self, bad: bool) -> Progress {
         if self.cut() {
             return Progress::Cut;
@@ -107,13 +107,13 @@
         text::token(self.answer, index, self.length)
     }
 
-    /// Goes on as if it were another request's answer.
+    /// Switches to another request's id and text.
     pub(super) fn cross(&mut self) {
         self.head = self.head.of_other();
         self.answer ^= OTHER_ANSWER;
     }
 
-    /// Ends it when its fault says so.
+    /// Interrupts the answer if its fault is due, and returns whether it did.
     fn cut(&mut self) -> bool {
         let done = self.usage.completion;
         match self.fault {
@@ -133,7 +133,7 @@
         true
     }
 
-    /// A client that left meanwhile gets nothing more: sends may fail.
+    /// Sends the end of the answer; sends fail if the client disconnected in the meantime.
     fn finish(&mut self) {
         let usage = self.usage;
         match &mut self.output {
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Breaks the connection.
+    /// Breaks the connection of a streamed answer.
     pub(super) fn sever(self) {
         if let Output::Stream(pieces) = self.output {
             let _ = pieces.send(Err(Broken));
--- a/components/standins/src/engine/orders.rs
+++ b/components/standins/src/engine/orders.rs
@@ -1,4 +1,4 @@
-//! Orders: which versions are loaded, the role, and the fencing number.
+//! Orders to load or unload a model version or to change the role, and the state they set.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,7 +9,7 @@
 use super::config::EngineConfig;
 use crate::server::Reply;
 
-/// An order as sent.
+/// The body of an order.
 #[derive(Debug, Clone, Deserialize)]
 pub(super) struct Order {
     #[serde(default)]
@@ -20,7 +20,7 @@
     fencing: u64,
 }
 
-/// What is loaded, and by whose order.
+/// The loaded and loading model versions, the role and the last accepted fencing token.
 #[derive(Debug)]
 pub(super) struct Loaded {
     versions: BTreeSet<VersionId>,
@@ -69,7 +69,7 @@
         self.fencing
     }
 
-    /// Takes up the versions that have finished loading.
+    /// Marks versions as loaded once their load time has passed.
     pub(super) fn settle(&mut self, now: Time) {
         let ready = self
             .loading
@@ -77,7 +77,7 @@
         self.versions.extend(ready.map(|(version, _)| version));
     }
 
-    /// Carries out an order; whether it did, and the answer.
+    /// Applies an order; returns whether it was accepted, and the reply.
     pub(super) fn order(&mut self, now: Time, kind: &str, order: &Order) -> (bool, Reply) {
         self.settle(now);
         if self.checks_fencing && order.fencing < self.fencing {
--- a/components/standins/src/engine/server.rs
+++ b/components/standins/src/engine/server.rs
@@ -1,4 +1,4 @@
-//! The engine's HTTP part.
+//! The engine's HTTP handlers and its public handle.
 
 use std::io;
 use std::net::SocketAddr;
@@ -26,10 +26,10 @@
 }
 
 impl Engine {
-    /// Starts it.
+    /// Starts the engine.
     ///
     /// # Errors
-    /// When the address can't be bound.
+    /// Fails when the address can't be bound or the thread can't be started.
     pub fn start(cfg: EngineConfig) -> io::Result<Self> {
         let address = cfg.address;
         let shared = Arc::new(Shared {
@@ -41,13 +41,13 @@
         Ok(Self { server, shared })
     }
 
-    /// Where it listens.
+    /// Returns the address that the engine listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Changes what goes wrong.
+    /// Changes the faults; setting `down` also breaks everything in flight.
     pub fn set_faults(&self, change: impl FnOnce(&mut EngineFaults)) {
         let mut state = self.shared.lock();
         change(&mut state.faults);
@@ -56,42 +56,42 @@
         }
     }
 
-    /// Lets the next request, not yet spoken for, meet a fault.
+    /// Queues a fault for the next request that has no fault queued yet.
     pub fn fail_next(&self, fault: EngineFault) {
         self.set_faults(|faults| faults.next.push_back(fault));
     }
 
-    /// What it did so far.
+    /// Returns the counters since the start.
     #[must_use]
     pub fn counters(&self) -> EngineCounters {
         self.shared.lock().counters.clone()
     }
 
-    /// Requests that run now.
+    /// Returns the number of requests that run now.
     #[must_use]
     pub fn running(&self) -> usize {
         self.shared.lock().running()
     }
 
-    /// Requests that wait for a slot now.
+    /// Returns the number of requests that wait for a slot now.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.shared.lock().waiting()
     }
 
-    /// Every run so far, up to the configured number.
+    /// Returns the records of the runs so far, up to the configured number.
     #[must_use]
     pub fn runs(&self) -> Vec<RunRecord> {
         self.shared.lock().runs.clone()
     }
 
-    /// Versions that are loaded.
+    /// Returns the loaded model versions.
     #[must_use]
     pub fn versions(&self) -> Vec<VersionId> {
         self.shared.lock().loaded.versions().cloned().collect()
     }
 
-    /// Stops at once: open streams break.
+    /// Stops immediately and breaks open streams.
     pub fn stop(&mut self) {
         self.server.stop();
     }
@@ -200,7 +200,7 @@
         }
         let whole = match submitted.answer {
             Answer::Stream(pieces) => {
-                // From here on the body's end tells that the client left.
+                // From here on, a closed body channel shows that the client disconnected.
                 guard.id = None;
                 return Some(Reply::stream("text/event-stream", pieces));
             }
@@ -299,7 +299,8 @@
             };
             match next {
                 None => self.wake.notified().await,
-                // The next step is due already: work, not waiting. Answers go out between steps.
+                // The next step is due already. Yield instead of sleeping, so that answers are
+                // sent between steps.
                 Some(next) if now.has_reached(next) => tokio::task::yield_now().await,
                 Some(next) => {
                     let sleep = tokio::time::sleep(now.until(next).to_duration());
@@ -313,12 +314,12 @@
     }
 }
 
-/// A body whose length is announced whole but which ends in its middle.
+/// Builds a reply whose `Content-Length` is that of the full body but which breaks halfway.
 fn cut_in_half(body: &Value) -> Reply {
     let body = body.to_string();
     let (tx, pieces) = mpsc::unbounded_channel();
     let half = Bytes::copy_from_slice(&body.as_bytes()[..body.len() / 2]);
-    // The receiver is in this function still.
+    // Can't fail: this function still holds the receiver.
     let _ = tx.send(Ok(half));
     break_soon(tx);
     Reply::stream("application/json", pieces).with("content-length", body.len())
@@ -350,7 +351,7 @@
 }
 
 impl State {
-    /// The load report, as old as the configured lag allows.
+    /// Returns the load report, which may be as old as the configured lag.
     fn load(&mut self, now: Time) -> Value {
         self.counters.load_reports += 1;
         self.loaded.settle(now);
--- a/components/standins/src/engine/state.rs
+++ b/components/standins/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! The engine's tables and what happens to them each tick.
+//! The engine's state and its update on each tick.
 
 use std::collections::BTreeMap;
 
@@ -15,10 +15,10 @@
 use super::wire::{ChatRequest, Head, Usage};
 use crate::server::Piece;
 
-/// How often requests whose client left are looked for.
+/// Interval between searches for requests whose client disconnected.
 const SWEEP: Span = Span::from_millis(20);
 
-/// All that an engine holds.
+/// The state of an engine.
 #[derive(Debug)]
 pub(super) struct State {
     pub(super) cfg: EngineConfig,
@@ -34,7 +34,7 @@
     next_sweep: Time,
 }
 
-/// Why a request is not taken.
+/// Why a request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Refusal {
     Leaving,
@@ -43,7 +43,7 @@
     Expired,
 }
 
-/// A report that is read anew only once it is old enough.
+/// A cached report that is replaced once it is older than the lag.
 #[derive(Debug, Default)]
 pub(super) struct LaggingReport(Option<(Time, Value)>);
 
@@ -59,18 +59,19 @@
     }
 }
 
-/// The ends of a request's channels that its connection holds.
+/// What the connection needs of a submitted request: its answer's parameters and the
+/// receiving ends of its channels.
 #[derive(Debug)]
 pub(super) struct Submitted {
     pub(super) id: JobId,
     pub(super) version: VersionId,
     pub(super) usage: Usage,
-    /// Tokens that it will generate.
+    /// Tokens to generate.
     pub(super) tokens: u32,
     pub(super) reason: &'static str,
-    /// Whether the answer says how sure the engine is.
+    /// Whether the answer includes log probabilities.
     pub(super) logprobs: bool,
-    /// True once it has a slot, false when it waited too long.
+    /// Receives true once the request gets a slot, or false when it expired in the queue.
     pub(super) started: oneshot::Receiver<bool>,
     pub(super) answer: Answer,
 }
@@ -81,7 +82,7 @@
     Whole(oneshot::Receiver<Whole>),
 }
 
-/// A request with what its headers say.
+/// A received request with the values from its headers.
 #[derive(Debug)]
 pub(super) struct Arrival {
     pub(super) attempt: String,
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Takes a request, or says why not.
+    /// Queues a request, or returns why it is refused.
     pub(super) fn submit(&mut self, now: Time, arrival: Arrival) -> Result<Submitted, Refusal> {
         self.loaded.settle(now);
         if self.loaded.is_leaving() {
@@ -237,7 +238,7 @@
         read + self.faults.delay + late
     }
 
-    /// Gives slots and tokens that are due.
+    /// Assigns slots and generates the tokens that are due.
     pub(super) fn tick(&mut self, now: Time) {
         self.loaded.settle(now);
         if now.has_reached(self.next_sweep) {
@@ -253,7 +254,7 @@
         }
     }
 
-    /// When the next tick is due; nothing while there is no request.
+    /// Returns the time of the next tick, or `None` while there is no request.
     pub(super) fn next_tick(&self) -> Option<Time> {
         let sweep = (!self.tasks.is_empty()).then_some(self.next_sweep);
         self.batch.next_tick().into_iter().chain(sweep).min()
@@ -268,7 +269,7 @@
             self.runs.push(record.clone());
         }
         if let Some(started) = task.started.take() {
-            // A client that left is found by the sweep.
+            // Fails when the client disconnected; the sweep removes the request.
             let _ = started.send(true);
         }
     }
@@ -305,7 +306,7 @@
         self.batch.cancel(id);
     }
 
-    /// The client of a request left.
+    /// Removes a request whose client disconnected.
     pub(super) fn cancel(&mut self, id: JobId) {
         if self.tasks.contains_key(&id) {
             self.counters.cancelled += 1;
@@ -313,7 +314,7 @@
         }
     }
 
-    /// Frees the slots of requests whose client left without taking a token.
+    /// Frees the slots of requests whose client disconnected while no token was being sent.
     fn sweep(&mut self) {
         let left = self.tasks.iter().filter(|(_, (task, _))| task.is_left());
         let left = left.map(|(id, _)| *id).collect::<Vec<_>>();
@@ -322,7 +323,7 @@
         }
     }
 
-    /// Breaks everything in flight.
+    /// Breaks the connections of all requests in flight.
     pub(super) fn sever(&mut self) {
         for (id, (task, _)) in std::mem::take(&mut self.tasks) {
             self.batch.cancel(id);
@@ -331,7 +332,8 @@
     }
 }
 
-/// The faults that answer nothing after the run take a whole run, streamed or not.
+/// Creates the answer channel. Faults that discard the answer after the run buffer it even
+/// for a streamed request, so that the run completes before the fault.
 fn channels(stream: bool, fault: EngineFault) -> (Output, Answer) {
     let hidden = matches!(fault, EngineFault::ResetAfter | EngineFault::RefuseAfterRun);
     if stream && !hidden {
--- a/components/standins/src/engine/text.rs
+++ b/components/standins/src/engine/text.rs
@@ -1,17 +1,17 @@
-//! Answers and prompts of the stand-in engine.
+//! Prompts and generated answers of the stand-in engine.
 //!
-//! An answer of `n` tokens is `n - 1` words and a marker, all hashed from version and
-//! prompt. The marker is a uniform number by which the stand-in rater alone decides
-//! whether the answer is adequate.
+//! An answer of `n` tokens is `n - 1` words and a marker, all derived from a hash of the
+//! model version and the prompt. The marker is a uniformly distributed number, the only
+//! part of an answer by which the stand-in rater decides whether it is adequate.
 
 use serde::Deserialize;
 use serde_json::Value;
 use types::prelude::*;
 use xxhash_rust::xxh3::{Xxh3, xxh3_64_with_seed};
 
-/// Bytes of prompt that count as a token.
+/// Bytes of prompt text per token.
 const BYTES_PER_TOKEN: usize = 4;
-/// Begins the marker, an answer's last token.
+/// First character of the marker, which is an answer's last token.
 const MARKER: char = '#';
 
 /// One message of a chat.
@@ -19,13 +19,13 @@
 pub struct Message {
     /// `system`, `user` or `assistant`.
     pub role: String,
-    /// A text, or a list of parts.
+    /// A string, or a list of content parts.
     #[serde(default)]
     pub content: Value,
 }
 
 impl Message {
-    /// A message of plain text.
+    /// Creates a message of plain text.
     #[must_use]
     pub fn new(role: &str, content: &str) -> Self {
         Self {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Its text, without any other parts.
+    /// Returns the text of the message, without parts of other kinds.
     #[must_use]
     pub fn text(&self) -> String {
         match &self.content {
@@ -47,14 +47,15 @@
         }
     }
 
-    /// Tokens that it counts as.
+    /// Returns the number of tokens that the message counts as.
     #[must_use]
     pub fn tokens(&self) -> u64 {
         (self.text().len() / BYTES_PER_TOKEN + 1) as u64
     }
 }
 
-/// Hashes of ever longer beginnings of a chat, one a message, as `docs/PROTOCOLS.md` says.
+/// Returns the hash of each prefix of a chat, one per message, as specified in
+/// `docs/PROTOCOLS.md`.
 #[must_use]
 pub fn prefix_hashes(messages: &[Message]) -> Vec<u64> {
     let mut hasher = Xxh3::new();
@@ -68,13 +69,13 @@
     hashes.collect()
 }
 
-/// Hash of a whole chat.
+/// Returns the hash of a whole chat, or 0 for an empty one.
 #[must_use]
 pub fn prompt_hash(messages: &[Message]) -> u64 {
     prefix_hashes(messages).last().copied().unwrap_or(0)
 }
 
-/// The first word of the last user message.
+/// Returns the first word of the last user message.
 #[must_use]
 pub fn tag(messages: &[Message]) -> String {
     let last = messages.iter().rev().find(|m| m.role == "user");
@@ -85,13 +86,14 @@
         .to_owned()
 }
 
-/// Hash by which all tokens of an answer are made.
+/// Returns the hash from which all tokens of an answer are derived.
 #[must_use]
 pub fn answer_hash(version: &VersionId, messages: &[Message]) -> u64 {
     xxh3_64_with_seed(version.to_string().as_bytes(), prompt_hash(messages))
 }
 
-/// Token `index` of an answer of `length` tokens, with the space that follows it.
+/// Returns token `index` of an answer of `length` tokens; each token but the last ends in a
+/// space.
 #[must_use]
 pub fn token(answer: u64, index: u32, length: u32) -> String {
     if index + 1 >= length {
@@ -104,26 +106,26 @@
     text
 }
 
-/// The whole answer.
+/// Returns the text of a whole answer of `length` tokens.
 #[must_use]
 pub fn answer(version: &VersionId, messages: &[Message], length: u32) -> String {
     let hash = answer_hash(version, messages);
     (0..length).map(|i| token(hash, i, length)).collect()
 }
 
-/// Tokens of a partial answer; each but the last ends in a space.
+/// Counts the tokens of a partial answer, except the marker, which has no space after it.
 #[must_use]
 pub fn partial_tokens(partial: &str) -> u32 {
     partial.matches(' ').count() as u32
 }
 
-/// Whether a partial answer has its last token, so that nothing is left to generate.
+/// Returns whether a partial answer has its marker, so that nothing is left to generate.
 #[must_use]
 pub fn has_ended(partial: &str) -> bool {
     partial.contains(MARKER)
 }
 
-/// The uniform number in an answer's marker, from 0 to below 1.
+/// Returns the number in an answer's marker, uniform in `[0, 1)`.
 #[must_use]
 pub fn marker(answer: &str) -> Option<f64> {
     let (_, digits) = answer.rsplit_once(MARKER)?;
@@ -131,10 +133,10 @@
     Some(f64::from(number) / 4_294_967_296.0)
 }
 
-/// Part of the confidence that has nothing to do with the answer's worth.
+/// Share of the confidence that is independent of the answer's quality.
 const NOISE: f64 = 0.3;
 
-/// How sure the engine says it is of an answer, above 0 and at most 1.
+/// Returns the engine's reported confidence in an answer, from 0.001 to 1.
 #[must_use]
 pub fn confidence(answer: &str) -> Option<f64> {
     let noise = xxh3_64_with_seed(answer.as_bytes(), 1) as f64 / u64::MAX as f64;
@@ -142,7 +144,7 @@
     Some(sure.clamp(0.001, 1.0))
 }
 
-/// The marker of an answer that no rater finds adequate.
+/// Returns a marker that no rater finds adequate.
 #[must_use]
 pub fn bad_marker() -> String {
     format!("{MARKER}ffffffff")
--- a/components/standins/src/engine/wire.rs
+++ b/components/standins/src/engine/wire.rs
@@ -1,4 +1,4 @@
-//! OpenAI's chat completions as the stand-in engine reads and writes them.
+//! Parses chat completion requests and formats answers in OpenAI's format.
 
 use bytes::Bytes;
 use serde::Deserialize;
@@ -7,7 +7,7 @@
 
 use super::text::{Message, confidence, has_ended, partial_tokens};
 
-/// The fields of a request that the engine heeds.
+/// The fields of a chat request that the engine uses.
 #[derive(Debug, Clone, Deserialize)]
 pub(super) struct ChatRequest {
     pub(super) model: String,
@@ -34,17 +34,17 @@
     include_usage: bool,
 }
 
-/// What an answer to be resumed has already.
+/// The part of a resumed answer that was generated before.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Partial {
-    /// Tokens but the last.
+    /// Number of tokens, without the marker.
     pub(super) tokens: u32,
-    /// The last one too: only the finish is left.
+    /// Whether the marker is there too, so that only the end of the stream is left.
     pub(super) has_ended: bool,
 }
 
 impl ChatRequest {
-    /// Takes the partial answer off the messages.
+    /// Removes the partial answer from the messages and measures it.
     pub(super) fn take_partial(&mut self) -> Partial {
         let is_partial = |m: &Message| m.role == "assistant";
         if !self.continue_final_message || !self.messages.last().is_some_and(is_partial) {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Tokens asked for, at least one.
+    /// Returns the number of tokens to generate: the requested limit, from 1 to `natural`.
     pub(super) fn tokens(&self, natural: u32) -> u32 {
         let max = self.max_completion_tokens.or(self.max_tokens);
         max.unwrap_or(natural).min(natural).max(1)
@@ -68,7 +68,7 @@
     }
 }
 
-/// Tokens of one answer, for its usage.
+/// Token counts for the `usage` object of an answer.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Usage {
     pub(super) prompt: u64,
@@ -88,10 +88,10 @@
     }
 }
 
-/// What is the same in every chunk of an answer.
+/// The fields that are the same in every chunk of an answer.
 #[derive(Debug, Clone)]
 pub(super) struct Head {
-    /// JSON text of the id, with its quotes.
+    /// The id as JSON text, quotes included.
     id: String,
     model: String,
 }
@@ -104,7 +104,7 @@
         }
     }
 
-    /// The head of another request's answer.
+    /// Returns the same fields with the id of another request.
     pub(super) fn of_other(&self) -> Self {
         Self {
             id: OTHER_ID.to_owned(),
@@ -112,7 +112,7 @@
         }
     }
 
-    /// A chunk with a piece of text. The text needs no escapes.
+    /// Formats a chunk with a piece of text, which must not need JSON escapes.
     pub(super) fn token(&self, text: &str, first: bool) -> Bytes {
         let role = if first { r#""role":"assistant","# } else { "" };
         self.chunk(&format!(
@@ -139,22 +139,23 @@
     }
 }
 
-/// JSON text of the id in a crossed answer.
+/// The id in another request's answer as JSON text, quotes included.
 const OTHER_ID: &str = "\"of-another-request\"";
-/// The id in a crossed answer.
+/// The id in another request's answer.
 pub(super) const OTHER_REQUEST: &str = "of-another-request";
 
-/// Ends a stream.
+/// The last event of a stream.
 pub(super) const DONE: Bytes = Bytes::from_static(b"data: [DONE]\n\n");
 
-/// Log probabilities of an answer's tokens, all alike: how sure the engine is of it. The
-/// surer, the likelier the rater finds it adequate, but not certainly.
+/// Formats the log probabilities of an answer: one entry for its whole text, with the
+/// engine's confidence. The higher it is, the likelier the rater finds the answer adequate,
+/// but never with certainty.
 pub(super) fn logprobs(text: &str) -> Value {
     let sure = confidence(text).unwrap_or(0.5);
     json!({ "content": [{ "token": text, "logprob": sure.ln(), "top_logprobs": [] }] })
 }
 
-/// A whole answer's body.
+/// Formats the body of an answer that is not streamed.
 pub(super) fn completion(
     id: &str,
     version: &VersionId,
@@ -176,7 +177,7 @@
     })
 }
 
-/// An error in OpenAI's shape.
+/// Formats an error body in OpenAI's format.
 pub(super) fn error(kind: &str, code: &str, message: &str) -> Value {
     json!({ "error": { "message": message, "type": kind, "param": null, "code": code } })
 }
--- a/components/standins/src/lib.rs
+++ b/components/standins/src/lib.rs
@@ -1,10 +1,11 @@
-//! Stand-ins of the platform and of the upstreams: for tests, the bench and `dev`.
+//! Stand-in servers for the platform and the upstreams, used by tests, the bench and `dev`.
 //!
-//! Each is a small HTTP server on a thread of its own, started by `start(config)` and
-//! stopped by its handle, with faults on demand and counters of what it saw. No product
-//! crate depends on this one, but as a dev-dependency. They run on hyper and not on
-//! rouille: a stand-in has to notice that its client left while an answer is being made,
-//! and to send each event of a stream at once; rouille does neither.
+//! Each stand-in is a small HTTP server on its own thread, started by `start(config)` and
+//! stopped through its handle, with fault injection and counters of the requests it got.
+//! Product crates depend on this crate only as a dev-dependency. The servers use hyper
+//! instead of rouille because a stand-in has to detect that its client disconnected while
+//! an answer is being generated, and to flush each event of a stream immediately; rouille
+//! does neither.
 
 pub mod engine;
 pub mod hosts;
