--- a/components/standins/src/store.rs
+++ b/components/standins/src/store.rs
@@ -1,9 +1,8 @@
-//! Stand-in of the platform's key-value service.
+//! Stand-in for the platform's key-value store.
 //!
-//! [`Table`] is the service's state as a pure table, driven by [`keyvalue::Request`]
-//! with the time as an argument: tests of other crates use it without any socket.
-//! [`StoreServer`] serves such a table by the published JSON gateway of etcd v3, with
-//! faults on demand.
+//! [`Table`] is the store's state without I/O. It takes [`keyvalue::Request`]s and the time
+//! as arguments, so that tests of other crates use it without a socket. [`StoreServer`]
+//! serves a table over the public JSON gateway of etcd v3, with fault injection.
 
 mod faults;
 mod json;
--- a/components/standins/src/store/faults.rs
+++ b/components/standins/src/store/faults.rs
@@ -2,60 +2,60 @@
 
 use types::prelude::*;
 
-/// What goes wrong, from now on.
+/// Faults in effect until they are changed.
 #[derive(Debug, Clone, Default)]
 pub struct StoreFaults {
-    /// Connections are closed without an answer, watches end.
+    /// Closes connections without an answer and ends open watches.
     pub down: bool,
-    /// Every call waits this long before it takes effect.
+    /// Delay of every call before it takes effect.
     pub delay: Span,
-    /// The next so many writes take effect but get no reply.
+    /// Number of next writes that take effect but get no reply.
     pub lost_replies: u32,
-    /// The next so many writes get no reply and take effect later.
+    /// Number of next writes that get no reply and take effect after `effect_delay`.
     pub delayed_effects: u32,
-    /// How much later.
+    /// Delay before the writes counted by `delayed_effects` take effect.
     pub effect_delay: Span,
-    /// The next so many changes are not told to watches.
+    /// Number of next changes that are not sent to watches.
     pub watch_gap: u32,
-    /// Writes a second before 429; 0 for no cap.
+    /// Writes per second before the store replies 429; 0 is no limit.
     pub max_writes: u32,
-    /// Reads a second before 429; 0 for no cap.
+    /// Reads per second before the store replies 429; 0 is no limit.
     pub max_reads: u32,
 }
 
-/// What the service was asked so far.
+/// Counts of the calls and traffic since the store's start.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct StoreCounters {
-    /// Ranges.
+    /// Range reads.
     pub ranges: u64,
-    /// Single puts and deletes.
+    /// Puts and deletes outside transactions.
     pub puts: u64,
-    /// Transactions.
+    /// Transactions of any kind.
     pub txns: u64,
-    /// Transactions among them that can write.
+    /// Transactions with a write in either branch.
     pub write_txns: u64,
-    /// Leases granted.
+    /// Calls to grant a lease.
     pub lease_grants: u64,
-    /// Leases renewed.
+    /// Calls to renew a lease.
     pub lease_renewals: u64,
-    /// Leases revoked.
+    /// Calls to revoke a lease.
     pub lease_revokes: u64,
-    /// Watches begun.
+    /// Watches started.
     pub watches: u64,
     /// Watches open now.
     pub open_watches: u64,
     /// Changes sent to watches.
     pub watch_events: u64,
-    /// Calls refused by the rate caps.
+    /// Calls refused over the rate limits.
     pub capped: u64,
-    /// Calls closed while down.
+    /// Calls and watches dropped while `down` was set.
     pub dropped: u64,
-    /// Bytes of requests' bodies.
+    /// Bytes of request bodies received.
     pub bytes_in: u64,
 }
 
 impl StoreCounters {
-    /// Calls of every kind.
+    /// Returns the number of calls of every kind.
     #[must_use]
     pub fn calls(&self) -> u64 {
         let leases = self.lease_grants + self.lease_renewals + self.lease_revokes;
--- a/components/standins/src/store/json.rs
+++ b/components/standins/src/store/json.rs
@@ -1,6 +1,6 @@
-//! The published JSON of etcd's v3 gateway: base64 bytes, 64-bit numbers as strings.
+//! The public JSON format of etcd's v3 gateway: bytes in base64, 64-bit numbers as strings.
 //!
-//! Answers use snake case, as the gateway does; requests may use either case.
+//! Replies use snake case, as the gateway does; requests may use snake case or camel case.
 
 use std::cmp::Ordering;
 
@@ -11,10 +11,10 @@
 
 use super::table::{Change, Item, RawCompare, RawOp, RawReply, RawTxn, Target};
 
-/// What is wrong with a request's body.
+/// A message that says what is wrong with a request's body.
 pub(super) type BadRequest = String;
 
-/// A field by its snake-case name, or the same in camel case.
+/// Returns a field by its snake-case name, or by the same name in camel case.
 pub(super) fn field<'a>(value: &'a Value, name: &str) -> Option<&'a Value> {
     value.get(name).or_else(|| value.get(camel_case(name)))
 }
@@ -160,7 +160,7 @@
         "mod_revision": item.mod_revision.to_string(),
         "version": item.version.to_string(),
     });
-    // As the gateway does: what is empty is left out.
+    // Empty fields are left out, as by the gateway.
     if !item.value.is_empty() {
         kv["value"] = json!(encode(&item.value));
     }
@@ -170,7 +170,7 @@
     kv
 }
 
-/// The body of one step's answer and the name that it has inside a transaction's.
+/// Returns the reply to one operation, with the name of its field in a transaction's reply.
 pub(super) fn reply(reply: &RawReply, revision: i64) -> (&'static str, Value) {
     let mut body = Map::new();
     body.insert("header".to_owned(), header(revision));
--- a/components/standins/src/store/server.rs
+++ b/components/standins/src/store/server.rs
@@ -1,4 +1,4 @@
-//! The key-value service's HTTP part, with its faults and counters.
+//! The HTTP handlers of the key-value store, with its faults and counters.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,13 +14,13 @@
 use super::table::Table;
 use crate::server::{Call, Handler, Reply, Server};
 
-/// How often lapsed leases and left watches are looked for.
+/// Interval between searches for expired leases and disconnected watches.
 const SWEEP: Duration = Duration::from_millis(50);
 
-/// How a stand-in store is started.
+/// Configuration of a stand-in store.
 #[derive(Debug, Clone)]
 pub struct StoreConfig {
-    /// Where to listen; port 0 lets the kernel choose.
+    /// Address to listen on; port 0 lets the kernel choose.
     pub address: SocketAddr,
 }
 
@@ -40,23 +40,23 @@
 }
 
 impl StoreServer {
-    /// Starts with an empty table.
+    /// Starts a store with an empty table.
     ///
     /// # Errors
-    /// When the address can't be bound.
+    /// Fails when the address can't be bound or the thread can't be started.
     pub fn start(cfg: &StoreConfig) -> io::Result<Self> {
         let shared = Arc::new(Shared::default());
         let server = Server::start("store", cfg.address, Arc::clone(&shared))?;
         Ok(Self { server, shared })
     }
 
-    /// Where it listens.
+    /// Returns the address that the store listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Changes what goes wrong.
+    /// Changes the faults; setting `down` also ends the open watches.
     pub fn set_faults(&self, change: impl FnOnce(&mut StoreFaults)) {
         let mut state = self.shared.lock();
         change(&mut state.faults);
@@ -65,7 +65,7 @@
         }
     }
 
-    /// What it was asked so far.
+    /// Returns the counters since the start.
     #[must_use]
     pub fn counters(&self) -> StoreCounters {
         let state = self.shared.lock();
@@ -74,7 +74,7 @@
         counters
     }
 
-    /// Reads or changes the table behind the service's back.
+    /// Reads or changes the table directly, without a call, then sends the changes to watches.
     pub fn with_table<T>(&self, act: impl FnOnce(&mut Table) -> T) -> T {
         let mut state = self.shared.lock();
         let result = act(&mut state.table);
@@ -82,7 +82,7 @@
         result
     }
 
-    /// Stops at once; the table is lost.
+    /// Stops immediately; the table is lost.
     pub fn stop(&mut self) {
         self.server.stop();
     }
@@ -105,7 +105,7 @@
             Fate::Close => None,
             Fate::Cap => Some(error(429, 8, "too many requests")),
             Fate::Do { delay, reply } => {
-                // A task of its own: a client that gives up does not undo its call.
+                // A separate task, so that the call takes effect even if its client disconnects.
                 let done = tokio::spawn(self.after(delay, command)).await.ok();
                 done.filter(|_| reply)
             }
--- a/components/standins/src/store/state.rs
+++ b/components/standins/src/store/state.rs
@@ -1,4 +1,4 @@
-//! What a stand-in store does with a call under the present faults.
+//! Executes the calls to a stand-in store under its current faults.
 
 use bytes::Bytes;
 use serde_json::{Value, json};
@@ -29,7 +29,7 @@
     pub(super) lines: mpsc::UnboundedSender<Piece>,
 }
 
-/// One call, understood.
+/// A parsed call.
 #[derive(Debug, Clone)]
 pub(super) enum Command {
     Step(RawOp),
@@ -39,7 +39,7 @@
     Revoke(i64),
 }
 
-/// What becomes of a call under the present faults.
+/// How a call is handled under the current faults.
 pub(super) enum Fate {
     Close,
     Cap,
@@ -177,7 +177,7 @@
         Reply::stream("application/json", pieces)
     }
 
-    /// Tells watches what changed since the last time.
+    /// Sends the changes since the last call of this function to the watches.
     pub(super) fn publish(&mut self) {
         let revision = self.table.revision();
         if revision <= self.published {
@@ -198,7 +198,7 @@
         });
     }
 
-    /// The changes that the watch gap swallows.
+    /// Takes the changes to withhold from watches off the `watch_gap` fault.
     fn gap(&mut self, from: i64) -> Vec<Change> {
         if self.faults.watch_gap == 0 {
             return Vec::new();
@@ -252,7 +252,7 @@
 }
 
 fn send(lines: &mpsc::UnboundedSender<Piece>, value: &Value) {
-    // A watch whose client left is swept away later.
+    // Fails when the client disconnected; the watch is removed later.
     let _ = lines.send(Ok(Bytes::from(format!("{value}\n"))));
 }
 
--- a/components/standins/src/store/table.rs
+++ b/components/standins/src/store/table.rs
@@ -1,7 +1,8 @@
-//! The key-value service's state: keys, leases, revisions and past changes.
+//! The state of the key-value store: keys, leases, revisions and past changes.
 //!
-//! As in etcd: a transaction's compares, inner ones included, all see the state before
-//! it; its writes share one revision; a key written twice in it is refused.
+//! As in etcd, all compares of a transaction, also of nested ones, see the state before the
+//! transaction; its writes share one revision; and a transaction that writes a key twice is
+//! refused.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, VecDeque};
@@ -13,99 +14,100 @@
 mod call;
 mod check;
 
-/// Past changes kept for watches that start late.
+/// Past changes kept for watches that start at an earlier revision.
 const HISTORY_CHANGES: usize = 16_384;
 
-/// A key's state.
+/// The state of a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Item {
-    /// Its value.
+    /// Value of the key.
     pub value: Bytes,
-    /// The revision that made it.
+    /// Revision that created the key.
     pub create_revision: i64,
-    /// The revision that last wrote it.
+    /// Revision that last wrote the key.
     pub mod_revision: i64,
-    /// Writes since it was made.
+    /// Number of writes since the key was created, including that one.
     pub version: i64,
-    /// The lease that it goes with, 0 for none.
+    /// Lease that the key is attached to, 0 for none.
     pub lease: i64,
 }
 
 /// A change of a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
-    /// The revision of the change.
+    /// Revision of the change.
     pub revision: i64,
-    /// The key.
+    /// Changed key.
     pub key: String,
-    /// Its new state, or nothing once deleted.
+    /// New state of the key, `None` if it was deleted.
     pub item: Option<Item>,
 }
 
-/// What a compare looks at.
+/// The property of a key that a compare checks, with the value to compare it with.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Target {
-    /// The revision that made the key, 0 when absent.
+    /// Revision that created the key, 0 when absent.
     Create(i64),
-    /// The revision that last wrote it, 0 when absent.
+    /// Revision that last wrote the key, 0 when absent.
     Mod(i64),
-    /// Writes since it was made, 0 when absent.
+    /// Number of writes since the key was created, 0 when absent.
     Version(i64),
-    /// Its value; never holds when absent.
+    /// Value of the key; the compare fails when the key is absent.
     Value(Bytes),
-    /// Its lease, 0 when it has none.
+    /// Lease of the key, 0 when it has none.
     Lease(i64),
 }
 
-/// A condition on a key.
+/// A precondition on a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RawCompare {
-    /// The key.
+    /// Key to check.
     pub key: String,
-    /// What is compared, and with what.
+    /// Property to compare, and the value to compare it with.
     pub target: Target,
-    /// Orderings that hold.
+    /// Orderings, of the key's property to the given value, that satisfy the precondition.
     pub holds: Vec<Ordering>,
 }
 
-/// A step of a transaction. An `end` of nothing is the one key; `"\0"` is no end.
+/// An operation of a transaction. Ranges go from a key up to an exclusive end; an end of
+/// `None` means only that key, and `"\0"` means all keys from there on.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RawOp {
-    /// Write a key, with a lease or 0.
+    /// Writes a value to a key, with a lease or 0 for none.
     Put(String, Bytes, i64),
-    /// Delete from a key up to an end.
+    /// Deletes a range of keys.
     Delete(String, Option<String>),
-    /// Read from a key up to an end, at most so many (0: all).
+    /// Reads a range of keys, up to a limit; 0 is no limit.
     Range(String, Option<String>, usize),
-    /// A transaction inside.
+    /// Runs a nested transaction.
     Txn(RawTxn),
 }
 
-/// A transaction.
+/// A transaction with preconditions.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RawTxn {
-    /// All must hold for `success`.
+    /// Preconditions, which must all hold for `success` to run.
     pub compare: Vec<RawCompare>,
-    /// Done when they do.
+    /// Operations run when all preconditions hold.
     pub success: Vec<RawOp>,
-    /// Done when one does not.
+    /// Operations run when a precondition fails.
     pub failure: Vec<RawOp>,
 }
 
-/// What a step gave.
+/// The result of an operation.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RawReply {
-    /// Written.
+    /// The key was written.
     Put,
-    /// Deleted so many.
+    /// Number of deleted keys.
     Delete(u64),
-    /// Keys read, and how many there are without the limit.
+    /// Keys read, and the number of keys in the range regardless of the limit.
     Range(Vec<(String, Item)>, usize),
-    /// Whether an inner transaction's compares held, and its replies.
+    /// Whether the preconditions of a nested transaction held, and its replies.
     Txn(bool, Vec<RawReply>),
 }
 
-/// Changes asked for are no longer kept; the earliest that are.
+/// Some of the requested changes are no longer kept; holds the last compacted revision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Compaction(pub i64);
 
@@ -115,7 +117,7 @@
     expires: Time,
 }
 
-/// The whole state.
+/// The complete state of the store.
 #[derive(Debug, Clone)]
 pub struct Table {
     revision: i64,
@@ -133,7 +135,7 @@
 }
 
 impl Table {
-    /// Empty, at revision 1 as etcd begins.
+    /// Creates an empty table at revision 1, as in etcd.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -146,13 +148,14 @@
         }
     }
 
-    /// The service's revision.
+    /// Returns the current revision.
     #[must_use]
     pub fn revision(&self) -> i64 {
         self.revision
     }
 
-    /// Keys from one up to an end, at most so many (0: all), and their full count.
+    /// Returns the keys from `start` up to `end`, at most `limit` of them (0 is no limit), and
+    /// the number of keys in the range regardless of the limit.
     #[must_use]
     pub fn range(
         &self,
@@ -167,10 +170,11 @@
         (taken.collect(), count)
     }
 
-    /// Does a transaction: whether its compares held, and a reply for each step taken.
+    /// Runs a transaction; returns whether its preconditions held, and a reply for each
+    /// operation run.
     ///
     /// # Errors
-    /// Says what the service would refuse it for; nothing is done then.
+    /// Returns the store's message if it refuses the transaction, which then has no effect.
     pub fn txn(&mut self, txn: &RawTxn) -> Result<(bool, Vec<RawReply>), String> {
         check::check(txn)?;
         self.check_leases(txn)?;
@@ -197,7 +201,7 @@
         Ok(())
     }
 
-    /// Which branch each transaction takes, outer before inner, in order.
+    /// Decides which branch the transaction and each nested one takes, before any write.
     fn plan(&self, txn: &RawTxn) -> Plan {
         let holds = txn.compare.iter().all(|compare| self.holds(compare));
         let ops = if holds { &txn.success } else { &txn.failure };
@@ -292,16 +296,16 @@
         }
     }
 
-    /// Forgets changes up to a revision, as an operator's compaction would.
+    /// Discards the changes up to a revision, as an operator's compaction would.
     pub fn compact(&mut self, revision: i64) {
         self.history.retain(|change| change.revision > revision);
         self.compacted = self.compacted.max(revision.min(self.revision));
     }
 
-    /// Changes from a revision on, of keys from one up to an end.
+    /// Returns the changes from a revision on, of the keys from `start` up to `end`.
     ///
     /// # Errors
-    /// When some of them are no longer kept.
+    /// Fails when some of these revisions have been compacted.
     pub fn changes(
         &self,
         from: i64,
@@ -319,7 +323,7 @@
         Ok(wanted.cloned().collect())
     }
 
-    /// Makes a lease, with an id of the service's own for 0; gives its id.
+    /// Grants a lease and returns its id; for id 0 the store chooses a free one.
     pub fn grant(&mut self, now: Time, ttl: Span, id: i64) -> i64 {
         let id = if id == 0 { self.fresh_lease() } else { id };
         let expires = now + ttl;
@@ -335,14 +339,14 @@
         self.next_lease - 1
     }
 
-    /// Renews a lease: its whole time again, or nothing when it is gone.
+    /// Renews a lease for its full TTL, which is returned; `None` if the lease is gone.
     pub fn keep_alive(&mut self, now: Time, id: i64) -> Option<Span> {
         let lease = self.leases.get_mut(&id)?;
         lease.expires = now + lease.ttl;
         Some(lease.ttl)
     }
 
-    /// Ends a lease and deletes its keys; whether there was one.
+    /// Ends a lease and deletes its keys; returns whether the lease existed.
     pub fn revoke(&mut self, id: i64) -> bool {
         if self.leases.remove(&id).is_none() {
             return false;
@@ -360,7 +364,7 @@
         true
     }
 
-    /// Ends the leases whose time is up; whether any was.
+    /// Ends the expired leases and deletes their keys; returns whether there were any.
     pub fn expire(&mut self, now: Time) -> bool {
         let due = self.leases.iter().filter(|(_, lease)| lease.expires <= now);
         let due = due.map(|(id, _)| *id).collect::<Vec<_>>();
@@ -371,9 +375,10 @@
     }
 }
 
-/// What etcd says of a lease that is gone.
+/// The error message of etcd for a lease that does not exist.
 pub(crate) const LEASE_NOT_FOUND: &str = "etcdserver: requested lease not found";
 
+/// The branch that a transaction takes, with the plans of the nested ones in that branch.
 struct Plan {
     holds: bool,
     inner: Vec<Plan>,
@@ -383,7 +388,7 @@
     let upper = match end {
         None | Some("") => Bound::Included(start),
         Some("\0") => Bound::Unbounded,
-        // An end before the start holds nothing; a map refuses such bounds.
+        // A range that ends before its start is empty; `BTreeMap::range` panics on it.
         Some(end) => Bound::Excluded(end.max(start)),
     };
     match upper {
--- a/components/standins/src/store/table/call.rs
+++ b/components/standins/src/store/table/call.rs
@@ -1,4 +1,4 @@
-//! The table driven by [`keyvalue::Request`], as the product's decisions give them.
+//! Executes [`keyvalue::Request`]s, the requests of the product's client, on the table.
 
 use std::cmp::Ordering;
 
@@ -11,10 +11,10 @@
 use super::{Change, Item, RawCompare, RawOp, RawReply, RawTxn, Table, Target};
 
 impl Table {
-    /// Does one call.
+    /// Expires leases, then executes one request.
     ///
     /// # Errors
-    /// [`CallError::Refused`] when the service would refuse it.
+    /// Returns [`CallError::Refused`] if the store refuses the request.
     pub fn call(&mut self, now: Time, req: &Request) -> Outcome {
         self.expire(now);
         let reply = self.reply(now, req)?;
@@ -56,7 +56,7 @@
     }
 }
 
-/// The end of all keys that begin with a text.
+/// Returns the exclusive end of the range of keys that begin with a prefix.
 fn prefix_end(prefix: &str) -> String {
     let mut chars = prefix.chars().collect::<Vec<_>>();
     while let Some(last) = chars.pop() {
--- a/components/standins/src/store/table/check.rs
+++ b/components/standins/src/store/table/check.rs
@@ -1,13 +1,14 @@
-//! What the key-value service refuses a transaction for, before doing any of it.
+//! Checks for which the key-value store refuses a transaction before running it.
 
 use std::collections::BTreeSet;
 
 use super::{RawOp, RawTxn, key_bounds};
 
-/// Steps of a transaction and of those inside it, along any path.
+/// Most operations or compares of a transaction, summed with those of nested transactions
+/// along any path of nesting.
 const MAX_TXN_OPS: usize = 128;
 
-/// Checks size and that no key is written twice.
+/// Checks that the transaction is not too large and writes no key twice.
 pub(super) fn check(txn: &RawTxn) -> Result<(), String> {
     check_size(txn, MAX_TXN_OPS)?;
     writes(&txn.success)?;
@@ -29,7 +30,8 @@
     Ok(())
 }
 
-/// Keys that some steps may write, with the ranges that they may delete.
+/// Returns the keys that some operations may put. Fails if a key may be put twice, or put
+/// and deleted by a range among the same operations.
 fn writes(ops: &[RawOp]) -> Result<BTreeSet<String>, String> {
     let mut puts = BTreeSet::new();
     for op in ops {
