--- a/components/standins/src/hosts.rs
+++ b/components/standins/src/hosts.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the platform's list of live and leaving hosts, which lags.
+//! Stand-in for the platform's list of live and leaving hosts, which shows changes with a lag.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -10,12 +10,12 @@
 
 use crate::server::{Call, Handler, Reply, Server};
 
-/// How a stand-in host list is started.
+/// Configuration of a stand-in host list.
 #[derive(Debug, Clone)]
 pub struct HostsConfig {
-    /// Where to listen; port 0 lets the kernel choose.
+    /// Address to listen on; port 0 lets the kernel choose.
     pub address: SocketAddr,
-    /// Changes show so much later.
+    /// Delay before a change becomes visible.
     pub lag: Span,
     /// Live hosts at the start.
     pub live: Vec<SocketAddr>,
@@ -31,14 +31,14 @@
     }
 }
 
-/// What the list says of a host.
+/// State of a host in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HostState {
-    /// It is up.
+    /// The host is up.
     Live,
-    /// It will go soon.
+    /// The host is about to shut down.
     Leaving,
-    /// It is not listed.
+    /// The host is not listed.
     Gone,
 }
 
@@ -50,10 +50,10 @@
 }
 
 impl HostList {
-    /// Starts it.
+    /// Starts the host list.
     ///
     /// # Errors
-    /// When the address can't be bound.
+    /// Fails when the address can't be bound or the thread can't be started.
     pub fn start(cfg: &HostsConfig) -> io::Result<Self> {
         let live = cfg.live.iter().map(|host| (*host, HostState::Live));
         let shared = Arc::new(Shared {
@@ -68,25 +68,25 @@
         Ok(Self { server, shared })
     }
 
-    /// Where it listens.
+    /// Returns the address that the host list listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Changes a host's state, seen by readers after the lag.
+    /// Changes a host's state; readers see the change after the lag.
     pub fn set(&self, host: SocketAddr, state: HostState) {
         let shown_from = self.shared.clock.now() + self.shared.lag;
         let mut held = self.shared.lock();
         held.coming.push_back((shown_from, host, state));
     }
 
-    /// Closes connections without an answer, or no longer.
+    /// Sets whether connections are closed without an answer.
     pub fn set_down(&self, down: bool) {
         self.shared.lock().down = down;
     }
 
-    /// Stops at once.
+    /// Stops immediately and breaks open connections.
     pub fn stop(&mut self) {
         self.server.stop();
     }
--- a/components/standins/src/limit.rs
+++ b/components/standins/src/limit.rs
@@ -1,11 +1,11 @@
-//! Rate caps of the stand-in services.
+//! Rate limits of the stand-in services.
 
 use serde_json::json;
 use types::prelude::*;
 
 use crate::server::Reply;
 
-/// So many calls in each second of the stand-in's clock.
+/// Limits the calls in each second of the stand-in's clock.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct RateCap {
     max: u32,
@@ -14,7 +14,7 @@
 }
 
 impl RateCap {
-    /// Calls a second, 0 for no cap.
+    /// Creates a limit of `max` calls per second; 0 is no limit.
     pub(crate) fn new(max: u32) -> Self {
         Self {
             max,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Counts a call; false when it is one too many.
+    /// Counts a call and returns whether it is within the limit.
     pub(crate) fn take(&mut self, now: Time) -> bool {
         let second = now.since(Time::ZERO).as_millis() / 1_000;
         if second != self.second {
@@ -33,13 +33,13 @@
         self.max == 0 || self.calls <= self.max
     }
 
-    /// Changes the cap.
+    /// Changes the limit, in calls per second; 0 is no limit.
     pub(crate) fn set(&mut self, max: u32) {
         self.max = max;
     }
 }
 
-/// 429 with a time to come back.
+/// Builds a 429 reply with a `Retry-After` header.
 pub(crate) fn too_many() -> Reply {
     let body = json!({ "error": "too many requests" });
     Reply::json(429, &body).with("retry-after", 1)
--- a/components/standins/src/plain.rs
+++ b/components/standins/src/plain.rs
@@ -1,7 +1,7 @@
-//! Stand-in of a plain service, such as a booking desk.
+//! Stand-in for a plain service, such as a booking service.
 //!
-//! A POST has an effect, counted by its request id, so that a test sees doubles. Any
-//! other method only reads.
+//! A POST has an effect, counted per tag: the first word of its body, or its request id if
+//! the body is empty. A test thus detects duplicate effects. Other methods only read.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -15,12 +15,12 @@
 
 use crate::server::{Call, Handler, Reply, Server};
 
-/// How a stand-in plain service is started.
+/// Configuration of a stand-in plain service.
 #[derive(Debug, Clone)]
 pub struct PlainConfig {
-    /// Where to listen; port 0 lets the kernel choose.
+    /// Address to listen on; port 0 lets the kernel choose.
     pub address: SocketAddr,
-    /// Time that an answer takes.
+    /// Time to answer a request.
     pub service_time: Span,
 }
 
@@ -33,31 +33,31 @@
     }
 }
 
-/// What goes wrong, from now on.
+/// Faults in effect until they are changed.
 #[derive(Debug, Clone, Default)]
 pub struct PlainFaults {
-    /// Connections are closed without an answer.
+    /// Closes connections without an answer.
     pub down: bool,
-    /// Every answer takes so much longer.
+    /// Delay added to every answer.
     pub delay: Span,
-    /// One each for the next requests, in order.
+    /// Faults for the next requests, one each, in order.
     pub next: VecDeque<PlainFault>,
 }
 
-/// What goes wrong with one request.
+/// A fault in the handling of one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlainFault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// Closes the connection without effect.
+    /// Closes the connection without having the effect.
     ResetBefore,
     /// Closes the connection after the effect.
     ResetAfter,
-    /// Has its effect at once and answers so much later.
+    /// Has the effect immediately but delays the answer by this much.
     Slow(Span),
-    /// 503 without effect; says so when true.
+    /// Replies 503 without having the effect; true adds `X-Not-Run: true`.
     Refuse(bool),
-    /// 500 after the effect.
+    /// Replies 500 after the effect.
     Fail,
 }
 
@@ -69,10 +69,10 @@
 }
 
 impl PlainService {
-    /// Starts it.
+    /// Starts the service.
     ///
     /// # Errors
-    /// When the address can't be bound.
+    /// Fails when the address can't be bound or the thread can't be started.
     pub fn start(cfg: &PlainConfig) -> io::Result<Self> {
         let shared = Arc::new(Shared {
             service_time: cfg.service_time,
@@ -82,35 +82,36 @@
         Ok(Self { server, shared })
     }
 
-    /// Where it listens.
+    /// Returns the address that the service listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Changes what goes wrong.
+    /// Changes the faults.
     pub fn set_faults(&self, change: impl FnOnce(&mut PlainFaults)) {
         change(&mut self.shared.lock().faults);
     }
 
-    /// Lets the next request, not yet spoken for, meet a fault.
+    /// Queues a fault for the next request that has no fault queued yet.
     pub fn fail_next(&self, fault: PlainFault) {
         self.set_faults(|faults| faults.next.push_back(fault));
     }
 
-    /// Effects by tag: the body's first word, or the request id of an empty body.
+    /// Returns the number of effects by tag: the body's first word, or the request id of an
+    /// empty body.
     #[must_use]
     pub fn effects(&self) -> BTreeMap<String, u64> {
         self.shared.lock().effects.clone()
     }
 
-    /// Requests received, with or without effect.
+    /// Returns the number of requests received, with or without effect.
     #[must_use]
     pub fn requests(&self) -> u64 {
         self.shared.lock().requests
     }
 
-    /// Stops at once.
+    /// Stops immediately and breaks open connections.
     pub fn stop(&mut self) {
         self.server.stop();
     }
@@ -136,7 +137,7 @@
 }
 
 impl State {
-    /// Does what a call asks for: how often its tag has had its effect by now.
+    /// Applies the call and returns how often its tag has had its effect by now.
     fn run(&mut self, call: &Call) -> u64 {
         let tag = tag(call);
         if call.method != Method::POST {
--- a/components/standins/src/platform.rs
+++ b/components/standins/src/platform.rs
@@ -1,7 +1,7 @@
-//! A whole platform for a catalogue: every upstream that it names, and the services.
+//! Starts a whole platform for a catalogue: a stand-in for every upstream, and the services.
 //!
-//! Each upstream gets a stand-in on a port of the kernel's choice, and the catalogue's
-//! addresses are replaced by those. Used by `dev`, by tests and by the bench.
+//! Each upstream gets a stand-in on a port that the kernel chooses; these addresses replace
+//! those in the catalogue. Used by `dev`, by tests and by the bench.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -22,48 +22,49 @@
 use crate::store::{StoreConfig, StoreServer};
 use crate::weights::{WeightStore, WeightsConfig};
 
-/// Entries by name.
+/// Catalogue entries by name.
 pub type Entries = BTreeMap<EntryName, Arc<Entry>>;
 
-/// How a platform is started.
+/// Configuration of a stand-in platform.
 #[derive(Debug, Clone, Default)]
 pub struct PlatformConfig {
-    /// Every engine's; versions and slots come from the catalogue.
+    /// Configuration of every engine, whose versions, slots and fencing check come from the
+    /// catalogue.
     pub engine: EngineConfig,
-    /// Every plain service's.
+    /// Configuration of every plain service.
     pub plain: PlainConfig,
-    /// The key-value service's.
+    /// Configuration of the key-value store.
     pub store: StoreConfig,
-    /// The rater's.
+    /// Configuration of the rater.
     pub rater: RaterConfig,
-    /// The weight store's.
+    /// Configuration of the weight store.
     pub weights: WeightsConfig,
 }
 
-/// A running platform.
+/// A running stand-in platform.
 #[derive(Debug)]
 pub struct Platform {
-    /// The key-value service.
+    /// The key-value store.
     pub store: StoreServer,
-    /// Engines by their upstream's id.
+    /// Engines by upstream id.
     pub engines: BTreeMap<UpstreamId, Engine>,
-    /// Plain services' instances by their upstream's id.
+    /// Instances of plain services by upstream id.
     pub plain: BTreeMap<UpstreamId, PlainService>,
     /// The rater.
     pub rater: Rater,
     /// The weight store.
     pub weights: WeightStore,
-    /// The list of hosts.
+    /// The host list.
     pub hosts: HostList,
-    /// The catalogue with the stand-ins' addresses.
+    /// Catalogue entries with the addresses of the stand-ins.
     pub entries: Entries,
 }
 
 impl Platform {
-    /// Starts a stand-in for everything that the entries name.
+    /// Starts a stand-in for every upstream in the entries, and for each platform service.
     ///
     /// # Errors
-    /// When a port cannot be had.
+    /// Fails when a port can't be bound or a thread can't be started.
     pub fn start(cfg: &PlatformConfig, entries: &Entries) -> io::Result<Self> {
         let mut platform = Self {
             store: StoreServer::start(&cfg.store)?,
@@ -128,7 +129,7 @@
         Ok(address)
     }
 
-    /// Writes the catalogue into the store, one edit an entry.
+    /// Writes the catalogue into the store, with one revision per entry.
     pub fn seed(&self, cluster: &ClusterName, author: &OperatorName, at: WallTime) {
         let prefix = format!("/buckthorncross/{cluster}/catalogue/");
         let mut revision = Revision(0);
@@ -166,7 +167,7 @@
     }
 }
 
-/// Versions that are not withdrawn of all models that a service runs.
+/// Returns the versions of all models that a service runs, except withdrawn ones.
 fn versions_on(entries: &Entries, service: &EntryName) -> Vec<VersionId> {
     let mut versions = Vec::new();
     for (name, entry) in entries {
--- a/components/standins/src/rater.rs
+++ b/components/standins/src/rater.rs
@@ -1,8 +1,8 @@
-//! Stand-in of the service that rates answers: limited and late.
+//! Stand-in for the service that rates answers, with a rate limit and a delay.
 //!
-//! It alone knows the true quality of a version in a class. An answer is adequate when
-//! the uniform number in its marker lies below that quality, so the same answer always
-//! gets the same rating until a test changes the quality.
+//! Only the rater knows the true quality of a model version in a class. An answer is
+//! adequate when the uniformly distributed number in its marker is below that quality, so
+//! the same answer always gets the same rating until a test changes the quality.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -17,18 +17,18 @@
 use crate::limit::RateCap;
 use crate::server::{Call, Handler, Reply, Server};
 
-/// How a stand-in rater is started.
+/// Configuration of a stand-in rater.
 #[derive(Debug, Clone)]
 pub struct RaterConfig {
-    /// Where to listen; port 0 lets the kernel choose.
+    /// Address to listen on; port 0 lets the kernel choose.
     pub address: SocketAddr,
-    /// Ratings a second before 429; 0 for no cap.
+    /// Ratings per second before the rater replies 429; 0 is no limit.
     pub max_ratings: u32,
-    /// Time that a rating takes.
+    /// Time that one rating takes.
     pub lag: Span,
-    /// Share of adequate answers where nothing else is set.
+    /// Share of adequate answers where `quality` has no entry.
     pub default_quality: f64,
-    /// Share of adequate answers by version and class.
+    /// Share of adequate answers by model version and class.
     pub quality: BTreeMap<(VersionId, ClassName), f64>,
 }
 
@@ -52,10 +52,10 @@
 }
 
 impl Rater {
-    /// Starts it.
+    /// Starts the rater.
     ///
     /// # Errors
-    /// When the address can't be bound.
+    /// Fails when the address can't be bound or the thread can't be started.
     pub fn start(cfg: &RaterConfig) -> io::Result<Self> {
         let shared = Arc::new(Shared {
             clock: Clock::new(),
@@ -73,41 +73,41 @@
         Ok(Self { server, shared })
     }
 
-    /// Where it listens.
+    /// Returns the address that the rater listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Changes the true quality of a version in a class.
+    /// Changes the true quality of a model version in a class.
     pub fn set_quality(&self, version: VersionId, class: ClassName, quality: f64) {
         let mut state = self.shared.lock();
         state.quality.insert((version, class), quality);
     }
 
-    /// Closes connections without an answer, or no longer.
+    /// Sets whether connections are closed without an answer.
     pub fn set_down(&self, down: bool) {
         self.shared.lock().down = down;
     }
 
-    /// Changes how long a rating takes.
+    /// Changes the time that one rating takes.
     pub fn set_lag(&self, lag: Span) {
         self.shared.lock().lag = lag;
     }
 
-    /// Ratings given by version.
+    /// Returns the number of ratings by model version.
     #[must_use]
     pub fn ratings(&self) -> BTreeMap<VersionId, u64> {
         self.shared.lock().ratings.clone()
     }
 
-    /// Ratings refused over the cap.
+    /// Returns the number of ratings refused over the rate limit.
     #[must_use]
     pub fn refused(&self) -> u64 {
         self.shared.lock().refused
     }
 
-    /// Stops at once.
+    /// Stops immediately and breaks open connections.
     pub fn stop(&mut self) {
         self.server.stop();
     }
--- a/components/standins/src/server.rs
+++ b/components/standins/src/server.rs
@@ -1,7 +1,7 @@
-//! The HTTP server that every stand-in runs: hyper on a thread of its own.
+//! The HTTP server that every stand-in runs: hyper on its own thread.
 //!
-//! A handler may also give no reply at all, which closes the connection, and a streamed
-//! reply ends early when its sender says so; both serve the faults.
+//! For fault injection, a handler may return no reply, which closes the connection, and the
+//! sender of a streamed reply may break it early.
 
 use std::convert::Infallible;
 use std::fmt;
@@ -21,32 +21,32 @@
 use hyper_util::rt::TokioIo;
 use tokio::sync::{mpsc, oneshot};
 
-/// Largest request body read.
+/// Largest request body accepted; a larger one breaks the connection.
 const MAX_BODY_BYTES: usize = 32 << 20;
-/// Connections that may wait to be accepted.
+/// Length of the queue of connections that wait to be accepted.
 const BACKLOG: i32 = 4096;
-/// Wait after a failed accept.
+/// Delay after a failed accept.
 const ACCEPT_RETRY: Duration = Duration::from_millis(5);
-/// Stack of a stand-in's thread.
+/// Stack size of a stand-in's thread.
 const STACK_BYTES: usize = 1 << 20;
 
-/// One request as a stand-in sees it.
+/// A request as received by a stand-in.
 #[derive(Debug)]
 pub struct Call {
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Its path.
+    /// Path without the query.
     pub path: String,
-    /// What follows the `?`, or nothing.
+    /// Query string without the `?`, empty when absent.
     pub query: String,
-    /// Its headers.
+    /// Request headers.
     pub headers: HeaderMap,
-    /// Its whole body.
+    /// Complete request body.
     pub body: Bytes,
 }
 
 impl Call {
-    /// A header's text, empty when absent.
+    /// Returns the text of a header, empty when it is absent or not visible ASCII.
     #[must_use]
     pub fn header(&self, name: &str) -> &str {
         let value = self.headers.get(name);
@@ -54,7 +54,7 @@
     }
 }
 
-/// What a stand-in answers.
+/// A reply of a stand-in.
 #[derive(Debug)]
 pub struct Reply {
     status: StatusCode,
@@ -63,14 +63,14 @@
 }
 
 impl Reply {
-    /// A JSON text.
+    /// Creates a reply with a JSON body.
     #[must_use]
     pub fn json(status: u16, value: &serde_json::Value) -> Self {
         let body = Bytes::from(value.to_string());
         Self::bytes(status, "application/json", body)
     }
 
-    /// Any whole body.
+    /// Creates a reply with a complete body.
     #[must_use]
     pub fn bytes(status: u16, content_type: &str, body: Bytes) -> Self {
         Self {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// A body that is sent piece by piece, each at once.
+    /// Creates a reply with status 200 whose body is sent piece by piece as received.
     #[must_use]
     pub fn stream(content_type: &str, pieces: mpsc::UnboundedReceiver<Piece>) -> Self {
         Self {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Adds a header.
+    /// Adds a header, replacing an earlier one of the same name.
     #[must_use]
     pub fn with(mut self, name: &'static str, value: impl fmt::Display) -> Self {
         self.headers.push((name, value.to_string()));
@@ -113,7 +113,7 @@
 /// A piece of a streamed body; an error breaks the connection.
 pub type Piece = Result<Bytes, Broken>;
 
-/// The connection is to be broken without a proper end.
+/// Error that breaks the connection without ending the reply properly.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Broken;
 
@@ -125,14 +125,15 @@
 
 impl std::error::Error for Broken {}
 
-/// From the last piece sent to the break, so that the piece is on its way before.
+/// Delay between the last piece and the break, so that the piece is sent before it.
 const BREAK_DELAY: Duration = Duration::from_millis(5);
 
-/// Breaks a streamed reply once what was sent so far is out. Needs the server's runtime.
+/// Breaks a streamed reply after a delay in which the pieces so far are sent. Must be called
+/// from the server's runtime.
 pub fn break_soon(pieces: mpsc::UnboundedSender<Piece>) {
     tokio::spawn(async move {
         tokio::time::sleep(BREAK_DELAY).await;
-        // A client that left needs no break.
+        // Fails when the client has disconnected, which needs no break.
         let _ = pieces.send(Err(Broken));
     });
 }
@@ -172,19 +173,19 @@
     }
 }
 
-/// What a stand-in does with requests.
+/// Handles the requests to a stand-in.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request; nothing closes the connection without an answer.
-    /// Dropped when the client goes first.
+    /// Answers one request; `None` closes the connection without an answer. The future is
+    /// dropped when the client disconnects first.
     fn handle(self: Arc<Self>, call: Call) -> impl Future<Output = Option<Reply>> + Send;
 
-    /// Runs beside the requests until the stand-in stops.
+    /// Runs concurrently with the requests until the stand-in stops.
     fn background(self: Arc<Self>) -> impl Future<Output = ()> + Send {
         async {}
     }
 }
 
-/// A running server; stops when dropped.
+/// A running server, which stops when dropped.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
@@ -193,10 +194,10 @@
 }
 
 impl Server {
-    /// Listens and serves on a thread of its own.
+    /// Binds the address and serves requests on a new thread of this name.
     ///
     /// # Errors
-    /// When the address can't be bound or the thread can't be made.
+    /// Fails when the address can't be bound or the thread can't be started.
     pub fn start(name: &str, address: SocketAddr, handler: Arc<impl Handler>) -> io::Result<Self> {
         let listener = listen(address)?;
         let address = listener.local_addr()?;
@@ -215,17 +216,17 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops at once: open connections break.
+    /// Stops immediately and breaks open connections.
     pub fn stop(&mut self) {
         drop(self.stop.take());
         if let Some(thread) = self.thread.take() {
-            // A panic of the thread has been printed already.
+            // The panic handler has already printed a panic of the thread.
             let _ = thread.join();
         }
     }
@@ -264,7 +265,7 @@
         return;
     };
     loop {
-        // An error here is a client that left or a lack of descriptors: the next may do.
+        // The client disconnected or file descriptors ran out; a later accept may succeed.
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(ACCEPT_RETRY).await;
             continue;
@@ -278,7 +279,7 @@
     let service = hyper::service::service_fn(move |req| answer(req, Arc::clone(&handler)));
     let connection =
         hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-    // It ends with an error whenever a client leaves or a fault breaks it.
+    // Ends with an error whenever a client disconnects or a fault breaks the connection.
     let _ = connection.await;
 }
 
--- a/components/standins/src/weights.rs
+++ b/components/standins/src/weights.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the weight store, which lets few loads begin at a time.
+//! Stand-in for the weight store, which limits how many model loads may start per second.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -12,12 +12,12 @@
 use crate::limit::{RateCap, too_many};
 use crate::server::{Call, Handler, Reply, Server};
 
-/// How a stand-in weight store is started.
+/// Configuration of a stand-in weight store.
 #[derive(Debug, Clone)]
 pub struct WeightsConfig {
-    /// Where to listen; port 0 lets the kernel choose.
+    /// Address to listen on; port 0 lets the kernel choose.
     pub address: SocketAddr,
-    /// Slots given a second before 429; 0 for no cap.
+    /// Slots granted per second before the store replies 429; 0 is no limit.
     pub max_slots: u32,
 }
 
@@ -38,10 +38,10 @@
 }
 
 impl WeightStore {
-    /// Starts it.
+    /// Starts the weight store.
     ///
     /// # Errors
-    /// When the address can't be bound.
+    /// Fails when the address can't be bound or the thread can't be started.
     pub fn start(cfg: &WeightsConfig) -> io::Result<Self> {
         let shared = Arc::new(Shared {
             clock: Clock::new(),
@@ -54,29 +54,29 @@
         Ok(Self { server, shared })
     }
 
-    /// Where it listens.
+    /// Returns the address that the weight store listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Slots given by version.
+    /// Returns the number of slots granted by model version.
     #[must_use]
     pub fn slots(&self) -> BTreeMap<VersionId, u64> {
         self.shared.lock().slots.clone()
     }
 
-    /// Changes how many slots a second it gives, 0 for no cap.
+    /// Changes how many slots are granted per second; 0 is no limit.
     pub fn set_max_slots(&self, max: u32) {
         self.shared.lock().cap.set(max);
     }
 
-    /// Closes connections without an answer, or no longer.
+    /// Sets whether connections are closed without an answer.
     pub fn set_down(&self, down: bool) {
         self.shared.lock().down = down;
     }
 
-    /// Stops at once.
+    /// Stops immediately and breaks open connections.
     pub fn stop(&mut self) {
         self.server.stop();
     }
