--- a/components/standins/src/engine/batch.rs
+++ b/components/standins/src/engine/batch.rs
@@ -5,7 +5,7 @@
 use types::prelude::*;
 
 /// Decode steps that one tick may catch up on when the thread was late; the rest are skipped.
-const MAX_STEPS: u32 = 64;
+const MAX_STEPS_PER_TICK: u32 = 64;
 
 /// Identifies a request within one engine.
 pub(super) type JobId = u64;
@@ -27,15 +27,15 @@
 }
 
 #[derive(Debug)]
-struct Running {
+struct RunningJob {
     job: Job,
-    ready: Time,
-    done: u32,
+    first_token_at: Time,
+    tokens_done: u32,
 }
 
-impl Running {
+impl RunningJob {
     fn is_stalled(&self) -> bool {
-        self.job.stall_after.is_some_and(|n| self.done >= n)
+        self.job.stall_after.is_some_and(|n| self.tokens_done >= n)
     }
 }
 
@@ -54,13 +54,13 @@
 #[derive(Debug, Default)]
 pub(super) struct Batch {
     waiting: BTreeMap<(i64, JobId), Job>,
-    running: BTreeMap<JobId, Running>,
+    running: BTreeMap<JobId, RunningJob>,
     next_step: Time,
 }
 
 /// The slot limit and step times of a batch.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Pace {
+pub(super) struct BatchPace {
     pub(super) slots: usize,
     pub(super) step: Span,
     pub(super) step_per_running: Span,
@@ -87,18 +87,21 @@
     }
 
     /// Expires waiting requests, fills free slots and runs the decode steps that are due.
-    pub(super) fn tick(&mut self, now: Time, pace: Pace) -> Vec<Event> {
+    pub(super) fn tick(&mut self, now: Time, pace: BatchPace) -> Vec<Event> {
         let mut events = Vec::new();
-        self.expire(now, &mut events);
-        self.fill(now, pace, &mut events);
+        self.expire_waiting(now, &mut events);
+        self.fill_slots(now, pace, &mut events);
         let mut steps = 0;
-        while !self.running.is_empty() && now.has_reached(self.next_step) && steps < MAX_STEPS {
+        while !self.running.is_empty()
+            && now.has_reached(self.next_step)
+            && steps < MAX_STEPS_PER_TICK
+        {
             self.step(now, &mut events);
-            self.fill(now, pace, &mut events);
+            self.fill_slots(now, pace, &mut events);
             self.next_step = self.next_step + self.step_time(pace);
             steps += 1;
         }
-        if steps == MAX_STEPS {
+        if steps == MAX_STEPS_PER_TICK {
             self.next_step = self.next_step.max(now);
         }
         events
@@ -109,19 +112,19 @@
         let deadline = self.waiting.values().map(|job| job.deadline).min();
         // Stalled requests are left out and prefilling ones count from when they are ready, or
         // the thread would spin.
-        let going = self
+        let generating = self
             .running
             .values()
             .filter(|running| !running.is_stalled());
-        let step = going.map(|running| running.ready.max(self.next_step));
+        let step = generating.map(|running| running.first_token_at.max(self.next_step));
         deadline.into_iter().chain(step.min()).min()
     }
 
-    fn step_time(&self, pace: Pace) -> Span {
+    fn step_time(&self, pace: BatchPace) -> Span {
         pace.step + pace.step_per_running.times(self.running.len() as u64)
     }
 
-    fn expire(&mut self, now: Time, events: &mut Vec<Event>) {
+    fn expire_waiting(&mut self, now: Time, events: &mut Vec<Event>) {
         let due = self.waiting.values().filter(|job| job.deadline <= now);
         let due = due.map(|job| job.id).collect::<Vec<_>>();
         for id in due {
@@ -130,7 +133,7 @@
         }
     }
 
-    fn fill(&mut self, now: Time, pace: Pace, events: &mut Vec<Event>) {
+    fn fill_slots(&mut self, now: Time, pace: BatchPace, events: &mut Vec<Event>) {
         while self.running.len() < pace.slots {
             let Some((_, job)) = self.waiting.pop_first() else {
                 return;
@@ -138,9 +141,16 @@
             if self.running.is_empty() {
                 self.next_step = self.next_step.max(now + pace.step + pace.step_per_running);
             }
-            let ready = now + job.prefill;
-            let done = 0;
-            self.running.insert(job.id, Running { job, ready, done });
+            let first_token_at = now + job.prefill;
+            let tokens_done = 0;
+            self.running.insert(
+                job.id,
+                RunningJob {
+                    job,
+                    first_token_at,
+                    tokens_done,
+                },
+            );
             events.push(Event::Started(job.id));
         }
     }
@@ -148,12 +158,12 @@
     fn step(&mut self, now: Time, events: &mut Vec<Event>) {
         let mut finished = Vec::new();
         for (id, running) in &mut self.running {
-            if running.is_stalled() || !now.has_reached(running.ready) {
+            if running.is_stalled() || !now.has_reached(running.first_token_at) {
                 continue;
             }
-            running.done += 1;
+            running.tokens_done += 1;
             events.push(Event::Token(*id));
-            if running.done >= running.job.tokens {
+            if running.tokens_done >= running.job.tokens {
                 finished.push(*id);
             }
         }
--- a/components/standins/src/engine/cache.rs
+++ b/components/standins/src/engine/cache.rs
@@ -11,7 +11,7 @@
 const MAX_EVENTS: usize = 4096;
 
 #[derive(Debug)]
-struct Cached {
+struct CachedPrefix {
     tokens: u64,
     last_used: u64,
 }
@@ -21,30 +21,30 @@
     seq: u64,
     prefix: u64,
     stored: bool,
-    told_from: Time,
+    visible_from: Time,
 }
 
 /// A cache bounded in tokens that evicts the least recently used prefix.
 #[derive(Debug)]
 pub(super) struct PrefixCache {
     max_tokens: u64,
-    lag: Span,
-    gap: u64,
+    event_lag: Span,
+    event_gap: u64,
     tokens: u64,
-    uses: u64,
+    use_count: u64,
     next_seq: u64,
-    prefixes: BTreeMap<u64, Cached>,
+    prefixes: BTreeMap<u64, CachedPrefix>,
     events: VecDeque<Event>,
 }
 
 impl PrefixCache {
-    pub(super) fn new(max_tokens: u64, lag: Span, gap: u64) -> Self {
+    pub(super) fn new(max_tokens: u64, event_lag: Span, event_gap: u64) -> Self {
         Self {
             max_tokens,
-            lag,
-            gap,
+            event_lag,
+            event_gap,
             tokens: 0,
-            uses: 0,
+            use_count: 0,
             next_seq: 1,
             prefixes: BTreeMap::new(),
             events: VecDeque::new(),
@@ -65,14 +65,16 @@
 
     /// Caches every prefix of a chat, evicting older prefixes as needed.
     pub(super) fn store(&mut self, now: Time, messages: &[Message]) {
-        self.uses += 1;
+        self.use_count += 1;
         for (message, hash) in messages.iter().zip(prefix_hashes(messages)) {
             let tokens = message.tokens();
-            let last_used = self.uses;
-            let old = self.prefixes.insert(hash, Cached { tokens, last_used });
+            let last_used = self.use_count;
+            let old = self
+                .prefixes
+                .insert(hash, CachedPrefix { tokens, last_used });
             if old.is_none() {
                 self.tokens += tokens;
-                self.event(now, hash, true);
+                self.record_event(now, hash, true);
             }
         }
         while self.tokens > self.max_tokens {
@@ -87,20 +89,20 @@
         };
         self.prefixes.remove(&hash);
         self.tokens -= tokens;
-        self.event(now, hash, false);
+        self.record_event(now, hash, false);
     }
 
-    fn event(&mut self, now: Time, prefix: u64, stored: bool) {
+    fn record_event(&mut self, now: Time, prefix: u64, stored: bool) {
         let seq = self.next_seq;
         self.next_seq += 1;
-        if self.gap > 0 && seq.is_multiple_of(self.gap) {
+        if self.event_gap > 0 && seq.is_multiple_of(self.event_gap) {
             return;
         }
         self.events.push_back(Event {
             seq,
             prefix,
             stored,
-            told_from: now + self.lag,
+            visible_from: now + self.event_lag,
         });
         if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
@@ -109,10 +111,13 @@
 
     /// Returns the events with a sequence number above `after` whose lag has passed, as JSON.
     pub(super) fn events_after(&self, now: Time, after: u64) -> Value {
-        let told = self.events.iter().filter(|e| now.has_reached(e.told_from));
-        let told = told.filter(|e| e.seq > after).collect::<Vec<_>>();
-        let next = told.last().map_or(after, |e| e.seq);
-        let events = told.iter().map(|e| {
+        let visible = self
+            .events
+            .iter()
+            .filter(|e| now.has_reached(e.visible_from));
+        let visible = visible.filter(|e| e.seq > after).collect::<Vec<_>>();
+        let next = visible.last().map_or(after, |e| e.seq);
+        let events = visible.iter().map(|e| {
             let kind = if e.stored { "stored" } else { "evicted" };
             json!({ "seq": e.seq, "prefix": format!("{:016x}", e.prefix), "kind": kind })
         });
--- a/components/standins/src/engine/job.rs
+++ b/components/standins/src/engine/job.rs
@@ -5,11 +5,11 @@
 
 use super::config::EngineFault;
 use super::text;
-use super::wire::{DONE, Head, Usage};
+use super::wire::{ChunkFields, DONE, Usage};
 use crate::server::{Broken, Piece, break_soon};
 
 /// XORed with an answer's hash to get the hash of a made-up other request's answer.
-const OTHER_ANSWER: u64 = 0x9e37_79b9_7f4a_7c15;
+const OTHER_ANSWER_XOR: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// The text of an answer that is not streamed, with how it ended.
 #[derive(Debug)]
@@ -17,7 +17,7 @@
     /// All tokens were generated.
     Finished(String),
     /// A fault interrupted the answer.
-    Cut(String),
+    Interrupted(String),
 }
 
 /// Destination of the generated tokens.
@@ -30,22 +30,22 @@
 /// State of a request after a token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Progress {
-    GoesOn,
+    Continues,
     Finished,
     /// A fault interrupted the answer.
-    Cut,
-    Left,
+    Interrupted,
+    ClientGone,
 }
 
 /// A waiting or running request with the state of its answer.
 #[derive(Debug)]
 pub(super) struct Task {
-    pub(super) head: Head,
+    pub(super) chunk_fields: ChunkFields,
     pub(super) answer: u64,
     /// Index of the next token in the answer.
     pub(super) index: u32,
     pub(super) length: u32,
-    pub(super) reason: &'static str,
+    pub(super) finish_reason: &'static str,
     pub(super) wants_usage: bool,
     pub(super) usage: Usage,
     pub(super) fault: EngineFault,
@@ -55,7 +55,7 @@
 
 impl Task {
     /// Returns whether the client disconnected.
-    pub(super) fn is_left(&self) -> bool {
+    pub(super) fn is_client_gone(&self) -> bool {
         let unstarted = self.started.as_ref();
         if unstarted.is_some_and(oneshot::Sender::is_closed) {
             return true;
@@ -66,55 +66,58 @@
         }
     }
 
-    /// Generates and sends the next token; `bad` makes the marker that no rater accepts.
-    pub(super) fn emit(&mut self, bad: bool) -> Progress {
-        if self.cut() {
-            return Progress::Cut;
+    /// Generates and sends the next token; with `inadequate`, the marker is one that no rater
+    /// accepts.
+    pub(super) fn emit(&mut self, inadequate: bool) -> Progress {
+        if self.interrupt_if_due() {
+            return Progress::Interrupted;
         }
         if self.index >= self.length {
             self.finish();
             return Progress::Finished;
         }
-        let token = self.next_token(bad);
+        let token = self.next_token(inadequate);
         let first = self.usage.completion == 0;
         self.usage.completion += 1;
-        let left = match &mut self.output {
-            Output::Stream(pieces) => pieces.send(Ok(self.head.token(&token, first))).is_err(),
+        let disconnected = match &mut self.output {
+            Output::Stream(pieces) => pieces
+                .send(Ok(self.chunk_fields.token(&token, first)))
+                .is_err(),
             Output::Whole(_, text) => {
                 text.push_str(&token);
                 false
             }
         };
-        if left {
-            return Progress::Left;
+        if disconnected {
+            return Progress::ClientGone;
         }
         if self.index < self.length {
-            return Progress::GoesOn;
+            return Progress::Continues;
         }
         self.finish();
         Progress::Finished
     }
 
-    fn next_token(&mut self, bad: bool) -> String {
+    fn next_token(&mut self, inadequate: bool) -> String {
         if self.fault == EngineFault::CrossedAfter(self.usage.completion) {
-            self.cross();
+            self.switch_to_other_request();
         }
         let index = self.index;
         self.index += 1;
-        if bad && self.index == self.length {
+        if inadequate && self.index == self.length {
             return text::bad_marker();
         }
         text::token(self.answer, index, self.length)
     }
 
     /// Switches to another request's id and text.
-    pub(super) fn cross(&mut self) {
-        self.head = self.head.of_other();
-        self.answer ^= OTHER_ANSWER;
+    pub(super) fn switch_to_other_request(&mut self) {
+        self.chunk_fields = self.chunk_fields.for_other_request();
+        self.answer ^= OTHER_ANSWER_XOR;
     }
 
     /// Interrupts the answer if its fault is due, and returns whether it did.
-    fn cut(&mut self) -> bool {
+    fn interrupt_if_due(&mut self) -> bool {
         let done = self.usage.completion;
         match self.fault {
             EngineFault::Truncate(after) if done >= after => {}
@@ -128,7 +131,7 @@
         if let Output::Whole(sender, text) = &mut self.output
             && let Some(sender) = sender.take()
         {
-            let _ = sender.send(Whole::Cut(std::mem::take(text)));
+            let _ = sender.send(Whole::Interrupted(std::mem::take(text)));
         }
         true
     }
@@ -139,11 +142,11 @@
         match &mut self.output {
             Output::Stream(pieces) => {
                 if self.fault != EngineFault::NoFinish {
-                    let _ = pieces.send(Ok(self.head.finish(self.reason)));
+                    let _ = pieces.send(Ok(self.chunk_fields.finish(self.finish_reason)));
                 }
                 let mut end = Vec::new();
                 if self.wants_usage {
-                    end.extend_from_slice(&self.head.usage(usage));
+                    end.extend_from_slice(&self.chunk_fields.usage(usage));
                 }
                 end.extend_from_slice(&DONE);
                 let _ = pieces.send(Ok(Bytes::from(end)));
@@ -157,7 +160,7 @@
     }
 
     /// Breaks the connection of a streamed answer.
-    pub(super) fn sever(self) {
+    pub(super) fn break_connection(self) {
         if let Output::Stream(pieces) = self.output {
             let _ = pieces.send(Err(Broken));
         }
--- a/components/standins/src/engine/orders.rs
+++ b/components/standins/src/engine/orders.rs
@@ -70,7 +70,7 @@
     }
 
     /// Marks versions as loaded once their load time has passed.
-    pub(super) fn settle(&mut self, now: Time) {
+    pub(super) fn finish_loads(&mut self, now: Time) {
         let ready = self
             .loading
             .extract_if(.., |_, ready| now.has_reached(*ready));
@@ -78,8 +78,8 @@
     }
 
     /// Applies an order; returns whether it was accepted, and the reply.
-    pub(super) fn order(&mut self, now: Time, kind: &str, order: &Order) -> (bool, Reply) {
-        self.settle(now);
+    pub(super) fn apply(&mut self, now: Time, kind: &str, order: &Order) -> (bool, Reply) {
+        self.finish_loads(now);
         if self.checks_fencing && order.fencing < self.fencing {
             let body = json!({ "fencing": self.fencing });
             return (false, Reply::json(409, &body));
--- a/components/standins/src/engine/server.rs
+++ b/components/standins/src/engine/server.rs
@@ -52,7 +52,7 @@
         let mut state = self.shared.lock();
         change(&mut state.faults);
         if state.faults.down {
-            state.sever();
+            state.break_connections();
         }
     }
 
@@ -136,11 +136,11 @@
             }
             Err(reply) => reply,
         };
-        let echo = match fault {
+        let reply_id = match fault {
             EngineFault::Crossed | EngineFault::CrossedRefusal => OTHER_REQUEST,
             _ => &attempt,
         };
-        Some(reply.with("x-request-id", echo))
+        Some(reply.with("x-request-id", reply_id))
     }
 
     fn next_fault(&self) -> EngineFault {
@@ -211,24 +211,24 @@
             EngineFault::RefuseAfterRun => return Some(refuse(503, "failed", false)),
             _ => {}
         }
-        let echo = if fault.crosses_body() {
+        let reply_id = if fault.crosses_body() {
             OTHER_REQUEST
         } else {
             attempt
         };
-        let (text, cut) = match whole {
+        let (text, interrupted) = match whole {
             Whole::Finished(text) => (text, false),
-            Whole::Cut(text) => (text, true),
+            Whole::Interrupted(text) => (text, true),
         };
         let version = submitted.version;
         let mut usage = submitted.usage;
         usage.completion = submitted.tokens;
-        let mut body = wire::completion(echo, &version, &text, submitted.reason, usage);
+        let mut body = wire::completion(reply_id, &version, &text, submitted.finish_reason, usage);
         if submitted.logprobs {
             body["choices"][0]["logprobs"] = wire::logprobs(&text);
         }
-        Some(if cut {
-            cut_in_half(&body)
+        Some(if interrupted {
+            break_halfway(&body)
         } else {
             Reply::json(200, &body)
         })
@@ -240,8 +240,8 @@
             Err(e) => return invalid(&e.to_string()),
         };
         let mut state = self.lock();
-        let (done, reply) = state.loaded.order(self.clock.now(), kind, &order);
-        if done {
+        let (accepted, reply) = state.loaded.apply(self.clock.now(), kind, &order);
+        if accepted {
             state.counters.orders += 1;
         } else {
             state.counters.orders_refused += 1;
@@ -315,7 +315,7 @@
 }
 
 /// Builds a reply whose `Content-Length` is that of the full body but which breaks halfway.
-fn cut_in_half(body: &Value) -> Reply {
+fn break_halfway(body: &Value) -> Reply {
     let body = body.to_string();
     let (tx, pieces) = mpsc::unbounded_channel();
     let half = Bytes::copy_from_slice(&body.as_bytes()[..body.len() / 2]);
@@ -354,7 +354,7 @@
     /// Returns the load report, which may be as old as the configured lag.
     fn load(&mut self, now: Time) -> Value {
         self.counters.load_reports += 1;
-        self.loaded.settle(now);
+        self.loaded.finish_loads(now);
         let report = json!({
             "running": self.running(),
             "waiting": self.waiting(),
--- a/components/standins/src/engine/state.rs
+++ b/components/standins/src/engine/state.rs
@@ -6,17 +6,17 @@
 use tokio::sync::{mpsc, oneshot};
 use types::prelude::*;
 
-use super::batch::{Batch, Event, Job, JobId, Pace};
+use super::batch::{Batch, BatchPace, Event, Job, JobId};
 use super::cache::PrefixCache;
 use super::config::{EngineConfig, EngineCounters, EngineFault, EngineFaults, RunRecord};
 use super::job::{Output, Progress, Task, Whole};
 use super::orders::Loaded;
 use super::text;
-use super::wire::{ChatRequest, Head, Usage};
+use super::wire::{ChatRequest, ChunkFields, Usage};
 use crate::server::Piece;
 
 /// Interval between searches for requests whose client disconnected.
-const SWEEP: Span = Span::from_millis(20);
+const SWEEP_INTERVAL: Span = Span::from_millis(20);
 
 /// The state of an engine.
 #[derive(Debug)]
@@ -68,7 +68,7 @@
     pub(super) usage: Usage,
     /// Tokens to generate.
     pub(super) tokens: u32,
-    pub(super) reason: &'static str,
+    pub(super) finish_reason: &'static str,
     /// Whether the answer includes log probabilities.
     pub(super) logprobs: bool,
     /// Receives true once the request gets a slot, or false when it expired in the queue.
@@ -119,17 +119,17 @@
     }
 
     pub(super) fn slots(&self) -> u32 {
-        let taken = if self.loaded.is_loading() {
+        let unavailable = if self.loaded.is_loading() {
             self.cfg.load_slots
         } else {
             0
         };
-        self.cfg.slots.saturating_sub(taken).max(1)
+        self.cfg.slots.saturating_sub(unavailable).max(1)
     }
 
-    fn pace(&self) -> Pace {
+    fn pace(&self) -> BatchPace {
         let factor = self.faults.slow_factor.max(1);
-        Pace {
+        BatchPace {
             slots: self.slots() as usize,
             step: self.cfg.token_time.times(factor),
             step_per_running: self.cfg.token_time_per_running.times(factor),
@@ -138,7 +138,7 @@
 
     /// Queues a request, or returns why it is refused.
     pub(super) fn submit(&mut self, now: Time, arrival: Arrival) -> Result<Submitted, Refusal> {
-        self.loaded.settle(now);
+        self.loaded.finish_loads(now);
         if self.loaded.is_leaving() {
             return Err(Refusal::Leaving);
         }
@@ -159,31 +159,31 @@
         self.next_id += 1;
         let mut chat = arrival.chat;
         let partial = chat.take_partial();
-        let done = partial.tokens;
+        let start = partial.tokens;
         let usage = self.read_prompt(now, &chat);
-        let wanted = chat.tokens(self.cfg.answer_tokens.saturating_sub(done).max(1));
-        let length = done + wanted;
+        let new_tokens = chat.tokens(self.cfg.answer_tokens.saturating_sub(start).max(1));
+        let length = start + new_tokens;
         let job = Job {
             id,
             priority: chat.priority,
             deadline: arrival.deadline,
             prefill: self.prefill(usage, arrival.fault),
-            tokens: wanted,
+            tokens: new_tokens,
             stall_after: arrival.fault.stall_after(),
         };
         let (output, answer) = channels(chat.stream, arrival.fault);
         let (started_tx, started) = oneshot::channel();
-        let reason = if length < self.cfg.answer_tokens {
+        let finish_reason = if length < self.cfg.answer_tokens {
             "length"
         } else {
             "stop"
         };
         let mut task = Task {
-            head: Head::new(&arrival.attempt, &arrival.version),
+            chunk_fields: ChunkFields::new(&arrival.attempt, &arrival.version),
             answer: text::answer_hash(&arrival.version, &chat.messages),
-            index: if partial.has_ended { length } else { done },
+            index: if partial.has_ended { length } else { start },
             length,
-            reason,
+            finish_reason,
             wants_usage: chat.wants_usage(),
             usage,
             fault: arrival.fault,
@@ -191,7 +191,7 @@
             started: Some(started_tx),
         };
         if arrival.fault.is_crossed() {
-            task.cross();
+            task.switch_to_other_request();
         }
         let logprobs = chat.logprobs;
         let version = arrival.version;
@@ -199,7 +199,7 @@
             attempt: arrival.attempt,
             version: version.clone(),
             tag: text::tag(&chat.messages),
-            resumed: done > 0,
+            resumed: start > 0,
         };
         self.tasks.insert(id, (task, record));
         self.batch.submit(job);
@@ -207,8 +207,8 @@
             id,
             version,
             usage,
-            tokens: wanted,
-            reason,
+            tokens: new_tokens,
+            finish_reason,
             logprobs,
             started,
             answer,
@@ -231,19 +231,19 @@
     fn prefill(&self, usage: Usage, fault: EngineFault) -> Span {
         let uncached = usage.prompt - usage.cached;
         let read = Span(self.cfg.prefill_per_1000.0 * uncached / 1_000);
-        let late = match fault {
+        let fault_delay = match fault {
             EngineFault::Late(span) => span,
             _ => Span::ZERO,
         };
-        read + self.faults.delay + late
+        read + self.faults.delay + fault_delay
     }
 
     /// Assigns slots and generates the tokens that are due.
     pub(super) fn tick(&mut self, now: Time) {
-        self.loaded.settle(now);
+        self.loaded.finish_loads(now);
         if now.has_reached(self.next_sweep) {
             self.sweep();
-            self.next_sweep = now + SWEEP;
+            self.next_sweep = now + SWEEP_INTERVAL;
         }
         for event in self.batch.tick(now, self.pace()) {
             match event {
@@ -280,16 +280,16 @@
         };
         let progress = task.emit(self.faults.bad_answers);
         match progress {
-            Progress::GoesOn => {}
+            Progress::Continues => {}
             Progress::Finished => self.counters.finished += 1,
-            Progress::Cut => {}
-            Progress::Left => self.counters.cancelled += 1,
+            Progress::Interrupted => {}
+            Progress::ClientGone => self.counters.cancelled += 1,
         }
-        if matches!(progress, Progress::GoesOn | Progress::Finished) {
+        if matches!(progress, Progress::Continues | Progress::Finished) {
             self.counters.tokens += 1;
         }
-        if progress != Progress::GoesOn {
-            self.forget(id);
+        if progress != Progress::Continues {
+            self.drop_task(id);
         }
     }
 
@@ -301,7 +301,7 @@
         }
     }
 
-    fn forget(&mut self, id: JobId) {
+    fn drop_task(&mut self, id: JobId) {
         self.tasks.remove(&id);
         self.batch.cancel(id);
     }
@@ -310,24 +310,27 @@
     pub(super) fn cancel(&mut self, id: JobId) {
         if self.tasks.contains_key(&id) {
             self.counters.cancelled += 1;
-            self.forget(id);
+            self.drop_task(id);
         }
     }
 
     /// Frees the slots of requests whose client disconnected while no token was being sent.
     fn sweep(&mut self) {
-        let left = self.tasks.iter().filter(|(_, (task, _))| task.is_left());
-        let left = left.map(|(id, _)| *id).collect::<Vec<_>>();
-        for id in left {
+        let disconnected = self
+            .tasks
+            .iter()
+            .filter(|(_, (task, _))| task.is_client_gone());
+        let disconnected = disconnected.map(|(id, _)| *id).collect::<Vec<_>>();
+        for id in disconnected {
             self.cancel(id);
         }
     }
 
     /// Breaks the connections of all requests in flight.
-    pub(super) fn sever(&mut self) {
+    pub(super) fn break_connections(&mut self) {
         for (id, (task, _)) in std::mem::take(&mut self.tasks) {
             self.batch.cancel(id);
-            task.sever();
+            task.break_connection();
         }
     }
 }
@@ -335,8 +338,8 @@
 /// Creates the answer channel. Faults that discard the answer after the run buffer it even
 /// for a streamed request, so that the run completes before the fault.
 fn channels(stream: bool, fault: EngineFault) -> (Output, Answer) {
-    let hidden = matches!(fault, EngineFault::ResetAfter | EngineFault::RefuseAfterRun);
-    if stream && !hidden {
+    let discards_answer = matches!(fault, EngineFault::ResetAfter | EngineFault::RefuseAfterRun);
+    if stream && !discards_answer {
         let (pieces_tx, pieces) = mpsc::unbounded_channel();
         (Output::Stream(pieces_tx), Answer::Stream(pieces))
     } else {
--- a/components/standins/src/engine/text.rs
+++ b/components/standins/src/engine/text.rs
@@ -134,14 +134,14 @@
 }
 
 /// Share of the confidence that is independent of the answer's quality.
-const NOISE: f64 = 0.3;
+const NOISE_SHARE: f64 = 0.3;
 
 /// Returns the engine's reported confidence in an answer, from 0.001 to 1.
 #[must_use]
 pub fn confidence(answer: &str) -> Option<f64> {
     let noise = xxh3_64_with_seed(answer.as_bytes(), 1) as f64 / u64::MAX as f64;
-    let sure = (1.0 - marker(answer)?) * (1.0 - NOISE) + noise * NOISE;
-    Some(sure.clamp(0.001, 1.0))
+    let score = (1.0 - marker(answer)?) * (1.0 - NOISE_SHARE) + noise * NOISE_SHARE;
+    Some(score.clamp(0.001, 1.0))
 }
 
 /// Returns a marker that no rater finds adequate.
--- a/components/standins/src/engine/wire.rs
+++ b/components/standins/src/engine/wire.rs
@@ -57,10 +57,11 @@
         }
     }
 
-    /// Returns the number of tokens to generate: the requested limit, from 1 to `natural`.
-    pub(super) fn tokens(&self, natural: u32) -> u32 {
+    /// Returns the number of tokens to generate: the requested limit, from 1 to
+    /// `default_length`.
+    pub(super) fn tokens(&self, default_length: u32) -> u32 {
         let max = self.max_completion_tokens.or(self.max_tokens);
-        max.unwrap_or(natural).min(natural).max(1)
+        max.unwrap_or(default_length).min(default_length).max(1)
     }
 
     pub(super) fn wants_usage(&self) -> bool {
@@ -90,13 +91,13 @@
 
 /// The fields that are the same in every chunk of an answer.
 #[derive(Debug, Clone)]
-pub(super) struct Head {
+pub(super) struct ChunkFields {
     /// The id as JSON text, quotes included.
     id: String,
     model: String,
 }
 
-impl Head {
+impl ChunkFields {
     pub(super) fn new(id: &str, version: &VersionId) -> Self {
         Self {
             id: Value::from(id).to_string(),
@@ -105,9 +106,9 @@
     }
 
     /// Returns the same fields with the id of another request.
-    pub(super) fn of_other(&self) -> Self {
+    pub(super) fn for_other_request(&self) -> Self {
         Self {
-            id: OTHER_ID.to_owned(),
+            id: OTHER_ID_JSON.to_owned(),
             model: self.model.clone(),
         }
     }
@@ -140,7 +141,7 @@
 }
 
 /// The id in another request's answer as JSON text, quotes included.
-const OTHER_ID: &str = "\"of-another-request\"";
+const OTHER_ID_JSON: &str = "\"of-another-request\"";
 /// The id in another request's answer.
 pub(super) const OTHER_REQUEST: &str = "of-another-request";
 
@@ -151,8 +152,8 @@
 /// engine's confidence. The higher it is, the likelier the rater finds the answer adequate,
 /// but never with certainty.
 pub(super) fn logprobs(text: &str) -> Value {
-    let sure = confidence(text).unwrap_or(0.5);
-    json!({ "content": [{ "token": text, "logprob": sure.ln(), "top_logprobs": [] }] })
+    let score = confidence(text).unwrap_or(0.5);
+    json!({ "content": [{ "token": text, "logprob": score.ln(), "top_logprobs": [] }] })
 }
 
 /// Formats the body of an answer that is not streamed.
