--- a/components/standins/src/engine/job.rs
+++ b/components/standins/src/engine/job.rs
@@ -6,7 +6,7 @@
 use super::config::EngineFault;
 use super::text;
 use super::wire::{ChunkFields, DONE, Usage};
-use crate::server::{Broken, Piece, break_soon};
+use crate::server::{Broken, Piece, break_after_delay};
 
 /// XORed with an answer's hash to get the hash of a made-up other request's answer.
 const OTHER_ANSWER_XOR: u64 = 0x9e37_79b9_7f4a_7c15;
@@ -123,7 +123,7 @@
             EngineFault::Truncate(after) if done >= after => {}
             EngineFault::Break(after) if done >= after => {
                 if let Output::Stream(pieces) = &self.output {
-                    break_soon(pieces.clone());
+                    break_after_delay(pieces.clone());
                 }
             }
             _ => return false,
--- a/components/standins/src/engine/server.rs
+++ b/components/standins/src/engine/server.rs
@@ -16,7 +16,7 @@
 use super::orders::Order;
 use super::state::{Answer, Arrival, Refusal, State, Submitted};
 use super::wire::{self, ChatRequest, OTHER_REQUEST};
-use crate::server::{Call, Handler, Reply, Server, break_soon};
+use crate::server::{Call, Handler, Reply, Server, break_after_delay};
 
 /// A running stand-in engine.
 #[derive(Debug)]
@@ -321,7 +321,7 @@
     let half = Bytes::copy_from_slice(&body.as_bytes()[..body.len() / 2]);
     // Can't fail: this function still holds the receiver.
     let _ = tx.send(Ok(half));
-    break_soon(tx);
+    break_after_delay(tx);
     Reply::stream("application/json", pieces).with("content-length", body.len())
 }
 
--- a/components/standins/src/hosts.rs
+++ b/components/standins/src/hosts.rs
@@ -60,7 +60,7 @@
             clock: Clock::new(),
             lag: cfg.lag,
             state: Mutex::new(State {
-                shown: live.collect(),
+                listed: live.collect(),
                 ..State::default()
             }),
         });
@@ -76,9 +76,9 @@
 
     /// Changes a host's state; readers see the change after the lag.
     pub fn set(&self, host: SocketAddr, state: HostState) {
-        let shown_from = self.shared.clock.now() + self.shared.lag;
-        let mut held = self.shared.lock();
-        held.coming.push_back((shown_from, host, state));
+        let visible_from = self.shared.clock.now() + self.shared.lag;
+        let mut guard = self.shared.lock();
+        guard.pending.push_back((visible_from, host, state));
     }
 
     /// Sets whether connections are closed without an answer.
@@ -101,8 +101,8 @@
 
 #[derive(Debug, Default)]
 struct State {
-    shown: BTreeMap<SocketAddr, HostState>,
-    coming: VecDeque<(Time, SocketAddr, HostState)>,
+    listed: BTreeMap<SocketAddr, HostState>,
+    pending: VecDeque<(Time, SocketAddr, HostState)>,
     down: bool,
 }
 
@@ -113,16 +113,16 @@
 }
 
 impl State {
-    fn settle(&mut self, now: Time) {
-        while self.coming.front().is_some_and(|c| now.has_reached(c.0)) {
-            if let Some((_, host, state)) = self.coming.pop_front() {
-                self.shown.insert(host, state);
+    fn apply_due_changes(&mut self, now: Time) {
+        while self.pending.front().is_some_and(|c| now.has_reached(c.0)) {
+            if let Some((_, host, state)) = self.pending.pop_front() {
+                self.listed.insert(host, state);
             }
         }
     }
 
     fn list(&self) -> Value {
-        let hosts = self.shown.iter().filter_map(|(host, state)| {
+        let hosts = self.listed.iter().filter_map(|(host, state)| {
             let state = match state {
                 HostState::Live => "live",
                 HostState::Leaving => "leaving",
@@ -141,7 +141,7 @@
         if state.down {
             return None;
         }
-        state.settle(now);
+        state.apply_due_changes(now);
         Some(Reply::json(200, &state.list()))
     }
 }
--- a/components/standins/src/limit.rs
+++ b/components/standins/src/limit.rs
@@ -7,13 +7,13 @@
 
 /// Limits the calls in each second of the stand-in's clock.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct RateCap {
+pub(crate) struct RateLimit {
     max: u32,
     second: u64,
     calls: u32,
 }
 
-impl RateCap {
+impl RateLimit {
     /// Creates a limit of `max` calls per second; 0 is no limit.
     pub(crate) fn new(max: u32) -> Self {
         Self {
@@ -23,7 +23,7 @@
     }
 
     /// Counts a call and returns whether it is within the limit.
-    pub(crate) fn take(&mut self, now: Time) -> bool {
+    pub(crate) fn try_acquire(&mut self, now: Time) -> bool {
         let second = now.since(Time::ZERO).as_millis() / 1_000;
         if second != self.second {
             self.second = second;
@@ -40,7 +40,7 @@
 }
 
 /// Builds a 429 reply with a `Retry-After` header.
-pub(crate) fn too_many() -> Reply {
+pub(crate) fn too_many_requests() -> Reply {
     let body = json!({ "error": "too many requests" });
     Reply::json(429, &body).with("retry-after", 1)
 }
--- a/components/standins/src/plain.rs
+++ b/components/standins/src/plain.rs
@@ -171,7 +171,7 @@
         };
         match fault {
             PlainFault::ResetBefore => return None,
-            PlainFault::Refuse(says_so) => return Some(refuse(says_so)),
+            PlainFault::Refuse(not_run) => return Some(refuse(not_run)),
             _ => {}
         }
         let effects = self.lock().run(&call);
@@ -193,9 +193,9 @@
     }
 }
 
-fn refuse(says_so: bool) -> Reply {
+fn refuse(not_run: bool) -> Reply {
     let reply = Reply::json(503, &json!({ "error": "busy" }));
-    if says_so {
+    if not_run {
         reply.with("x-not-run", "true")
     } else {
         reply
--- a/components/standins/src/rater.rs
+++ b/components/standins/src/rater.rs
@@ -14,7 +14,7 @@
 use types::prelude::*;
 
 use crate::engine::text;
-use crate::limit::RateCap;
+use crate::limit::RateLimit;
 use crate::server::{Call, Handler, Reply, Server};
 
 /// Configuration of a stand-in rater.
@@ -60,7 +60,7 @@
         let shared = Arc::new(Shared {
             clock: Clock::new(),
             state: Mutex::new(State {
-                cap: RateCap::new(cfg.max_ratings),
+                rate_limit: RateLimit::new(cfg.max_ratings),
                 lag: cfg.lag,
                 default_quality: cfg.default_quality,
                 quality: cfg.quality.clone(),
@@ -121,7 +121,7 @@
 
 #[derive(Debug)]
 struct State {
-    cap: RateCap,
+    rate_limit: RateLimit,
     lag: Span,
     default_quality: f64,
     quality: BTreeMap<(VersionId, ClassName), f64>,
@@ -130,6 +130,7 @@
     refused: u64,
 }
 
+/// A request to rate an answer. Replies to invalid bodies quote the type's name.
 #[derive(Debug, Deserialize)]
 struct Question {
     class: ClassName,
@@ -144,18 +145,18 @@
 }
 
 impl State {
-    fn rate(&mut self, question: Question) -> bool {
-        *self.ratings.entry(question.version.clone()).or_default() += 1;
-        let key = (question.version, question.class);
+    fn rate(&mut self, request: Question) -> bool {
+        *self.ratings.entry(request.version.clone()).or_default() += 1;
+        let key = (request.version, request.class);
         let quality = self.quality.get(&key).unwrap_or(&self.default_quality);
-        text::marker(&question.answer).is_some_and(|marker| marker < *quality)
+        text::marker(&request.answer).is_some_and(|marker| marker < *quality)
     }
 }
 
 impl Handler for Shared {
     async fn handle(self: Arc<Self>, call: Call) -> Option<Reply> {
-        let question = match serde_json::from_slice::<Question>(&call.body) {
-            Ok(question) => question,
+        let request = match serde_json::from_slice::<Question>(&call.body) {
+            Ok(request) => request,
             Err(e) => return Some(Reply::json(400, &json!({ "error": e.to_string() }))),
         };
         let lag = {
@@ -163,14 +164,14 @@
             if state.down {
                 return None;
             }
-            if !state.cap.take(self.clock.now()) {
+            if !state.rate_limit.try_acquire(self.clock.now()) {
                 state.refused += 1;
-                return Some(crate::limit::too_many());
+                return Some(crate::limit::too_many_requests());
             }
             state.lag
         };
         tokio::time::sleep(lag.to_duration()).await;
-        let adequate = self.lock().rate(question);
+        let adequate = self.lock().rate(request);
         Some(Reply::json(200, &json!({ "adequate": adequate })))
     }
 }
--- a/components/standins/src/server.rs
+++ b/components/standins/src/server.rs
@@ -24,9 +24,9 @@
 /// Largest request body accepted; a larger one breaks the connection.
 const MAX_BODY_BYTES: usize = 32 << 20;
 /// Length of the queue of connections that wait to be accepted.
-const BACKLOG: i32 = 4096;
+const ACCEPT_BACKLOG: i32 = 4096;
 /// Delay after a failed accept.
-const ACCEPT_RETRY: Duration = Duration::from_millis(5);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
 /// Stack size of a stand-in's thread.
 const STACK_BYTES: usize = 1 << 20;
 
@@ -130,7 +130,7 @@
 
 /// Breaks a streamed reply after a delay in which the pieces so far are sent. Must be called
 /// from the server's runtime.
-pub fn break_soon(pieces: mpsc::UnboundedSender<Piece>) {
+pub fn break_after_delay(pieces: mpsc::UnboundedSender<Piece>) {
     tokio::spawn(async move {
         tokio::time::sleep(BREAK_DELAY).await;
         // Fails when the client has disconnected, which needs no break.
@@ -243,7 +243,7 @@
     let socket = socket2::Socket::new(domain, socket2::Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(ACCEPT_BACKLOG)?;
     socket.set_nonblocking(true)?;
     Ok(socket.into())
 }
@@ -267,7 +267,7 @@
     loop {
         // The client disconnected or file descriptors ran out; a later accept may succeed.
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_RETRY).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let _ = stream.set_nodelay(true);
--- a/components/standins/src/store/state.rs
+++ b/components/standins/src/store/state.rs
@@ -8,7 +8,7 @@
 use super::faults::{StoreCounters, StoreFaults};
 use super::json::{self, BadRequest};
 use super::table::{Change, LEASE_NOT_FOUND, RawOp, RawReply, RawTxn, Table};
-use crate::limit::RateCap;
+use crate::limit::RateLimit;
 use crate::server::{Piece, Reply};
 
 #[derive(Debug, Default)]
@@ -18,8 +18,8 @@
     pub(super) counters: StoreCounters,
     pub(super) watchers: Vec<Watcher>,
     pub(super) published: i64,
-    pub(super) reads: RateCap,
-    pub(super) writes: RateCap,
+    pub(super) reads: RateLimit,
+    pub(super) writes: RateLimit,
 }
 
 #[derive(Debug)]
@@ -96,7 +96,7 @@
             (&mut self.reads, self.faults.max_reads)
         };
         cap.set(max);
-        !cap.take(now)
+        !cap.try_acquire(now)
     }
 
     pub(super) fn run(&mut self, now: Time, command: &Command) -> Reply {
--- a/components/standins/src/weights.rs
+++ b/components/standins/src/weights.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 use types::prelude::*;
 
-use crate::limit::{RateCap, too_many};
+use crate::limit::{RateLimit, too_many_requests};
 use crate::server::{Call, Handler, Reply, Server};
 
 /// Configuration of a stand-in weight store.
@@ -46,7 +46,7 @@
         let shared = Arc::new(Shared {
             clock: Clock::new(),
             state: Mutex::new(State {
-                cap: RateCap::new(cfg.max_slots),
+                rate_limit: RateLimit::new(cfg.max_slots),
                 ..State::default()
             }),
         });
@@ -68,7 +68,7 @@
 
     /// Changes how many slots are granted per second; 0 is no limit.
     pub fn set_max_slots(&self, max: u32) {
-        self.shared.lock().cap.set(max);
+        self.shared.lock().rate_limit.set(max);
     }
 
     /// Sets whether connections are closed without an answer.
@@ -90,12 +90,13 @@
 
 #[derive(Debug, Default)]
 struct State {
-    cap: RateCap,
+    rate_limit: RateLimit,
     slots: BTreeMap<VersionId, u64>,
-    given: u64,
+    granted: u64,
     down: bool,
 }
 
+/// A request for a load slot. Replies to invalid bodies quote the type's name.
 #[derive(Debug, Deserialize)]
 struct Wanted {
     version: VersionId,
@@ -109,19 +110,19 @@
 
 impl Handler for Shared {
     async fn handle(self: Arc<Self>, call: Call) -> Option<Reply> {
-        let wanted = match serde_json::from_slice::<Wanted>(&call.body) {
-            Ok(wanted) => wanted,
+        let request = match serde_json::from_slice::<Wanted>(&call.body) {
+            Ok(request) => request,
             Err(e) => return Some(Reply::json(400, &json!({ "error": e.to_string() }))),
         };
         let mut state = self.lock();
         if state.down {
             return None;
         }
-        if !state.cap.take(self.clock.now()) {
-            return Some(too_many());
+        if !state.rate_limit.try_acquire(self.clock.now()) {
+            return Some(too_many_requests());
         }
-        state.given += 1;
-        *state.slots.entry(wanted.version).or_default() += 1;
-        Some(Reply::json(200, &json!({ "slot": state.given })))
+        state.granted += 1;
+        *state.slots.entry(request.version).or_default() += 1;
+        Some(Reply::json(200, &json!({ "slot": state.granted })))
     }
 }
