--- a/components/standins/src/store/json.rs
+++ b/components/standins/src/store/json.rs
@@ -58,24 +58,27 @@
         .map_err(|_| format!("{name} is not UTF-8, which this stand-in wants of keys"))
 }
 
-pub(super) fn needed_key(value: &Value) -> Result<String, BadRequest> {
+pub(super) fn required_key(value: &Value) -> Result<String, BadRequest> {
     key(value, "key")?.ok_or_else(|| "etcdserver: key is not provided".to_owned())
 }
 
 pub(super) fn range_op(value: &Value) -> Result<RawOp, BadRequest> {
     let limit = usize::try_from(number(value, "limit")?).unwrap_or(0);
     let end = key(value, "range_end")?;
-    Ok(RawOp::Range(needed_key(value)?, end, limit))
+    Ok(RawOp::Range(required_key(value)?, end, limit))
 }
 
 pub(super) fn put_op(value: &Value) -> Result<RawOp, BadRequest> {
     let text = bytes(value, "value")?.unwrap_or_default();
     let lease = number(value, "lease")?;
-    Ok(RawOp::Put(needed_key(value)?, text, lease))
+    Ok(RawOp::Put(required_key(value)?, text, lease))
 }
 
 pub(super) fn delete_op(value: &Value) -> Result<RawOp, BadRequest> {
-    Ok(RawOp::Delete(needed_key(value)?, key(value, "range_end")?))
+    Ok(RawOp::Delete(
+        required_key(value)?,
+        key(value, "range_end")?,
+    ))
 }
 
 pub(super) fn txn(value: &Value) -> Result<RawTxn, BadRequest> {
@@ -134,7 +137,7 @@
         other => return Err(format!("{other} is no result of a compare")),
     };
     Ok(RawCompare {
-        key: needed_key(value)?,
+        key: required_key(value)?,
         target,
         holds,
     })
@@ -207,8 +210,8 @@
         body["succeeded"] = json!(true);
     }
     if !replies.is_empty() {
-        let responses = replies.iter().map(|step| {
-            let (name, value) = reply(step, revision);
+        let responses = replies.iter().map(|op_reply| {
+            let (name, value) = reply(op_reply, revision);
             json!({ name: value })
         });
         body["responses"] = responses.collect();
--- a/components/standins/src/store/server.rs
+++ b/components/standins/src/store/server.rs
@@ -10,12 +10,12 @@
 
 use super::faults::{StoreCounters, StoreFaults};
 use super::json::{self, BadRequest};
-use super::state::{Command, Fate, State, error};
+use super::state::{Action, Command, State, error};
 use super::table::Table;
 use crate::server::{Call, Handler, Reply, Server};
 
 /// Interval between searches for expired leases and disconnected watches.
-const SWEEP: Duration = Duration::from_millis(50);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Configuration of a stand-in store.
 #[derive(Debug, Clone)]
@@ -100,23 +100,23 @@
     }
 
     async fn command(self: Arc<Self>, command: Command) -> Option<Reply> {
-        let fate = self.lock().fate(&command, self.clock.now());
-        match fate {
-            Fate::Close => None,
-            Fate::Cap => Some(error(429, 8, "too many requests")),
-            Fate::Do { delay, reply } => {
+        let action = self.lock().action(&command, self.clock.now());
+        match action {
+            Action::Close => None,
+            Action::RateLimited => Some(error(429, 8, "too many requests")),
+            Action::Run { delay, reply } => {
                 // A separate task, so that the call takes effect even if its client disconnects.
-                let done = tokio::spawn(self.after(delay, command)).await.ok();
+                let done = tokio::spawn(self.run_after(delay, command)).await.ok();
                 done.filter(|_| reply)
             }
-            Fate::Late(delay) => {
-                tokio::spawn(self.after(delay, command));
+            Action::RunLater(delay) => {
+                tokio::spawn(self.run_after(delay, command));
                 None
             }
         }
     }
 
-    async fn after(self: Arc<Self>, delay: Span, command: Command) -> Reply {
+    async fn run_after(self: Arc<Self>, delay: Span, command: Command) -> Reply {
         if delay > Span::ZERO {
             tokio::time::sleep(delay.to_duration()).await;
         }
@@ -131,7 +131,7 @@
     fn watch(&self, body: &Value) -> Result<Option<Reply>, BadRequest> {
         let missing = || "create_request is missing".to_owned();
         let create = json::field(body, "create_request").ok_or_else(missing)?;
-        let start = json::needed_key(create)?;
+        let start = json::required_key(create)?;
         let end = json::key(create, "range_end")?;
         let from = json::number(create, "start_revision")?;
         let mut state = self.lock();
@@ -140,7 +140,7 @@
             return Ok(None);
         }
         state.counters.watches += 1;
-        Ok(Some(state.begin_watch(start, end, from)))
+        Ok(Some(state.start_watch(start, end, from)))
     }
 }
 
@@ -163,7 +163,7 @@
     }
 
     async fn background(self: Arc<Self>) {
-        let mut sweep = tokio::time::interval(SWEEP);
+        let mut sweep = tokio::time::interval(SWEEP_INTERVAL);
         loop {
             sweep.tick().await;
             let now = self.clock.now();
--- a/components/standins/src/store/state.rs
+++ b/components/standins/src/store/state.rs
@@ -18,8 +18,8 @@
     pub(super) counters: StoreCounters,
     pub(super) watchers: Vec<Watcher>,
     pub(super) published: i64,
-    pub(super) reads: RateLimit,
-    pub(super) writes: RateLimit,
+    pub(super) read_limit: RateLimit,
+    pub(super) write_limit: RateLimit,
 }
 
 #[derive(Debug)]
@@ -32,7 +32,7 @@
 /// A parsed call.
 #[derive(Debug, Clone)]
 pub(super) enum Command {
-    Step(RawOp),
+    Op(RawOp),
     Txn(RawTxn),
     Grant { ttl: Span, id: i64 },
     KeepAlive(i64),
@@ -40,48 +40,52 @@
 }
 
 /// How a call is handled under the current faults.
-pub(super) enum Fate {
+pub(super) enum Action {
+    /// Close the connection without running the call.
     Close,
-    Cap,
-    Do { delay: Span, reply: bool },
-    Late(Span),
+    /// Refuse the call over the rate limit.
+    RateLimited,
+    /// Run the call after a delay, and reply or close the connection.
+    Run { delay: Span, reply: bool },
+    /// Close the connection immediately and run the call after this delay.
+    RunLater(Span),
 }
 
 impl State {
-    pub(super) fn fate(&mut self, command: &Command, now: Time) -> Fate {
+    pub(super) fn action(&mut self, command: &Command, now: Time) -> Action {
         if self.faults.down {
             self.counters.dropped += 1;
-            return Fate::Close;
+            return Action::Close;
         }
         self.count(command);
-        let writes = command.writes();
-        if self.is_capped(writes, now) {
+        let writes = command.is_write();
+        if self.exceeds_rate_limit(writes, now) {
             self.counters.capped += 1;
-            return Fate::Cap;
+            return Action::RateLimited;
         }
         let delay = self.faults.delay;
         if writes && self.faults.delayed_effects > 0 {
             self.faults.delayed_effects -= 1;
-            return Fate::Late(self.faults.effect_delay);
+            return Action::RunLater(self.faults.effect_delay);
         }
         if writes && self.faults.lost_replies > 0 {
             self.faults.lost_replies -= 1;
-            return Fate::Do {
+            return Action::Run {
                 delay,
                 reply: false,
             };
         }
-        Fate::Do { delay, reply: true }
+        Action::Run { delay, reply: true }
     }
 
     fn count(&mut self, command: &Command) {
         let counters = &mut self.counters;
         match command {
-            Command::Step(RawOp::Range(..)) => counters.ranges += 1,
-            Command::Step(_) => counters.puts += 1,
+            Command::Op(RawOp::Range(..)) => counters.ranges += 1,
+            Command::Op(_) => counters.puts += 1,
             Command::Txn(_) => {
                 counters.txns += 1;
-                counters.write_txns += u64::from(command.writes());
+                counters.write_txns += u64::from(command.is_write());
             }
             Command::Grant { .. } => counters.lease_grants += 1,
             Command::KeepAlive(_) => counters.lease_renewals += 1,
@@ -89,19 +93,19 @@
         }
     }
 
-    fn is_capped(&mut self, writes: bool, now: Time) -> bool {
-        let (cap, max) = if writes {
-            (&mut self.writes, self.faults.max_writes)
+    fn exceeds_rate_limit(&mut self, writes: bool, now: Time) -> bool {
+        let (limit, max) = if writes {
+            (&mut self.write_limit, self.faults.max_writes)
         } else {
-            (&mut self.reads, self.faults.max_reads)
+            (&mut self.read_limit, self.faults.max_reads)
         };
-        cap.set(max);
-        !cap.try_acquire(now)
+        limit.set(max);
+        !limit.try_acquire(now)
     }
 
     pub(super) fn run(&mut self, now: Time, command: &Command) -> Reply {
         match command {
-            Command::Step(op) => self.step(op),
+            Command::Op(op) => self.run_op(op),
             Command::Txn(txn) => match self.table.txn(txn) {
                 Ok((succeeded, replies)) => Reply::json(
                     200,
@@ -129,7 +133,7 @@
         }
     }
 
-    fn step(&mut self, op: &RawOp) -> Reply {
+    fn run_op(&mut self, op: &RawOp) -> Reply {
         let txn = RawTxn {
             success: vec![op.clone()],
             ..RawTxn::default()
@@ -147,7 +151,7 @@
         json!({ "header": json::header(self.table.revision()) })
     }
 
-    pub(super) fn begin_watch(&mut self, start: String, end: Option<String>, from: i64) -> Reply {
+    pub(super) fn start_watch(&mut self, start: String, end: Option<String>, from: i64) -> Reply {
         self.publish();
         let (lines, pieces) = mpsc::unbounded_channel();
         let header = json::header(self.table.revision());
@@ -155,11 +159,11 @@
             &lines,
             &json!({ "result": { "header": header, "created": true } }),
         );
-        let past = match from {
+        let past_changes = match from {
             0 => Ok(Vec::new()),
             _ => self.table.changes(from, &start, end.as_deref()),
         };
-        match past {
+        match past_changes {
             Ok(changes) => {
                 self.counters.watch_events += changes.len() as u64;
                 send_changes(&lines, &changes, self.table.revision());
@@ -185,13 +189,13 @@
         }
         let from = self.published + 1;
         self.published = revision;
-        let dropped = self.gap(from);
+        let withheld = self.take_watch_gap(from);
         self.watchers.retain(|watcher| {
             let changes = self
                 .table
                 .changes(from, &watcher.start, watcher.end.as_deref());
             let mut changes = changes.unwrap_or_default();
-            changes.retain(|change| !dropped.contains(change));
+            changes.retain(|change| !withheld.contains(change));
             self.counters.watch_events += changes.len() as u64;
             send_changes(&watcher.lines, &changes, revision);
             !watcher.lines.is_closed()
@@ -199,7 +203,7 @@
     }
 
     /// Takes the changes to withhold from watches off the `watch_gap` fault.
-    fn gap(&mut self, from: i64) -> Vec<Change> {
+    fn take_watch_gap(&mut self, from: i64) -> Vec<Change> {
         if self.faults.watch_gap == 0 {
             return Vec::new();
         }
@@ -216,9 +220,9 @@
 impl Command {
     pub(super) fn parse(path: &str, body: &Value) -> Result<Option<Self>, BadRequest> {
         Ok(Some(match path {
-            "/v3/kv/range" => Self::Step(json::range_op(body)?),
-            "/v3/kv/put" => Self::Step(json::put_op(body)?),
-            "/v3/kv/deleterange" => Self::Step(json::delete_op(body)?),
+            "/v3/kv/range" => Self::Op(json::range_op(body)?),
+            "/v3/kv/put" => Self::Op(json::put_op(body)?),
+            "/v3/kv/deleterange" => Self::Op(json::delete_op(body)?),
             "/v3/kv/txn" => Self::Txn(json::txn(body)?),
             "/v3/lease/grant" => Self::Grant {
                 ttl: Span::from_secs(u64::try_from(json::number(body, "TTL")?).unwrap_or(1)),
@@ -230,25 +234,25 @@
         }))
     }
 
-    fn writes(&self) -> bool {
+    fn is_write(&self) -> bool {
         match self {
-            Self::Step(op) => op_writes(op),
-            Self::Txn(txn) => txn_writes(txn),
+            Self::Op(op) => op_is_write(op),
+            Self::Txn(txn) => txn_is_write(txn),
             Self::Grant { .. } | Self::KeepAlive(_) | Self::Revoke(_) => true,
         }
     }
 }
 
-fn op_writes(op: &RawOp) -> bool {
+fn op_is_write(op: &RawOp) -> bool {
     match op {
         RawOp::Put(..) | RawOp::Delete(..) => true,
         RawOp::Range(..) => false,
-        RawOp::Txn(txn) => txn_writes(txn),
+        RawOp::Txn(txn) => txn_is_write(txn),
     }
 }
 
-fn txn_writes(txn: &RawTxn) -> bool {
-    txn.success.iter().chain(&txn.failure).any(op_writes)
+fn txn_is_write(txn: &RawTxn) -> bool {
+    txn.success.iter().chain(&txn.failure).any(op_is_write)
 }
 
 fn send(lines: &mpsc::UnboundedSender<Piece>, value: &Value) {
--- a/components/standins/src/store/table.rs
+++ b/components/standins/src/store/table.rs
@@ -176,7 +176,7 @@
     /// # Errors
     /// Returns the store's message if it refuses the transaction, which then has no effect.
     pub fn txn(&mut self, txn: &RawTxn) -> Result<(bool, Vec<RawReply>), String> {
-        check::check(txn)?;
+        check::check_txn(txn)?;
         self.check_leases(txn)?;
         let plan = self.plan(txn);
         let revision = self.revision + 1;
@@ -184,7 +184,7 @@
         if self.history.back().is_some_and(|c| c.revision == revision) {
             self.revision = revision;
         }
-        self.bound_history();
+        self.trim_history();
         Ok(reply)
     }
 
@@ -247,7 +247,7 @@
                     RawReply::Range(items, count)
                 }
                 RawOp::Txn(txn) => {
-                    let plan = inner.next().expect("a plan was made for each inner one");
+                    let plan = inner.next().expect("each nested transaction has a plan");
                     let (holds, replies) = self.apply(txn, plan, revision);
                     RawReply::Txn(holds, replies)
                 }
@@ -288,7 +288,7 @@
         });
     }
 
-    fn bound_history(&mut self) {
+    fn trim_history(&mut self) {
         while self.history.len() > HISTORY_CHANGES {
             if let Some(change) = self.history.pop_front() {
                 self.compacted = change.revision;
@@ -325,13 +325,17 @@
 
     /// Grants a lease and returns its id; for id 0 the store chooses a free one.
     pub fn grant(&mut self, now: Time, ttl: Span, id: i64) -> i64 {
-        let id = if id == 0 { self.fresh_lease() } else { id };
+        let id = if id == 0 {
+            self.next_free_lease_id()
+        } else {
+            id
+        };
         let expires = now + ttl;
         self.leases.insert(id, Lease { ttl, expires });
         id
     }
 
-    fn fresh_lease(&mut self) -> i64 {
+    fn next_free_lease_id(&mut self) -> i64 {
         while self.leases.contains_key(&self.next_lease) {
             self.next_lease += 1;
         }
@@ -360,7 +364,7 @@
             self.items.remove(&key);
             self.record(&key, None, self.revision);
         }
-        self.bound_history();
+        self.trim_history();
         true
     }
 
--- a/components/standins/src/store/table/call.rs
+++ b/components/standins/src/store/table/call.rs
@@ -17,14 +17,14 @@
     /// Returns [`CallError::Refused`] if the store refuses the request.
     pub fn call(&mut self, now: Time, req: &Request) -> Outcome {
         self.expire(now);
-        let reply = self.reply(now, req)?;
+        let reply = self.execute(now, req)?;
         let revision = ModRevision(self.revision);
         Ok(Answer { revision, reply })
     }
 
-    fn reply(&mut self, now: Time, req: &Request) -> Result<Reply, CallError> {
+    fn execute(&mut self, now: Time, req: &Request) -> Result<Reply, CallError> {
         Ok(match req {
-            Request::Range(range) => Reply::Range(self.read(range)),
+            Request::Range(range) => Reply::Range(self.read_range(range)),
             Request::Txn(txn) => {
                 let (succeeded, replies) = self.txn(&raw_txn(txn)).map_err(CallError::Refused)?;
                 Reply::Txn(txn_reply(succeeded, replies))
@@ -38,7 +38,7 @@
         })
     }
 
-    fn read(&self, range: &Range) -> Vec<KeyValue> {
+    fn read_range(&self, range: &Range) -> Vec<KeyValue> {
         let (start, end) = bounds(range);
         let (items, _) = self.range(&start, end.as_deref(), range.limit as usize);
         items.iter().map(|(k, item)| key_value(k, item)).collect()
--- a/components/standins/src/store/table/check.rs
+++ b/components/standins/src/store/table/check.rs
@@ -9,22 +9,22 @@
 const MAX_TXN_OPS: usize = 128;
 
 /// Checks that the transaction is not too large and writes no key twice.
-pub(super) fn check(txn: &RawTxn) -> Result<(), String> {
+pub(super) fn check_txn(txn: &RawTxn) -> Result<(), String> {
     check_size(txn, MAX_TXN_OPS)?;
-    writes(&txn.success)?;
-    writes(&txn.failure)?;
+    written_keys(&txn.success)?;
+    written_keys(&txn.failure)?;
     Ok(())
 }
 
-fn check_size(txn: &RawTxn, left: usize) -> Result<(), String> {
+fn check_size(txn: &RawTxn, remaining: usize) -> Result<(), String> {
     let branches = txn.success.len().max(txn.failure.len());
     let ops = txn.compare.len().max(branches);
-    if ops > left {
+    if ops > remaining {
         return Err("etcdserver: too many operations in txn request".to_owned());
     }
     for op in txn.success.iter().chain(&txn.failure) {
         if let RawOp::Txn(inner) = op {
-            check_size(inner, left - ops)?;
+            check_size(inner, remaining - ops)?;
         }
     }
     Ok(())
@@ -32,15 +32,15 @@
 
 /// Returns the keys that some operations may put. Fails if a key may be put twice, or put
 /// and deleted by a range among the same operations.
-fn writes(ops: &[RawOp]) -> Result<BTreeSet<String>, String> {
+fn written_keys(ops: &[RawOp]) -> Result<BTreeSet<String>, String> {
     let mut puts = BTreeSet::new();
     for op in ops {
         let new = match op {
             RawOp::Put(key, _, _) => BTreeSet::from([key.clone()]),
             RawOp::Txn(inner) => {
-                let mut either = writes(&inner.success)?;
-                either.extend(writes(&inner.failure)?);
-                either
+                let mut keys = written_keys(&inner.success)?;
+                keys.extend(written_keys(&inner.failure)?);
+                keys
             }
             _ => continue,
         };
