--- a/components/standins/tests/services.rs
+++ b/components/standins/tests/services.rs
@@ -1,4 +1,4 @@
-//! The smaller stand-ins: rater, weight store and host list.
+//! Tests the smaller stand-ins: rater, weight store and host list.
 
 use serde_json::{Value, json};
 use standins::engine::text;
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn errors_over_the_weight_stores_rate() {
+fn errors_over_the_rate_limit_of_the_weight_store() {
     let weights = WeightStore::start(&WeightsConfig {
         max_slots: 1,
         ..WeightsConfig::default()
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn can_show_hosts_that_leave() {
+fn can_list_live_leaving_and_gone_hosts() {
     let host = "127.0.0.1:9000".parse().unwrap();
     let hosts = HostList::start(&HostsConfig {
         lag: Span::ZERO,
--- a/components/standins/tests/store.rs
+++ b/components/standins/tests/store.rs
@@ -1,4 +1,5 @@
-//! The stand-in store: its table alone, and its HTTP part as the gateway publishes it.
+//! Tests the stand-in store: its table alone, and its HTTP server with the JSON of etcd's
+//! gateway.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
@@ -52,7 +53,7 @@
         ..Range::prefix("a/")
     };
     let Reply::Range(kvs) = table.call(Time::ZERO, &Request::Range(page)).unwrap().reply else {
-        panic!("a range gives keys");
+        panic!("expected a range reply");
     };
     assert_eq!(kvs.len(), 1);
     assert_eq!(kvs[0].key, "a/2");
@@ -60,7 +61,7 @@
 }
 
 #[test]
-fn can_nest_transactions_that_see_the_state_before() {
+fn can_nest_transactions_whose_compares_see_the_prior_state() {
     let mut table = Table::new();
     let inner = |key: &str| {
         Op::Txn(Txn {
@@ -71,7 +72,7 @@
     };
     let outer = txn(Vec::new(), vec![put("a", "0"), inner("b"), inner("c")]);
     let Reply::Txn(reply) = table.call(Time::ZERO, &outer).unwrap().reply else {
-        panic!("a transaction gives its replies");
+        panic!("expected a transaction reply");
     };
     let held = reply.replies[1..].iter();
     assert!(
@@ -84,21 +85,21 @@
 #[test]
 fn errors_on_a_key_written_twice() {
     let mut table = Table::new();
-    let twice = txn(Vec::new(), vec![put("a", "0"), put("a", "1")]);
-    let outcome = table.call(Time::ZERO, &twice);
+    let duplicate_puts = txn(Vec::new(), vec![put("a", "0"), put("a", "1")]);
+    let outcome = table.call(Time::ZERO, &duplicate_puts);
     assert!(matches!(outcome, Err(CallError::Refused(m)) if m.contains("duplicate key")));
     assert_eq!(table.revision(), 1);
 }
 
 #[test]
-fn can_end_leases_with_their_keys() {
+fn can_delete_the_keys_of_an_expired_lease() {
     let mut table = Table::new();
     let ttl = Span::from_secs(5);
     let granted = table
         .call(Time::ZERO, &Request::LeaseGrant { ttl })
         .unwrap();
     let Reply::LeaseGranted(lease) = granted.reply else {
-        panic!("a grant gives a lease");
+        panic!("expected a lease");
     };
     let leased = Op::Put(Put {
         key: "m/1".to_owned(),
@@ -108,19 +109,21 @@
     table
         .call(Time::ZERO, &txn(Vec::new(), vec![leased]))
         .unwrap();
-    let kept = Time::ZERO + Span::from_secs(4);
-    table.call(kept, &Request::LeaseKeepAlive(lease)).unwrap();
+    let renewed_at = Time::ZERO + Span::from_secs(4);
+    table
+        .call(renewed_at, &Request::LeaseKeepAlive(lease))
+        .unwrap();
     let read = Request::Range(Range::key("m/1"));
     let count = |table: &mut Table, now| match table.call(now, &read).unwrap().reply {
         Reply::Range(kvs) => kvs.len(),
-        _ => panic!("a range gives keys"),
+        _ => panic!("expected a range reply"),
     };
     assert_eq!(count(&mut table, Time::ZERO + Span::from_secs(8)), 1);
     assert_eq!(count(&mut table, Time::ZERO + Span::from_secs(9)), 0);
 }
 
 #[test]
-fn can_speak_the_published_json() {
+fn can_serve_the_json_of_the_etcd_gateway() {
     let store = start();
     let compare = json!({ "key": encode("k"), "target": "CREATE", "createRevision": "0" });
     let request = json!({
@@ -145,8 +148,8 @@
     assert_eq!(store.counters().txns, 2);
 }
 
-/// The lines of a watch as they come.
-fn watch(store: &StoreServer, create: &Value) -> impl Iterator<Item = Value> + use<> {
+/// Opens a watch and returns its messages as they arrive.
+fn open_watch(store: &StoreServer, create: &Value) -> impl Iterator<Item = Value> + use<> {
     use std::io::BufRead;
     let url = format!("http://{}/v3/watch", store.address());
     let body = json!({ "create_request": create });
@@ -159,12 +162,12 @@
 }
 
 #[test]
-fn can_watch_with_a_gap_and_through_a_cut() {
-    // A watcher sees a later change but never the one before, with no error: events were
-    // skipped. Then the service goes down and the stream ends.
+fn can_watch_with_skipped_events_and_until_an_outage() {
+    // A watch may skip a change without an error and deliver a later one. When the store
+    // goes down, the stream ends.
     let store = start();
     let prefix = json!({ "key": encode("a/"), "range_end": encode("a0") });
-    let mut events = watch(&store, &prefix);
+    let mut events = open_watch(&store, &prefix);
     assert_eq!(events.next().unwrap()["result"]["created"], true);
     store.set_faults(|faults| faults.watch_gap = 1);
     for key in ["a/1", "a/2", "b/1"] {
@@ -181,9 +184,9 @@
 }
 
 #[test]
-fn errors_without_reply_but_with_effect() {
-    // An operator's edit ends in a connection error, yet the next read shows it: the
-    // write took effect and only its reply was lost. The one after takes effect later.
+fn errors_write_without_reply_takes_effect() {
+    // A write that ends in a connection error may still have taken effect, with only its
+    // reply lost, or may take effect later.
     let store = start();
     let key = json!({ "key": encode("k"), "value": encode("v") });
     let later = json!({ "key": encode("l"), "value": encode("v") });
@@ -195,7 +198,7 @@
         faults.delayed_effects = 1;
         faults.effect_delay = Span::from_millis(300);
     });
-    let mut events = watch(&store, &json!({ "key": encode("l") }));
+    let mut events = open_watch(&store, &json!({ "key": encode("l") }));
     assert_eq!(events.next().unwrap()["result"]["created"], true);
     assert!(call(&store, "/v3/kv/put", &later).is_err());
     assert_eq!(
@@ -205,7 +208,7 @@
 }
 
 #[test]
-fn errors_over_the_rate_caps() {
+fn errors_over_the_rate_limits() {
     let store = start();
     store.set_faults(|faults| faults.max_reads = 1);
     let statuses = (0..8).map(|_| {
