--- a/components/standins/src/engine/config.rs
+++ b/components/standins/src/engine/config.rs
@@ -37,7 +37,7 @@
     /// Time to load a model version.
     pub load_time: Span,
     /// Slots that are unavailable while a model version loads.
-    pub load_slots: u32,
+    pub slots_used_by_loading: u32,
     /// Whether orders with a stale fencing token are refused.
     pub checks_fencing: bool,
     /// Most run records kept; later runs appear in the counters only.
@@ -61,7 +61,7 @@
             cache_event_gap: 0,
             load_lag: Span::ZERO,
             load_time: Span::from_millis(200),
-            load_slots: 4,
+            slots_used_by_loading: 4,
             checks_fencing: true,
             max_run_records: 500_000,
         }
--- a/components/standins/src/engine/job.rs
+++ b/components/standins/src/engine/job.rs
@@ -23,7 +23,9 @@
 /// Destination of the generated tokens.
 #[derive(Debug)]
 pub(super) enum Output {
+    /// Sends each token immediately as an event of the stream.
     Stream(mpsc::UnboundedSender<Piece>),
+    /// Collects the text and sends it once at the end.
     Whole(Option<oneshot::Sender<Whole>>, String),
 }
 
@@ -41,15 +43,18 @@
 #[derive(Debug)]
 pub(super) struct Task {
     pub(super) chunk_fields: ChunkFields,
+    /// Hash from which the tokens are derived.
     pub(super) answer: u64,
     /// Index of the next token in the answer.
     pub(super) index: u32,
+    /// Tokens in the whole answer, resumed ones included.
     pub(super) length: u32,
     pub(super) finish_reason: &'static str,
     pub(super) wants_usage: bool,
     pub(super) usage: Usage,
     pub(super) fault: EngineFault,
     pub(super) output: Output,
+    /// Tells the connection that the request got a slot, or expired in the queue.
     pub(super) started: Option<oneshot::Sender<bool>>,
 }
 
--- a/components/standins/src/engine/state.rs
+++ b/components/standins/src/engine/state.rs
@@ -120,7 +120,7 @@
 
     pub(super) fn slots(&self) -> u32 {
         let unavailable = if self.loaded.is_loading() {
-            self.cfg.load_slots
+            self.cfg.slots_used_by_loading
         } else {
             0
         };
--- a/components/standins/src/store/faults.rs
+++ b/components/standins/src/store/faults.rs
@@ -18,9 +18,9 @@
     /// Number of next changes that are not sent to watches.
     pub watch_gap: u32,
     /// Writes per second before the store replies 429; 0 is no limit.
-    pub max_writes: u32,
+    pub max_writes_per_second: u32,
     /// Reads per second before the store replies 429; 0 is no limit.
-    pub max_reads: u32,
+    pub max_reads_per_second: u32,
 }
 
 /// Counts of the calls and traffic since the store's start.
--- a/components/standins/src/store/state.rs
+++ b/components/standins/src/store/state.rs
@@ -95,9 +95,9 @@
 
     fn exceeds_rate_limit(&mut self, writes: bool, now: Time) -> bool {
         let (limit, max) = if writes {
-            (&mut self.write_limit, self.faults.max_writes)
+            (&mut self.write_limit, self.faults.max_writes_per_second)
         } else {
-            (&mut self.read_limit, self.faults.max_reads)
+            (&mut self.read_limit, self.faults.max_reads_per_second)
         };
         limit.set(max);
         !limit.try_acquire(now)
--- a/components/standins/tests/store.rs
+++ b/components/standins/tests/store.rs
@@ -210,7 +210,7 @@
 #[test]
 fn errors_over_the_rate_limits() {
     let store = start();
-    store.set_faults(|faults| faults.max_reads = 1);
+    store.set_faults(|faults| faults.max_reads_per_second = 1);
     let statuses = (0..8).map(|_| {
         let range = json!({ "key": encode("k") });
         call(&store, "/v3/kv/range", &range).unwrap().0
