--- a/components/standins/src/engine/job.rs
+++ b/components/standins/src/engine/job.rs
@@ -1,61 +1,66 @@
-//! One request's way from its slot to its answer.
+//! Generates the tokens of one request and sends its answer.
 
 use bytes::Bytes;
 use tokio::sync::{mpsc, oneshot};
 
 use super::config::EngineFault;
 use super::text;
-use super::wire::{DONE, Head, Usage};
-use crate::server::{Broken, Piece, break_soon};
+use super::wire::{ChunkFields, DONE, Usage};
+use crate::server::{Broken, Piece, break_after_delay};
 
-/// Changes an answer's hash into that of a request which never was.
-const OTHER_ANSWER: u64 = 0x9e37_79b9_7f4a_7c15;
+/// XORed with an answer's hash to get the hash of a made-up other request's answer.
+const OTHER_ANSWER_XOR: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// How an answer that is not streamed ended.
+/// The text of an answer that is not streamed, with how it ended.
 #[derive(Debug)]
 pub(super) enum Whole {
-    /// With its last token.
+    /// All tokens were generated.
     Finished(String),
-    /// A fault cut it.
-    Cut(String),
+    /// A fault interrupted the answer.
+    Interrupted(String),
 }
 
-/// Where tokens go.
+/// Destination of the generated tokens.
 #[derive(Debug)]
 pub(super) enum Output {
+    /// Sends each token immediately as an event of the stream.
     Stream(mpsc::UnboundedSender<Piece>),
+    /// Collects the text and sends it once at the end.
     Whole(Option<oneshot::Sender<Whole>>, String),
 }
 
-/// Whether a request goes on after a token.
+/// State of a request after a token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Progress {
-    GoesOn,
+    Continues,
     Finished,
-    /// By a fault, or since its client left.
-    Cut,
-    Left,
+    /// A fault interrupted the answer.
+    Interrupted,
+    ClientGone,
 }
 
-/// A request that waits or runs, as its answer sees it.
+/// A waiting or running request with the state of its answer.
 #[derive(Debug)]
 pub(super) struct Task {
-    pub(super) head: Head,
+    pub(super) chunk_fields: ChunkFields,
+    /// Hash from which the tokens are derived.
     pub(super) answer: u64,
-    /// The next token's place in the answer.
+    /// Index of the next token in the answer.
     pub(super) index: u32,
+    /// Tokens in the whole answer, resumed ones included.
     pub(super) length: u32,
-    pub(super) reason: &'static str,
+    pub(super) finish_reason: &'static str,
     pub(super) wants_usage: bool,
     pub(super) usage: Usage,
     pub(super) fault: EngineFault,
     pub(super) output: Output,
+    /// Tells the connection that the request got a slot, or expired in the queue.
     pub(super) started: Option<oneshot::Sender<bool>>,
 }
 
 impl Task {
-    /// Whether its client left.
-    pub(super) fn is_left(&self) -> bool {
+    /// Returns whether the client disconnected.
+    pub(super) fn is_client_gone(&self) -> bool {
         let unstarted = self.started.as_ref();
         if unstarted.is_some_and(oneshot::Sender::is_closed) {
             return true;
@@ -66,61 +71,64 @@
         }
     }
 
-    /// Makes the next token.
-    pub(super) fn emit(&mut self, bad: bool) -> Progress {
-        if self.cut() {
-            return Progress::Cut;
+    /// Generates and sends the next token; with `inadequate`, the marker is one that no rater
+    /// accepts.
+    pub(super) fn emit(&mut self, inadequate: bool) -> Progress {
+        if self.interrupt_if_due() {
+            return Progress::Interrupted;
         }
         if self.index >= self.length {
             self.finish();
             return Progress::Finished;
         }
-        let token = self.next_token(bad);
+        let token = self.next_token(inadequate);
         let first = self.usage.completion == 0;
         self.usage.completion += 1;
-        let left = match &mut self.output {
-            Output::Stream(pieces) => pieces.send(Ok(self.head.token(&token, first))).is_err(),
+        let disconnected = match &mut self.output {
+            Output::Stream(pieces) => pieces
+                .send(Ok(self.chunk_fields.token(&token, first)))
+                .is_err(),
             Output::Whole(_, text) => {
                 text.push_str(&token);
                 false
             }
         };
-        if left {
-            return Progress::Left;
+        if disconnected {
+            return Progress::ClientGone;
         }
         if self.index < self.length {
-            return Progress::GoesOn;
+            return Progress::Continues;
         }
         self.finish();
         Progress::Finished
     }
 
-    fn next_token(&mut self, bad: bool) -> String {
+    fn next_token(&mut self, inadequate: bool) -> String {
         if self.fault == EngineFault::CrossedAfter(self.usage.completion) {
-            self.cross();
+            self.switch_to_other_request();
         }
         let index = self.index;
         self.index += 1;
-        if bad && self.index == self.length {
+        if inadequate && self.index == self.length {
             return text::bad_marker();
         }
         text::token(self.answer, index, self.length)
     }
 
-    /// Goes on as if it were another request's answer.
-    pub(super) fn cross(&mut self) {
-        self.head = self.head.of_other();
-        self.answer ^= OTHER_ANSWER;
+    /// Switches to another request's id and text.
+    pub(super) fn switch_to_other_request(&mut self) {
+        self.chunk_fields = self.chunk_fields.for_other_request();
+        self.answer ^= OTHER_ANSWER_XOR;
     }
 
-    /// Ends it when its fault says so.
-    fn cut(&mut self) -> bool {
+    /// Interrupts the answer if its fault is due, and returns whether it did.
+    fn interrupt_if_due(&mut self) -> bool {
         let done = self.usage.completion;
         match self.fault {
             EngineFault::Truncate(after) if done >= after => {}
             EngineFault::Break(after) if done >= after => {
                 if let Output::Stream(pieces) = &self.output {
-                    break_soon(pieces.clone());
+                    break_after_delay(pieces.clone());
                 }
             }
             _ => return false,
@@ -128,22 +136,22 @@
         if let Output::Whole(sender, text) = &mut self.output
             && let Some(sender) = sender.take()
         {
-            let _ = sender.send(Whole::Cut(std::mem::take(text)));
+            let _ = sender.send(Whole::Interrupted(std::mem::take(text)));
         }
         true
     }
 
-    /// A client that left meanwhile gets nothing more: sends may fail.
+    /// Sends the end of the answer; sends fail if the client disconnected in the meantime.
     fn finish(&mut self) {
         let usage = self.usage;
         match &mut self.output {
             Output::Stream(pieces) => {
                 if self.fault != EngineFault::NoFinish {
-                    let _ = pieces.send(Ok(self.head.finish(self.reason)));
+                    let _ = pieces.send(Ok(self.chunk_fields.finish(self.finish_reason)));
                 }
                 let mut end = Vec::new();
                 if self.wants_usage {
-                    end.extend_from_slice(&self.head.usage(usage));
+                    end.extend_from_slice(&self.chunk_fields.usage(usage));
                 }
                 end.extend_from_slice(&DONE);
                 let _ = pieces.send(Ok(Bytes::from(end)));
@@ -156,8 +164,8 @@
         }
     }
 
-    /// Breaks the connection.
-    pub(super) fn sever(self) {
+    /// Breaks the connection of a streamed answer.
+    pub(super) fn break_connection(self) {
         if let Output::Stream(pieces) = self.output {
             let _ = pieces.send(Err(Broken));
         }
--- a/components/standins/src/engine/state.rs
+++ b/components/standins/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! The engine's tables and what happens to them each tick.
+//! The engine's state and its update on each tick.
 
 use std::collections::BTreeMap;
 
@@ -6,19 +6,19 @@
 use tokio::sync::{mpsc, oneshot};
 use types::prelude::*;
 
-use super::batch::{Batch, Event, Job, JobId, Pace};
+use super::batch::{Batch, BatchPace, Event, Job, JobId};
 use super::cache::PrefixCache;
 use super::config::{EngineConfig, EngineCounters, EngineFault, EngineFaults, RunRecord};
 use super::job::{Output, Progress, Task, Whole};
 use super::orders::Loaded;
 use super::text;
-use super::wire::{ChatRequest, Head, Usage};
+use super::wire::{ChatRequest, ChunkFields, Usage};
 use crate::server::Piece;
 
-/// How often requests whose client left are looked for.
-const SWEEP: Span = Span::from_millis(20);
+/// Interval between searches for requests whose client disconnected.
+const SWEEP_INTERVAL: Span = Span::from_millis(20);
 
-/// All that an engine holds.
+/// The state of an engine.
 #[derive(Debug)]
 pub(super) struct State {
     pub(super) cfg: EngineConfig,
@@ -34,7 +34,7 @@
     next_sweep: Time,
 }
 
-/// Why a request is not taken.
+/// Why a request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Refusal {
     Leaving,
@@ -43,7 +43,7 @@
     Expired,
 }
 
-/// A report that is read anew only once it is old enough.
+/// A cached report that is replaced once it is older than the lag.
 #[derive(Debug, Default)]
 pub(super) struct LaggingReport(Option<(Time, Value)>);
 
@@ -59,18 +59,19 @@
     }
 }
 
-/// The ends of a request's channels that its connection holds.
+/// What the connection needs of a submitted request: its answer's parameters and the
+/// receiving ends of its channels.
 #[derive(Debug)]
 pub(super) struct Submitted {
     pub(super) id: JobId,
     pub(super) version: VersionId,
     pub(super) usage: Usage,
-    /// Tokens that it will generate.
+    /// Tokens to generate.
     pub(super) tokens: u32,
-    pub(super) reason: &'static str,
-    /// Whether the answer says how sure the engine is.
+    pub(super) finish_reason: &'static str,
+    /// Whether the answer includes log probabilities.
     pub(super) logprobs: bool,
-    /// True once it has a slot, false when it waited too long.
+    /// Receives true once the request gets a slot, or false when it expired in the queue.
     pub(super) started: oneshot::Receiver<bool>,
     pub(super) answer: Answer,
 }
@@ -81,7 +82,7 @@
     Whole(oneshot::Receiver<Whole>),
 }
 
-/// A request with what its headers say.
+/// A received request with the values from its headers.
 #[derive(Debug)]
 pub(super) struct Arrival {
     pub(super) attempt: String,
@@ -118,26 +119,26 @@
     }
 
     pub(super) fn slots(&self) -> u32 {
-        let taken = if self.loaded.is_loading() {
-            self.cfg.load_slots
+        let unavailable = if self.loaded.is_loading() {
+            self.cfg.slots_used_by_loading
         } else {
             0
         };
-        self.cfg.slots.saturating_sub(taken).max(1)
+        self.cfg.slots.saturating_sub(unavailable).max(1)
     }
 
-    fn pace(&self) -> Pace {
+    fn pace(&self) -> BatchPace {
         let factor = self.faults.slow_factor.max(1);
-        Pace {
+        BatchPace {
             slots: self.slots() as usize,
             step: self.cfg.token_time.times(factor),
             step_per_running: self.cfg.token_time_per_running.times(factor),
         }
     }
 
-    /// Takes a request, or says why not.
+    /// Queues a request, or returns why it is refused.
     pub(super) fn submit(&mut self, now: Time, arrival: Arrival) -> Result<Submitted, Refusal> {
-        self.loaded.settle(now);
+        self.loaded.finish_loads(now);
         if self.loaded.is_leaving() {
             return Err(Refusal::Leaving);
         }
@@ -158,31 +159,31 @@
         self.next_id += 1;
         let mut chat = arrival.chat;
         let partial = chat.take_partial();
-        let done = partial.tokens;
+        let start = partial.tokens;
         let usage = self.read_prompt(now, &chat);
-        let wanted = chat.tokens(self.cfg.answer_tokens.saturating_sub(done).max(1));
-        let length = done + wanted;
+        let new_tokens = chat.tokens(self.cfg.answer_tokens.saturating_sub(start).max(1));
+        let length = start + new_tokens;
         let job = Job {
             id,
             priority: chat.priority,
             deadline: arrival.deadline,
             prefill: self.prefill(usage, arrival.fault),
-            tokens: wanted,
+            tokens: new_tokens,
             stall_after: arrival.fault.stall_after(),
         };
         let (output, answer) = channels(chat.stream, arrival.fault);
         let (started_tx, started) = oneshot::channel();
-        let reason = if length < self.cfg.answer_tokens {
+        let finish_reason = if length < self.cfg.answer_tokens {
             "length"
         } else {
             "stop"
         };
         let mut task = Task {
-            head: Head::new(&arrival.attempt, &arrival.version),
+            chunk_fields: ChunkFields::new(&arrival.attempt, &arrival.version),
             answer: text::answer_hash(&arrival.version, &chat.messages),
-            index: if partial.has_ended { length } else { done },
+            index: if partial.has_ended { length } else { start },
             length,
-            reason,
+            finish_reason,
             wants_usage: chat.wants_usage(),
             usage,
             fault: arrival.fault,
@@ -190,7 +191,7 @@
             started: Some(started_tx),
         };
         if arrival.fault.is_crossed() {
-            task.cross();
+            task.switch_to_other_request();
         }
         let logprobs = chat.logprobs;
         let version = arrival.version;
@@ -198,7 +199,7 @@
             attempt: arrival.attempt,
             version: version.clone(),
             tag: text::tag(&chat.messages),
-            resumed: done > 0,
+            resumed: start > 0,
         };
         self.tasks.insert(id, (task, record));
         self.batch.submit(job);
@@ -206,8 +207,8 @@
             id,
             version,
             usage,
-            tokens: wanted,
-            reason,
+            tokens: new_tokens,
+            finish_reason,
             logprobs,
             started,
             answer,
@@ -230,19 +231,19 @@
     fn prefill(&self, usage: Usage, fault: EngineFault) -> Span {
         let uncached = usage.prompt - usage.cached;
         let read = Span(self.cfg.prefill_per_1000.0 * uncached / 1_000);
-        let late = match fault {
+        let fault_delay = match fault {
             EngineFault::Late(span) => span,
             _ => Span::ZERO,
         };
-        read + self.faults.delay + late
+        read + self.faults.delay + fault_delay
     }
 
-    /// Gives slots and tokens that are due.
+    /// Assigns slots and generates the tokens that are due.
     pub(super) fn tick(&mut self, now: Time) {
-        self.loaded.settle(now);
+        self.loaded.finish_loads(now);
         if now.has_reached(self.next_sweep) {
             self.sweep();
-            self.next_sweep = now + SWEEP;
+            self.next_sweep = now + SWEEP_INTERVAL;
         }
         for event in self.batch.tick(now, self.pace()) {
             match event {
@@ -253,7 +254,7 @@
         }
     }
 
-    /// When the next tick is due; nothing while there is no request.
+    /// Returns the time of the next tick, or `None` while there is no request.
     pub(super) fn next_tick(&self) -> Option<Time> {
         let sweep = (!self.tasks.is_empty()).then_some(self.next_sweep);
         self.batch.next_tick().into_iter().chain(sweep).min()
@@ -268,7 +269,7 @@
             self.runs.push(record.clone());
         }
         if let Some(started) = task.started.take() {
-            // A client that left is found by the sweep.
+            // Fails when the client disconnected; the sweep removes the request.
             let _ = started.send(true);
         }
     }
@@ -279,16 +280,16 @@
         };
         let progress = task.emit(self.faults.bad_answers);
         match progress {
-            Progress::GoesOn => {}
+            Progress::Continues => {}
             Progress::Finished => self.counters.finished += 1,
-            Progress::Cut => {}
-            Progress::Left => self.counters.cancelled += 1,
+            Progress::Interrupted => {}
+            Progress::ClientGone => self.counters.cancelled += 1,
         }
-        if matches!(progress, Progress::GoesOn | Progress::Finished) {
+        if matches!(progress, Progress::Continues | Progress::Finished) {
             self.counters.tokens += 1;
         }
-        if progress != Progress::GoesOn {
-            self.forget(id);
+        if progress != Progress::Continues {
+            self.drop_task(id);
         }
     }
 
@@ -300,41 +301,45 @@
         }
     }
 
-    fn forget(&mut self, id: JobId) {
+    fn drop_task(&mut self, id: JobId) {
         self.tasks.remove(&id);
         self.batch.cancel(id);
     }
 
-    /// The client of a request left.
+    /// Removes a request whose client disconnected.
     pub(super) fn cancel(&mut self, id: JobId) {
         if self.tasks.contains_key(&id) {
             self.counters.cancelled += 1;
-            self.forget(id);
+            self.drop_task(id);
         }
     }
 
-    /// Frees the slots of requests whose client left without taking a token.
+    /// Frees the slots of requests whose client disconnected while no token was being sent.
     fn sweep(&mut self) {
-        let left = self.tasks.iter().filter(|(_, (task, _))| task.is_left());
-        let left = left.map(|(id, _)| *id).collect::<Vec<_>>();
-        for id in left {
+        let disconnected = self
+            .tasks
+            .iter()
+            .filter(|(_, (task, _))| task.is_client_gone());
+        let disconnected = disconnected.map(|(id, _)| *id).collect::<Vec<_>>();
+        for id in disconnected {
             self.cancel(id);
         }
     }
 
-    /// Breaks everything in flight.
-    pub(super) fn sever(&mut self) {
+    /// Breaks the connections of all requests in flight.
+    pub(super) fn break_connections(&mut self) {
         for (id, (task, _)) in std::mem::take(&mut self.tasks) {
             self.batch.cancel(id);
-            task.sever();
+            task.break_connection();
         }
     }
 }
 
-/// The faults that answer nothing after the run take a whole run, streamed or not.
+/// Creates the answer channel. Faults that discard the answer after the run buffer it even
+/// for a streamed request, so that the run completes before the fault.
 fn channels(stream: bool, fault: EngineFault) -> (Output, Answer) {
-    let hidden = matches!(fault, EngineFault::ResetAfter | EngineFault::RefuseAfterRun);
-    if stream && !hidden {
+    let discards_answer = matches!(fault, EngineFault::ResetAfter | EngineFault::RefuseAfterRun);
+    if stream && !discards_answer {
         let (pieces_tx, pieces) = mpsc::unbounded_channel();
         (Output::Stream(pieces_tx), Answer::Stream(pieces))
     } else {
--- a/components/standins/src/rater.rs
+++ b/components/standins/src/rater.rs
@@ -1,8 +1,8 @@
-//! Stand-in of the service that rates answers: limited and late.
+//! Stand-in for the service that rates answers, with a rate limit and a delay.
 //!
-//! It alone knows the true quality of a version in a class. An answer is adequate when
-//! the uniform number in its marker lies below that quality, so the same answer always
-//! gets the same rating until a test changes the quality.
+//! Only the rater knows the true quality of a model version in a class. An answer is
+//! adequate when the uniformly distributed number in its marker is below that quality, so
+//! the same answer always gets the same rating until a test changes the quality.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -14,21 +14,21 @@
 use types::prelude::*;
 
 use crate::engine::text;
-use crate::limit::RateCap;
+use crate::limit::RateLimit;
 use crate::server::{Call, Handler, Reply, Server};
 
-/// How a stand-in rater is started.
+/// Configuration of a stand-in rater.
 #[derive(Debug, Clone)]
 pub struct RaterConfig {
-    /// Where to listen; port 0 lets the kernel choose.
+    /// Address to listen on; port 0 lets the kernel choose.
     pub address: SocketAddr,
-    /// Ratings a second before 429; 0 for no cap.
+    /// Ratings per second before the rater replies 429; 0 is no limit.
     pub max_ratings: u32,
-    /// Time that a rating takes.
+    /// Time that one rating takes.
     pub lag: Span,
-    /// Share of adequate answers where nothing else is set.
+    /// Share of adequate answers where `quality` has no entry.
     pub default_quality: f64,
-    /// Share of adequate answers by version and class.
+    /// Share of adequate answers by model version and class.
     pub quality: BTreeMap<(VersionId, ClassName), f64>,
 }
 
@@ -52,15 +52,15 @@
 }
 
 impl Rater {
-    /// Starts it.
+    /// Starts the rater.
     ///
     /// # Errors
-    /// When the address can't be bound.
+    /// Fails when the address can't be bound or the thread can't be started.
     pub fn start(cfg: &RaterConfig) -> io::Result<Self> {
         let shared = Arc::new(Shared {
             clock: Clock::new(),
             state: Mutex::new(State {
-                cap: RateCap::new(cfg.max_ratings),
+                rate_limit: RateLimit::new(cfg.max_ratings),
                 lag: cfg.lag,
                 default_quality: cfg.default_quality,
                 quality: cfg.quality.clone(),
@@ -73,41 +73,41 @@
         Ok(Self { server, shared })
     }
 
-    /// Where it listens.
+    /// Returns the address that the rater listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Changes the true quality of a version in a class.
+    /// Changes the true quality of a model version in a class.
     pub fn set_quality(&self, version: VersionId, class: ClassName, quality: f64) {
         let mut state = self.shared.lock();
         state.quality.insert((version, class), quality);
     }
 
-    /// Closes connections without an answer, or no longer.
+    /// Sets whether connections are closed without an answer.
     pub fn set_down(&self, down: bool) {
         self.shared.lock().down = down;
     }
 
-    /// Changes how long a rating takes.
+    /// Changes the time that one rating takes.
     pub fn set_lag(&self, lag: Span) {
         self.shared.lock().lag = lag;
     }
 
-    /// Ratings given by version.
+    /// Returns the number of ratings by model version.
     #[must_use]
     pub fn ratings(&self) -> BTreeMap<VersionId, u64> {
         self.shared.lock().ratings.clone()
     }
 
-    /// Ratings refused over the cap.
+    /// Returns the number of ratings refused over the rate limit.
     #[must_use]
     pub fn refused(&self) -> u64 {
         self.shared.lock().refused
     }
 
-    /// Stops at once.
+    /// Stops immediately and breaks open connections.
     pub fn stop(&mut self) {
         self.server.stop();
     }
@@ -121,7 +121,7 @@
 
 #[derive(Debug)]
 struct State {
-    cap: RateCap,
+    rate_limit: RateLimit,
     lag: Span,
     default_quality: f64,
     quality: BTreeMap<(VersionId, ClassName), f64>,
@@ -130,6 +130,7 @@
     refused: u64,
 }
 
+/// A request to rate an answer. Replies to invalid bodies quote the type's name.
 #[derive(Debug, Deserialize)]
 struct Question {
     class: ClassName,
@@ -144,18 +145,18 @@
 }
 
 impl State {
-    fn rate(&mut self, question: Question) -> bool {
-        *self.ratings.entry(question.version.clone()).or_default() += 1;
-        let key = (question.version, question.class);
+    fn rate(&mut self, request: Question) -> bool {
+        *self.ratings.entry(request.version.clone()).or_default() += 1;
+        let key = (request.version, request.class);
         let quality = self.quality.get(&key).unwrap_or(&self.default_quality);
-        text::marker(&question.answer).is_some_and(|marker| marker < *quality)
+        text::marker(&request.answer).is_some_and(|marker| marker < *quality)
     }
 }
 
 impl Handler for Shared {
     async fn handle(self: Arc<Self>, call: Call) -> Option<Reply> {
-        let question = match serde_json::from_slice::<Question>(&call.body) {
-            Ok(question) => question,
+        let request = match serde_json::from_slice::<Question>(&call.body) {
+            Ok(request) => request,
             Err(e) => return Some(Reply::json(400, &json!({ "error": e.to_string() }))),
         };
         let lag = {
@@ -163,14 +164,14 @@
             if state.down {
                 return None;
             }
-            if !state.cap.take(self.clock.now()) {
+            if !state.rate_limit.try_acquire(self.clock.now()) {
                 state.refused += 1;
-                return Some(crate::limit::too_many());
+                return Some(crate::limit::too_many_requests());
             }
             state.lag
         };
         tokio::time::sleep(lag.to_duration()).await;
-        let adequate = self.lock().rate(question);
+        let adequate = self.lock().rate(request);
         Some(Reply::json(200, &json!({ "adequate": adequate })))
     }
 }
--- a/components/standins/src/store/json.rs
+++ b/components/standins/src/store/json.rs
@@ -1,6 +1,6 @@
-//! The published JSON of etcd's v3 gateway: base64 bytes, 64-bit numbers as strings.
+//! The public JSON format of etcd's v3 gateway: bytes in base64, 64-bit numbers as strings.
 //!
-//! Answers use snake case, as the gateway does; requests may use either case.
+//! Replies use snake case, as the gateway does; requests may use snake case or camel case.
 
 use std::cmp::Ordering;
 
@@ -11,10 +11,10 @@
 
 use super::table::{Change, Item, RawCompare, RawOp, RawReply, RawTxn, Target};
 
-/// What is wrong with a request's body.
+/// A message that says what is wrong with a request's body.
 pub(super) type BadRequest = String;
 
-/// A field by its snake-case name, or the same in camel case.
+/// Returns a field by its snake-case name, or by the same name in camel case.
 pub(super) fn field<'a>(value: &'a Value, name: &str) -> Option<&'a Value> {
     value.get(name).or_else(|| value.get(camel_case(name)))
 }
@@ -58,24 +58,27 @@
         .map_err(|_| format!("{name} is not UTF-8, which this stand-in wants of keys"))
 }
 
-pub(super) fn needed_key(value: &Value) -> Result<String, BadRequest> {
+pub(super) fn required_key(value: &Value) -> Result<String, BadRequest> {
     key(value, "key")?.ok_or_else(|| "etcdserver: key is not provided".to_owned())
 }
 
 pub(super) fn range_op(value: &Value) -> Result<RawOp, BadRequest> {
     let limit = usize::try_from(number(value, "limit")?).unwrap_or(0);
     let end = key(value, "range_end")?;
-    Ok(RawOp::Range(needed_key(value)?, end, limit))
+    Ok(RawOp::Range(required_key(value)?, end, limit))
 }
 
 pub(super) fn put_op(value: &Value) -> Result<RawOp, BadRequest> {
     let text = bytes(value, "value")?.unwrap_or_default();
     let lease = number(value, "lease")?;
-    Ok(RawOp::Put(needed_key(value)?, text, lease))
+    Ok(RawOp::Put(required_key(value)?, text, lease))
 }
 
 pub(super) fn delete_op(value: &Value) -> Result<RawOp, BadRequest> {
-    Ok(RawOp::Delete(needed_key(value)?, key(value, "range_end")?))
+    Ok(RawOp::Delete(
+        required_key(value)?,
+        key(value, "range_end")?,
+    ))
 }
 
 pub(super) fn txn(value: &Value) -> Result<RawTxn, BadRequest> {
@@ -134,7 +137,7 @@
         other => return Err(format!("{other} is no result of a compare")),
     };
     Ok(RawCompare {
-        key: needed_key(value)?,
+        key: required_key(value)?,
         target,
         holds,
     })
@@ -160,7 +163,7 @@
         "mod_revision": item.mod_revision.to_string(),
         "version": item.version.to_string(),
     });
-    // As the gateway does: what is empty is left out.
+    // Empty fields are left out, as by the gateway.
     if !item.value.is_empty() {
         kv["value"] = json!(encode(&item.value));
     }
@@ -170,7 +173,7 @@
     kv
 }
 
-/// The body of one step's answer and the name that it has inside a transaction's.
+/// Returns the reply to one operation, with the name of its field in a transaction's reply.
 pub(super) fn reply(reply: &RawReply, revision: i64) -> (&'static str, Value) {
     let mut body = Map::new();
     body.insert("header".to_owned(), header(revision));
@@ -207,8 +210,8 @@
         body["succeeded"] = json!(true);
     }
     if !replies.is_empty() {
-        let responses = replies.iter().map(|step| {
-            let (name, value) = reply(step, revision);
+        let responses = replies.iter().map(|op_reply| {
+            let (name, value) = reply(op_reply, revision);
             json!({ name: value })
         });
         body["responses"] = responses.collect();
--- a/components/standins/src/store/table/call.rs
+++ b/components/standins/src/store/table/call.rs
@@ -1,4 +1,4 @@
-//! The table driven by [`keyvalue::Request`], as the product's decisions give them.
+//! Executes [`keyvalue::Request`]s, the requests of the product's client, on the table.
 
 use std::cmp::Ordering;
 
@@ -11,20 +11,20 @@
 use super::{Change, Item, RawCompare, RawOp, RawReply, RawTxn, Table, Target};
 
 impl Table {
-    /// Does one call.
+    /// Expires leases, then executes one request.
     ///
     /// # Errors
-    /// [`CallError::Refused`] when the service would refuse it.
+    /// Returns [`CallError::Refused`] if the store refuses the request.
     pub fn call(&mut self, now: Time, req: &Request) -> Outcome {
         self.expire(now);
-        let reply = self.reply(now, req)?;
+        let reply = self.execute(now, req)?;
         let revision = ModRevision(self.revision);
         Ok(Answer { revision, reply })
     }
 
-    fn reply(&mut self, now: Time, req: &Request) -> Result<Reply, CallError> {
+    fn execute(&mut self, now: Time, req: &Request) -> Result<Reply, CallError> {
         Ok(match req {
-            Request::Range(range) => Reply::Range(self.read(range)),
+            Request::Range(range) => Reply::Range(self.read_range(range)),
             Request::Txn(txn) => {
                 let (succeeded, replies) = self.txn(&raw_txn(txn)).map_err(CallError::Refused)?;
                 Reply::Txn(txn_reply(succeeded, replies))
@@ -38,7 +38,7 @@
         })
     }
 
-    fn read(&self, range: &Range) -> Vec<KeyValue> {
+    fn read_range(&self, range: &Range) -> Vec<KeyValue> {
         let (start, end) = bounds(range);
         let (items, _) = self.range(&start, end.as_deref(), range.limit as usize);
         items.iter().map(|(k, item)| key_value(k, item)).collect()
@@ -56,7 +56,7 @@
     }
 }
 
-/// The end of all keys that begin with a text.
+/// Returns the exclusive end of the range of keys that begin with a prefix.
 fn prefix_end(prefix: &str) -> String {
     let mut chars = prefix.chars().collect::<Vec<_>>();
     while let Some(last) = chars.pop() {
