--- a/daemon/src/cli.rs
+++ b/daemon/src/cli.rs
@@ -1,4 +1,4 @@
-//! Arguments of the daemon.
+//! Command-line arguments of the daemon.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,18 +8,18 @@
 /// Entry daemon of the buckthorncross router.
 #[derive(Debug, FromArgs)]
 pub struct Args {
-    /// what to do
+    /// command to run
     #[argh(subcommand)]
     pub command: Command,
 }
 
-/// What the daemon can do.
+/// A command of the daemon.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub enum Command {
-    /// Serves.
+    /// Serves with the settings of a file.
     Run(Run),
-    /// Tries it out.
+    /// Serves a sample catalogue on one machine, with no set-up.
     Dev(Dev),
     /// Serves on the users' platform.
     Platform(Platform),
@@ -29,7 +29,7 @@
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "run")]
 pub struct Run {
-    /// settings, in YAML
+    /// settings file, in YAML
     #[argh(positional)]
     pub settings: PathBuf,
     /// check the settings and exit
@@ -56,18 +56,18 @@
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "platform")]
 pub struct Platform {
-    /// file that changes entries of the policy, in YAML (default: none are changed)
+    /// YAML file that overrides entries of the policy (default: no overrides)
     #[argh(option)]
     pub policy: Option<PathBuf>,
     /// check the settings and exit
     #[argh(switch)]
     pub check: bool,
-    /// name of the fleet, where its daemons reach the store by addresses of their own; the same on
-    /// all of them (default: the store's address)
+    /// name of the fleet, the same on all its daemons; needed when they reach the store by
+    /// different addresses (default: the store's address)
     #[argh(option)]
     pub fleet: Option<String>,
-    /// address at which other daemons reach this one, where something stands between (default: the
-    /// one it listens on)
+    /// address at which other daemons reach this one, if a proxy or address translation lies in
+    /// between (default: the listening address)
     #[argh(option)]
     pub advertise: Option<SocketAddr>,
     /// log filter such as info,traffic=warn (default info)
@@ -78,9 +78,9 @@
 /// The sample catalogues.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Sample {
-    /// Price lists and notices.
+    /// Offers for price lists and notices.
     Kochi,
-    /// Cover teachers and bookings.
+    /// Offers for cover teachers and bookings.
     Clasach,
 }
 
--- a/daemon/src/cmd.rs
+++ b/daemon/src/cmd.rs
@@ -1,4 +1,4 @@
-//! One module a command.
+//! The daemon's commands, one module each.
 
 pub mod dev;
 pub mod platform;
--- a/daemon/src/cmd/dev.rs
+++ b/daemon/src/cmd/dev.rs
@@ -1,4 +1,4 @@
-//! `dev`: the system on one machine, with stand-ins for all that it needs.
+//! `dev`: runs a daemon on one machine, with stand-ins for every service that it needs.
 
 use std::net::SocketAddr;
 
@@ -17,23 +17,24 @@
 const CUSTOMER_KEY: &str = "dev-customer";
 const OPERATOR_TOKEN: &str = "dev-operator";
 
-/// Starts stand-ins and one daemon in this process and serves until a signal.
+/// Starts the stand-ins and one daemon in this process and serves until a signal.
 pub fn run(options: &Dev) -> eyre::Result<()> {
     let (file, text) = match options.sample {
         Sample::Kochi => ("kochi.yaml", KOCHI),
         Sample::Clasach => ("clasach.yaml", CLASACH),
     };
     let entries = catalogue::file::parse(file, text)?;
-    let platform = Platform::start(&platform_config(), &entries).wrap_err("stand-ins")?;
+    let platform = Platform::start(&platform_config(), &entries)
+        .wrap_err("the stand-in services cannot start")?;
     let settings = settings(options, &platform)?;
     serve::start_logs(&settings)?;
     platform.seed(&settings.cluster, &"dev".parse()?, Clock::new().wall());
     let node = Node::start(settings).wrap_err("the daemon cannot start")?;
-    greet(options, &entries);
+    print_instructions(options, &entries);
     serve::until_signal(node)
 }
 
-/// Engines that answer at the pace of a person's reading.
+/// Configures stand-in engines that generate tokens at about a person's reading speed.
 fn platform_config() -> PlatformConfig {
     let engine = EngineConfig {
         token_time: Span::from_millis(15),
@@ -70,13 +71,13 @@
     Ok(settings::from_yaml("dev", &yaml)?)
 }
 
-fn greet(options: &Dev, entries: &standins::platform::Entries) {
+fn print_instructions(options: &Dev, entries: &standins::platform::Entries) {
     let is_offer = |name: &&EntryName| name.as_str().starts_with("offers/");
     let offer = entries
         .keys()
         .find(is_offer)
         .map_or("", |name| &name.as_str()["offers/".len()..]);
-    println!("{}", request(options.callers, offer));
+    println!("{}", example_request(options.callers, offer));
     println!(
         "Operators: buckthorncross --server http://{} status",
         options.operators
@@ -84,7 +85,7 @@
     println!("Ctrl-C ends it.");
 }
 
-fn request(callers: SocketAddr, offer: &str) -> String {
+fn example_request(callers: SocketAddr, offer: &str) -> String {
     format!(
         "Try it:\n\n  curl -N http://{callers}/v1/chat/completions \\\n    \
          -H 'Authorization: Bearer {CUSTOMER_KEY}' -H 'Content-Type: application/json' \\\n    \
--- a/daemon/src/cmd/platform.rs
+++ b/daemon/src/cmd/platform.rs
@@ -1,4 +1,4 @@
-//! Serves on the users' platform, with the settings file that the environment names.
+//! `platform`: serves on the users' platform, with the settings file that the environment names.
 
 use eyre::WrapErr;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -7,7 +7,7 @@
 use crate::cli::Platform;
 use crate::policy;
 
-/// Runs until a signal ends it.
+/// Serves until SIGINT or SIGTERM; SIGHUP re-reads the settings.
 pub fn run(options: &Platform) -> eyre::Result<()> {
     let settings = platform::Settings::from_env()?;
     let policy = policy::read(options.policy.as_deref())?;
@@ -44,8 +44,8 @@
     Ok(())
 }
 
-/// Reads the settings again. Addresses hold for the life of the process, and the rest of
-/// the file holds nothing that changes while it runs, so this only says what it saw.
+/// Re-reads the settings and logs whether they changed, without applying them: addresses are fixed
+/// for the life of the process, and the file has no other value that may change while it runs.
 fn reload(old: &platform::Settings) {
     match platform::Settings::from_env() {
         Ok(new) => tracing::info!(changed = new != *old, "daemon: settings read again"),
--- a/daemon/src/cmd/run.rs
+++ b/daemon/src/cmd/run.rs
@@ -6,10 +6,10 @@
 use super::serve;
 use crate::cli::Run;
 
-/// Loads, checks, builds, serves.
+/// Loads and checks the settings, then serves until a signal; with `--check`, stops after the check.
 pub fn run(options: &Run) -> eyre::Result<()> {
     let settings = settings::load(&options.settings)?;
-    logs_filter(&settings.log.filter)?;
+    check_log_filter(&settings.log.filter)?;
     if options.check {
         println!("{}: the settings are good", options.settings.display());
         return Ok(());
@@ -19,6 +19,6 @@
     serve::until_signal(node)
 }
 
-fn logs_filter(filter: &str) -> eyre::Result<()> {
+fn check_log_filter(filter: &str) -> eyre::Result<()> {
     telemetry::logs::check_filter(filter).wrap_err("log.filter")
 }
--- a/daemon/src/cmd/serve.rs
+++ b/daemon/src/cmd/serve.rs
@@ -1,4 +1,4 @@
-//! Serves until a signal says to leave.
+//! Log set-up and graceful shutdown, shared by `run` and `dev`.
 
 use node::Node;
 use settings::Settings;
@@ -7,10 +7,10 @@
 use signal_hook::iterator::Signals;
 use telemetry::logs::{self, Format};
 
-/// Exit status after a second signal cut the shutdown short.
-const CUT_SHORT: i32 = 1;
+/// Exit status after a second signal interrupted the graceful shutdown.
+const EXIT_INTERRUPTED: i32 = 1;
 
-/// Sets up logs as the settings say.
+/// Starts logging in the format and with the filter of the settings.
 pub(super) fn start_logs(settings: &Settings) -> eyre::Result<()> {
     let format = match settings.log.format {
         LogFormat::Text => Format::Text,
@@ -20,17 +20,17 @@
     Ok(())
 }
 
-/// Waits for a signal, then leaves gracefully; a second signal cuts that short.
+/// Waits for SIGINT or SIGTERM, then shuts down gracefully; a second signal exits at once.
 pub(super) fn until_signal(node: Node) -> eyre::Result<()> {
     let mut signals = Signals::new([SIGINT, SIGTERM])?;
     signals.forever().next();
-    tracing::info!("daemon: leaving; a second signal cuts requests in flight");
+    tracing::info!("daemon: shutting down gracefully; a second signal aborts requests in flight");
     std::thread::Builder::new()
         .name("signals".to_owned())
         .spawn(move || {
             if signals.forever().next().is_some() {
-                tracing::warn!("daemon: second signal, requests in flight are cut");
-                std::process::exit(CUT_SHORT);
+                tracing::warn!("daemon: second signal received; aborting requests in flight");
+                std::process::exit(EXIT_INTERRUPTED);
             }
         })?;
     let cut = node.shutdown();
--- a/daemon/src/policy.rs
+++ b/daemon/src/policy.rs
@@ -1,4 +1,4 @@
-//! The file that changes entries of the policy.
+//! Reads the file that overrides entries of the policy.
 
 use std::fs;
 use std::path::Path;
@@ -6,7 +6,7 @@
 use dispatch::Policy;
 use eyre::WrapErr;
 
-/// Reads a policy file; the defaults where there is none.
+/// Reads and checks a policy file; without a file, returns the default policy.
 pub fn read(path: Option<&Path>) -> eyre::Result<Policy> {
     let Some(path) = path else {
         return Ok(Policy::default());
--- a/daemon/tests/apart.rs
+++ b/daemon/tests/apart.rs
@@ -1,4 +1,4 @@
-//! Configurations in a fleet whose daemons do not reach each other, or late.
+//! Propagation of configurations while messages between daemons are lost or delayed.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -6,14 +6,14 @@
 use soak::{Faults, Options};
 
 #[test]
-fn a_configuration_is_in_force_though_connections_between_daemons_went_silent() {
-    // Callers of some daemons are refused a route that operators added long ago, for up to 20 s, while
-    // all others serve it. Every connection between daemons has gone silent, and new ones work. Such
-    // a daemon hears from a few peers that the store is watched, so it does not watch; it knows that it
-    // is behind, and its one question waits behind messages on a silent connection, which is kept.
-    // Evidence: lines of those daemons, in this play: "a question was out for long", up to 22 s, after
-    // which the configuration is in force within 10 ms.
-    check(&Options {
+fn a_configuration_takes_effect_though_connections_between_daemons_are_silent() {
+    // Some daemons refused a route for up to 20 s although operators had added it long before and all
+    // other daemons served it. All existing connections between daemons were silent; new ones worked.
+    // An affected daemon heard from a few peers that the store was being watched, so it did not watch
+    // the store itself. It knew that it was behind, but its only request for the configuration was
+    // queued behind messages on a silent connection, which it kept open. Its log then says "a question
+    // was out for long", up to 22 s; the configuration was in force within 10 ms after that.
+    run_and_check(&Options {
         seed: 940,
         faults_for: Duration::from_secs(14),
         daemons: 24,
@@ -22,10 +22,10 @@
     });
 }
 
-/// Daemons that heard others late counted a copy as current that had been superseded.
+/// Daemons that received messages late took a superseded copy of the configuration for current.
 #[test]
-fn a_daemon_that_hears_others_late_does_not_count_as_current() {
-    check(&Options {
+fn a_daemon_with_delayed_messages_does_not_count_as_current() {
+    run_and_check(&Options {
         seed: 4401,
         faults_for: Duration::from_secs(8),
         daemons: 12,
@@ -50,8 +50,8 @@
     }
 }
 
-fn check(options: &Options) {
-    let outcome = soak::run(options).expect("the scene starts");
+fn run_and_check(options: &Options) {
+    let outcome = soak::run(options).expect("the fleet starts");
     assert!(outcome.broken.is_empty(), "{outcome}");
     assert!(outcome.tally.served > 0, "{outcome}");
 }
--- a/daemon/tests/ratelimit.rs
+++ b/daemon/tests/ratelimit.rs
@@ -1,12 +1,12 @@
-//! Upstreams that advertise a rate limit, before a fleet of real daemons.
+//! Upstreams that advertise a rate limit, behind a fleet of real daemons.
 
 use std::path::PathBuf;
 use std::time::Duration;
 
 use soak::{Faults, Options, Outcome};
 
-/// Runs a fleet before workers of which some advertise a limit.
-fn play(seed: u64, daemons: usize, limited: usize, faults: Faults) -> Outcome {
+/// Runs a fleet with 6 workers, of which `limited` advertise a rate limit.
+fn run_seed(seed: u64, daemons: usize, limited: usize, faults: Faults) -> Outcome {
     let outcome = soak::run(&Options {
         seed,
         faults_for: Duration::from_secs(8),
@@ -20,7 +20,7 @@
         other: None,
         logs: None,
     });
-    let outcome = outcome.expect("the scene starts");
+    let outcome = outcome.expect("the fleet starts");
     assert!(outcome.broken.is_empty(), "seed {seed}: {outcome}");
     assert!(outcome.tally.served > 0, "seed {seed}: {outcome}");
     outcome
@@ -28,12 +28,12 @@
 
 #[test]
 fn a_rate_limit_is_kept_by_the_whole_fleet() {
-    // Each daemon sends as if the upstream had advertised nothing.
-    play(36, 6, 2, Faults::Calm);
+    // Fails if each daemon sends as if the upstream had advertised no limit.
+    run_seed(36, 6, 2, Faults::Calm);
 }
 
 #[test]
-fn a_rate_limit_is_kept_while_daemons_come_and_go() {
-    // A killed daemon's part is taken over while it still counts, or never.
-    play(37, 6, 2, Faults::Any);
+fn a_rate_limit_is_kept_while_daemons_restart() {
+    // Fails if a killed daemon's share of the limit is reused while it still counts, or never freed.
+    run_seed(37, 6, 2, Faults::Any);
 }
--- a/daemon/tests/soak.rs
+++ b/daemon/tests/soak.rs
@@ -1,18 +1,18 @@
-//! Some seeds of the fault soak, and every seed that ever failed.
+//! Runs a fleet under random fault injection, with a few fixed seeds.
 
 use std::path::PathBuf;
 use std::time::Duration;
 
 use soak::{Faults, Options};
 
-/// Seeds that failed once, each with its cause, and some others.
+/// Seeds to run; a seed that fails is added here with its cause.
 const SEEDS: [u64; 2] = [1, 2];
 
 #[test]
-fn promises_are_kept_under_faults() {
-    // Daemons are killed, paused and stopped, their ways harmed, the store and workers fail,
-    // all of it overlapping, while callers keep their connections. None of them may see a
-    // request run twice, a false refusal, another's answer or a gap in a stream.
+fn invariants_hold_under_faults() {
+    // Daemons are killed, paused and stopped, connections between them are impaired, and the store
+    // and workers fail, all at overlapping times, while callers keep their connections. No caller
+    // may see a request run twice, a wrong refusal, another caller's answer or a gap in a stream.
     for seed in SEEDS {
         let outcome = soak::run(&Options {
             seed,
@@ -27,7 +27,7 @@
             other: None,
             logs: None,
         });
-        let outcome = outcome.expect("the scene starts");
+        let outcome = outcome.expect("the fleet starts");
         assert!(outcome.broken.is_empty(), "seed {seed}: {outcome}");
         assert!(outcome.tally.served > 0, "seed {seed}: {outcome}");
     }
