--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! Arguments of the tool.
+//! Command-line arguments of the tool.
 
 use std::path::PathBuf;
 
@@ -22,16 +22,16 @@
     error_code(5, "the daemon cannot be reached; nothing was changed")
 )]
 pub(crate) struct Args {
-    /// a daemon's operators' address (default http://127.0.0.1:7081)
+    /// URL of a daemon's operators' API (default http://127.0.0.1:7081)
     #[argh(option, default = "String::from(\"http://127.0.0.1:7081\")")]
     pub server: String,
     /// operator's token (default BUCKTHORNCROSS_TOKEN, then dev-operator)
     #[argh(option, default = "default_token()")]
     pub token: String,
-    /// print JSON
+    /// print JSON instead of tables
     #[argh(switch)]
     pub json: bool,
-    /// what to do
+    /// command to run
     #[argh(subcommand)]
     pub command: Command,
 }
@@ -40,29 +40,29 @@
     std::env::var(TOKEN_VARIABLE).unwrap_or_else(|_| DEFAULT_TOKEN.to_owned())
 }
 
-/// What the tool can do.
+/// A command of the tool.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub(crate) enum Command {
-    /// Entries.
+    /// Lists, reads and edits entries of the catalogue.
     Catalogue(Catalogue),
-    /// Roll-outs.
+    /// Starts, controls and shows roll-outs.
     Rollout(Rollout),
-    /// Takes a version out.
+    /// Withdraws a version of a model.
     Withdraw(Withdraw),
-    /// Takes a version in.
+    /// Offers a version of a model.
     Offer(Offer),
-    /// The fleet.
+    /// Shows the state of the fleet.
     Status(Status),
-    /// One daemon's state.
+    /// Prints one daemon's internal state.
     Dump(Dump),
-    /// Bills.
+    /// Lists bills.
     Bills(Bills),
-    /// A file of entries.
+    /// Checks a file of entries.
     Check(Check),
-    /// The fleet, refreshed.
+    /// Shows the fleet and its traffic continuously.
     Top(Top),
-    /// One request's story, from logs.
+    /// Collects the log lines about one request.
     Trace(Trace),
 }
 
@@ -70,24 +70,24 @@
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "catalogue")]
 pub(crate) struct Catalogue {
-    /// what to do
+    /// command to run
     #[argh(subcommand)]
     pub command: CatalogueCommand,
 }
 
-/// What can be done with entries.
+/// A command on entries of the catalogue.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub(crate) enum CatalogueCommand {
-    /// All.
+    /// Lists all entries.
     List(List),
-    /// One.
+    /// Prints entries.
     Get(Get),
-    /// Write.
+    /// Writes the entries of a file.
     Put(Put),
-    /// Remove.
+    /// Removes an entry.
     Remove(Remove),
-    /// Past edits.
+    /// Lists an entry's past edits.
     History(History),
 }
 
@@ -96,17 +96,17 @@
 #[argh(subcommand, name = "list")]
 pub(crate) struct List {}
 
-/// Prints entries as a file that `put` takes, with the revisions that they have now.
+/// Prints entries in the file format that `put` reads, with their current revisions.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "get")]
 pub(crate) struct Get {
-    /// names, as offers/brief-writer
+    /// names of entries, such as offers/brief-writer
     #[argh(positional)]
     pub names: Vec<EntryName>,
 }
 
-/// Writes the entries of a file. Each must still be at the revision that `get` noted in
-/// the file; an entry without one must not exist yet.
+/// Writes the entries of a file. Each must still have the revision that `get` wrote into the
+/// file; an entry without a revision must not exist yet.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "put")]
 pub(crate) struct Put {
@@ -122,10 +122,10 @@
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "remove")]
 pub(crate) struct Remove {
-    /// its name, as offers/brief-writer
+    /// name of the entry, such as offers/brief-writer
     #[argh(positional)]
     pub name: EntryName,
-    /// the revision that it must have; by default the present one
+    /// revision that the entry must have (default: its current one)
     #[argh(option)]
     pub revision: Option<Revision>,
 }
@@ -134,55 +134,55 @@
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "history")]
 pub(crate) struct History {
-    /// its name, as offers/brief-writer
+    /// name of the entry, such as offers/brief-writer
     #[argh(positional)]
     pub name: EntryName,
 }
 
-/// Drives roll-outs.
+/// Starts, controls and shows roll-outs.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "rollout")]
 pub(crate) struct Rollout {
-    /// what to do
+    /// command to run
     #[argh(subcommand)]
     pub command: RolloutCommand,
 }
 
-/// What can be done with roll-outs.
+/// A command on roll-outs.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub(crate) enum RolloutCommand {
-    /// Begin.
+    /// Starts a roll-out.
     Start(RolloutStart),
-    /// Next step.
+    /// Goes to the next step.
     Advance(RolloutAdvance),
-    /// Stay.
+    /// Pauses a roll-out at its step.
     Pause(RolloutPause),
-    /// Go on.
+    /// Resumes a paused roll-out.
     Resume(RolloutResume),
-    /// Go back.
+    /// Returns to the old version.
     Abort(RolloutAbort),
-    /// Show.
+    /// Shows all roll-outs.
     Status(RolloutStatus),
 }
 
-/// Begins to roll out a version of a model.
+/// Starts to roll out a version of a model.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "start")]
 pub(crate) struct RolloutStart {
-    /// the version that comes, as tariff-large@2026-12
+    /// new version, such as tariff-large@2026-12
     #[argh(positional)]
     pub to: VersionId,
-    /// the version that goes; by default the only other one offered
+    /// old version (default: the only other one offered)
     #[argh(option)]
     pub from: Option<VersionName>,
-    /// shares of new sessions, as 0.05,0.5,1
+    /// share of new sessions at each step, such as 0.05,0.5,1
     #[argh(option, from_str_fn(parse_steps))]
     pub steps: Option<Vec<Share>>,
-    /// ratings that each step needs
+    /// number of ratings that each step needs
     #[argh(option)]
     pub ratings: Option<u32>,
-    /// shortest stay at a step, as 5m
+    /// minimum time at each step, such as 5m
     #[argh(option)]
     pub stay: Option<Span>,
 }
@@ -196,78 +196,78 @@
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "advance")]
 pub(crate) struct RolloutAdvance {
-    /// the model
+    /// name of the model
     #[argh(positional)]
     pub model: ModelName,
 }
 
-/// Keeps a roll-out at its step.
+/// Pauses a roll-out at its current step.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "pause")]
 pub(crate) struct RolloutPause {
-    /// the model
+    /// name of the model
     #[argh(positional)]
     pub model: ModelName,
 }
 
-/// Lets a paused roll-out go on.
+/// Resumes a paused roll-out.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "resume")]
 pub(crate) struct RolloutResume {
-    /// the model
+    /// name of the model
     #[argh(positional)]
     pub model: ModelName,
 }
 
-/// Goes back to the old version.
+/// Aborts a roll-out and returns to the old version.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "abort")]
 pub(crate) struct RolloutAbort {
-    /// the model
+    /// name of the model
     #[argh(positional)]
     pub model: ModelName,
 }
 
-/// Shows the roll-outs and what they wait for.
+/// Shows the roll-outs and what each is waiting for.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "status")]
 pub(crate) struct RolloutStatus {}
 
-/// Withdraws a version: nothing new runs on it, sessions included.
+/// Withdraws a version: no new requests run on it, not even those of existing sessions.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "withdraw")]
 pub(crate) struct Withdraw {
-    /// the version, as tariff-large@2026-11
+    /// the version, such as tariff-large@2026-11
     #[argh(positional)]
     pub version: VersionId,
 }
 
-/// Offers a version, also against a suspension made before.
+/// Offers a version, and lifts its suspension if it has one.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "offer")]
 pub(crate) struct Offer {
-    /// the version, as tariff-large@2026-11
+    /// the version, such as tariff-large@2026-11
     #[argh(positional)]
     pub version: VersionId,
 }
 
-/// Shows who is in the fleet and which revision is in force where.
+/// Shows the daemons of the fleet and the revision in force at each.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "status")]
 pub(crate) struct Status {
-    /// wait until this revision is in force everywhere
+    /// wait until this revision is in force at all daemons
     #[argh(option)]
     pub wait: Option<Revision>,
-    /// how long to wait (default 60s)
+    /// longest time to wait (default 60s)
     #[argh(option, default = "Span::from_secs(60)")]
     pub timeout: Span,
 }
 
-/// Prints the state of the daemon.
+/// Prints the daemon's internal state as JSON.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "dump")]
 pub(crate) struct Dump {
-    /// only this part
+    /// print only this part
     #[argh(option)]
     pub part: Option<String>,
 }
@@ -276,10 +276,10 @@
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "bills")]
 pub(crate) struct Bills {
-    /// from this moment on, as 2026-12-02T17:00:00Z
+    /// start of the period, such as 2026-12-02T17:00:00Z
     #[argh(option)]
     pub since: Option<WallTime>,
-    /// before this moment
+    /// end of the period, exclusive
     #[argh(option)]
     pub until: Option<WallTime>,
     /// print CSV
@@ -296,14 +296,14 @@
     pub file: PathBuf,
 }
 
-/// Joins the lines of several hosts' logs into one request's story.
+/// Collects from several hosts' logs the lines that explain one request, in order of time.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "trace")]
 pub(crate) struct Trace {
-    /// the request's id, as the caller sent it, or a content's
+    /// id of the request, as the caller sent it, or id of a content
     #[argh(positional)]
     pub id: String,
-    /// a host's log, a JSON object a line; may be given several times
+    /// log file of a host, one JSON object per line; may be given several times
     #[argh(option)]
     pub logs: Vec<PathBuf>,
 }
@@ -315,7 +315,7 @@
     /// time between refreshes (default 2s)
     #[argh(option, default = "Span::from_secs(2)")]
     pub every: Span,
-    /// refresh so many times, then end
+    /// number of refreshes, after which the command ends
     #[argh(option)]
     pub count: Option<u32>,
 }
--- a/src/client.rs
+++ b/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls of the operators' API.
+//! HTTP client of the operators' API.
 
 use std::thread;
 use std::time::Duration;
@@ -16,35 +16,35 @@
 use crate::failure::Failure;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
-/// Longer than the daemon waits for an edit's outcome.
+/// Must exceed the time that the daemon waits for an edit's outcome.
 const READ_TIMEOUT: Duration = Duration::from_secs(30);
-const ASK_AGAIN_TIMES: u32 = 10;
-const ASK_AGAIN_EVERY: Duration = Duration::from_secs(1);
+const MAX_OUTCOME_POLLS: u32 = 10;
+const OUTCOME_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Speaks to one daemon.
+/// Client of one daemon's operators' API.
 #[derive(Debug)]
 pub(crate) struct Client {
     server: String,
     token: String,
 }
 
-/// An edit as the API takes it.
+/// An edit to be sent to the API.
 #[derive(Debug, Clone)]
-pub(crate) struct EditCall<T> {
-    /// How.
+pub(crate) struct EditRequest<T> {
+    /// HTTP method.
     pub method: Method,
-    /// Where.
+    /// Path of the API.
     pub path: String,
-    /// The entry that it edits.
+    /// Name of the edited entry.
     pub name: EntryName,
-    /// The revision that the entry must have.
+    /// Revision that the entry must have, sent as `If-Match`; `None` sends no condition.
     pub if_match: Option<Revision>,
-    /// What is sent.
+    /// Body, sent as JSON.
     pub body: T,
 }
 
 impl Client {
-    /// Of a daemon's operators' address.
+    /// Creates a client for a daemon's operators' address; the scheme defaults to `http://`.
     pub(crate) fn new(server: &str, token: String) -> Self {
         let server = server.trim_end_matches('/');
         let scheme = if server.contains("://") {
@@ -65,7 +65,7 @@
             .bearer_auth(&self.token)
     }
 
-    /// Reads.
+    /// Sends a GET request and parses the JSON body of the reply.
     pub(crate) fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Failure> {
         let response = self.fetch(path)?;
         Ok(response
@@ -73,7 +73,7 @@
             .wrap_err_with(|| format!("{path}: the answer cannot be read"))?)
     }
 
-    /// Reads as text.
+    /// Sends a GET request and returns the body of the reply as text.
     pub(crate) fn get_text(&self, path: &str) -> Result<String, Failure> {
         let response = self.fetch(path)?;
         Ok(response
@@ -84,7 +84,7 @@
     fn fetch(&self, path: &str) -> Result<Response, Failure> {
         let sent = self.request(Method::GET, path).send();
         let response = sent.map_err(|e| self.unreachable(&e))?;
-        accepted(response)
+        check_status(response)
     }
 
     fn unreachable(&self, e: &attohttpc::Error) -> Failure {
@@ -94,10 +94,10 @@
         }
     }
 
-    /// Makes an edit and follows it up until its outcome is known or asking is no use.
+    /// Sends an edit and, if its outcome is unknown, polls for the outcome a limited number of times.
     ///
-    /// The edit has an id of this tool's, so that a lost answer can be asked for again.
-    pub(crate) fn edit<T: Serialize>(&self, call: &EditCall<T>) -> Result<EditReply, Failure> {
+    /// The tool chooses the edit's id, so that it can ask for the outcome when the reply is lost.
+    pub(crate) fn edit<T: Serialize>(&self, call: &EditRequest<T>) -> Result<EditReply, Failure> {
         let id = make_id(call.if_match.unwrap_or_default(), &mut rand::rng());
         let mut req = self
             .request(call.method.clone(), &call.path)
@@ -109,7 +109,7 @@
             .json(&call.body)
             .wrap_err("the entry cannot be written as JSON")?;
         let reason = match req.send() {
-            Ok(response) => match accepted(response) {
+            Ok(response) => match check_status(response) {
                 Ok(response) => return read_edit(response),
                 Err(Failure::Refused(body)) if body.code == ErrorCode::OutcomeUnknown => {
                     body.message
@@ -119,18 +119,18 @@
             Err(e) if was_never_sent(&e) => return Err(self.unreachable(&e)),
             Err(e) => e.to_string(),
         };
-        self.follow_up(id, &call.name, reason)
+        self.poll_outcome(id, &call.name, reason)
     }
 
-    fn follow_up(
+    fn poll_outcome(
         &self,
         id: EditId,
         name: &EntryName,
         reason: String,
     ) -> Result<EditReply, Failure> {
         eprintln!("the outcome is not known yet, asking again for edit {id}");
-        for _ in 0..ASK_AGAIN_TIMES {
-            thread::sleep(ASK_AGAIN_EVERY);
+        for _ in 0..MAX_OUTCOME_POLLS {
+            thread::sleep(OUTCOME_POLL_INTERVAL);
             match self.get::<EditReply>(&path::edit(id)) {
                 Ok(reply) if reply.state == EditState::Applied => return Ok(reply),
                 Ok(reply) if reply.state == EditState::NotApplied => {
@@ -156,7 +156,7 @@
     body
 }
 
-/// Whether an error came before the first byte of a request was sent.
+/// Whether a request failed before its first byte was sent.
 fn was_never_sent(e: &attohttpc::Error) -> bool {
     match e.kind() {
         ErrorKind::ConnectError { .. } | ErrorKind::InvalidBaseUrl | ErrorKind::InvalidUrlHost => {
@@ -173,7 +173,7 @@
         .wrap_err("the answer to the edit cannot be read")?)
 }
 
-fn accepted(response: Response) -> Result<Response, Failure> {
+fn check_status(response: Response) -> Result<Response, Failure> {
     let status = response.status();
     if status.is_success() {
         return Ok(response);
--- a/src/cmd.rs
+++ b/src/cmd.rs
@@ -1,4 +1,4 @@
-//! One module a command.
+//! The tool's commands, one module each.
 
 mod bills;
 mod catalogue;
@@ -15,7 +15,7 @@
 use crate::failure::Failure;
 use crate::output::Output;
 
-/// Runs a command.
+/// Runs one command of the tool and prints its result.
 pub(crate) fn run(client: &Client, output: &Output, command: Command) -> Result<(), Failure> {
     match command {
         Command::Catalogue(args) => catalogue::run(client, output, args.command),
--- a/src/cmd/bills.rs
+++ b/src/cmd/bills.rs
@@ -1,4 +1,4 @@
-//! Bills.
+//! `bills`: lists bills as a table, JSON or CSV.
 
 use adminapi::bill::{BillRow, BillsReply};
 use adminapi::path;
--- a/src/cmd/catalogue.rs
+++ b/src/cmd/catalogue.rs
@@ -1,7 +1,8 @@
-//! Entries: list, get, put, remove, history.
+//! `catalogue`: lists, prints, writes and removes entries, and lists their past edits.
 //!
-//! `get` writes the revision of each entry into the file as a comment, and `put` sends it
-//! back: so an edit is bound to what its author saw, however long the file lay about.
+//! `get` prints the revision of each entry as a comment, and `put` sends that revision as a
+//! condition. An edit thus fails if the entry has changed since its author read it, however
+//! long ago that was.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -18,13 +19,13 @@
 use types::prelude::*;
 
 use crate::cli::CatalogueCommand;
-use crate::client::{Client, EditCall};
+use crate::client::{Client, EditRequest};
 use crate::cmd::status;
 use crate::failure::Failure;
 use crate::output::{Output, print_table, table};
 
 const REVISION_COMMENT: &str = "# revision ";
-const WAIT: Span = Span::from_secs(60);
+const WAIT_TIMEOUT: Span = Span::from_secs(60);
 
 pub(super) fn run(
     client: &Client,
@@ -80,7 +81,7 @@
     })
 }
 
-/// A file of entries before they are checked.
+/// A file of entries, not yet checked.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Outline {
@@ -90,10 +91,10 @@
 fn put(client: &Client, output: &Output, from: &Path, wait: bool) -> Result<(), Failure> {
     let text =
         fs::read_to_string(from).wrap_err_with(|| format!("{} cannot be read", from.display()))?;
-    let revisions = noted_revisions(&text);
+    let revisions = parse_revision_comments(&text);
     let mut last = Revision::default();
     for (name, entry) in read_entries(from, &text)? {
-        let call = EditCall {
+        let call = EditRequest {
             method: Method::PUT,
             path: path::entry(&name),
             if_match: revisions.get(&name).copied(),
@@ -105,13 +106,13 @@
         output.edited(&reply)?;
     }
     if wait {
-        status::wait(client, last, WAIT).map(|_| ())
+        status::wait(client, last, WAIT_TIMEOUT).map(|_| ())
     } else {
         Ok(())
     }
 }
 
-/// Entries in an order in which each finds what it refers to.
+/// Reads the entries of a file, sorted so that each comes after the entries that it refers to.
 fn read_entries(from: &Path, text: &str) -> Result<Vec<(EntryName, Entry)>, Failure> {
     let expected = || {
         format!(
@@ -126,11 +127,11 @@
         let entry = entry.map_err(|problem| eyre::eyre!("{}: {problem}", from.display()))?;
         entries.push((name, entry));
     }
-    entries.sort_by_key(|(_, entry)| rank(&entry.body));
+    entries.sort_by_key(|(_, entry)| dependency_rank(&entry.body));
     Ok(entries)
 }
 
-fn rank(body: &Body) -> u8 {
+fn dependency_rank(body: &Body) -> u8 {
     match body {
         Body::Customer(_) => 0,
         Body::Service(_) => 1,
@@ -139,7 +140,7 @@
     }
 }
 
-fn noted_revisions(text: &str) -> BTreeMap<EntryName, Revision> {
+fn parse_revision_comments(text: &str) -> BTreeMap<EntryName, Revision> {
     let notes = text
         .lines()
         .filter_map(|line| line.strip_prefix(REVISION_COMMENT));
@@ -159,7 +160,7 @@
         Some(revision) => revision,
         None => client.get::<EntryReply>(&path::entry(&name))?.revision,
     };
-    let reply = client.edit(&EditCall {
+    let reply = client.edit(&EditRequest {
         method: Method::DELETE,
         path: path::entry(&name),
         name,
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -1,4 +1,4 @@
-//! Checks a file of entries, each alone and all together, without a daemon.
+//! `check`: checks the entries of a file, each alone and all together, without a daemon.
 
 use std::fs;
 use std::path::Path;
--- a/src/cmd/dump.rs
+++ b/src/cmd/dump.rs
@@ -1,4 +1,4 @@
-//! The state of the daemon, as JSON.
+//! `dump`: prints the daemon's internal state as JSON.
 
 use adminapi::path;
 use eyre::WrapErr;
--- a/src/cmd/rollout.rs
+++ b/src/cmd/rollout.rs
@@ -1,4 +1,4 @@
-//! Roll-outs: start, advance, pause, resume, abort, status.
+//! `rollout`: starts, advances, pauses, resumes, aborts and shows roll-outs.
 
 use ::rollout::edit::state_name;
 use adminapi::path;
@@ -10,7 +10,7 @@
 use types::prelude::*;
 
 use crate::cli::{RolloutCommand, RolloutStart};
-use crate::client::{Client, EditCall};
+use crate::client::{Client, EditRequest};
 use crate::failure::Failure;
 use crate::output::{Output, print_table, table};
 
@@ -21,10 +21,10 @@
 ) -> Result<(), Failure> {
     match command {
         RolloutCommand::Start(args) => start(client, output, args),
-        RolloutCommand::Advance(args) => act(client, output, &args.model, "advance", &()),
-        RolloutCommand::Pause(args) => act(client, output, &args.model, "pause", &()),
-        RolloutCommand::Resume(args) => act(client, output, &args.model, "resume", &()),
-        RolloutCommand::Abort(args) => act(client, output, &args.model, "abort", &()),
+        RolloutCommand::Advance(args) => post_action(client, output, &args.model, "advance", &()),
+        RolloutCommand::Pause(args) => post_action(client, output, &args.model, "pause", &()),
+        RolloutCommand::Resume(args) => post_action(client, output, &args.model, "resume", &()),
+        RolloutCommand::Abort(args) => post_action(client, output, &args.model, "abort", &()),
         RolloutCommand::Status(_) => status(client, output),
     }
 }
@@ -41,10 +41,10 @@
         steps: args.steps,
         gate: Some(gate),
     };
-    act(client, output, &args.to.model, "start", &request)
+    post_action(client, output, &args.to.model, "start", &request)
 }
 
-fn act<T: Serialize>(
+fn post_action<T: Serialize>(
     client: &Client,
     output: &Output,
     model: &ModelName,
@@ -52,7 +52,7 @@
     body: &T,
 ) -> Result<(), Failure> {
     let name = EntryName::new(&format!("models/{model}")).wrap_err("the model's name")?;
-    let reply = client.edit(&EditCall {
+    let reply = client.edit(&EditRequest {
         method: Method::POST,
         path: path::rollout(model, action),
         name,
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -1,4 +1,4 @@
-//! The fleet, and waiting until a revision is in force everywhere.
+//! `status`: shows the fleet, optionally after waiting until a revision is in force at all daemons.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -12,7 +12,7 @@
 use crate::failure::Failure;
 use crate::output::{Output, print_table, table};
 
-const ASK_EVERY: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 pub(super) fn run(client: &Client, output: &Output, args: &Status) -> Result<(), Failure> {
     let reply = match args.wait {
@@ -22,7 +22,7 @@
     output.reply(&reply, show)
 }
 
-/// Asks until a revision is in force everywhere.
+/// Polls until a revision is in force at all daemons; fails after `timeout`.
 pub(super) fn wait(
     client: &Client,
     revision: Revision,
@@ -35,23 +35,23 @@
             return Ok(reply);
         }
         if Instant::now() >= deadline {
-            return Err(too_late(&reply, revision, timeout));
+            return Err(timed_out(&reply, revision, timeout));
         }
-        thread::sleep(ASK_EVERY);
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
-fn too_late(reply: &StatusReply, revision: Revision, timeout: Span) -> Failure {
+fn timed_out(reply: &StatusReply, revision: Revision, timeout: Span) -> Failure {
     let behind = reply.lagging(revision).map(|member| {
         let (daemon, at, age) = (&member.daemon, member.revision, member.report_age);
-        format!("\n  {daemon} reported revision {at} {} ago", short(age))
+        format!("\n  {daemon} reported revision {at} {} ago", rounded(age))
     });
     let behind: String = behind.collect();
     eyre::eyre!("revision {revision} is not in force everywhere after {timeout}; behind:{behind}")
         .into()
 }
 
-/// Prints the fleet.
+/// Prints the state of the fleet as tables.
 pub(super) fn show(reply: &StatusReply) {
     let reachable = if reply.store_reachable {
         "answers"
@@ -64,7 +64,7 @@
         reply.cluster,
         reply.revision,
         reply.in_force_everywhere,
-        short(reply.freshness_age),
+        rounded(reply.freshness_age),
     );
     println!(
         "{} requests in flight, {} bills waiting",
@@ -103,13 +103,13 @@
         member.failure_domain.to_string(),
         member.state.as_str().to_owned(),
         member.revision.to_string(),
-        format!("{} ago", short(member.report_age)),
-        member.behind_for.map_or_else(|| "-".to_owned(), short),
+        format!("{} ago", rounded(member.report_age)),
+        member.behind_for.map_or_else(|| "-".to_owned(), rounded),
     ]
 }
 
-/// A span in whole milliseconds, or in whole seconds from ten on.
-fn short(span: Span) -> String {
+/// Formats a span rounded down to milliseconds, or to seconds from ten seconds on.
+fn rounded(span: Span) -> String {
     const TEN_SECONDS: Span = Span::from_secs(10);
     let millis = span.as_millis();
     let cut = if span < TEN_SECONDS {
--- a/src/cmd/top.rs
+++ b/src/cmd/top.rs
@@ -1,4 +1,4 @@
-//! The fleet and this daemon's traffic, refreshed.
+//! `top`: shows the fleet and the daemon's traffic, refreshed at an interval.
 
 use std::collections::BTreeMap;
 use std::thread;
@@ -13,7 +13,7 @@
 use crate::failure::Failure;
 use crate::output::{print_table, table};
 
-const CLEAR: &str = "\u{1b}[2J\u{1b}[H";
+const CLEAR_SCREEN: &str = "\u{1b}[2J\u{1b}[H";
 const REQUESTS: &str = "buckthorncross_requests_total";
 const FIRST_TOKEN_SUM: &str = "buckthorncross_first_token_seconds_sum";
 const FIRST_TOKEN_COUNT: &str = "buckthorncross_first_token_seconds_count";
@@ -26,7 +26,7 @@
         let reply: StatusReply = client.get(path::STATUS)?;
         let now = Counters::read(&client.get_text(path::METRICS)?);
         if args.count.is_none() {
-            print!("{CLEAR}");
+            print!("{CLEAR_SCREEN}");
         }
         status::show(&reply);
         show_traffic(&before, &now, args.every);
@@ -36,7 +36,7 @@
     Ok(())
 }
 
-/// Counters of the traffic by offer and, for requests, outcome.
+/// Traffic counters by offer; requests also by outcome.
 #[derive(Debug, Default)]
 struct Counters {
     requests: BTreeMap<(String, String), f64>,
@@ -45,16 +45,16 @@
 }
 
 impl Counters {
-    /// Takes the lines that it knows from the metrics' text.
+    /// Reads the counters from the text of `/metrics` and ignores all other lines.
     fn read(text: &str) -> Self {
         let mut counters = Self::default();
         for line in text.lines() {
-            counters.take(line);
+            counters.add_line(line);
         }
         counters
     }
 
-    fn take(&mut self, line: &str) {
+    fn add_line(&mut self, line: &str) {
         let Some((series, value)) = line.rsplit_once(' ') else {
             return;
         };
--- a/src/cmd/trace.rs
+++ b/src/cmd/trace.rs
@@ -1,4 +1,4 @@
-//! One request's story, from the logs of several hosts.
+//! `trace`: collects the lines that explain one request from the logs of several hosts.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader};
@@ -9,7 +9,7 @@
 use crate::cli::Trace;
 use crate::failure::Failure;
 use crate::output::Output;
-use crate::story::{Line, story};
+use crate::story::{LogLine, story};
 
 pub(super) fn run(output: &Output, args: &Trace) -> Result<(), Failure> {
     let mut lines = Vec::new();
@@ -20,7 +20,7 @@
         let host = host.unwrap_or_default();
         for text in BufReader::new(f).lines() {
             let text = text.wrap_err_with(|| format!("{name} cannot be read"))?;
-            lines.extend(Line::parse(&host, &text));
+            lines.extend(LogLine::parse(&host, &text));
         }
     }
     let story = story(&args.id, lines);
@@ -32,7 +32,7 @@
         );
         return Err(e.into());
     }
-    let values = story.iter().map(Line::to_json).collect::<Vec<_>>();
+    let values = story.iter().map(LogLine::to_json).collect::<Vec<_>>();
     output.reply(&json!({ "lines": values }), |_| {
         story.iter().for_each(|line| println!("{line}"));
     })
--- a/src/cmd/version.rs
+++ b/src/cmd/version.rs
@@ -1,11 +1,11 @@
-//! Versions: withdraw and offer.
+//! `withdraw` and `offer`: change the state of a version.
 
 use adminapi::path;
 use attohttpc::Method;
 use eyre::WrapErr;
 use types::prelude::*;
 
-use crate::client::{Client, EditCall};
+use crate::client::{Client, EditRequest};
 use crate::failure::Failure;
 use crate::output::Output;
 
@@ -14,14 +14,14 @@
     output: &Output,
     version: &VersionId,
 ) -> Result<(), Failure> {
-    change(client, output, version, path::WITHDRAW)
+    set_state(client, output, version, path::WITHDRAW)
 }
 
 pub(super) fn offer(client: &Client, output: &Output, version: &VersionId) -> Result<(), Failure> {
-    change(client, output, version, path::OFFER)
+    set_state(client, output, version, path::OFFER)
 }
 
-fn change(
+fn set_state(
     client: &Client,
     output: &Output,
     version: &VersionId,
@@ -29,7 +29,7 @@
 ) -> Result<(), Failure> {
     let model = &version.model;
     let name = EntryName::new(&format!("models/{model}")).wrap_err("the model's name")?;
-    let reply = client.edit(&EditCall {
+    let reply = client.edit(&EditRequest {
         method: Method::POST,
         path: format!("{prefix}/{version}"),
         name,
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,7 +1,7 @@
 //! `buckthorncross`: the operators' tool.
 //!
-//! It speaks the operators' API of one daemon and prints tables for people or, with
-//! `--json`, the API's replies for programs. Exit codes say what became of the command:
+//! The tool calls the operators' API of one daemon and prints tables for people or, with
+//! `--json`, the API's replies for programs. Its exit code gives the outcome of the command:
 //!
 //! | code | meaning |
 //! |---|---|
--- a/src/output.rs
+++ b/src/output.rs
@@ -1,4 +1,4 @@
-//! Printing: tables for people, JSON for programs.
+//! Output of the tool: tables for people, JSON for programs.
 
 use adminapi::edit::EditReply;
 use adminapi::error::ErrorReply;
@@ -9,19 +9,19 @@
 
 use crate::failure::Failure;
 
-/// How to print.
+/// Prints results in the chosen format.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Output {
     json: bool,
 }
 
 impl Output {
-    /// Tables, or JSON.
+    /// Creates an output that prints JSON if `json` is true, else tables.
     pub(crate) fn new(json: bool) -> Self {
         Self { json }
     }
 
-    /// Prints a reply: as it came, or by `table`.
+    /// Prints a reply as JSON, or with the function `table`.
     pub(crate) fn reply<T: Serialize>(
         &self,
         reply: &T,
@@ -36,7 +36,7 @@
         Ok(())
     }
 
-    /// Prints what became of an edit.
+    /// Prints the reply to an applied edit.
     pub(crate) fn edited(&self, reply: &EditReply) -> Result<(), Failure> {
         self.reply(reply, |reply| {
             let name = reply
@@ -52,7 +52,8 @@
         })
     }
 
-    /// Prints why a command failed, on standard error; as JSON on standard output.
+    /// Prints a failure to standard error. In JSON mode, also prints a daemon's error reply to
+    /// standard output.
     pub(crate) fn failure(&self, failure: &Failure) {
         eprintln!("error: {failure}");
         if self.json
@@ -69,14 +70,14 @@
     }
 }
 
-/// An empty table with a line of names.
+/// Creates an empty table with a header line.
 pub(crate) fn table<const N: usize>(header: [&str; N]) -> Table {
     let mut table = Table::new();
     table.load_style(NOTHING).set_header(header);
     table
 }
 
-/// Prints a table without the blanks that end its lines.
+/// Prints a table without trailing blanks.
 pub(crate) fn print_table(table: &Table) {
     for line in table.to_string().lines() {
         println!("{}", line.trim_end());
--- a/src/story.rs
+++ b/src/story.rs
@@ -1,16 +1,17 @@
-//! Lines of logs that explain one request, or all requests of one content.
+//! Selects the log lines that explain one request, or all requests of one content.
 //!
-//! The request's own lines say which upstreams it went to and when. Around them belong what
-//! the host that served it believed: its configuration, its sight of the store and of those
-//! upstreams, roll-outs, and its own life.
+//! The request's own lines say which upstreams it was sent to and when. Added to them are the earlier
+//! lines that show the state of the host which served it: its configuration, its view of the
+//! store and of those upstreams, roll-outs, and starts and stops of the daemon.
 
 use std::collections::BTreeSet;
 use std::fmt;
 
 use serde_json::{Map, Value, json};
 
-/// Lines of the host itself that explain a request if they lie at its time.
-const ABOUT_THE_HOST: [&str; 7] = [
+/// Starts of messages about the state of a host. Such lines are selected if they come from a host
+/// that logged the request, and not later than the request's last line.
+const HOST_MESSAGE_PREFIXES: [&str; 7] = [
     "config:",
     "daemon:",
     "peers: caught up",
@@ -19,21 +20,21 @@
     "store:",
     "traffic:",
 ];
-/// Fields that every line has; printed apart from the others.
-const COMMON: [&str; 3] = ["timestamp", "level", "message"];
+/// Fields that every line has; they are not printed as `name=value`.
+const COMMON_FIELDS: [&str; 3] = ["timestamp", "level", "message"];
 
-/// A line of a host's log.
+/// A parsed line of a host's log.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) struct Line {
+pub(crate) struct LogLine {
     host: String,
     timestamp: String,
     message: String,
     fields: Map<String, Value>,
 }
 
-impl Line {
-    /// Reads a line: a JSON object, perhaps behind a time and a host's name. Others are not
-    /// of a daemon and passed over.
+impl LogLine {
+    /// Parses a line: a JSON object, optionally preceded by a time and a host's name, which then
+    /// replaces `host`. Returns `None` for lines that no daemon wrote.
     pub(crate) fn parse(host: &str, text: &str) -> Option<Self> {
         let at = text.find('{')?;
         let mut fields = serde_json::from_str::<Map<String, Value>>(&text[at..]).ok()?;
@@ -56,9 +57,9 @@
         self.fields.get(name)?.as_str()
     }
 
-    /// Whether it speaks of an id: a request's, or that of a content, which stands in the lines
-    /// of all requests for it and of each upstream that ended under it.
-    fn names(&self, id: &str) -> bool {
+    /// Whether the line mentions an id, of a request or of a content. The id of a content is in the
+    /// lines of all requests with that content and of each upstream that crashed while running it.
+    fn mentions(&self, id: &str) -> bool {
         let is_own = ["id", "content"]
             .iter()
             .any(|name| self.text(name) == Some(id));
@@ -80,11 +81,11 @@
     }
 }
 
-impl fmt::Display for Line {
+impl fmt::Display for LogLine {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} {} {}", self.timestamp, self.host, self.message)?;
         for (name, value) in &self.fields {
-            let is_common = COMMON.contains(&name.as_str());
+            let is_common = COMMON_FIELDS.contains(&name.as_str());
             match value {
                 _ if is_common => {}
                 Value::String(text) if text.is_empty() => {}
@@ -96,16 +97,16 @@
     }
 }
 
-/// Ids of the upstreams that a request's line names, such as in
+/// Ids of the upstreams listed in the `tries` field of a request's line, such as
 /// `u1 v1 model 0 (wait 1 work 40): failed at 12ms; u2 v1: answered at 40ms`.
-fn upstreams_of(line: &Line) -> impl Iterator<Item = &str> {
+fn upstreams_of(line: &LogLine) -> impl Iterator<Item = &str> {
     let tries = line.text("tries").unwrap_or_default().split("; ");
     tries.filter_map(|tried| tried.split_whitespace().next())
 }
 
-/// Lines that explain a request, in order of time.
-pub(crate) fn story(id: &str, lines: Vec<Line>) -> Vec<Line> {
-    let own = lines.iter().filter(|line| line.names(id));
+/// Selects the lines that explain the requests with this request id or content id, in order of time.
+pub(crate) fn story(id: &str, lines: Vec<LogLine>) -> Vec<LogLine> {
+    let own = lines.iter().filter(|line| line.mentions(id));
     let own = own.cloned().collect::<Vec<_>>();
     let hosts = own.iter().map(|line| line.host.as_str());
     let hosts = hosts.collect::<BTreeSet<_>>();
@@ -114,10 +115,10 @@
     let Some(last) = last.map(str::to_owned) else {
         return Vec::new();
     };
-    let explains = |line: &Line| {
-        let is_own = line.names(id);
+    let explains = |line: &LogLine| {
+        let is_own = line.mentions(id);
         let is_here = hosts.contains(line.host.as_str()) && line.timestamp <= last;
-        let about_host = ABOUT_THE_HOST
+        let about_host = HOST_MESSAGE_PREFIXES
             .iter()
             .any(|start| line.message.starts_with(start));
         let upstream = line.text("upstream");
@@ -129,7 +130,7 @@
         .filter(|line| explains(line))
         .cloned()
         .collect::<Vec<_>>();
-    // Timestamps of one form sort as texts.
+    // All timestamps have the same format, so that they sort correctly as text.
     story.sort_by(|a, b| a.timestamp.cmp(&b.timestamp));
     story
 }
--- a/tests/tool.rs
+++ b/tests/tool.rs
@@ -1,4 +1,4 @@
-//! The tool's exit codes and what it says, against an operators' API of a few lines.
+//! The tool's exit codes and output, against a minimal operators' API.
 
 use std::net::SocketAddr;
 use std::process::{Command, Output};
@@ -8,7 +8,7 @@
 use adminapi::status::{MemberState, MemberStatus, StatusReply};
 use catalogue::entry::{Body, Customer, Entry, Limits};
 use operators::auth::Tokens;
-use operators::command::{Command as Asked, EditOutcome};
+use operators::command::{Command as ApiCommand, EditOutcome};
 use operators::health::Health;
 use operators::{Bounds, Config, Handle, start};
 use telemetry::metrics::Metrics;
@@ -17,16 +17,18 @@
 const FILE: &str = "# revision customers/acme 7\nentries:\n  customers/acme:\n    kind: customer\n    \
                     owner: licensing\n    key_sha256: []\n";
 
-/// An API at which every edit ends the same way.
+/// Starts an API at which every edit of revision 7 has the given outcome; any other edit is a conflict.
 fn serve(outcome: EditOutcome) -> Handle {
     let operator = OperatorName::new("asha").unwrap();
-    let submit = move |asked| {
-        match asked {
-            Asked::Edit(edit, tx) if edit.if_match == Some(Revision(7)) => tx.send(outcome.clone()),
-            Asked::Edit(_, tx) => tx.send(EditOutcome::Conflict { current: None }),
-            Asked::EditState(_, tx) => tx.send(None),
-            Asked::Status(tx) => tx.send(status()),
-            Asked::Entry(name, tx) => tx.send(Some(acme(name))),
+    let submit = move |req| {
+        match req {
+            ApiCommand::Edit(edit, tx) if edit.if_match == Some(Revision(7)) => {
+                tx.send(outcome.clone())
+            }
+            ApiCommand::Edit(_, tx) => tx.send(EditOutcome::Conflict { current: None }),
+            ApiCommand::EditState(_, tx) => tx.send(None),
+            ApiCommand::Status(tx) => tx.send(status()),
+            ApiCommand::Entry(name, tx) => tx.send(Some(acme(name))),
             _ => return false,
         }
         true
@@ -88,7 +90,7 @@
     command.args(words).output().unwrap()
 }
 
-/// Exit code, standard output and standard error.
+/// Runs the tool and returns its exit code, standard output and standard error.
 fn run(server: SocketAddr, words: &[&str]) -> (i32, String, String) {
     let output = tool(server, words);
     let text = |bytes| String::from_utf8(bytes).unwrap();
@@ -106,7 +108,7 @@
 }
 
 #[test]
-fn can_put_what_get_printed() {
+fn put_accepts_the_output_of_get() {
     let server = serve(EditOutcome::Applied {
         revision: Revision(8),
     });
@@ -127,7 +129,7 @@
 }
 
 #[test]
-fn errors_have_exit_codes_that_mean_something() {
+fn each_kind_of_failure_has_its_exit_code() {
     let from = file("put.yaml", FILE);
     let put = |outcome: EditOutcome| {
         let server = serve(outcome);
@@ -155,9 +157,9 @@
     assert_eq!(run(nowhere, &["--help"]).0, 0);
 }
 
-/// The store took an edit and its reply was lost; nobody can say yet what became of it. A
-/// script that read "failed" would make the edit again, one that read "done" would go on.
-/// The tool asks again for a while and then says that it does not know.
+/// The store's reply to an edit is lost, so the outcome is unknown. A script that was told "failed"
+/// would repeat the edit, and one that was told "done" would go on. The tool must poll for a while
+/// and then report that the outcome is unknown.
 #[test]
 fn errors_say_when_an_outcome_stays_unknown() {
     let from = file("unknown.yaml", FILE);
@@ -169,7 +171,7 @@
 }
 
 #[test]
-fn errors_name_the_daemons_that_a_wait_ran_out_on() {
+fn a_wait_that_times_out_names_the_lagging_daemons() {
     let server = serve(EditOutcome::Unknown);
     let words = ["status", "--wait", "8", "--timeout", "0s"];
     let (code, _, said) = run(server.address(), &words);
@@ -199,7 +201,8 @@
 
 #[test]
 fn a_request_is_traced_through_logs() {
-    // On call, with nothing but logs and the id of a request that failed.
+    // An operator has only the logs and the id of a failed request. The trace must show the request's
+    // own line and the earlier lines about its host and upstream, and nothing else.
     let path = std::env::temp_dir().join(format!("trace-{}.log", std::process::id()));
     std::fs::write(&path, LOG).unwrap();
     let tool = || Command::new(env!("CARGO_BIN_EXE_buckthorncross"));
@@ -224,7 +227,7 @@
     assert_eq!(missing.status.code(), Some(1));
 }
 
-const ENDS: &str = r#"
+const CRASH_LOG: &str = r#"
 {"timestamp":"2026-01-01T00:00:01.000Z","level":"INFO","message":"requests: ended","id":"r1","content":"c1","tries":"u1 v1: cut at 9ms"}
 {"timestamp":"2026-01-01T00:00:01.100Z","level":"WARN","message":"upstreams: ended","upstream":"u1","under":"c0 40ms; c1 9ms"}
 {"timestamp":"2026-01-01T00:00:02.000Z","level":"INFO","message":"requests: ended","id":"r2","content":"c1","tries":"u2 v1: cut at 9ms"}
@@ -232,11 +235,11 @@
 "#;
 
 #[test]
-fn all_requests_of_one_content_are_traced_with_the_ends_under_it() {
-    // A caller sends the same request again and again under new ids. On call has one id, reads
-    // the content's from its line, and asks for all that came of it.
+fn all_requests_of_one_content_are_traced_with_the_crashes_under_it() {
+    // A caller repeats the same content under new request ids. An operator has one request id, reads
+    // the id of the content from that request's line, and needs all requests and crashes of the content.
     let path = std::env::temp_dir().join(format!("trace-ends-{}.log", std::process::id()));
-    std::fs::write(&path, ENDS).unwrap();
+    std::fs::write(&path, CRASH_LOG).unwrap();
     let mut tool = Command::new(env!("CARGO_BIN_EXE_buckthorncross"));
     let found = tool.args(["trace", "c1", "--logs"]).arg(&path).output();
     std::fs::remove_file(&path).unwrap();
