--- a/components/operators/src/auth.rs
+++ b/components/operators/src/auth.rs
@@ -1,4 +1,4 @@
-//! Bearer tokens, one or more for each operator.
+//! Authentication of operators by bearer token; an operator may have several.
 
 use std::collections::BTreeMap;
 
@@ -7,15 +7,15 @@
 
 const SCHEME: &str = "Bearer ";
 
-/// Tokens of the operators. Only hashes are kept, so that a dump cannot show a token and
-/// comparing takes the same time whatever was sent.
+/// Tokens of the operators. Only hashes are stored, so that a dump cannot reveal a token and
+/// the time of a look-up tells nothing about the tokens.
 #[derive(Debug, Clone, Default)]
 pub struct Tokens {
     operators: BTreeMap<KeyHash, OperatorName>,
 }
 
 impl Tokens {
-    /// Takes the tokens of the settings.
+    /// Hashes the tokens from the settings.
     pub fn new<'a>(tokens: impl IntoIterator<Item = (&'a OperatorName, &'a String)>) -> Self {
         let hashed = tokens.into_iter();
         let hashed = hashed.map(|(name, token)| (KeyHash::from_key(token), name.clone()));
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Whose token an `Authorization` header carries.
+    /// Returns the operator whose token an `Authorization` header carries.
     #[must_use]
     pub fn operator(&self, header: Option<&str>) -> Option<&OperatorName> {
         let token = header?.strip_prefix(SCHEME)?.trim();
--- a/components/operators/src/command.rs
+++ b/components/operators/src/command.rs
@@ -1,7 +1,7 @@
-//! What the API asks of the control thread.
+//! Commands of the API to the control thread.
 //!
 //! A command carries the sender for its answer. The control thread answers reads at once
-//! and edits when the store has answered; it never waits for an operator.
+//! and edits when the store has answered; it never blocks on an operator's connection.
 
 use std::sync::Arc;
 
@@ -13,92 +13,92 @@
 use catalogue::entry::Entry;
 use types::prelude::*;
 
-/// Where a command's answer goes.
+/// Sender for the answer to a command.
 #[derive(Debug, Clone)]
 pub struct ReplyTo<T>(flume::Sender<T>);
 
 impl<T> ReplyTo<T> {
-    /// A sender, and the receiver that the request waits on.
+    /// Creates a sender and the receiver on which the request waits.
     #[must_use]
     pub fn new() -> (Self, flume::Receiver<T>) {
         let (tx, rx) = flume::bounded(1);
         (Self(tx), rx)
     }
 
-    /// Answers. An operator who no longer waits is no error.
+    /// Sends the answer. It is no error if the request is no longer waiting.
     pub fn send(self, answer: T) {
         // Fails only when the request has timed out and dropped its receiver.
         let _ = self.0.try_send(answer);
     }
 }
 
-/// Hands a command to the control thread without waiting; false when it takes no more.
+/// Passes a command to the control thread without blocking; returns false if its queue is full.
 pub type Submit = Box<dyn Fn(Command) -> bool + Send + Sync>;
 
-/// A question or an edit.
+/// A query or an edit, with the sender for its answer.
 #[derive(Debug)]
 pub enum Command {
-    /// Every entry that stands.
+    /// Lists all existing entries.
     Catalogue(ReplyTo<CatalogueReply>),
-    /// One entry, its removal marker included.
+    /// Reads one entry; a removed entry yields its removal marker.
     Entry(EntryName, ReplyTo<Option<EntryReply>>),
-    /// The edits of one entry.
+    /// Reads the past edits of one entry.
     History(EntryName, ReplyTo<Option<HistoryReply>>),
-    /// Put or remove an entry.
+    /// Writes or removes an entry.
     Edit(Edit, ReplyTo<EditOutcome>),
-    /// Lift a version's suspension, told in how many classes it had one. Not an edit: it
-    /// spreads between daemons, also while the store is down.
+    /// Lifts a version's suspensions; the answer is the number of classes in which it had one. This
+    /// is no edit: daemons tell each other, so that it works while the store is down.
     Lift(VersionId, ReplyTo<usize>),
-    /// What became of an edit, nothing when this daemon has no trace of it.
+    /// Reads the outcome of an edit; the answer is `None` if this daemon does not know the edit.
     EditState(EditId, ReplyTo<Option<EditReply>>),
-    /// Every roll-out.
+    /// Lists all roll-outs.
     Rollouts(ReplyTo<RolloutsReply>),
-    /// Who is in the fleet and which revision is in force where.
+    /// Reads the members of the fleet and the revision in force at each.
     Status(ReplyTo<StatusReply>),
-    /// The state of the daemon.
+    /// Reads the daemon's internal state.
     Dump(ReplyTo<serde_json::Value>),
-    /// Bills, or why they cannot be read now.
+    /// Reads bills; the answer is an error text if they cannot be read now.
     Bills(BillsQuery, ReplyTo<Result<BillsReply, String>>),
 }
 
 /// One edit of the catalogue.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Edit {
-    /// The entry.
+    /// Name of the entry.
     pub name: EntryName,
-    /// What it shall say, or nothing to remove it.
+    /// New content of the entry, or `None` to remove it.
     pub entry: Option<Arc<Entry>>,
-    /// The revision that the operator saw; nothing: the entry must be absent.
+    /// Revision that the operator has read; `None` if the entry must not exist.
     pub if_match: Option<Revision>,
-    /// Who makes it.
+    /// Operator who makes the edit.
     pub author: OperatorName,
-    /// Tells it from others. The same id again is the same edit, never a second one.
+    /// Id of the edit. An edit sent again with the same id is applied at most once.
     pub edit_id: EditId,
 }
 
-/// What became of an edit.
+/// Outcome of an edit.
 #[derive(Debug, Clone, PartialEq)]
 pub enum EditOutcome {
-    /// In the store.
+    /// Written to the store.
     Applied {
-        /// The revision that it made.
+        /// Revision that the edit created.
         revision: Revision,
     },
-    /// The entry was not as the operator saw it. Nothing was written.
+    /// The entry's revision differs from `if_match`. Nothing was written.
     Conflict {
-        /// The entry as it stands, a removal marker included.
+        /// Current entry or its removal marker; `None` if it never existed.
         current: Option<Box<EntryReply>>,
     },
-    /// The entry breaks rules. Nothing was written.
+    /// The entry violates rules of the catalogue. Nothing was written.
     Invalid {
-        /// Every problem found.
+        /// All problems found.
         problems: Vec<String>,
     },
-    /// Certainly without effect, now and later.
+    /// Had no effect and will have none.
     NotApplied {
-        /// Why.
+        /// Why the edit was not applied.
         reason: String,
     },
-    /// May have taken effect or may still do so; asked again by its id.
+    /// May have taken effect or may still do so; [`Command::EditState`] tells later.
     Unknown,
 }
--- a/components/operators/src/gate.rs
+++ b/components/operators/src/gate.rs
@@ -1,11 +1,11 @@
-//! The door of the server: bounds what connections can hold.
+//! TCP proxy in front of the server that limits the resources which connections can hold.
 //!
-//! rouille has no bound on connections, on the length of a head or on the time that a
-//! caller takes, and gives no access to its sockets. So it listens on loopback, and this
-//! gate accepts on the operators' address and copies bytes both ways. A connection too
-//! many is closed at once; one that sends or takes nothing for a while, lasts too long or
-//! sends more than a request may have is cut. Without it, a few hundred sleeping
-//! connections would hold the threads and files that callers' traffic needs.
+//! rouille limits neither the number of connections, nor the length of a request head, nor the time
+//! that a client takes, and gives no access to its sockets. It therefore listens on loopback, and
+//! this proxy accepts on the operators' address and copies bytes in both directions. A connection
+//! beyond the limit is closed at once; one that is idle or open for too long, or sends more
+//! bytes than a request may have, is cut. Without these limits, a few hundred idle connections
+//! would hold the threads and file descriptors that callers' traffic needs.
 
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -14,44 +14,45 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What connections may hold.
+/// Limits on connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// Connections at once.
-    pub connections: usize,
-    /// A connection that sends or takes nothing for so long is cut.
-    pub idle: Duration,
-    /// A connection is cut after so long whatever it does.
-    pub age: Duration,
-    /// Most bytes that a connection may send over its life.
-    pub sent: u64,
+    /// Number of simultaneous connections.
+    pub max_connections: usize,
+    /// A connection is cut when a read from it or a write to it waits for this long.
+    pub idle_timeout: Duration,
+    /// A connection is cut at this age, even if it is active.
+    pub max_age: Duration,
+    /// Bytes that a client may send over one connection.
+    pub max_sent_bytes: u64,
 }
 
 impl Default for Bounds {
     fn default() -> Self {
         Self {
-            connections: 64,
-            idle: Duration::from_secs(30),
-            age: Duration::from_secs(300),
-            sent: 16 << 20,
+            max_connections: 64,
+            idle_timeout: Duration::from_secs(30),
+            max_age: Duration::from_secs(300),
+            max_sent_bytes: 16 << 20,
         }
     }
 }
 
-/// Pause after a failed accept, as when the process has too many files open.
+/// Pause after a failed accept, so that the thread does not spin when the process has too many open
+/// files.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(200);
-const BUFFER: usize = 16 << 10;
-const STACK: usize = 128 << 10;
+const BUFFER_BYTES: usize = 16 << 10;
+const STACK_BYTES: usize = 128 << 10;
 
-/// Where the server listens behind the gate.
+/// The server behind the proxy, which may be replaced while the proxy runs.
 #[derive(Debug)]
-pub(crate) struct Inside {
+pub(crate) struct Backend {
     address: Mutex<SocketAddr>,
     broken: AtomicBool,
 }
 
-impl Inside {
-    /// A server that listens.
+impl Backend {
+    /// Creates the state of a server that listens on `address`.
     pub(crate) fn new(address: SocketAddr) -> Self {
         Self {
             address: Mutex::new(address),
@@ -59,12 +60,12 @@
         }
     }
 
-    /// Whether connections to it were refused.
+    /// Returns whether a connection to the server was refused since it was last replaced.
     pub(crate) fn is_broken(&self) -> bool {
         self.broken.load(Ordering::Acquire)
     }
 
-    /// Another server listens instead.
+    /// Directs new connections to another server.
     pub(crate) fn replace(&self, address: SocketAddr) {
         *self.address.lock().unwrap_or_else(PoisonError::into_inner) = address;
         self.broken.store(false, Ordering::Release);
@@ -82,18 +83,18 @@
     }
 }
 
-/// The accepting thread.
+/// Handle of the accepting thread.
 #[derive(Debug)]
-pub(crate) struct Gate {
+pub(crate) struct Proxy {
     address: SocketAddr,
     stop: Arc<AtomicBool>,
 }
 
-impl Gate {
-    /// Begins to accept on an address.
+impl Proxy {
+    /// Binds an address and starts to accept connections on it.
     pub(crate) fn open(
         listen: SocketAddr,
-        inside: Arc<Inside>,
+        backend: Arc<Backend>,
         bounds: Bounds,
     ) -> io::Result<Self> {
         let listener = TcpListener::bind(listen)?;
@@ -102,26 +103,26 @@
         let stopping = Arc::clone(&stop);
         thread::Builder::new()
             .name("operators-gate".to_owned())
-            .stack_size(STACK)
-            .spawn(move || accept(&listener, &inside, bounds, &stopping))?;
+            .stack_size(STACK_BYTES)
+            .spawn(move || accept(&listener, &backend, bounds, &stopping))?;
         Ok(Self { address, stop })
     }
 
-    /// Where it listens.
+    /// Returns the address on which the proxy listens.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Takes no more connections.
+    /// Stops accepting connections.
     pub(crate) fn stop(&self) {
         self.stop.store(true, Ordering::Release);
-        // Wakes the accepting thread, which then sees that it shall stop. When this
-        // fails the listener is gone already.
+        // This connection wakes the accepting thread, which then checks `stop`. If it fails, the
+        // listener is already closed.
         let _ = TcpStream::connect(self.address);
     }
 }
 
-fn accept(listener: &TcpListener, inside: &Arc<Inside>, bounds: Bounds, stop: &AtomicBool) {
+fn accept(listener: &TcpListener, backend: &Arc<Backend>, bounds: Bounds, stop: &AtomicBool) {
     let open = Arc::new(AtomicUsize::new(0));
     loop {
         let accepted = listener.accept();
@@ -129,7 +130,7 @@
             return;
         }
         match accepted {
-            Ok((stream, _)) => admit(stream, inside, bounds, &open),
+            Ok((stream, _)) => admit(stream, backend, bounds, &open),
             Err(e) => {
                 tracing::warn!("operators: a connection could not be accepted: {e}");
                 thread::sleep(ACCEPT_PAUSE);
@@ -138,24 +139,24 @@
     }
 }
 
-/// Serves a connection on threads of its own, or drops it when there are too many.
-fn admit(stream: TcpStream, inside: &Arc<Inside>, bounds: Bounds, open: &Arc<AtomicUsize>) {
-    if open.fetch_add(1, Ordering::AcqRel) >= bounds.connections {
+/// Relays a connection in its own threads, or closes it if there are too many.
+fn admit(stream: TcpStream, backend: &Arc<Backend>, bounds: Bounds, open: &Arc<AtomicUsize>) {
+    if open.fetch_add(1, Ordering::AcqRel) >= bounds.max_connections {
         open.fetch_sub(1, Ordering::AcqRel);
         tracing::debug!(
-            "operators: {} connections are open, one more closed",
-            bounds.connections
+            "operators: connection closed because the limit of {} is reached",
+            bounds.max_connections
         );
         return;
     }
     let slot = Slot(Arc::clone(open));
-    let inside = Arc::clone(inside);
+    let backend = Arc::clone(backend);
     let spawned = thread::Builder::new()
         .name("operators-conn".to_owned())
-        .stack_size(STACK)
+        .stack_size(STACK_BYTES)
         .spawn(move || {
             let _slot = slot;
-            if let Err(e) = relay(&stream, &inside, bounds) {
+            if let Err(e) = relay(&stream, &backend, bounds) {
                 tracing::debug!("operators: connection ended: {e}");
             }
         });
@@ -164,7 +165,7 @@
     }
 }
 
-/// A place among the connections, given back when dropped.
+/// A counted connection; dropping it frees its place.
 struct Slot(Arc<AtomicUsize>);
 
 impl Drop for Slot {
@@ -173,29 +174,31 @@
     }
 }
 
-/// Copies both ways until both sides have ended.
-fn relay(outer: &TcpStream, inside: &Inside, bounds: Bounds) -> io::Result<()> {
-    let inner = inside.connect()?;
-    let deadline = Instant::now() + bounds.age;
+/// Copies in both directions until both sides have ended.
+fn relay(outer: &TcpStream, backend: &Backend, bounds: Bounds) -> io::Result<()> {
+    let inner = backend.connect()?;
+    let deadline = Instant::now() + bounds.max_age;
     for stream in [outer, &inner] {
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(bounds.idle))?;
-        stream.set_write_timeout(Some(bounds.idle))?;
+        stream.set_read_timeout(Some(bounds.idle_timeout))?;
+        stream.set_write_timeout(Some(bounds.idle_timeout))?;
     }
     thread::scope(|scope| {
-        let answers = thread::Builder::new().stack_size(STACK);
+        let answers = thread::Builder::new().stack_size(STACK_BYTES);
         let answers = answers.spawn_scoped(scope, || copy(&inner, outer, deadline, u64::MAX))?;
-        // However this ends, the server then sees the end of what is asked, and ends the
-        // answer under way; so a caller who only listens is not cut in mid-answer.
-        let sent = copy(outer, &inner, deadline, bounds.sent);
+        // However this copy ends, also by the idle timeout, the server then sees the end of the
+        // requests and finishes the answer in progress. A client that only receives thus still gets
+        // the whole answer.
+        let sent = copy(outer, &inner, deadline, bounds.max_sent_bytes);
         answers.join().unwrap_or(Ok(()))?;
         sent
     })
 }
 
-/// Copies until the end, an error, the deadline or the bound, then closes that way.
+/// Copies until the end of the stream, an error, the deadline or more than `bound` bytes, then shuts
+/// down this direction.
 fn copy(mut from: &TcpStream, mut to: &TcpStream, deadline: Instant, bound: u64) -> io::Result<()> {
-    let mut buf = [0; BUFFER];
+    let mut buf = [0; BUFFER_BYTES];
     let mut copied = 0;
     let result = loop {
         let read = match from.read(&mut buf) {
@@ -205,13 +208,15 @@
         };
         copied += read as u64;
         if copied > bound || Instant::now() >= deadline {
-            break Err(io::Error::other("it lasted too long or sent too much"));
+            break Err(io::Error::other(
+                "connection open for too long, or too many bytes sent",
+            ));
         }
         if let Err(e) = to.write_all(&buf[..read]) {
             break Err(e);
         }
     };
-    // Closing what is closed already is no error.
+    // Either side may already be closed, which is no error here.
     let _ = from.shutdown(Shutdown::Read);
     let _ = to.shutdown(Shutdown::Write);
     result
--- a/components/operators/src/health.rs
+++ b/components/operators/src/health.rs
@@ -1,17 +1,17 @@
-//! Whether the process lives and should get requests.
+//! Liveness and readiness of the process.
 //!
-//! The control thread notes its ticks here; probes read them without asking it. Thus a
-//! control thread that hangs shows as unhealthy instead of as a probe without answer.
+//! The control thread records its ticks here, and probes read them without asking that thread. A
+//! hung control thread thus makes the probe fail instead of leaving it without an answer.
 
 use std::sync::{Mutex, PoisonError};
 
 use adminapi::status::HealthReply;
 use types::prelude::*;
 
-/// A control thread that has not ticked for so long counts as hung.
+/// Time without a tick after which the control thread counts as hung.
 pub const HUNG_AFTER: Span = Span::from_secs(10);
 
-/// What probes read.
+/// State that the health probes read.
 #[derive(Debug)]
 pub struct Health {
     clock: Clock,
@@ -25,7 +25,7 @@
 }
 
 impl Health {
-    /// Alive and not ready. Give the clock that control uses.
+    /// Creates a state that is alive and not ready. `clock` must be the control thread's clock.
     #[must_use]
     pub fn new(clock: Clock) -> Self {
         let state = State {
@@ -38,14 +38,14 @@
         }
     }
 
-    /// Notes a tick of the control thread, and whether the daemon should get requests.
+    /// Records a tick of the control thread, and why the daemon is not ready (`None` if it is).
     pub fn tick(&self, not_ready: Option<String>) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.hung_at = self.clock.now() + HUNG_AFTER;
         state.not_ready = not_ready;
     }
 
-    /// Whether the process lives.
+    /// Returns whether the control thread has ticked recently.
     #[must_use]
     pub fn alive(&self) -> HealthReply {
         let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
@@ -54,7 +54,7 @@
         HealthReply { ok: !hung, reason }
     }
 
-    /// Whether the daemon should get requests.
+    /// Returns whether the process is alive and ready to receive requests.
     #[must_use]
     pub fn ready(&self) -> HealthReply {
         let alive = self.alive();
--- a/components/operators/src/lib.rs
+++ b/components/operators/src/lib.rs
@@ -1,9 +1,9 @@
 //! Operators' HTTP API.
 //!
-//! rouille serves it, a thread for each request, behind a [`gate`] that bounds what slow
-//! or many connections can hold. What a request asks goes to the control thread as a
-//! [`command::Command`]; the control thread owns the tables and answers. Metrics and
-//! health are answered here, so that a busy control thread does not hide itself.
+//! rouille serves the API with a thread per request, behind a [`gate`] that limits the resources
+//! which slow or numerous connections can hold. Each request becomes a [`command::Command`] to
+//! the control thread, which owns the tables and answers. Metrics and health are answered without
+//! the control thread, so that its overload or hang remains visible.
 
 pub mod auth;
 pub mod command;
--- a/components/operators/src/reply.rs
+++ b/components/operators/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers and errors as HTTP.
+//! HTTP responses for answers and errors.
 
 use adminapi::error::{ErrorBody, ErrorCode, ErrorReply};
 use rouille::Response;
@@ -6,10 +6,10 @@
 
 const RETRY_AFTER_S: &str = "2";
 
-/// How a request ends: an answer, or an error with status and body.
+/// Result of a request: a response, or an error to be sent with its status.
 pub(crate) type Answer = Result<Response, Box<ErrorBody>>;
 
-/// Status 200 with a body of JSON.
+/// Creates a response with status 200 and a JSON body.
 pub(crate) fn json<T: Serialize>(body: &T) -> Answer {
     match serde_json::to_string(body) {
         Ok(text) => Ok(Response::from_data("application/json", text)),
@@ -21,7 +21,7 @@
     }
 }
 
-/// An error with its text.
+/// Returns an error with a message and a hint.
 pub(crate) fn fail<T>(
     code: ErrorCode,
     message: impl Into<String>,
@@ -30,7 +30,7 @@
     Err(Box::new(ErrorBody::new(code, message, hint)))
 }
 
-/// An error as HTTP.
+/// Converts an error to a response with the status and headers of its code.
 pub(crate) fn error(body: ErrorBody) -> Response {
     let code = body.code;
     let edit_id = body.edit_id;
--- a/components/operators/src/routes.rs
+++ b/components/operators/src/routes.rs
@@ -1,4 +1,4 @@
-//! Paths of the API.
+//! Routing of requests to the handlers of each path.
 
 mod bills;
 mod catalogue;
@@ -20,12 +20,12 @@
 use crate::health::Health;
 use crate::reply::{Answer, error, fail};
 
-/// Longest body, that of the store's values.
+/// Longest accepted body in bytes, equal to the store's limit on values.
 pub(crate) const MAX_BODY: u64 = 1 << 20;
-const READ_TIMEOUT: Duration = Duration::from_secs(5);
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(5);
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// What requests need.
+/// State shared by all request handlers.
 pub(crate) struct Api {
     pub(crate) tokens: Tokens,
     pub(crate) submit: Submit,
@@ -34,7 +34,7 @@
 }
 
 impl Api {
-    /// Answers a request.
+    /// Authenticates a request and answers it; metrics and health need no token.
     pub(crate) fn handle(&self, req: &Request) -> Response {
         let url = req.url();
         if let Some(response) = self.probe(&url) {
@@ -68,7 +68,9 @@
             ("GET", "catalogue", [kind, name, "history"]) => self.get_history(kind, name),
             ("GET", "edits", [id]) => self.get_edit(id),
             ("GET", "rollouts", []) => self.list_rollouts(),
-            ("POST", "rollouts", [model, action]) => self.act(req, operator, model, action),
+            ("POST", "rollouts", [model, action]) => {
+                self.rollout_action(req, operator, model, action)
+            }
             ("POST", "withdraw", [version]) => self.set_withdrawn(req, operator, version),
             ("POST", "offer", [version]) => self.set_offered(req, operator, version),
             ("GET", "status", []) => self.get_status(),
@@ -78,17 +80,17 @@
         }
     }
 
-    /// Asks the control thread and waits for its answer.
+    /// Sends a command to the control thread and waits for its answer.
     pub(crate) fn ask<T>(
         &self,
         command: impl FnOnce(ReplyTo<T>) -> Command,
     ) -> Result<T, Box<adminapi::error::ErrorBody>> {
         let rx = self.submit(command)?;
-        rx.recv_timeout(READ_TIMEOUT)
+        rx.recv_timeout(CONTROL_TIMEOUT)
             .or_else(|_| unavailable("the control thread did not answer in time"))
     }
 
-    /// Hands a command to the control thread.
+    /// Sends a command to the control thread and returns the receiver of its answer.
     pub(crate) fn submit<T>(
         &self,
         command: impl FnOnce(ReplyTo<T>) -> Command,
@@ -146,7 +148,7 @@
     )
 }
 
-/// Reads a body up to [`MAX_BODY`].
+/// Reads a request's body; fails if it is longer than [`MAX_BODY`].
 pub(crate) fn read_body(req: &Request) -> Result<Vec<u8>, Box<adminapi::error::ErrorBody>> {
     let Some(data) = req.data() else {
         return Ok(Vec::new());
--- a/components/operators/src/routes/bills.rs
+++ b/components/operators/src/routes/bills.rs
@@ -1,4 +1,4 @@
-//! Bills as JSON or CSV.
+//! Handler for bills, as JSON or CSV.
 
 use adminapi::bill::{BillsQuery, BillsReply};
 use adminapi::error::{ErrorBody, ErrorCode};
@@ -12,8 +12,8 @@
 impl Api {
     pub(super) fn get_bills(&self, req: &Request) -> Answer {
         let query = BillsQuery {
-            since: moment(req, "since")?,
-            until: moment(req, "until")?,
+            since: time_param(req, "since")?,
+            until: time_param(req, "until")?,
         };
         let format = req.get_param("format").unwrap_or_else(|| "json".to_owned());
         let reply = self
@@ -57,7 +57,7 @@
     writer.into_inner().map_err(|e| e.into_error().into())
 }
 
-fn moment(req: &Request, name: &str) -> Result<Option<WallTime>, Box<ErrorBody>> {
+fn time_param(req: &Request, name: &str) -> Result<Option<WallTime>, Box<ErrorBody>> {
     let Some(text) = req.get_param(name) else {
         return Ok(None);
     };
--- a/components/operators/src/routes/catalogue.rs
+++ b/components/operators/src/routes/catalogue.rs
@@ -1,7 +1,7 @@
-//! Entries and their edits.
+//! Handlers for entries of the catalogue and their edits.
 //!
-//! An edit is bound to the revision that its author saw (`If-Match`), so of two operators
-//! who edit at once the second is told what stands now instead of winning unseen.
+//! An edit is conditional on the revision that its author has read (`If-Match`). If two operators
+//! edit at once, the second gets the current entry instead of silently overwriting it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,7 +21,7 @@
 use crate::reply::{Answer, fail, json};
 use crate::routes::{Api, read_body};
 
-/// Longer than the store's time-out and the read-back that follows a lost reply.
+/// Must exceed the store's timeout plus the time to read the entry back after a lost reply.
 const EDIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 impl Api {
@@ -31,13 +31,13 @@
 
     pub(super) fn get_entry(&self, kind: &str, name: &str) -> Answer {
         let name = entry_name(kind, name)?;
-        let reply = self.standing_entry(&name)?;
+        let reply = self.existing_entry(&name)?;
         let etag = path::etag(reply.revision);
         Ok(json(&reply)?.with_additional_header("ETag", etag))
     }
 
-    /// An entry that stands; a removed one is not found.
-    pub(super) fn standing_entry(&self, name: &EntryName) -> Result<EntryReply, Box<ErrorBody>> {
+    /// Reads an existing entry; a removed one is reported as not found.
+    pub(super) fn existing_entry(&self, name: &EntryName) -> Result<EntryReply, Box<ErrorBody>> {
         let found = self.ask(|tx| Command::Entry(name.clone(), tx))?;
         match found {
             Some(reply) if reply.entry.is_some() => Ok(reply),
@@ -95,7 +95,7 @@
     ) -> Answer {
         let name = entry_name(kind, name)?;
         let Some(revision) = if_match(req)? else {
-            let current = self.standing_entry(&name)?;
+            let current = self.existing_entry(&name)?;
             return Err(precondition_required(&name, Some(Box::new(current))));
         };
         let edit = Edit {
@@ -108,14 +108,14 @@
         self.edit(edit)
     }
 
-    /// Makes an edit and says what became of it.
+    /// Submits an edit and answers with its outcome.
     pub(super) fn edit(&self, edit: Edit) -> Answer {
         let rx = self.submit(|tx| Command::Edit(edit.clone(), tx))?;
-        // An edit that was handed over and not answered may still be on its way.
+        // A submitted edit without an answer may still take effect.
         let outcome = rx
             .recv_timeout(EDIT_TIMEOUT)
             .unwrap_or(EditOutcome::Unknown);
-        answer_of(&edit, outcome)
+        edit_answer(&edit, outcome)
     }
 
     pub(super) fn get_edit(&self, id: &str) -> Answer {
@@ -134,7 +134,7 @@
     }
 }
 
-fn answer_of(edit: &Edit, outcome: EditOutcome) -> Answer {
+fn edit_answer(edit: &Edit, outcome: EditOutcome) -> Answer {
     let name = &edit.name;
     match outcome {
         EditOutcome::Applied { revision } => applied(edit, revision),
@@ -218,7 +218,7 @@
     Box::new(body)
 }
 
-/// The name of an entry from its path.
+/// Builds the name of an entry from the parts of its path.
 fn entry_name(kind: &str, name: &str) -> Result<EntryName, Box<ErrorBody>> {
     EntryName::new(&format!("{kind}/{name}")).or_else(|e| {
         fail(
@@ -259,7 +259,7 @@
     };
     match path::parse_etag(text) {
         Some(revision) => Ok(Some(revision)),
-        // `*` would overwrite an edit that its author has not seen.
+        // `*` is refused because it would overwrite an edit that the author has not read.
         None => fail(
             ErrorCode::InvalidRequest,
             format!("If-Match {text} is not a revision"),
@@ -268,7 +268,7 @@
     }
 }
 
-/// The edit's id as sent, else a fresh one that can only be of an edit after `seen`.
+/// Returns the id sent with the edit, else a new one for an edit made after revision `seen`.
 pub(super) fn edit_id(req: &Request, seen: Option<Revision>) -> Result<EditId, Box<ErrorBody>> {
     match req.header(path::EDIT_ID_HEADER) {
         None => Ok(make_id(seen.unwrap_or_default(), &mut rand::rng())),
--- a/components/operators/src/routes/rollouts.rs
+++ b/components/operators/src/routes/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs, and versions offered and withdrawn: edits of a model's entry.
+//! Handlers for roll-outs and for offering and withdrawing versions; all are edits of a model's entry.
 
 use std::sync::Arc;
 
@@ -21,7 +21,7 @@
         json(&self.ask(Command::Rollouts)?)
     }
 
-    pub(super) fn act(
+    pub(super) fn rollout_action(
         &self,
         req: &Request,
         operator: &OperatorName,
@@ -39,11 +39,11 @@
         operator: &OperatorName,
         version: &str,
     ) -> Answer {
-        self.change_version(req, operator, version, VersionState::Withdrawn)
+        self.set_version_state(req, operator, version, VersionState::Withdrawn)
     }
 
-    /// Offers a version. Lifts its suspension first, which works while the store is down
-    /// and the edit that follows cannot be made.
+    /// Offers a version. Its suspensions are lifted first, because that works even while the store is
+    /// down and the following edit fails.
     pub(super) fn set_offered(
         &self,
         req: &Request,
@@ -53,10 +53,10 @@
         if let Ok(id) = version.parse() {
             self.ask(|reply| Command::Lift(id, reply))?;
         }
-        self.change_version(req, operator, version, VersionState::Offered)
+        self.set_version_state(req, operator, version, VersionState::Offered)
     }
 
-    fn change_version(
+    fn set_version_state(
         &self,
         req: &Request,
         operator: &OperatorName,
@@ -74,10 +74,10 @@
         self.edit_model(req, operator, id.model.as_str(), edit)
     }
 
-    /// Reads a model's entry, changes it and writes it, bound to the revision read.
+    /// Reads a model's entry, changes it and writes it on condition that its revision is unchanged.
     ///
-    /// A change in between is told to the operator and not tried again: two operators who
-    /// both advance a roll-out mean one step, not two.
+    /// A concurrent change is reported as a conflict and not retried: two operators who advance a
+    /// roll-out at the same time want one step, not two.
     fn edit_model(
         &self,
         req: &Request,
@@ -92,7 +92,7 @@
                 "write the model's name, as tariff-large",
             )
         })?;
-        let current = self.standing_entry(&name)?;
+        let current = self.existing_entry(&name)?;
         let (owner, model) = model_of(&current)?;
         let changed = edit(model).or_else(wrong_state)?;
         self.edit(Edit {
--- a/components/operators/src/routes/status.rs
+++ b/components/operators/src/routes/status.rs
@@ -1,4 +1,4 @@
-//! The fleet, the dump and the probes.
+//! Handlers for the fleet's status, the dump and the health probes.
 
 use adminapi::status::HealthReply;
 use rouille::Response;
@@ -17,7 +17,7 @@
     }
 }
 
-/// A probe's answer: 200 for yes, 503 for no.
+/// Answers a health probe with status 200 if `reply.ok`, else 503.
 pub(super) fn health(reply: &HealthReply) -> Response {
     let status = if reply.ok { 200 } else { 503 };
     Response::json(reply).with_status_code(status)
--- a/components/operators/src/server.rs
+++ b/components/operators/src/server.rs
@@ -1,4 +1,4 @@
-//! Starts and stops the server.
+//! Start and stop of the HTTP server.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,26 +10,26 @@
 
 use crate::auth::Tokens;
 use crate::command::Submit;
-use crate::gate::{Bounds, Gate, Inside};
+use crate::gate::{Backend, Bounds, Proxy};
 use crate::health::Health;
 use crate::routes::Api;
 
-/// How often the server looks whether it shall stop.
+/// Interval at which the server checks whether to stop or to replace its listener.
 const STOP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the server needs.
+/// Configuration and shared state of the server.
 pub struct Config {
-    /// Address to listen on; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// What connections may hold.
+    /// Limits on connections.
     pub bounds: Bounds,
-    /// Who may call.
+    /// Tokens of the operators.
     pub tokens: Tokens,
-    /// Hands commands to the control thread.
+    /// Passes commands to the control thread.
     pub submit: Submit,
-    /// Shown at `/metrics`.
+    /// Metrics served at `/metrics`.
     pub metrics: Arc<Metrics>,
-    /// Shown at `/healthz` and `/readyz`.
+    /// Health served at `/healthz` and `/readyz`.
     pub health: Arc<Health>,
 }
 
@@ -39,37 +39,37 @@
     /// The address cannot be listened on.
     #[error("operators' address {address}: {reason}; choose another in operators.listen")]
     Listen {
-        /// The address.
+        /// Address to listen on.
         address: SocketAddr,
-        /// The system's reason.
+        /// Error of the operating system.
         reason: String,
     },
-    /// The system gave no thread.
+    /// The operating system could not start a thread.
     #[error("no thread for the operators' API: {0}")]
     Thread(#[from] std::io::Error),
 }
 
-/// A server that runs.
+/// Handle of a running server.
 pub struct Handle {
     address: SocketAddr,
-    gate: Gate,
+    gate: Proxy,
     stop: Arc<AtomicBool>,
     thread: JoinHandle<()>,
 }
 
 impl Handle {
-    /// Where it listens.
+    /// Returns the address on which the server listens.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Takes no more requests and waits until its thread has ended, a second or so.
+    /// Stops accepting requests and waits until the server's thread has ended, about a second.
     pub fn stop(self) {
         self.gate.stop();
         self.stop.store(true, Ordering::Release);
         if self.thread.join().is_err() {
-            tracing::warn!("operators: the server's thread had panicked");
+            tracing::warn!("operators: the server's thread panicked");
         }
     }
 }
@@ -77,7 +77,7 @@
 /// Starts the server.
 ///
 /// # Errors
-/// When the address cannot be listened on or the system gives no thread.
+/// Fails if the address cannot be listened on or a thread cannot be started.
 pub fn start(cfg: Config) -> Result<Handle, StartError> {
     let api = Arc::new(Api {
         tokens: cfg.tokens,
@@ -89,8 +89,8 @@
         address: cfg.listen,
         reason,
     })?;
-    let inside = Arc::new(Inside::new(server.server_addr()));
-    let gate = Gate::open(cfg.listen, Arc::clone(&inside), cfg.bounds).map_err(|e| {
+    let backend = Arc::new(Backend::new(server.server_addr()));
+    let gate = Proxy::open(cfg.listen, Arc::clone(&backend), cfg.bounds).map_err(|e| {
         StartError::Listen {
             address: cfg.listen,
             reason: e.to_string(),
@@ -100,7 +100,7 @@
     let stopping = Arc::clone(&stop);
     let thread = thread::Builder::new()
         .name("operators".to_owned())
-        .spawn(move || serve(server, &api, &inside, &stopping))?;
+        .spawn(move || serve(server, &api, &backend, &stopping))?;
     let address = gate.address();
     tracing::info!("operators: listening on {address}");
     Ok(Handle {
@@ -113,7 +113,7 @@
 
 type Server = rouille::Server<Box<dyn Fn(&rouille::Request) -> rouille::Response + Send + Sync>>;
 
-/// rouille on a free port of loopback; only the gate connects to it.
+/// Starts rouille on a free loopback port, to which only the gate connects.
 fn listen(api: &Arc<Api>) -> Result<Server, String> {
     let api = Arc::clone(api);
     let handler: Box<dyn Fn(&rouille::Request) -> rouille::Response + Send + Sync> =
@@ -121,24 +121,24 @@
     rouille::Server::new("127.0.0.1:0", handler).map_err(|e| e.to_string())
 }
 
-/// Serves until told to stop.
+/// Serves until `stop` is set.
 ///
-/// rouille's accept thread ends for good on any error, such as too many open files: the
-/// API would be dead while the daemon lives. The gate sees this as a refused connection
-/// and says so; the server is then made anew.
-fn serve(mut server: Server, api: &Arc<Api>, inside: &Inside, stop: &AtomicBool) {
+/// rouille's accept thread ends permanently on any error, such as too many open files, which would
+/// leave the API dead while the daemon runs. The gate notices this as a refused connection and
+/// marks the server as broken; a new server is then started.
+fn serve(mut server: Server, api: &Arc<Api>, backend: &Backend, stop: &AtomicBool) {
     while !stop.load(Ordering::Acquire) {
         server.poll_timeout(STOP_INTERVAL);
-        if !inside.is_broken() {
+        if !backend.is_broken() {
             continue;
         }
         match listen(api) {
             Ok(again) => {
-                inside.replace(again.server_addr());
+                backend.replace(again.server_addr());
                 server = again;
                 tracing::warn!("operators: server made anew after its listener failed");
             }
-            Err(e) => tracing::warn!("operators: server cannot be made anew: {e}"),
+            Err(e) => tracing::warn!("operators: the server cannot be restarted: {e}"),
         }
     }
 }
--- a/components/operators/tests/api.rs
+++ b/components/operators/tests/api.rs
@@ -1,4 +1,4 @@
-//! The API as an operator's client sees it, over a simple control thread.
+//! The operators' API over HTTP, with a simple control thread behind it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
 
 const TOKEN: &str = "dev-operator";
 
-/// A control thread with a catalogue in memory, which fails edits on demand.
+/// A control thread with an in-memory catalogue; the next edit can be made to fail.
 #[derive(Default)]
 struct Control {
     catalogue: Catalogue,
@@ -222,11 +222,11 @@
     assert_eq!(revisions, [2, 1]);
 }
 
-/// Two operators read the same entry and both send a change. The first write wins. If
-/// the second were taken too, the first change would be gone while its author believes
-/// it is in force; so the second is refused and shown what stands now.
+/// Two operators read the same entry and both send a change. If both were accepted, the first
+/// change would be lost while its author believes that it is in force. The second must be refused
+/// and its author shown the current entry.
 #[test]
-fn errors_tell_the_second_of_two_operators_what_stands() {
+fn a_conflicting_edit_is_refused_with_the_current_entry() {
     let server = Server::start();
     let path = "/catalogue/customers/acme";
     server.put(path, &[], &customer(1));
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn errors_on_an_edit_that_does_not_say_what_it_changes() {
+fn an_edit_of_an_existing_entry_needs_if_match() {
     let server = Server::start();
     let path = "/catalogue/customers/acme";
     server.put(path, &[], &customer(1));
@@ -261,9 +261,9 @@
     assert_eq!((status, error.code), (400, ErrorCode::InvalidRequest));
 }
 
-/// The store's reply to an edit is lost: the edit may have taken effect or may yet. An
-/// operator told "failed" repeats it, one told "done" walks away; both can be wrong. The
-/// answer says that it is not known, with the id to ask by.
+/// The store's reply to an edit is lost, so that the edit may have taken effect or may still do so.
+/// Both "failed" and "done" could mislead the operator. The answer must say that the outcome is
+/// unknown and give the id for asking again.
 #[test]
 fn errors_say_when_the_outcome_of_an_edit_is_not_known() {
     let server = Server::start();
@@ -335,7 +335,7 @@
 }
 
 #[test]
-fn errors_on_bad_input_leave_the_server_well() {
+fn the_server_keeps_working_after_bad_input() {
     let server = Server::start();
     let no_token = server.request(Method::GET, "/catalogue").send().unwrap();
     assert_eq!(error_of(no_token).0, 401);
--- a/components/operators/tests/gate.rs
+++ b/components/operators/tests/gate.rs
@@ -1,4 +1,4 @@
-//! What connections can hold of the operators' server.
+//! Limits on connections to the operators' server.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -28,14 +28,14 @@
     let mut stream = TcpStream::connect(address).unwrap();
     let head = "GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
     let mut text = String::new();
-    // A connection too many is closed under the writer: an error here is the answer.
+    // A connection beyond the limit is closed while the client writes; the result is then empty.
     if stream.write_all(head.as_bytes()).is_ok() {
         let _ = stream.read_to_string(&mut text);
     }
     text
 }
 
-/// Reads until the server closes; true if it did within the socket's time-out.
+/// Reads until the server closes the connection; returns false if a read times out after 60 s.
 fn is_cut(stream: &mut TcpStream) -> bool {
     let limit = Some(Duration::from_secs(60));
     stream.set_read_timeout(limit).unwrap();
@@ -49,36 +49,36 @@
     }
 }
 
-/// A scanner opens connections, sends half a head and sleeps. Each holds threads and
-/// files for ever; after some thousands the daemon can open no file and refuses callers'
-/// traffic. A connection that sleeps is cut, and then others get in again.
+/// A scanner opens connections, sends half a request head and goes idle. If each held threads and
+/// files forever, the daemon could open no more files after some thousands and would refuse
+/// callers' traffic. Idle connections must be cut, so that others are accepted again.
 #[test]
-fn can_cut_connections_that_sleep() {
+fn idle_connections_are_cut() {
     let bounds = Bounds {
-        connections: 4,
-        idle: Duration::from_millis(200),
+        max_connections: 4,
+        idle_timeout: Duration::from_millis(200),
         ..Bounds::default()
     };
     let server = serve(bounds);
-    let mut sleepers: Vec<TcpStream> = Vec::new();
+    let mut idle_streams: Vec<TcpStream> = Vec::new();
     for _ in 0..8 {
         let mut stream = TcpStream::connect(server.address()).unwrap();
         let _ = stream.write_all(b"GET /healthz HTTP/1.1\r\nHo");
-        sleepers.push(stream);
+        idle_streams.push(stream);
     }
-    assert!(sleepers.iter_mut().all(is_cut));
-    // The last places are given back just after the streams are closed.
+    assert!(idle_streams.iter_mut().all(is_cut));
+    // The last places are freed shortly after the streams are closed.
     let answered = (0..50).any(|_| probe(server.address()).contains("200 OK"));
     assert!(answered);
     server.stop();
 }
 
-/// A caller sends a head that never ends. The library reads it into memory as long as it
-/// comes. The gate stops it at its bound and the server goes on.
+/// A client sends a request head that never ends, which the HTTP library would read into memory
+/// without limit. The connection must be cut at the byte limit while the server goes on.
 #[test]
-fn can_cut_a_head_without_end() {
+fn an_endless_request_head_is_cut() {
     let server = serve(Bounds {
-        sent: 64 << 10,
+        max_sent_bytes: 64 << 10,
         ..Bounds::default()
     });
     let mut stream = TcpStream::connect(server.address()).unwrap();
@@ -94,13 +94,13 @@
     server.stop();
 }
 
-/// A caller sends a byte now and then, never idle for long enough to be cut as a sleeper.
-/// It is cut at its greatest age.
+/// A client that sends single bytes is never idle for long enough to reach the idle timeout. Its
+/// connection must be cut at the maximum age.
 #[test]
-fn can_cut_a_caller_that_trickles() {
-    let age = Duration::from_millis(300);
+fn a_connection_that_sends_slowly_is_cut_at_its_maximum_age() {
+    let max_age = Duration::from_millis(300);
     let server = serve(Bounds {
-        age,
+        max_age,
         ..Bounds::default()
     });
     let mut stream = TcpStream::connect(server.address()).unwrap();
