--- a/components/adminapi/src/bill.rs
+++ b/components/adminapi/src/bill.rs
@@ -1,50 +1,50 @@
-//! Bills.
+//! Query and reply of `/bills`.
 
 use serde::{Deserialize, Serialize};
 use serde_with::{DisplayFromStr, serde_as};
 use types::prelude::*;
 
-/// Query of `GET /bills`.
+/// Query parameters of `GET /bills`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BillsQuery {
-    /// Hours that end after this moment.
+    /// Only hours that end after this time.
     pub since: Option<WallTime>,
-    /// Hours that begin before this moment.
+    /// Only hours that begin before this time.
     pub until: Option<WallTime>,
 }
 
-/// `GET /bills`.
+/// Reply to `GET /bills`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct BillsReply {
-    /// Totals of whole hours.
+    /// Totals per hour.
     pub bills: Vec<BillRow>,
-    /// Whether bills of these hours may still come.
+    /// Whether these totals may still grow because some bills are not rolled up yet.
     #[serde(default)]
     pub pending: bool,
 }
 
-/// What an hour of one customer on one version or service comes to.
+/// Total of one hour for one customer on one version or service.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BillRow {
-    /// When the hour began.
+    /// Start of the hour.
     #[serde_as(as = "DisplayFromStr")]
     pub hour: WallTime,
-    /// Who pays.
+    /// Customer who is billed.
     pub customer: CustomerId,
-    /// The offer or service.
+    /// Offer or service that was used.
     pub entry: EntryName,
-    /// The version that answered, nothing for plain services.
+    /// Version that answered; `None` for plain services.
     pub version: Option<VersionId>,
-    /// Requests billed.
+    /// Number of billed requests.
     pub requests: u64,
-    /// Tokens of prompts.
+    /// Tokens in prompts.
     pub input_tokens: Tokens,
-    /// Tokens of answers.
+    /// Tokens in answers.
     pub output_tokens: Tokens,
-    /// What it costs.
+    /// Cost in the operators' currency.
     #[serde_as(as = "DisplayFromStr")]
     pub cost: Cost,
-    /// Attempts that the answers took.
+    /// Number of attempts made for these requests.
     pub attempts: u64,
 }
--- a/components/adminapi/src/edit.rs
+++ b/components/adminapi/src/edit.rs
@@ -1,34 +1,34 @@
-//! Edits and what became of them.
+//! Replies about edits and their outcomes.
 
 use serde::{Deserialize, Serialize};
 use types::prelude::*;
 
-/// What became of an edit.
+/// Outcome of an edit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EditState {
-    /// In the store, and in force wherever [`EditReply::revision`] is.
+    /// Written to the store, and in force at every daemon that has reached [`EditReply::revision`].
     Applied,
-    /// Certainly without effect, now and later.
+    /// Had no effect and will have none.
     NotApplied,
-    /// Not known yet.
+    /// Outcome not known yet.
     Unknown,
 }
 
-/// Answer to an accepted edit, and `GET /edits/ID`.
+/// Reply to an accepted edit and to `GET /edits/ID`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EditReply {
-    /// The edit.
+    /// Id of the edit.
     pub edit_id: EditId,
-    /// The entry that it edits, when known.
+    /// Name of the edited entry, if known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub name: Option<EntryName>,
-    /// What became of it.
+    /// Outcome of the edit.
     pub state: EditState,
-    /// The revision that it made.
+    /// Revision that the edit created, if it was applied.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub revision: Option<Revision>,
-    /// Why it had no effect.
+    /// Why the edit was not applied.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reason: Option<String>,
 }
--- a/components/adminapi/src/entry.rs
+++ b/components/adminapi/src/entry.rs
@@ -1,4 +1,4 @@
-//! Entries of the catalogue with their revisions.
+//! Replies about entries of the catalogue and their revisions.
 
 use std::sync::Arc;
 
@@ -7,37 +7,37 @@
 use serde::{Deserialize, Serialize};
 use types::prelude::*;
 
-/// `GET /catalogue`: every entry that stands.
+/// Reply to `GET /catalogue`: all existing entries.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct CatalogueReply {
-    /// The catalogue's revision at the daemon that answered.
+    /// Revision of the catalogue at the answering daemon.
     pub revision: Revision,
-    /// Its entries by name.
+    /// Entries in order of their names.
     pub entries: Vec<EntrySummary>,
-    /// Entries of which an earlier state is in force, since the latest breaks a rule.
+    /// Entries whose latest revision breaks a rule, so that an earlier one is in force.
     #[serde(default)]
     pub held_back: Vec<HeldBack>,
 }
 
-/// One line of the list.
+/// Summary of an entry in [`CatalogueReply`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EntrySummary {
-    /// Its name, `offers/brief-writer`.
+    /// Name of the entry, such as `offers/brief-writer`.
     pub name: EntryName,
-    /// `customer`, `service`, `model` or `offer`.
+    /// Kind of the entry: `customer`, `service`, `model` or `offer`.
     pub kind: String,
-    /// The team that answers for it.
+    /// Team that is responsible for the entry.
     pub owner: OperatorName,
-    /// The revision of its last edit.
+    /// Revision of the last edit.
     pub revision: Revision,
-    /// Who made its last edit.
+    /// Operator who made the last edit.
     pub author: OperatorName,
-    /// When.
+    /// Time of the last edit.
     pub at: WallTime,
 }
 
 impl EntrySummary {
-    /// The line of a record, or nothing for a removal marker.
+    /// Creates the summary of a record; returns `None` for a removal marker.
     #[must_use]
     pub fn from_record(name: &EntryName, record: &Record) -> Option<Self> {
         let entry = record.entry.as_ref()?;
@@ -52,7 +52,7 @@
     }
 }
 
-/// The kind of an entry, as it is written in its `kind` field.
+/// Returns an entry's kind as written in its `kind` field.
 #[must_use]
 pub fn kind(body: &Body) -> &'static str {
     match body {
@@ -63,36 +63,36 @@
     }
 }
 
-/// An entry whose latest state is not in force.
+/// An entry whose latest revision is not in force.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeldBack {
-    /// Its name.
+    /// Name of the entry.
     pub name: EntryName,
-    /// The revision that breaks a rule.
+    /// Latest revision, which breaks a rule.
     pub revision: Revision,
-    /// Which rules.
+    /// Descriptions of the broken rules.
     pub problems: Vec<String>,
 }
 
-/// `GET /catalogue/KIND/NAME`: one entry. Its `ETag` is the revision in quotes.
+/// Reply to `GET /catalogue/KIND/NAME`: one entry. Its `ETag` is the revision in quotes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EntryReply {
-    /// Its name.
+    /// Name of the entry.
     pub name: EntryName,
-    /// The revision of its last edit.
+    /// Revision of the last edit.
     pub revision: Revision,
-    /// The id of its last edit.
+    /// Id of the last edit.
     pub edit_id: EditId,
-    /// Who made its last edit.
+    /// Operator who made the last edit.
     pub author: OperatorName,
-    /// When.
+    /// Time of the last edit.
     pub at: WallTime,
-    /// The entry, or nothing once removed.
+    /// Content of the entry; `None` if it was removed.
     pub entry: Option<Arc<Entry>>,
 }
 
 impl EntryReply {
-    /// The reply of a record.
+    /// Creates the reply for a record.
     #[must_use]
     pub fn from_record(name: &EntryName, record: &Record) -> Self {
         Self {
@@ -106,17 +106,17 @@
     }
 }
 
-/// `GET /catalogue/KIND/NAME/history`: its edits, latest first.
+/// Reply to `GET /catalogue/KIND/NAME/history`: edits of one entry, latest first.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HistoryReply {
-    /// The entry's name.
+    /// Name of the entry.
     pub name: EntryName,
-    /// Its edits that are still kept.
+    /// Edits that are still stored, latest first.
     pub edits: Vec<PastEdit>,
 }
 
 impl HistoryReply {
-    /// The history that a record carries, its own edit first.
+    /// Creates the history of a record, starting with the edit that made it.
     #[must_use]
     pub fn from_record(name: &EntryName, record: &Record) -> Self {
         let latest = PastEdit {
--- a/components/adminapi/src/error.rs
+++ b/components/adminapi/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors, the same shape for every path.
+//! Error replies, with the same shape for all paths.
 
 use std::fmt;
 
@@ -7,32 +7,32 @@
 
 use crate::entry::EntryReply;
 
-/// Body of every answer whose status is not 2xx.
+/// Body of every reply whose status is not 2xx.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ErrorReply {
-    /// What went wrong.
+    /// Description of the error.
     pub error: ErrorBody,
 }
 
-/// What went wrong.
+/// Description of an error.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// For programs.
+    /// Kind of the error, for programs.
     pub code: ErrorCode,
-    /// What is wrong, and where.
+    /// What is wrong and where, for people.
     pub message: String,
-    /// What to do.
+    /// What the operator can do about it.
     pub hint: String,
-    /// Of `invalid_entry`: every problem found.
+    /// All problems found, for `invalid_entry`.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub problems: Vec<String>,
-    /// Of `conflict` and `precondition_required`: the entry as it stands.
+    /// Current entry, for `conflict` and `precondition_required`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub current: Option<Box<EntryReply>>,
-    /// Of `conflict`: where what was sent differs from what stands.
+    /// Differences between the sent and the current entry, for `conflict`.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub difference: Vec<Difference>,
-    /// Of edits: ask again by this id.
+    /// Id of the edit, with which its outcome can be asked for.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub edit_id: Option<types::id::EditId>,
 }
@@ -41,36 +41,36 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ErrorCode {
-    /// The request cannot be read.
+    /// The request is malformed.
     InvalidRequest,
-    /// No token, or none that is known.
+    /// The token is missing or unknown.
     Unauthorized,
-    /// No such path, entry, edit or roll-out.
+    /// The path, entry, edit or roll-out does not exist.
     NotFound,
-    /// The path exists for other methods.
+    /// The path does not support this method.
     MethodNotAllowed,
-    /// The roll-out is not in a state for this.
+    /// The roll-out's state does not allow the action.
     WrongState,
     /// The entry changed since it was read. Nothing was written.
     Conflict,
-    /// The body is larger than the bound.
+    /// The body exceeds the size limit.
     TooLarge,
     /// The entry breaks a rule. Nothing was written.
     InvalidEntry,
     /// The entry exists and `If-Match` is missing. Nothing was written.
     PreconditionRequired,
-    /// The edit certainly had no effect; it may be repeated.
+    /// The edit had no effect and will have none; it can be repeated.
     NotApplied,
     /// The daemon cannot answer now.
     Unavailable,
     /// The edit may have taken effect or may still do so.
     OutcomeUnknown,
-    /// A fault of the daemon.
+    /// Internal error of the daemon.
     Internal,
 }
 
 impl ErrorCode {
-    /// The HTTP status that goes with it.
+    /// Returns the HTTP status for this code.
     #[must_use]
     pub fn status(self) -> u16 {
         match self {
@@ -91,7 +91,7 @@
 }
 
 impl ErrorBody {
-    /// An error with nothing beside its text.
+    /// Creates an error with a message and a hint and no further details.
     #[must_use]
     pub fn new(code: ErrorCode, message: impl Into<String>, hint: impl Into<String>) -> Self {
         Self {
--- a/components/adminapi/src/lib.rs
+++ b/components/adminapi/src/lib.rs
@@ -1,7 +1,7 @@
-//! What the operators' API says, as plain data.
+//! Request and reply types of the operators' API.
 //!
-//! The daemon's server and the operators' tool both use these types, so that what one
-//! writes the other reads. Replies may gain fields; readers ignore those they do not know.
+//! The daemon's server and the operators' tool share these types, so that both sides agree on the
+//! JSON. New versions may add fields to replies; readers ignore fields that they do not know.
 
 pub mod bill;
 pub mod edit;
--- a/components/adminapi/src/path.rs
+++ b/components/adminapi/src/path.rs
@@ -1,64 +1,64 @@
-//! Paths and headers of the API.
+//! Paths and headers of the operators' API.
 
 use types::prelude::*;
 
-/// Every entry.
+/// Entries of the catalogue.
 pub const CATALOGUE: &str = "/catalogue";
-/// What became of edits.
+/// Outcomes of edits, by id.
 pub const EDITS: &str = "/edits";
 /// Roll-outs.
 pub const ROLLOUTS: &str = "/rollouts";
-/// Who is in the fleet.
+/// State of the fleet.
 pub const STATUS: &str = "/status";
-/// The state of the daemon.
+/// Internal state of the daemon.
 pub const DUMP: &str = "/dump";
 /// Bills.
 pub const BILLS: &str = "/bills";
-/// Nothing new on a version.
+/// Withdraws a version: no new requests run on it.
 pub const WITHDRAW: &str = "/withdraw";
-/// A version takes work.
+/// Offers a version: new requests may run on it.
 pub const OFFER: &str = "/offer";
-/// Metrics, without token.
+/// Metrics; needs no token.
 pub const METRICS: &str = "/metrics";
-/// Whether the process lives, without token.
+/// Liveness probe; needs no token.
 pub const HEALTHZ: &str = "/healthz";
-/// Whether it should get requests, without token.
+/// Readiness probe; needs no token.
 pub const READYZ: &str = "/readyz";
 
-/// Names an edit, so that it can be asked for and repeated safely.
+/// Header with the id of an edit, by which its outcome can be asked for and the edit safely repeated.
 pub const EDIT_ID_HEADER: &str = "X-Edit-Id";
 
-/// Path of an entry.
+/// Returns the path of an entry.
 #[must_use]
 pub fn entry(name: &EntryName) -> String {
     format!("{CATALOGUE}/{name}")
 }
 
-/// Path of an entry's history.
+/// Returns the path of an entry's history.
 #[must_use]
 pub fn history(name: &EntryName) -> String {
     format!("{CATALOGUE}/{name}/history")
 }
 
-/// Path of an edit.
+/// Returns the path of an edit's outcome.
 #[must_use]
 pub fn edit(id: EditId) -> String {
     format!("{EDITS}/{id}")
 }
 
-/// Path of an action on a roll-out.
+/// Returns the path of an action on a model's roll-out.
 #[must_use]
 pub fn rollout(model: &ModelName, action: &str) -> String {
     format!("{ROLLOUTS}/{model}/{action}")
 }
 
-/// A revision as an `ETag`.
+/// Formats a revision as an `ETag`.
 #[must_use]
 pub fn etag(revision: Revision) -> String {
     format!("\"{revision}\"")
 }
 
-/// The revision of an `ETag` or `If-Match`, if it is one.
+/// Parses an `ETag` or `If-Match` value; returns `None` if it is not a revision in quotes.
 #[must_use]
 pub fn parse_etag(text: &str) -> Option<Revision> {
     text.trim()
--- a/components/adminapi/src/rollout.rs
+++ b/components/adminapi/src/rollout.rs
@@ -1,4 +1,4 @@
-//! Roll-outs.
+//! Requests and replies about roll-outs.
 
 use catalogue::entry::{Gate, Rollout};
 use serde::{Deserialize, Serialize};
@@ -8,58 +8,58 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StartRequest {
-    /// The version that comes. It must stand in the model's entry.
+    /// New version, which must exist in the model's entry.
     pub to: VersionName,
-    /// The version that goes; may be left out when only one other is offered.
+    /// Old version; may be omitted if only one other version is offered.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub from: Option<VersionName>,
-    /// The new version's shares of new sessions, rising to 1.
+    /// Share of new sessions that the new version gets at each step, rising to 1.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub steps: Option<Vec<Share>>,
-    /// What a step needs before the next.
+    /// Condition for going on to the next step.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub gate: Option<Gate>,
 }
 
-/// `GET /rollouts`.
+/// Reply to `GET /rollouts`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct RolloutsReply {
-    /// One for each model that has or had a roll-out.
+    /// One item per model that has or had a roll-out.
     pub rollouts: Vec<RolloutStatus>,
 }
 
-/// A model's roll-out.
+/// State of a model's roll-out.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RolloutStatus {
-    /// The model.
+    /// Name of the model.
     pub model: ModelName,
-    /// As the catalogue has it.
+    /// Roll-out as stored in the catalogue.
     pub rollout: Rollout,
-    /// The revision of the model's entry.
+    /// Revision of the model's entry.
     pub revision: Revision,
-    /// The daemon that drives it, when known.
+    /// Daemon that drives the roll-out, if known.
     #[serde(default)]
     pub driver: Option<DaemonId>,
-    /// The fencing number of its orders.
+    /// Fencing token that the driver sends with its orders to upstreams.
     #[serde(default)]
     pub fencing: Option<u64>,
-    /// Upstreams of the model, as they last reported.
+    /// Counts of the model's upstreams, from their last reports.
     #[serde(default)]
     pub upstreams: UpstreamCounts,
-    /// What it waits for.
+    /// What the roll-out is waiting for, if anything.
     #[serde(default)]
     pub waiting_for: Option<String>,
 }
 
-/// Upstreams by what they have loaded.
+/// Numbers of upstreams by loaded version.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamCounts {
-    /// In the service.
+    /// Upstreams in the model's service.
     pub total: usize,
-    /// Have the new version ready.
+    /// Upstreams that have the new version ready.
     pub new_ready: usize,
-    /// Are loading it.
+    /// Upstreams that are loading the new version.
     pub loading: usize,
-    /// Have the old version ready.
+    /// Upstreams that have the old version ready.
     pub old_ready: usize,
 }
--- a/components/adminapi/src/status.rs
+++ b/components/adminapi/src/status.rs
@@ -1,84 +1,84 @@
-//! Who is in the fleet and which revision is in force where.
+//! Replies about the state of the fleet and the health of a daemon.
 
 use serde::{Deserialize, Serialize};
 use types::prelude::*;
 
-/// `GET /status`.
+/// Reply to `GET /status`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StatusReply {
-    /// The fleet.
+    /// Name of the fleet.
     pub cluster: ClusterName,
-    /// The daemon that answered.
+    /// Name of the answering daemon.
     pub daemon: DaemonId,
-    /// The catalogue's revision at that daemon.
+    /// Revision of the catalogue at the answering daemon.
     pub revision: Revision,
-    /// The highest revision that every live daemon has reported.
+    /// Highest revision that all live daemons have reached, by their reports.
     pub in_force_everywhere: Revision,
-    /// How long ago the catalogue was last confirmed current.
+    /// Time since the catalogue was last confirmed to be current.
     pub freshness_age: Span,
-    /// Whether this daemon's last call of the store was answered.
+    /// Whether the store answered this daemon's last call.
     pub store_reachable: bool,
-    /// The daemons, by name.
+    /// Daemons in order of their names.
     pub members: Vec<MemberStatus>,
-    /// Versions suspended for their answers.
+    /// Versions suspended because of bad answers.
     #[serde(default)]
     pub suspended: Vec<Suspension>,
-    /// Requests being served here.
+    /// Number of requests in flight at the answering daemon.
     #[serde(default)]
     pub in_flight: u64,
-    /// Bills here that are not in the store yet.
+    /// Number of bills at the answering daemon that are not in the store yet.
     #[serde(default)]
     pub bills_waiting: u64,
 }
 
 impl StatusReply {
-    /// Daemons that have not reported a revision, gone ones left out.
+    /// Iterates over the live daemons whose reported revision is below `revision`.
     pub fn lagging(&self, revision: Revision) -> impl Iterator<Item = &MemberStatus> {
         let live = self.members.iter().filter(|member| member.state.is_live());
         live.filter(move |member| member.revision < revision)
     }
 }
 
-/// A daemon as the answering one holds it.
+/// State of a daemon as known to the answering daemon.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Its name.
+    /// Name of the daemon.
     pub daemon: DaemonId,
-    /// Where it stands.
+    /// Failure domain of the daemon.
     pub failure_domain: FailureDomain,
-    /// Whether it answers.
+    /// Liveness of the daemon.
     pub state: MemberState,
-    /// The catalogue's revision that it last reported.
+    /// Last reported revision of the catalogue.
     pub revision: Revision,
-    /// How old that report is.
+    /// Age of that report.
     pub report_age: Span,
-    /// For how long it has been behind the answering daemon's revision.
+    /// Time for which it has been behind the answering daemon's revision.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub behind_for: Option<Span>,
 }
 
-/// Whether a daemon answers.
+/// Liveness of a daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MemberState {
-    /// It does.
+    /// Responds.
     Alive,
-    /// Not for a while.
+    /// Has not responded for a while.
     Suspect,
-    /// It said that it goes.
+    /// Announced that it is shutting down.
     Leaving,
-    /// Counted as gone.
+    /// Considered to be gone.
     Dead,
 }
 
 impl MemberState {
-    /// Whether it may be serving.
+    /// Returns whether the daemon may still be serving requests.
     #[must_use]
     pub fn is_live(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
     }
 
-    /// As text.
+    /// Returns the name used in JSON and tables.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -90,28 +90,28 @@
     }
 }
 
-/// A version that takes nothing new, since its answers are bad.
+/// A version that gets no new requests because its answers were rated as bad.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Suspension {
-    /// The version.
+    /// Suspended version.
     pub version: VersionId,
-    /// The kind of work where it was seen, or nothing for all.
+    /// Class of work that the suspension covers; `None` for all classes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub class: Option<ClassName>,
-    /// Ratings it rests on.
+    /// Number of ratings on which the suspension is based.
     #[serde(default)]
     pub ratings: u64,
-    /// How many of them were adequate.
+    /// Number of those ratings that were adequate.
     #[serde(default)]
     pub adequate: u64,
 }
 
-/// `GET /readyz` and `GET /healthz`.
+/// Reply to `GET /healthz` and `GET /readyz`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HealthReply {
-    /// Whether the answer is yes.
+    /// Whether the daemon is alive or ready, respectively.
     pub ok: bool,
-    /// Why not.
+    /// Why it is not, if `ok` is false.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reason: Option<String>,
 }
