--- a/components/telemetry/src/labels.rs
+++ b/components/telemetry/src/labels.rs
@@ -1,4 +1,4 @@
-//! Values of labels. Each is one of a few, so that no caller can make series grow.
+//! Labels of metrics. Their values come from fixed sets, so that no caller can create series.
 
 use std::fmt::{Error, Write};
 
@@ -13,10 +13,10 @@
         }
 
         impl $name {
-            /// Every value.
+            /// All values.
             pub const ALL: &[Self] = &[$(Self::$variant),+];
 
-            /// As metrics print it.
+            /// Returns the value as printed in metrics.
             #[must_use]
             pub fn as_str(self) -> &'static str {
                 match self {
@@ -34,63 +34,63 @@
 }
 
 label_value!(
-    /// How a request ended for its caller.
+    /// Outcome of a request for its caller.
     Outcome {
-        /// Whole answer.
+        /// The whole answer was delivered.
         Answered => "answered",
-        /// Refused, not run.
+        /// Refused without being run.
         Refused => "refused",
-        /// Ran, and ended in an error.
+        /// Run, and ended in an error.
         Failed => "failed",
-        /// May or may not have run.
+        /// May or may not have been run.
         Unknown => "unknown",
-        /// The caller went away.
+        /// The caller disconnected.
         Cancelled => "cancelled",
     }
 );
 
 label_value!(
-    /// How one attempt at an upstream ended.
+    /// Outcome of one attempt at an upstream.
     AttemptOutcome {
-        /// Whole answer.
+        /// The whole answer was delivered.
         Answered => "answered",
-        /// Refused before it began.
+        /// Refused before it was run.
         NotRun => "not_run",
-        /// Cut short or wrong.
+        /// The answer was cut short or invalid.
         Failed => "failed",
-        /// Past its deadline.
+        /// The deadline passed.
         TimedOut => "timed_out",
-        /// Given up, since another attempt answered or the caller left.
+        /// Abandoned because another attempt answered or the caller disconnected.
         Cancelled => "cancelled",
     }
 );
 
 label_value!(
-    /// A call of the key-value service.
+    /// Kind of a call to the key-value service.
     StoreCall {
-        /// Read.
+        /// Reads keys.
         Range => "range",
-        /// Compare and write.
+        /// Compares and writes in a transaction.
         Txn => "txn",
-        /// Make a lease.
+        /// Creates a lease.
         LeaseGrant => "lease_grant",
-        /// Renew a lease.
+        /// Renews a lease.
         LeaseKeepAlive => "lease_keep_alive",
-        /// End a lease.
+        /// Revokes a lease.
         LeaseRevoke => "lease_revoke",
-        /// Wait for changes.
+        /// Watches for changes.
         Watch => "watch",
     }
 );
 
 label_value!(
-    /// How a call of the key-value service ended.
+    /// Outcome of a call to the key-value service.
     StoreOutcome {
         /// Answered.
         Ok => "ok",
-        /// Never sent.
+        /// Could not be sent.
         NotSent => "not_sent",
-        /// No reply: may have taken effect.
+        /// Not answered; may have taken effect.
         Unknown => "unknown",
         /// Refused without effect.
         Refused => "refused",
@@ -98,102 +98,102 @@
 );
 
 label_value!(
-    /// Way of bytes between daemons.
+    /// Direction of traffic between daemons.
     Direction {
-        /// To peers.
+        /// Sent to peers.
         Sent => "sent",
-        /// From peers.
+        /// Received from peers.
         Received => "received",
     }
 );
 
 label_value!(
-    /// What this daemon holds of another.
+    /// State of another daemon as seen by this one.
     MemberState {
-        /// Answers.
+        /// Responds.
         Alive => "alive",
-        /// Has not answered for a while.
+        /// Has not responded for a while.
         Suspect => "suspect",
-        /// Said that it goes.
+        /// Announced that it is shutting down.
         Leaving => "leaving",
-        /// Counted as gone.
+        /// Considered to be gone.
         Dead => "dead",
     }
 );
 
 label_value!(
-    /// Which requests go first.
+    /// Priority of a request.
     PriorityLabel {
-        /// A person waits.
+        /// A person is waiting for the answer.
         Interactive => "interactive",
-        /// The rest.
+        /// Runs with the capacity that interactive requests leave.
         Batch => "batch",
     }
 );
 
-/// Labels of requests.
+/// Labels of the counter of requests.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RequestLabels {
-    /// Offer or service, or [`crate::metrics::OTHER_OFFER`].
+    /// Name of the offer or service, or [`crate::metrics::OTHER_OFFER`].
     pub offer: String,
-    /// How it ended.
+    /// Outcome of the request.
     pub outcome: Outcome,
 }
 
-/// Label of an offer's figures.
+/// Labels of the histograms of an offer.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct OfferLabels {
-    /// Offer or service, or [`crate::metrics::OTHER_OFFER`].
+    /// Name of the offer or service, or [`crate::metrics::OTHER_OFFER`].
     pub offer: String,
 }
 
-/// Labels of attempts.
+/// Labels of the counter of attempts.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct AttemptLabels {
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: AttemptOutcome,
 }
 
-/// Labels of refusals.
+/// Labels of the counter of refusals.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RefusalLabels {
-    /// The error's code; from the program's text, never from a caller.
+    /// Error code; always a constant of the program, never a caller's text.
     pub code: &'static str,
 }
 
-/// Labels of calls of the key-value service.
+/// Labels of the counter of calls to the key-value service.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct StoreLabels {
-    /// Its kind.
+    /// Kind of the call.
     pub call: StoreCall,
-    /// How it ended.
+    /// Outcome of the call.
     pub outcome: StoreOutcome,
 }
 
-/// Labels of bytes between daemons.
+/// Labels of the counter of bytes between daemons.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct DirectionLabels {
-    /// To or from peers.
+    /// Direction of the bytes.
     pub direction: Direction,
 }
 
-/// Labels of members.
+/// Labels of the gauge of daemons.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct MemberLabels {
-    /// What this daemon holds of them.
+    /// State of the counted daemons.
     pub state: MemberState,
 }
 
-/// Labels of requests in flight.
+/// Labels of the gauge of requests in flight.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct PriorityLabels {
-    /// Which go first.
+    /// Priority of the counted requests.
     pub priority: PriorityLabel,
 }
 
-/// Labels of queues and tables.
+/// Labels of the fill ratio of queues and tables.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct QueueLabels {
-    /// Its name; from the program's text.
+    /// Name of the queue or table; always a constant of the program.
     pub queue: &'static str,
 }
--- a/components/telemetry/src/lib.rs
+++ b/components/telemetry/src/lib.rs
@@ -1,8 +1,7 @@
 //! Metrics and logs.
 //!
-//! Both are set up once by a program and then used by every part. Logs go through
-//! `tracing`, so parts need only its macros. Metrics are typed fields of
-//! [`metrics::Metrics`], which is shared by all threads.
+//! A program sets both up once, and all components use them. Components log with the macros of
+//! `tracing`. Metrics are methods and fields of [`metrics::Metrics`], which all threads share.
 
 pub mod labels;
 pub mod logs;
--- a/components/telemetry/src/logs.rs
+++ b/components/telemetry/src/logs.rs
@@ -10,33 +10,34 @@
 use tracing_subscriber::EnvFilter;
 use tracing_subscriber::util::TryInitError;
 
-/// Lines that wait to be written at most; beyond it lines are dropped and counted.
+/// Limit on lines that wait to be written; further lines are dropped and counted.
 ///
-/// Guards against a reader of the output that stops: writing would block the thread that
-/// serves callers. 4,096 lines of about 400 bytes are under 2 MB.
-const MAX_WAITING_LINES: usize = 4_096;
-
-/// Lines are gathered for so long before they are written together. A line at a time woke
-/// the thread that writes, at three requests a second as at three hundred, for eight system
-/// calls each. What a killed process loses is what it said in this time.
-const GATHER: Duration = Duration::from_millis(50);
-/// Bytes that are written without waiting for more.
-const MAX_GATHERED: usize = 64 * 1024;
-/// Bytes of one write at most, whole lines as far as they fit: a pipe takes that much in one
-/// piece (`PIPE_BUF`), and a longer write may be torn by another process's on the same pipe.
-const MAX_WRITE: usize = 4_096;
-
-/// Filter used when the settings say nothing.
+/// Without it, a stalled reader of the output would block the threads that serve callers. 4,096
+/// lines of about 400 bytes use less than 2 MB.
+const MAX_QUEUED_LINES: usize = 4_096;
+
+/// Time for which lines are collected before they are written together. If each line is written by
+/// itself, it wakes the writing thread and takes eight system calls, at three requests per second
+/// as at three hundred. A killed process loses the lines of this time.
+const BATCH_INTERVAL: Duration = Duration::from_millis(50);
+/// Number of collected bytes at which they are written without waiting for more.
+const MAX_BATCH_BYTES: usize = 64 * 1024;
+/// Maximum size of one write in bytes; a write consists of whole lines unless a line is longer. Writes
+/// of up to `PIPE_BUF` bytes to a pipe are atomic; a longer one may be interleaved with those of
+/// another process on the same pipe.
+const MAX_WRITE_BYTES: usize = 4_096;
+
+/// Filter used if the settings give none.
 pub const DEFAULT_FILTER: &str = "info";
 
-/// How log lines are written.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Format {
-    /// One line of text an event.
+    /// One line of text per event.
     #[default]
     Text,
-    /// One JSON object an event.
+    /// One JSON object per event.
     Json,
 }
 
@@ -61,37 +62,39 @@
     }
 }
 
-/// Why logs could not be set up.
+/// Error in setting up logs.
 #[derive(Debug, thiserror::Error)]
 pub enum LogError {
-    /// Neither `text` nor `json`.
+    /// The format is neither `text` nor `json`.
     #[error("{0:?} is not a log format; text and json are")]
     Format(String),
-    /// A directive of the filter could not be read.
+    /// A directive of the filter is malformed.
     #[error("log filter {filter:?} is wrong: {problem}; write it as info,peers=debug")]
     Filter {
-        /// The filter given.
+        /// Filter as given.
         filter: String,
         /// What is wrong with it.
         problem: String,
     },
     /// The process already has a subscriber.
     #[error("logs are already set up: {0}")]
-    Twice(#[from] TryInitError),
+    AlreadySetUp(#[from] TryInitError),
 }
 
 /// Checks a filter such as `info,peers=debug`, without using it.
 ///
 /// # Errors
-/// Says which directive cannot be read.
+/// Fails if a directive is malformed, and names it.
 pub fn check_filter(filter: &str) -> Result<(), LogError> {
     parse_filter(filter).map(|_| ())
 }
 
-/// The filter, with the library of calls between daemons left out unless it is named.
+/// Parses a filter and turns off the log of `tarpc`, the RPC library used between daemons, unless the
+/// filter names it.
 ///
-/// Guards against its error line for each call that is not answered in time, which names neither
-/// peer nor call: behind a cut that is all there is in the log. The `peers` lines say it instead.
+/// `tarpc` logs an error for each call that times out, without naming the peer or the call. When peers
+/// are unreachable, the log would consist of these lines only. The `peers` lines report the same
+/// faults with the names.
 fn parse_filter(filter: &str) -> Result<EnvFilter, LogError> {
     let quiet = match filter.contains("tarpc") {
         true => filter.to_owned(),
@@ -105,10 +108,10 @@
         })
 }
 
-/// Starts writing logs to standard error, once for the process.
+/// Starts logging to standard error. Can be called once per process.
 ///
 /// # Errors
-/// When the filter cannot be read, or logs were set up before.
+/// Fails if the filter is malformed or logs are already set up.
 pub fn init(format: Format, filter: &str) -> Result<(), LogError> {
     use tracing_subscriber::util::SubscriberInitExt;
 
@@ -122,27 +125,27 @@
     Ok(())
 }
 
-/// Keeps the thread that writes logs; what waits is written when this goes.
+/// Keeps the writing thread alive; dropping it writes the lines that are still queued.
 #[derive(Debug)]
-pub struct Writing {
+pub struct LogWriterGuard {
     _guard: WorkerGuard,
     dropped: ErrorCounter,
 }
 
-impl Writing {
-    /// Counts lines that were dropped because too many waited.
+impl LogWriterGuard {
+    /// Returns the counter of lines that were dropped because the queue was full.
     #[must_use]
     pub fn dropped(&self) -> Dropped {
         Dropped(Some(self.dropped.clone()))
     }
 }
 
-/// Counts lines that were dropped because too many waited; none where logs are not bounded.
+/// Counter of lines that were dropped because the queue was full; always 0 if logs are not bounded.
 #[derive(Debug, Clone, Default)]
 pub struct Dropped(Option<ErrorCounter>);
 
 impl Dropped {
-    /// Lines so far.
+    /// Returns the number of lines dropped so far.
     #[must_use]
     pub fn lines(&self) -> u64 {
         let lines = self.0.as_ref().map(ErrorCounter::dropped_lines);
@@ -150,16 +153,16 @@
     }
 }
 
-/// Gathers what is written and hands it on at a flush, which comes once nothing more waits.
+/// Collects lines and writes them at a flush, which the writing thread calls when its queue is empty.
 #[derive(Debug)]
-pub struct Gathered<W> {
+pub struct BatchWriter<W> {
     inner: W,
     bytes: Vec<u8>,
     pause: Duration,
 }
 
-impl<W: Write> Gathered<W> {
-    /// Hands on to `inner` and then pauses, so that more is gathered before the next time.
+impl<W: Write> BatchWriter<W> {
+    /// Creates a writer to `inner` that sleeps for `pause` after each flush, to collect more lines.
     pub fn new(inner: W, pause: Duration) -> Self {
         Self {
             inner,
@@ -168,56 +171,56 @@
         }
     }
 
-    fn hand_on(&mut self) -> io::Result<()> {
-        let gathered = std::mem::take(&mut self.bytes);
-        let mut rest = &gathered[..];
+    fn write_batch(&mut self) -> io::Result<()> {
+        let batch = std::mem::take(&mut self.bytes);
+        let mut rest = &batch[..];
         while !rest.is_empty() {
-            let (piece, behind) = rest.split_at(end_of_piece(rest));
-            self.inner.write_all(piece)?;
-            rest = behind;
+            let (chunk, remaining) = rest.split_at(chunk_end(rest));
+            self.inner.write_all(chunk)?;
+            rest = remaining;
         }
         self.inner.flush()
     }
 }
 
-/// Where the first write of some lines ends.
-fn end_of_piece(lines: &[u8]) -> usize {
-    if lines.len() <= MAX_WRITE {
+/// Returns the length of the first write of `lines`: as many whole lines as fit into one write.
+fn chunk_end(lines: &[u8]) -> usize {
+    if lines.len() <= MAX_WRITE_BYTES {
         return lines.len();
     }
-    let last = lines[..MAX_WRITE].iter().rposition(|b| *b == b'\n');
-    last.map_or(MAX_WRITE, |last| last + 1)
+    let last = lines[..MAX_WRITE_BYTES].iter().rposition(|b| *b == b'\n');
+    last.map_or(MAX_WRITE_BYTES, |last| last + 1)
 }
 
-impl<W: Write> Write for Gathered<W> {
+impl<W: Write> Write for BatchWriter<W> {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.bytes.extend_from_slice(bytes);
-        if self.bytes.len() >= MAX_GATHERED {
-            self.hand_on()?;
+        if self.bytes.len() >= MAX_BATCH_BYTES {
+            self.write_batch()?;
         }
         Ok(bytes.len())
     }
 
     fn flush(&mut self) -> io::Result<()> {
-        self.hand_on()?;
+        self.write_batch()?;
         std::thread::sleep(self.pause);
         Ok(())
     }
 }
 
-/// Starts writing logs as JSON to standard output, once for the process, from a thread of
-/// its own: a line that finds no room is dropped and counted, never waited for.
+/// Starts logging as JSON to standard output, from a thread of its own. A line that finds the queue
+/// full is dropped and counted, so that logging never blocks. Can be called once per process.
 ///
 /// # Errors
-/// When the filter cannot be read, or logs were set up before.
-pub fn init_bounded(filter: &str) -> Result<Writing, LogError> {
+/// Fails if the filter is malformed or logs are already set up.
+pub fn init_bounded(filter: &str) -> Result<LogWriterGuard, LogError> {
     use tracing_subscriber::util::SubscriberInitExt;
 
     let (writer, guard) = NonBlockingBuilder::default()
         .lossy(true)
-        .buffered_lines_limit(MAX_WAITING_LINES)
+        .buffered_lines_limit(MAX_QUEUED_LINES)
         .thread_name("logs")
-        .finish(Gathered::new(io::stdout(), GATHER));
+        .finish(BatchWriter::new(io::stdout(), BATCH_INTERVAL));
     let dropped = writer.error_counter();
     tracing_subscriber::fmt()
         .with_env_filter(parse_filter(filter)?)
@@ -229,7 +232,7 @@
         .with_target(false)
         .finish()
         .try_init()?;
-    Ok(Writing {
+    Ok(LogWriterGuard {
         _guard: guard,
         dropped,
     })
--- a/components/telemetry/src/metrics.rs
+++ b/components/telemetry/src/metrics.rs
@@ -1,8 +1,8 @@
 //! Metrics of the process, in the text format of Prometheus.
 //!
-//! Series are bounded: labels are one of a few values, but for offers, which operators
-//! name. Of these the first [`MAX_OFFERS`] get series of their own and the rest share
-//! one, so that a catalogue that churns offers cannot fill the daemon's memory.
+//! The number of series is bounded. All labels have a small fixed set of values, except the names
+//! of offers, which operators choose: the first [`MAX_OFFERS`] offers get series of their own and
+//! all others share one, so that a catalogue with ever new offers cannot fill the daemon's memory.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -18,9 +18,9 @@
 
 use crate::labels::*;
 
-/// Offers with series of their own.
+/// Number of offers that get series of their own.
 pub const MAX_OFFERS: usize = 256;
-/// Label of the offers beyond [`MAX_OFFERS`].
+/// Label value shared by all offers beyond [`MAX_OFFERS`].
 pub const OTHER_OFFER: &str = "other";
 
 const PREFIX: &str = "buckthorncross";
@@ -33,7 +33,7 @@
 type RatioGauge = Gauge<f64, AtomicU64>;
 type HistogramFamily<L> = Family<L, Histogram, fn() -> Histogram>;
 
-/// Figures of one offer, to be kept for the length of a request.
+/// Metrics of one offer. A request looks them up once and keeps them until it ends.
 #[derive(Debug, Clone)]
 pub struct OfferMetrics {
     requests: Vec<Counter>,
@@ -42,23 +42,23 @@
 }
 
 impl OfferMetrics {
-    /// Notes a request's end.
+    /// Counts a finished request by its outcome.
     pub fn ended(&self, outcome: Outcome) {
         self.requests[outcome as usize].inc();
     }
 
-    /// Notes the time from a request's arrival to its first token.
+    /// Records the time from a request's arrival to its first token.
     pub fn first_token(&self, wait: Span) {
         self.first_token.observe(wait.as_secs_f64());
     }
 
-    /// Notes the time between two tokens.
+    /// Records the time between two consecutive tokens of a stream.
     pub fn between_tokens(&self, wait: Span) {
         self.between_tokens.observe(wait.as_secs_f64());
     }
 }
 
-/// All metrics of a daemon. Shared by its threads.
+/// All metrics of a daemon, shared by its threads.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -73,17 +73,18 @@
     in_flight: Family<PriorityLabels, Gauge>,
     queue_fill: Family<QueueLabels, RatioGauge>,
     members: Family<MemberLabels, Gauge>,
-    /// Bills that only this daemon and its peers hold, not yet in the store.
+    /// Number of bills that are held by this daemon and its peers but not yet by the store.
     pub bills_waiting: Gauge,
-    /// Highest revision of the catalogue in force here.
+    /// Highest revision of the catalogue in force at this daemon.
     pub catalogue_revision: Gauge,
-    /// Seconds since the catalogue was last confirmed current, for age that travelled with it.
+    /// Seconds since the catalogue was last confirmed to be current, including the age that it already
+    /// had when it was received.
     pub freshness_age: RatioGauge,
-    /// Versions suspended for their answers.
+    /// Number of versions suspended because of bad answers.
     pub suspended_versions: Gauge,
-    /// Edits that this daemon accepted from operators.
+    /// Number of edits that this daemon accepted from operators.
     pub edits: Counter,
-    /// Orders sent to engines by this daemon's roll-outs.
+    /// Number of orders sent to engines by roll-outs that this daemon drives.
     pub rollout_orders: Counter,
 }
 
@@ -94,7 +95,7 @@
 }
 
 impl Metrics {
-    /// All at nothing.
+    /// Creates and registers all metrics with the value 0.
     #[must_use]
     pub fn new() -> Self {
         let mut metrics = Self {
@@ -190,7 +191,7 @@
         r.register("rollout_orders", help, self.rollout_orders.clone());
     }
 
-    /// The figures of an offer or service.
+    /// Returns the metrics of an offer or service, creating them at the first use.
     #[must_use]
     pub fn offer(&self, name: &str) -> Arc<OfferMetrics> {
         let offers = self.offers.read().unwrap_or_else(PoisonError::into_inner);
@@ -232,38 +233,38 @@
         }
     }
 
-    /// Notes an attempt's end.
+    /// Counts a finished attempt by its outcome.
     pub fn attempt(&self, outcome: AttemptOutcome) {
         self.attempts
             .get_or_create(&AttemptLabels { outcome })
             .inc();
     }
 
-    /// Notes a refusal by its code.
+    /// Counts a refused request by its error code.
     pub fn refusal(&self, code: &'static str) {
         self.refusals.get_or_create(&RefusalLabels { code }).inc();
     }
 
-    /// Notes a call of the key-value service.
+    /// Counts a call of the key-value service by kind and outcome.
     pub fn store_call(&self, call: StoreCall, outcome: StoreOutcome) {
         let labels = StoreLabels { call, outcome };
         self.store_calls.get_or_create(&labels).inc();
     }
 
-    /// Sets the count of bytes to or from peers since the start.
+    /// Sets the total of bytes sent to or received from peers since the start.
     pub fn set_peer_bytes(&self, direction: Direction, bytes: ByteSize) {
         let labels = DirectionLabels { direction };
         let counter = self.peer_bytes.get_or_create(&labels);
         counter.inner().store(bytes.0, Ordering::Relaxed);
     }
 
-    /// Sets the count of requests being served.
+    /// Sets the number of requests in flight.
     pub fn set_in_flight(&self, priority: PriorityLabel, count: usize) {
         let labels = PriorityLabels { priority };
         self.in_flight.get_or_create(&labels).set(as_gauge(count));
     }
 
-    /// Sets the fill of a queue or table, from its length and bound.
+    /// Sets the fill ratio of a queue or table from its length and capacity.
     pub fn set_queue_fill(&self, queue: &'static str, length: usize, bound: usize) {
         let fill = length as f64 / bound.max(1) as f64;
         self.queue_fill
@@ -271,13 +272,13 @@
             .set(fill);
     }
 
-    /// Sets the count of daemons held in a state.
+    /// Sets the number of daemons that this one sees in a state.
     pub fn set_members(&self, state: MemberState, count: usize) {
         let labels = MemberLabels { state };
         self.members.get_or_create(&labels).set(as_gauge(count));
     }
 
-    /// All metrics in the text format of Prometheus.
+    /// Encodes all metrics in the text format of Prometheus.
     #[must_use]
     pub fn encode(&self) -> String {
         let mut buf = String::new();
--- a/components/telemetry/tests/logs.rs
+++ b/components/telemetry/tests/logs.rs
@@ -1,16 +1,16 @@
-//! Lines are gathered before they are written.
+//! Batching of log lines.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use telemetry::logs::Gathered;
+use telemetry::logs::BatchWriter;
 
-/// Keeps each write.
+/// Records the bytes of each write.
 #[derive(Debug, Clone, Default)]
-struct Writes(Arc<Mutex<Vec<Vec<u8>>>>);
+struct RecordedWrites(Arc<Mutex<Vec<Vec<u8>>>>);
 
-impl Write for Writes {
+impl Write for RecordedWrites {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.lock().expect("no panic").push(bytes.to_vec());
         Ok(bytes.len())
@@ -22,18 +22,18 @@
 }
 
 #[test]
-fn lines_that_wait_together_are_one_write() {
-    // A busy daemon writes hundreds of lines a second. Each of them was a write, and woke the
-    // thread that writes, which cost more than making the line.
-    let writes = Writes::default();
-    let mut gathered = Gathered::new(writes.clone(), Duration::ZERO);
+fn queued_lines_are_written_together() {
+    // A busy daemon logs hundreds of lines per second. If each is written by itself, it wakes the
+    // writing thread, which costs more than formatting the line.
+    let writes = RecordedWrites::default();
+    let mut writer = BatchWriter::new(writes.clone(), Duration::ZERO);
     for n in 0..100 {
-        gathered
+        writer
             .write_all(format!("line {n}\n").as_bytes())
             .expect("written");
     }
     assert!(writes.0.lock().expect("no panic").is_empty());
-    gathered.flush().expect("written");
+    writer.flush().expect("written");
     let written = writes.0.lock().expect("no panic").clone();
     assert_eq!(written.len(), 1);
     assert!(written[0].starts_with(b"line 0\n"));
@@ -41,16 +41,16 @@
 }
 
 #[test]
-fn no_line_is_torn_by_a_write() {
-    // Two daemons write to one pipe. A write of more than the pipe takes in one piece had the
-    // other daemon's lines in its middle.
-    let writes = Writes::default();
-    let mut gathered = Gathered::new(writes.clone(), Duration::ZERO);
+fn every_write_ends_at_the_end_of_a_line() {
+    // When two daemons write to one pipe, a write larger than `PIPE_BUF` can have the other daemon's
+    // lines in its middle.
+    let writes = RecordedWrites::default();
+    let mut writer = BatchWriter::new(writes.clone(), Duration::ZERO);
     for n in 0..500 {
         let line = format!("line {n} {}\n", "x".repeat(n % 90));
-        gathered.write_all(line.as_bytes()).expect("written");
+        writer.write_all(line.as_bytes()).expect("written");
     }
-    gathered.flush().expect("written");
+    writer.flush().expect("written");
     let written = writes.0.lock().expect("no panic").clone();
     assert!(written.iter().all(|bytes| bytes.len() <= 4_096));
     assert!(written.iter().all(|bytes| bytes.ends_with(b"\n")));
@@ -60,11 +60,12 @@
 }
 
 #[test]
-fn what_is_gathered_is_bounded() {
-    let writes = Writes::default();
-    let mut gathered = Gathered::new(writes.clone(), Duration::ZERO);
+fn the_batch_is_bounded() {
+    // Without a flush, lines must be written once the batch is full instead of filling the memory.
+    let writes = RecordedWrites::default();
+    let mut writer = BatchWriter::new(writes.clone(), Duration::ZERO);
     let line = vec![b'x'; 10_000];
-    (0..100).for_each(|_| gathered.write_all(&line).expect("written"));
+    (0..100).for_each(|_| writer.write_all(&line).expect("written"));
     let written = writes.0.lock().expect("no panic").clone();
     assert!(written.iter().all(|bytes| bytes.len() <= 4_096));
     assert!(written.iter().map(Vec::len).sum::<usize>() > 900_000);
--- a/components/telemetry/tests/metrics.rs
+++ b/components/telemetry/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! What `/metrics` shows, and its bounds.
+//! Encoding and bounds of metrics, and errors in log settings.
 
 use telemetry::labels::{AttemptOutcome, Direction, MemberState, Outcome, StoreCall, StoreOutcome};
 use telemetry::logs::{self, Format};
@@ -41,9 +41,8 @@
     }
 }
 
-/// An operator's script puts and removes an offer with a fresh name every minute.
-/// Each name would leave a dozen series behind, and after some weeks the daemon's
-/// memory and the scrape are full of dead offers. Only so many names are kept.
+/// An operator's script adds and removes an offer with a new name every minute. If each name left a
+/// dozen series behind, removed offers would fill the daemon's memory and the scrape within weeks.
 #[test]
 fn can_bound_series_when_offers_churn() {
     let metrics = Metrics::new();
@@ -64,7 +63,7 @@
 }
 
 #[test]
-fn errors_on_wrong_log_settings_say_what_to_write() {
+fn errors_in_log_settings_name_the_accepted_forms() {
     let error = "xml".parse::<Format>().unwrap_err();
     assert_eq!(
         error.to_string(),
