--- a/components/types/src/amount.rs
+++ b/components/types/src/amount.rs
@@ -1,4 +1,4 @@
-//! Counts, money, rates and shares.
+//! Types for counts, money, sizes, rates and shares.
 
 use std::fmt;
 use std::iter::Sum;
@@ -7,7 +7,7 @@
 
 use serde_with::{DeserializeFromStr, SerializeDisplay};
 
-/// Why a text is not an amount.
+/// Error for a text that is not an amount of the expected form.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{text:?} is not {expected}")]
 pub struct AmountError {
@@ -78,7 +78,7 @@
 }
 
 sum_type!(
-    /// Money in millionths of the operators' currency.
+    /// An amount of money in millionths of the operators' currency, written `0.002500`.
     Cost
 );
 
@@ -122,7 +122,7 @@
 const BYTE_UNITS: [(&str, u64); 3] = [("GiB", 1 << 30), ("MiB", 1 << 20), ("KiB", 1 << 10)];
 
 impl ByteSize {
-    /// As a length of a buffer.
+    /// Converts to a buffer length; a size too large for `usize` becomes `usize::MAX`.
     #[must_use]
     pub fn as_usize(self) -> usize {
         usize::try_from(self.0).unwrap_or(usize::MAX)
@@ -156,14 +156,14 @@
     }
 }
 
-/// So many a second.
+/// A number of events per second, written `50/s`.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, PartialOrd, SerializeDisplay, DeserializeFromStr,
 )]
 pub struct Rate(pub f64);
 
 impl Rate {
-    /// How many in `span`.
+    /// Returns the number of events in `span` at this rate.
     #[must_use]
     pub fn over(self, span: crate::time::Span) -> f64 {
         self.0 * span.as_secs_f64()
@@ -194,15 +194,15 @@
 pub struct Share(f64);
 
 impl Share {
-    /// Nothing.
+    /// The share 0.
     pub const NONE: Self = Self(0.0);
-    /// The whole.
+    /// The share 1.
     pub const ALL: Self = Self(1.0);
 
-    /// Takes a number from 0 to 1.
+    /// Creates a share from a number from 0 to 1.
     ///
     /// # Errors
-    /// When the number lies outside.
+    /// Fails if the number is out of this range or not a number.
     pub fn new(part: f64) -> Result<Self, AmountError> {
         if (0.0..=1.0).contains(&part) {
             Ok(Self(part))
@@ -211,7 +211,7 @@
         }
     }
 
-    /// The nearest share to a number.
+    /// Returns the share nearest to a number; NaN becomes 0.
     #[must_use]
     pub fn clamped(part: f64) -> Self {
         if part.is_nan() {
@@ -221,7 +221,7 @@
         }
     }
 
-    /// As a number from 0 to 1.
+    /// Returns the share as a number from 0 to 1.
     #[must_use]
     pub fn get(self) -> f64 {
         self.0
--- a/components/types/src/id.rs
+++ b/components/types/src/id.rs
@@ -1,7 +1,7 @@
-//! Names and numbers that identify things.
+//! Names and numbers that identify daemons, entries, requests and the like.
 //!
-//! Names come from settings, the catalogue and callers. They are short, printable
-//! and safe to use in a key of the store, a header or a metric's label.
+//! Names come from settings, the catalogue and callers. They are short, printable and safe to use
+//! in keys of the store, HTTP headers and metric labels.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,22 +10,22 @@
 use rand::{Rng, RngExt};
 use serde_with::{DeserializeFromStr, SerializeDisplay};
 
-/// Longest accepted name, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// Why a text is not a name.
+/// Error for a text that is not a name or id.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum NameError {
-    /// Nothing was given.
+    /// The text is empty.
     #[error("a name is empty")]
     Empty,
-    /// Longer than [`MAX_NAME_BYTES`].
+    /// The text is longer than [`MAX_NAME_BYTES`]; holds its length in bytes.
     #[error("a name has {0} bytes, at most {MAX_NAME_BYTES} are allowed")]
     TooLong(usize),
-    /// A character outside letters, digits, `-`, `_`, `.`, `:` and `/`.
+    /// A character is not an ASCII letter, a digit or one of `-`, `_`, `.`, `:` and `/`.
     #[error("a name holds {0:?}; letters, digits and - _ . : are allowed")]
     BadCharacter(char),
-    /// Not a number of the expected form.
+    /// The text is not a number or id of the expected form.
     #[error("{0:?} is not an id of the expected form")]
     BadNumber(String),
 }
@@ -33,7 +33,7 @@
 /// Checks a name's length and characters.
 ///
 /// # Errors
-/// Says what is wrong with the first offending part.
+/// Fails if the text is empty, too long or has a character that is not allowed.
 pub fn check_name(text: &str) -> Result<(), NameError> {
     if text.is_empty() {
         return Err(NameError::Empty);
@@ -61,13 +61,13 @@
             /// Checks and wraps a text.
             ///
             /// # Errors
-            /// Says which rule the text breaks.
+            /// Fails if the text is not a valid name, see [`check_name`].
             pub fn new(text: &str) -> Result<Self, NameError> {
                 check_name(text)?;
                 Ok(Self(Arc::from(text)))
             }
 
-            /// The text.
+            /// Returns the name as text.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -97,65 +97,65 @@
 }
 
 name_type!(
-    /// A fleet of daemons that share one catalogue.
+    /// Name of a fleet of daemons that share one catalogue.
     ClusterName
 );
 name_type!(
-    /// A daemon, by the name in its settings.
+    /// Id of a daemon: the name in its settings.
     DaemonId
 );
 name_type!(
-    /// A part of the platform that fails as one.
+    /// Name of a part of the platform whose hosts can fail together.
     FailureDomain
 );
 name_type!(
-    /// A group of failure domains near each other.
+    /// Name of a group of failure domains near each other.
     Region
 );
 name_type!(
-    /// A customer of the operators.
+    /// Id of a customer.
     CustomerId
 );
 name_type!(
-    /// An entry of the catalogue, such as `offers/brief-writer`.
+    /// Name of an entry of the catalogue, such as `offers/brief-writer`.
     EntryName
 );
 name_type!(
-    /// A kind of work with a quality target of its own.
+    /// Name of a class of work that has its own quality target.
     ClassName
 );
 name_type!(
-    /// A model engine or an instance of a plain service.
+    /// Id of an upstream: a model engine or an instance of a plain service.
     UpstreamId
 );
 name_type!(
-    /// A request, unique for its customer within the retry window.
+    /// Id of a request, unique per customer within the retry window.
     RequestId
 );
 name_type!(
-    /// A session, as named by its caller or by a signed token.
+    /// Id of a session, chosen by its caller or taken from a signed token.
     SessionId
 );
 name_type!(
-    /// Who made an edit.
+    /// Name of an operator or of a team of operators.
     OperatorName
 );
 
 impl RequestId {
-    /// A fresh id, for callers that gave none.
+    /// Creates a random id, for requests sent without one.
     pub fn random(rng: &mut impl Rng) -> Self {
         Self(Arc::from(format!("req-{:032x}", rng.random::<u128>())))
     }
 }
 
-/// One edit of the catalogue, unique for ever.
+/// Id of an edit of the catalogue, never reused.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, SerializeDisplay, DeserializeFromStr,
 )]
 pub struct EditId(pub u128);
 
 impl EditId {
-    /// A fresh id.
+    /// Creates a random id.
     pub fn random(rng: &mut impl Rng) -> Self {
         Self(rng.random())
     }
@@ -189,7 +189,7 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// The one that follows.
+            /// Returns the number that follows.
             #[must_use]
             pub fn next(self) -> Self {
                 Self(self.0 + 1)
@@ -213,10 +213,10 @@
 }
 
 number_type!(
-    /// A revision of the catalogue: 0 before the first edit, then one more for each.
+    /// Revision of the catalogue: 0 before the first edit, incremented by each edit.
     Revision
 );
 number_type!(
-    /// Tells a daemon's restarts apart; larger is later.
+    /// Incarnation of a daemon; each restart has a larger one.
     Incarnation
 );
--- a/components/types/src/lib.rs
+++ b/components/types/src/lib.rs
@@ -1,8 +1,8 @@
-//! Ids, sizes, rates and times shared by every component.
+//! Types for ids, sizes, rates and times, shared by all components.
 //!
-//! Every quantity has a type of its own, so that a count of tokens cannot be
-//! passed where a sum of money is expected. All of them parse from and print to
-//! the text that settings, the catalogue and the APIs use.
+//! Each quantity has its own type, so that a number of tokens cannot be passed where an amount of
+//! money is expected. All types parse and print the text form that settings, the catalogue and the
+//! APIs use.
 
 pub mod amount;
 pub mod id;
--- a/components/types/src/prelude.rs
+++ b/components/types/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types that nearly every module needs.
+//! Re-exports of the types that most modules need.
 
 pub use crate::amount::{ByteSize, Cost, Rate, Share, Tokens};
 pub use crate::id::{
--- a/components/types/src/run.rs
+++ b/components/types/src/run.rs
@@ -1,19 +1,19 @@
-//! Words that several layers say about a request.
+//! Properties of requests that several layers share.
 
 use std::fmt;
 use std::str::FromStr;
 
 use serde::{Deserialize, Serialize};
 
-/// Whether any of a request's work was done by an upstream.
+/// Whether an upstream did any of a request's work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RunState {
-    /// No byte of the work reached an upstream, or its protocol says it was not begun.
+    /// Not run: no byte reached an upstream, or the upstream's protocol says that work did not begin.
     No,
-    /// It may or may not have run.
+    /// May or may not have run.
     Unknown,
-    /// It ran.
+    /// Has run, at least in part.
     Yes,
 }
 
@@ -27,15 +27,15 @@
     }
 }
 
-/// Which work goes first when there is not room for all.
+/// Priority of a request when there is not enough capacity for all.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Fills what interactive work leaves.
+    /// Runs with the capacity that interactive requests leave.
     Batch,
-    /// A person waits.
+    /// A person is waiting for the answer.
     #[default]
     Interactive,
 }
@@ -49,7 +49,7 @@
     }
 }
 
-/// Neither `interactive` nor `batch`.
+/// Error for a text that is neither `interactive` nor `batch`.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{0:?} is not a priority; interactive and batch are")]
 pub struct PriorityError(String);
--- a/components/types/src/time.rs
+++ b/components/types/src/time.rs
@@ -1,8 +1,8 @@
-//! Moments and spans.
+//! Points in time and spans of time.
 //!
-//! Decisions never read a clock: they are given a [`Time`]. State holds moments
-//! (deadlines), never durations counted down. A [`Time`] is of one process only and
-//! is never sent to another host; what travels is an age or a remaining [`Span`].
+//! Code that makes decisions never reads a clock; it is passed a [`Time`]. State stores points in
+//! time (deadlines), never durations that are counted down. A [`Time`] is valid in one process only
+//! and never sent to another host; messages carry an age or a remaining [`Span`] instead.
 
 use std::fmt;
 use std::ops::{Add, Sub};
@@ -13,7 +13,7 @@
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// A moment on this process's monotonic clock, in microseconds since its start.
+/// A point in time on this process's monotonic clock, in microseconds since the clock's start.
 #[derive(
     Debug,
     Clone,
@@ -31,24 +31,24 @@
 pub struct Time(pub u64);
 
 impl Time {
-    /// The process's start.
+    /// Start of the clock.
     pub const ZERO: Self = Self(0);
-    /// Later than any other moment: a deadline that never comes.
+    /// Later than any other time: a deadline that never passes.
     pub const NEVER: Self = Self(u64::MAX);
 
-    /// How long ago `earlier` was; nothing if it lies ahead.
+    /// Returns the time passed since `earlier`; zero if that lies in the future.
     #[must_use]
     pub fn since(self, earlier: Self) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
 
-    /// How long until `deadline`; nothing if it has passed.
+    /// Returns the time left until `deadline`; zero if it has passed.
     #[must_use]
     pub fn until(self, deadline: Self) -> Span {
         deadline.since(self)
     }
 
-    /// True once `deadline` has come.
+    /// Returns whether `deadline` has come.
     #[must_use]
     pub fn has_reached(self, deadline: Self) -> bool {
         self >= deadline
@@ -94,28 +94,28 @@
 pub struct Span(pub u64);
 
 impl Span {
-    /// No time at all.
+    /// The empty span.
     pub const ZERO: Self = Self(0);
 
-    /// From microseconds.
+    /// Creates a span from microseconds.
     #[must_use]
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// From milliseconds.
+    /// Creates a span from milliseconds.
     #[must_use]
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// From whole seconds.
+    /// Creates a span from whole seconds.
     #[must_use]
     pub const fn from_secs(secs: u64) -> Self {
         Self(secs * MICROS_PER_SECOND)
     }
 
-    /// From seconds; negative and non-finite become nothing.
+    /// Creates a span from seconds; negative and non-finite numbers become zero.
     #[must_use]
     pub fn from_secs_f64(secs: f64) -> Self {
         if secs.is_finite() && secs > 0.0 {
@@ -125,31 +125,31 @@
         }
     }
 
-    /// In microseconds.
+    /// Returns the span in microseconds.
     #[must_use]
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// In whole milliseconds.
+    /// Returns the span in milliseconds, rounded down.
     #[must_use]
     pub const fn as_millis(self) -> u64 {
         self.0 / 1_000
     }
 
-    /// In seconds.
+    /// Returns the span in seconds.
     #[must_use]
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / MICROS_PER_SECOND as f64
     }
 
-    /// For calls of the standard library.
+    /// Converts to the standard library's type.
     #[must_use]
     pub const fn to_duration(self) -> Duration {
         Duration::from_micros(self.0)
     }
 
-    /// This many times as long.
+    /// Multiplies the span by `factor`; saturates at the maximum.
     #[must_use]
     pub const fn times(self, factor: u64) -> Self {
         Self(self.0.saturating_mul(factor))
@@ -192,9 +192,9 @@
     }
 }
 
-/// Milliseconds since 1970 by this host's calendar: for people and for bills.
+/// Milliseconds since 1970 on this host's wall clock, for display and for bills.
 ///
-/// Never compared between hosts to decide what is newer.
+/// Never compared between hosts to decide what is newer, since their clocks may differ.
 #[derive(
     Debug,
     Clone,
@@ -228,14 +228,15 @@
     }
 }
 
-/// Reads the host's clocks. Only threads at the edges hold one.
+/// Reads the host's clocks. Held by code at the edges of the program, which takes in events and
+/// serves probes; code that makes decisions is passed a [`Time`].
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start: Instant,
 }
 
 impl Clock {
-    /// Starts at [`Time::ZERO`].
+    /// Creates a clock whose present time is [`Time::ZERO`].
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -243,13 +244,13 @@
         }
     }
 
-    /// The present moment.
+    /// Returns the present time of the monotonic clock.
     #[must_use]
     pub fn now(&self) -> Time {
         Time(Span::from(self.start.elapsed()).as_micros())
     }
 
-    /// The present date.
+    /// Returns the present time of the host's wall clock.
     #[must_use]
     pub fn wall(&self) -> WallTime {
         let since = SystemTime::now()
--- a/components/types/src/version.rs
+++ b/components/types/src/version.rs
@@ -17,7 +17,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The text.
+            /// Returns the name as text.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -42,27 +42,27 @@
 }
 
 version_part!(
-    /// A model, such as `tariff-large`.
+    /// Name of a model, such as `tariff-large`.
     ModelName
 );
 version_part!(
-    /// One version of a model, such as `2026-11`.
+    /// Name of a version of a model, such as `2026-11`.
     VersionName
 );
 
-/// A model and one of its versions.
+/// Id of a version: the names of a model and of one of its versions.
 #[derive(
     Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, SerializeDisplay, DeserializeFromStr,
 )]
 pub struct VersionId {
-    /// The model.
+    /// Name of the model.
     pub model: ModelName,
-    /// Its version.
+    /// Name of the version.
     pub version: VersionName,
 }
 
 impl VersionId {
-    /// Joins a model and a version.
+    /// Creates the id of a model's version.
     #[must_use]
     pub fn new(model: ModelName, version: VersionName) -> Self {
         Self { model, version }
