--- a/components/settings/src/check.rs
+++ b/components/settings/src/check.rs
@@ -1,4 +1,4 @@
-//! Rules that types cannot say.
+//! Rules on settings that the types cannot express.
 
 use std::fmt;
 
@@ -6,21 +6,21 @@
 
 use crate::model::Settings;
 
-const MIN_SECRET: usize = 16;
-const MIN_TOKEN: usize = 8;
+const MIN_SECRET_BYTES: usize = 16;
+const MIN_TOKEN_BYTES: usize = 8;
 const MIN_TICK: Span = Span::from_millis(10);
 const MAX_TICK: Span = Span::from_secs(2);
-const MIN_WINDOW: Span = Span::from_secs(600);
-const MAX_WINDOW: Span = Span::from_secs(7 * 24 * 3600);
-const MIN_SLOT: Span = Span::from_secs(60);
-const MAX_SLOT: Span = Span::from_secs(24 * 3600);
+const MIN_RETRY_WINDOW: Span = Span::from_secs(600);
+const MAX_RETRY_WINDOW: Span = Span::from_secs(7 * 24 * 3600);
+const MIN_LEASE_SLOT: Span = Span::from_secs(60);
+const MAX_LEASE_SLOT: Span = Span::from_secs(24 * 3600);
 
-/// A broken rule.
+/// A broken rule of the settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// The key, such as `callers.threads`.
+    /// Path of the key, such as `callers.threads`.
     pub key: &'static str,
-    /// What it must be.
+    /// What the value must be.
     pub expected: String,
 }
 
@@ -30,12 +30,15 @@
     }
 }
 
+/// Whether a rule holds, the key that it is about, and what is expected of the value.
 type Rule = (bool, &'static str, &'static str);
 
-/// Finds every broken rule.
+/// Returns all broken rules.
 pub(crate) fn check(settings: &Settings) -> Vec<Problem> {
-    let rules = callers(settings).into_iter().chain(edges(settings));
-    let rules = rules.chain(claims(settings));
+    let rules = caller_rules(settings)
+        .into_iter()
+        .chain(other_rules(settings));
+    let rules = rules.chain(claim_rules(settings));
     let broken = rules.filter(|(holds, _, _)| !holds);
     broken
         .map(|(_, key, expected)| Problem {
@@ -45,7 +48,8 @@
         .collect()
 }
 
-fn callers(settings: &Settings) -> Vec<Rule> {
+/// Rules for the callers' API.
+fn caller_rules(settings: &Settings) -> Vec<Rule> {
     let callers = &settings.callers;
     vec![
         (
@@ -91,27 +95,31 @@
     ]
 }
 
-/// A claim must outlive every deadline and every repeat, and be gone some day.
-fn claims(settings: &Settings) -> Vec<Rule> {
+/// Rules for claims: a claim must outlive every deadline and every retry, and expire eventually.
+fn claim_rules(settings: &Settings) -> Vec<Rule> {
     let claims = &settings.claims;
     vec![
         (
-            (MIN_WINDOW..=MAX_WINDOW).contains(&claims.retry_window),
+            (MIN_RETRY_WINDOW..=MAX_RETRY_WINDOW).contains(&claims.retry_window),
             "claims.retry_window",
             "10m to 7days",
         ),
         (
-            (MIN_SLOT..=MAX_SLOT).contains(&claims.lease_slot),
+            (MIN_LEASE_SLOT..=MAX_LEASE_SLOT).contains(&claims.lease_slot),
             "claims.lease_slot",
             "1m to 1day",
         ),
     ]
 }
 
-fn edges(settings: &Settings) -> Vec<Rule> {
+/// Rules for the operators' API, the store, peers and the control thread.
+fn other_rules(settings: &Settings) -> Vec<Rule> {
     let tokens = &settings.operators.tokens;
     let peers = &settings.peers;
-    let secrets_are_long = peers.keys.iter().all(|key| key.secret.len() >= MIN_SECRET);
+    let secrets_are_long = peers
+        .keys
+        .iter()
+        .all(|key| key.secret.len() >= MIN_SECRET_BYTES);
     let is_reachable = peers.advertise.is_some() || !peers.listen.ip().is_unspecified();
     let tick = settings.control.tick;
     vec![
@@ -121,7 +129,7 @@
             "a token for an operator",
         ),
         (
-            tokens.values().all(|t| t.len() >= MIN_TOKEN),
+            tokens.values().all(|t| t.len() >= MIN_TOKEN_BYTES),
             "operators.tokens",
             "8 characters or more",
         ),
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! Daemon settings: load and check.
+//! Loads and checks the settings of a daemon.
 //!
-//! Settings are one YAML file. Every key is known and typed, so a misspelt or
-//! ill-formed one is an error that names the file, the place and what is expected;
-//! what can be left out has a default stated here.
+//! Settings are a single YAML file. All keys are known and typed, so that a misspelt key or a
+//! malformed value is an error that names the file, the place and what is expected. Optional keys
+//! have their defaults in [`model`].
 
 mod check;
 pub mod model;
@@ -13,36 +13,36 @@
 pub use check::Problem;
 pub use model::Settings;
 
-/// Why settings cannot be used.
+/// Error in loading settings.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file could not be read.
     #[error("{file}: cannot be read: {source}")]
     Unreadable {
-        /// The file.
+        /// Name of the file.
         file: String,
-        /// The system's reason.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// Not YAML, or a key or value is not as expected.
+    /// The file is not YAML, or has an unknown key or a malformed value.
     #[error("{file}: {source}")]
     Malformed {
-        /// The file.
+        /// Name of the file.
         file: String,
-        /// Names the key, line and column.
+        /// Error of the parser, with key, line and column.
         source: serde_norway::Error,
     },
-    /// Well-formed, but not usable.
-    #[error("{file}: {}", list(problems))]
+    /// The settings are well-formed but break rules.
+    #[error("{file}: {}", join_problems(problems))]
     Unusable {
-        /// The file.
+        /// Name of the file.
         file: String,
-        /// Every problem found.
+        /// All broken rules.
         problems: Vec<Problem>,
     },
 }
 
-fn list(problems: &[Problem]) -> String {
+fn join_problems(problems: &[Problem]) -> String {
     let lines = problems.iter().map(ToString::to_string);
     lines.collect::<Vec<_>>().join("; ")
 }
@@ -50,7 +50,7 @@
 /// Loads and checks a settings file.
 ///
 /// # Errors
-/// When the file cannot be read, a key is unknown or ill-formed, or a rule is broken.
+/// Fails if the file cannot be read, a key is unknown, a value is malformed or a rule is broken.
 pub fn load(file: &Path) -> Result<Settings, SettingsError> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|source| SettingsError::Unreadable {
@@ -60,10 +60,10 @@
     from_yaml(&name, &text)
 }
 
-/// Reads and checks settings from YAML text; `file` is only named in errors.
+/// Parses and checks settings from YAML text; `file` is the name used in errors.
 ///
 /// # Errors
-/// When a key is unknown or ill-formed, or a rule is broken.
+/// Fails if a key is unknown, a value is malformed or a rule is broken.
 pub fn from_yaml(file: &str, text: &str) -> Result<Settings, SettingsError> {
     let parsed = serde_norway::from_str::<Settings>(text);
     let settings = parsed.map_err(|source| SettingsError::Malformed {
--- a/components/settings/src/model.rs
+++ b/components/settings/src/model.rs
@@ -1,4 +1,4 @@
-//! The settings themselves.
+//! Types of the settings, with their defaults.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/components/settings/src/reference.rs
+++ b/components/settings/src/reference.rs
@@ -1,4 +1,4 @@
-//! The settings' reference page, made from the types, so that it cannot go stale.
+//! Generates the reference page of the settings from the types, so that it cannot become outdated.
 
 use std::fmt::Write;
 
@@ -10,7 +10,7 @@
     Made from the types by `BUCKTHORNCROSS_WRITE_DOCS=1 cargo test -p settings --test reference`; \
     the same test fails when this page is stale. `buckthorncrossd run FILE --check` checks a file.\n";
 
-/// The page, in Markdown.
+/// Generates the page in Markdown.
 #[must_use]
 pub fn page() -> String {
     let schema = schemars::schema_for!(Settings);
@@ -20,7 +20,7 @@
     page
 }
 
-/// A table of an object's keys, then the sections of the objects inside.
+/// Writes the table of an object's keys, then the sections of nested objects and of lists of objects.
 fn section(page: &mut String, schema: &Value, path: &str, object: &Value) {
     let title = if path.is_empty() { "Top level" } else { path };
     let about = text(object, "description");
@@ -35,8 +35,8 @@
         let _ = writeln!(
             page,
             "| `{key}` | {} | {} | {} |",
-            kind(schema, value),
-            default(object, key, value),
+            type_name(schema, value),
+            default_text(object, key, value),
             text(value, "description").replace('|', "\\|"),
         );
     }
@@ -60,7 +60,7 @@
     value[key].as_str().unwrap_or_default()
 }
 
-/// Follows a reference to a definition.
+/// Returns the definition that a schema refers to, or the schema itself if it is no reference.
 fn resolve<'a>(schema: &'a Value, value: &'a Value) -> &'a Value {
     let name = value["$ref"]
         .as_str()
@@ -68,8 +68,8 @@
     name.map_or(value, |name| &schema["$defs"][name])
 }
 
-/// What a key takes, in a word or two.
-fn kind(schema: &Value, value: &Value) -> String {
+/// Describes the type of a key's value in a few words.
+fn type_name(schema: &Value, value: &Value) -> String {
     let value = resolve(schema, value);
     if let Some(variants) = value["oneOf"].as_array() {
         let names = variants.iter().filter_map(|v| v["const"].as_str());
@@ -79,11 +79,11 @@
             .join(" or ");
     }
     if let Some(inner) = value["anyOf"].as_array().and_then(|any| any.first()) {
-        return format!("{} or nothing", kind(schema, inner));
+        return format!("{} or nothing", type_name(schema, inner));
     }
     match &value["type"] {
         Value::String(name) if name == "array" => {
-            format!("list of {}", kind(schema, &value["items"]))
+            format!("list of {}", type_name(schema, &value["items"]))
         }
         Value::String(name) if name == "object" => "map".to_owned(),
         Value::String(name) => name.clone(),
@@ -96,7 +96,7 @@
     }
 }
 
-fn default(object: &Value, key: &str, value: &Value) -> String {
+fn default_text(object: &Value, key: &str, value: &Value) -> String {
     let required = object["required"].as_array();
     if required.is_some_and(|keys| keys.iter().any(|k| k == key)) {
         return "required".to_owned();
--- a/components/settings/tests/reference.rs
+++ b/components/settings/tests/reference.rs
@@ -1,9 +1,9 @@
-//! The settings' reference page is that of the types.
+//! The reference page of the settings matches the types.
 
 use std::path::Path;
 
-/// A key is added and the page forgotten: operators do not learn of it. The page is made
-/// anew here and compared; with the variable set it is written instead.
+/// If a key is added without updating the page, operators do not learn of it. The page is generated
+/// and compared with the stored one; with the environment variable set, it is written first.
 #[test]
 fn can_find_every_setting_on_the_page() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/SETTINGS.md");
--- a/components/settings/tests/settings.rs
+++ b/components/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files as an operator writes them.
+//! Loading of settings files as an operator would write them, and the errors for wrong ones.
 
 const MINIMAL: &str = "
 cluster: kochi
