--- a/components/operators/src/server.rs
+++ b/components/operators/src/server.rs
@@ -10,8 +10,8 @@
 
 use crate::auth::Tokens;
 use crate::command::Submit;
-use crate::gate::{Backend, Bounds, Proxy};
 use crate::health::Health;
+use crate::proxy::{Backend, Bounds, Proxy};
 use crate::routes::Api;
 
 /// Interval at which the server checks whether to stop or to replace its listener.
@@ -52,7 +52,7 @@
 /// Handle of a running server.
 pub struct Handle {
     address: SocketAddr,
-    gate: Proxy,
+    proxy: Proxy,
     stop: Arc<AtomicBool>,
     thread: JoinHandle<()>,
 }
@@ -66,7 +66,7 @@
 
     /// Stops accepting requests and waits until the server's thread has ended, about a second.
     pub fn stop(self) {
-        self.gate.stop();
+        self.proxy.stop();
         self.stop.store(true, Ordering::Release);
         if self.thread.join().is_err() {
             tracing::warn!("operators: the server's thread panicked");
@@ -90,7 +90,7 @@
         reason,
     })?;
     let backend = Arc::new(Backend::new(server.server_addr()));
-    let gate = Proxy::open(cfg.listen, Arc::clone(&backend), cfg.bounds).map_err(|e| {
+    let proxy = Proxy::open(cfg.listen, Arc::clone(&backend), cfg.bounds).map_err(|e| {
         StartError::Listen {
             address: cfg.listen,
             reason: e.to_string(),
@@ -101,11 +101,11 @@
     let thread = thread::Builder::new()
         .name("operators".to_owned())
         .spawn(move || serve(server, &api, &backend, &stopping))?;
-    let address = gate.address();
+    let address = proxy.address();
     tracing::info!("operators: listening on {address}");
     Ok(Handle {
         address,
-        gate,
+        proxy,
         stop,
         thread,
     })
@@ -113,7 +113,7 @@
 
 type Server = rouille::Server<Box<dyn Fn(&rouille::Request) -> rouille::Response + Send + Sync>>;
 
-/// Starts rouille on a free loopback port, to which only the gate connects.
+/// Starts rouille on a free loopback port, to which only the proxy connects.
 fn listen(api: &Arc<Api>) -> Result<Server, String> {
     let api = Arc::clone(api);
     let handler: Box<dyn Fn(&rouille::Request) -> rouille::Response + Send + Sync> =
@@ -124,7 +124,7 @@
 /// Serves until `stop` is set.
 ///
 /// rouille's accept thread ends permanently on any error, such as too many open files, which would
-/// leave the API dead while the daemon runs. The gate notices this as a refused connection and
+/// leave the API dead while the daemon runs. The proxy notices this as a refused connection and
 /// marks the server as broken; a new server is then started.
 fn serve(mut server: Server, api: &Arc<Api>, backend: &Backend, stop: &AtomicBool) {
     while !stop.load(Ordering::Acquire) {
