--- a/src/cmd/trace.rs
+++ b/src/cmd/trace.rs
@@ -9,7 +9,7 @@
 use crate::cli::Trace;
 use crate::failure::Failure;
 use crate::output::Output;
-use crate::story::{LogLine, story};
+use crate::timeline::{LogLine, timeline};
 
 pub(super) fn run(output: &Output, args: &Trace) -> Result<(), Failure> {
     let mut lines = Vec::new();
@@ -23,8 +23,8 @@
             lines.extend(LogLine::parse(&host, &text));
         }
     }
-    let story = story(&args.id, lines);
-    if story.is_empty() {
+    let timeline = timeline(&args.id, lines);
+    if timeline.is_empty() {
         let e = eyre::eyre!(
             "no line of these logs has the id {}; name the logs of all hosts with --logs, and \
              look whether lines were dropped at that time",
@@ -32,8 +32,8 @@
         );
         return Err(e.into());
     }
-    let values = story.iter().map(LogLine::to_json).collect::<Vec<_>>();
+    let values = timeline.iter().map(LogLine::to_json).collect::<Vec<_>>();
     output.reply(&json!({ "lines": values }), |_| {
-        story.iter().for_each(|line| println!("{line}"));
+        timeline.iter().for_each(|line| println!("{line}"));
     })
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -17,7 +17,7 @@
 mod cmd;
 mod failure;
 mod output;
-mod story;
+mod timeline;
 
 use std::process::ExitCode;
 
--- a/src/timeline.rs
+++ b/src/timeline.rs
@@ -105,7 +105,7 @@
 }
 
 /// Selects the lines that explain the requests with this request id or content id, in order of time.
-pub(crate) fn story(id: &str, lines: Vec<LogLine>) -> Vec<LogLine> {
+pub(crate) fn timeline(id: &str, lines: Vec<LogLine>) -> Vec<LogLine> {
     let own = lines.iter().filter(|line| line.mentions(id));
     let own = own.cloned().collect::<Vec<_>>();
     let hosts = own.iter().map(|line| line.host.as_str());
@@ -125,12 +125,12 @@
         let about_upstream = upstream.is_some_and(|upstream| upstreams.contains(upstream));
         is_own || (is_here && (about_host || about_upstream))
     };
-    let mut story = lines
+    let mut timeline = lines
         .iter()
         .filter(|line| explains(line))
         .cloned()
         .collect::<Vec<_>>();
     // All timestamps have the same format, so that they sort correctly as text.
-    story.sort_by(|a, b| a.timestamp.cmp(&b.timestamp));
-    story
+    timeline.sort_by(|a, b| a.timestamp.cmp(&b.timestamp));
+    timeline
 }
