--- a/components/adminapi/src/path.rs
+++ b/components/adminapi/src/path.rs
@@ -25,7 +25,8 @@
 /// Readiness probe; needs no token.
 pub const READYZ: &str = "/readyz";
 
-/// Header with the id of an edit, by which its outcome can be asked for and the edit safely repeated.
+/// Header with the id of an edit, by which its outcome can be asked for and the edit safely
+/// repeated.
 pub const EDIT_ID_HEADER: &str = "X-Edit-Id";
 
 /// Returns the path of an entry.
--- a/components/operators/src/proxy.rs
+++ b/components/operators/src/proxy.rs
@@ -195,8 +195,8 @@
     })
 }
 
-/// Copies until the end of the stream, an error, the deadline or more than `bound` bytes, then shuts
-/// down this direction.
+/// Copies until the end of the stream, an error, the deadline or more than `bound` bytes, then
+/// shuts down this direction.
 fn copy(mut from: &TcpStream, mut to: &TcpStream, deadline: Instant, bound: u64) -> io::Result<()> {
     let mut buf = [0; BUFFER_BYTES];
     let mut copied = 0;
--- a/components/operators/src/routes/catalogue.rs
+++ b/components/operators/src/routes/catalogue.rs
@@ -185,8 +185,8 @@
 }
 
 fn conflict(edit: &Edit, current: Option<Box<EntryReply>>) -> Box<ErrorBody> {
-    let stands = current.as_ref().is_some_and(|reply| reply.entry.is_some());
-    if edit.if_match.is_none() && stands {
+    let exists = current.as_ref().is_some_and(|reply| reply.entry.is_some());
+    if edit.if_match.is_none() && exists {
         return precondition_required(&edit.name, current);
     }
     let name = &edit.name;
@@ -204,8 +204,8 @@
     let hint = "read the entry, make the change again on what stands now, and send it with \
                 that ETag in If-Match (none for an entry that is absent)";
     let mut body = ErrorBody::new(ErrorCode::Conflict, message, hint);
-    let stands = current.as_ref().and_then(|reply| reply.entry.as_deref());
-    body.difference = diff::between(stands, edit.entry.as_deref());
+    let current_entry = current.as_ref().and_then(|reply| reply.entry.as_deref());
+    body.difference = diff::between(current_entry, edit.entry.as_deref());
     body.current = current;
     Box::new(body)
 }
--- a/components/operators/src/routes/rollouts.rs
+++ b/components/operators/src/routes/rollouts.rs
@@ -1,4 +1,5 @@
-//! Handlers for roll-outs and for offering and withdrawing versions; all are edits of a model's entry.
+//! Handlers for roll-outs and for offering and withdrawing versions; all are edits of a model's
+//! entry.
 
 use std::sync::Arc;
 
@@ -42,8 +43,8 @@
         self.set_version_state(req, operator, version, VersionState::Withdrawn)
     }
 
-    /// Offers a version. Its suspensions are lifted first, because that works even while the store is
-    /// down and the following edit fails.
+    /// Offers a version. Its suspensions are lifted first, because that works even while the store
+    /// is down and the following edit fails.
     pub(super) fn set_offered(
         &self,
         req: &Request,
--- a/components/settings/src/reference.rs
+++ b/components/settings/src/reference.rs
@@ -20,7 +20,8 @@
     page
 }
 
-/// Writes the table of an object's keys, then the sections of nested objects and of lists of objects.
+/// Writes the table of an object's keys, then the sections of nested objects and of lists of
+/// objects.
 fn section(page: &mut String, schema: &Value, path: &str, object: &Value) {
     let title = if path.is_empty() { "Top level" } else { path };
     let about = text(object, "description");
--- a/components/telemetry/src/logs.rs
+++ b/components/telemetry/src/logs.rs
@@ -22,9 +22,9 @@
 const BATCH_INTERVAL: Duration = Duration::from_millis(50);
 /// Number of collected bytes at which they are written without waiting for more.
 const MAX_BATCH_BYTES: usize = 64 * 1024;
-/// Maximum size of one write in bytes; a write consists of whole lines unless a line is longer. Writes
-/// of up to `PIPE_BUF` bytes to a pipe are atomic; a longer one may be interleaved with those of
-/// another process on the same pipe.
+/// Maximum size of one write in bytes; a write consists of whole lines unless a line is longer.
+/// Writes of up to `PIPE_BUF` bytes to a pipe are atomic; a longer one may be interleaved with
+/// those of another process on the same pipe.
 const MAX_WRITE_BYTES: usize = 4_096;
 
 /// Filter used if the settings give none.
@@ -89,12 +89,12 @@
     parse_filter(filter).map(|_| ())
 }
 
-/// Parses a filter and turns off the log of `tarpc`, the RPC library used between daemons, unless the
-/// filter names it.
+/// Parses a filter and turns off the log of `tarpc`, the RPC library used between daemons, unless
+/// the filter names it.
 ///
-/// `tarpc` logs an error for each call that times out, without naming the peer or the call. When peers
-/// are unreachable, the log would consist of these lines only. The `peers` lines report the same
-/// faults with the names.
+/// `tarpc` logs an error for each call that times out, without naming the peer or the call. When
+/// peers are unreachable, the log would consist of these lines only. The `peers` lines report the
+/// same faults with the names.
 fn parse_filter(filter: &str) -> Result<EnvFilter, LogError> {
     let quiet = match filter.contains("tarpc") {
         true => filter.to_owned(),
@@ -153,7 +153,8 @@
     }
 }
 
-/// Collects lines and writes them at a flush, which the writing thread calls when its queue is empty.
+/// Collects lines and writes them at a flush, which the writing thread calls when its queue is
+/// empty.
 #[derive(Debug)]
 pub struct BatchWriter<W> {
     inner: W,
--- a/components/telemetry/src/metrics.rs
+++ b/components/telemetry/src/metrics.rs
@@ -77,8 +77,8 @@
     pub bills_waiting: Gauge,
     /// Highest revision of the catalogue in force at this daemon.
     pub catalogue_revision: Gauge,
-    /// Seconds since the catalogue was last confirmed to be current, including the age that it already
-    /// had when it was received.
+    /// Seconds since the catalogue was last confirmed to be current, including the age that it
+    /// already had when it was received.
     pub freshness_age: RatioGauge,
     /// Number of versions suspended because of bad answers.
     pub suspended_versions: Gauge,
@@ -209,8 +209,8 @@
         } else {
             OTHER_OFFER
         };
-        let made = || Arc::new(self.make_offer(label));
-        let offer = offers.entry(label.to_owned()).or_insert_with(made);
+        let create = || Arc::new(self.make_offer(label));
+        let offer = offers.entry(label.to_owned()).or_insert_with(create);
         Arc::clone(offer)
     }
 
--- a/components/telemetry/tests/logs.rs
+++ b/components/telemetry/tests/logs.rs
@@ -42,8 +42,8 @@
 
 #[test]
 fn every_write_ends_at_the_end_of_a_line() {
-    // When two daemons write to one pipe, a write larger than `PIPE_BUF` can have the other daemon's
-    // lines in its middle.
+    // When two daemons write to one pipe, a write larger than `PIPE_BUF` can have the other
+    // daemon's lines in its middle.
     let writes = RecordedWrites::default();
     let mut writer = BatchWriter::new(writes.clone(), Duration::ZERO);
     for n in 0..500 {
--- a/components/types/src/run.rs
+++ b/components/types/src/run.rs
@@ -9,7 +9,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RunState {
-    /// Not run: no byte reached an upstream, or the upstream's protocol says that work did not begin.
+    /// Not run: no byte reached an upstream, or the upstream's protocol says that work did not
+    /// begin.
     No,
     /// May or may not have run.
     Unknown,
--- a/daemon/src/cmd/run.rs
+++ b/daemon/src/cmd/run.rs
@@ -6,7 +6,8 @@
 use super::serve;
 use crate::cli::Run;
 
-/// Loads and checks the settings, then serves until a signal; with `--check`, stops after the check.
+/// Loads and checks the settings, then serves until a signal; with `--check`, stops after the
+/// check.
 pub fn run(options: &Run) -> eyre::Result<()> {
     let settings = settings::load(&options.settings)?;
     check_log_filter(&settings.log.filter)?;
--- a/daemon/tests/apart.rs
+++ b/daemon/tests/apart.rs
@@ -7,12 +7,13 @@
 
 #[test]
 fn a_configuration_takes_effect_though_connections_between_daemons_are_silent() {
-    // Some daemons refused a route for up to 20 s although operators had added it long before and all
-    // other daemons served it. All existing connections between daemons were silent; new ones worked.
-    // An affected daemon heard from a few peers that the store was being watched, so it did not watch
-    // the store itself. It knew that it was behind, but its only request for the configuration was
-    // queued behind messages on a silent connection, which it kept open. Its log then says "a question
-    // was out for long", up to 22 s; the configuration was in force within 10 ms after that.
+    // Some daemons refused a route for up to 20 s although operators had added it long before and
+    // all other daemons served it. All existing connections between daemons were silent; new ones
+    // worked. An affected daemon heard from a few peers that the store was being watched, so it did
+    // not watch the store itself. It knew that it was behind, but its only request for the
+    // configuration was queued behind messages on a silent connection, which it kept open. Its log
+    // then says "a question was out for long", up to 22 s; the configuration was in force within 10
+    // ms after that.
     run_and_check(&Options {
         seed: 940,
         faults_for: Duration::from_secs(14),
--- a/daemon/tests/ratelimit.rs
+++ b/daemon/tests/ratelimit.rs
@@ -34,6 +34,7 @@
 
 #[test]
 fn a_rate_limit_is_kept_while_daemons_restart() {
-    // Fails if a killed daemon's share of the limit is reused while it still counts, or never freed.
+    // Fails if a killed daemon's share of the limit is reused while it still counts, or never
+    // freed.
     run_seed(37, 6, 2, Faults::Any);
 }
--- a/src/client.rs
+++ b/src/client.rs
@@ -94,7 +94,8 @@
         }
     }
 
-    /// Sends an edit and, if its outcome is unknown, polls for the outcome a limited number of times.
+    /// Sends an edit and, if its outcome is unknown, polls for the outcome a limited number of
+    /// times.
     ///
     /// The tool chooses the edit's id, so that it can ask for the outcome when the reply is lost.
     pub(crate) fn edit<T: Serialize>(&self, call: &EditRequest<T>) -> Result<EditReply, Failure> {
--- a/src/timeline.rs
+++ b/src/timeline.rs
@@ -1,8 +1,8 @@
 //! Selects the log lines that explain one request, or all requests of one content.
 //!
-//! The request's own lines say which upstreams it was sent to and when. Added to them are the earlier
-//! lines that show the state of the host which served it: its configuration, its view of the
-//! store and of those upstreams, roll-outs, and starts and stops of the daemon.
+//! The request's own lines say which upstreams it was sent to and when. Added to them are the
+//! earlier lines that show the state of the host which served it: its configuration, its view of
+//! the store and of those upstreams, roll-outs, and starts and stops of the daemon.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -104,7 +104,8 @@
     tries.filter_map(|tried| tried.split_whitespace().next())
 }
 
-/// Selects the lines that explain the requests with this request id or content id, in order of time.
+/// Selects the lines that explain the requests with this request id or content id, in order of
+/// time.
 pub(crate) fn timeline(id: &str, lines: Vec<LogLine>) -> Vec<LogLine> {
     let own = lines.iter().filter(|line| line.mentions(id));
     let own = own.cloned().collect::<Vec<_>>();
--- a/tests/tool.rs
+++ b/tests/tool.rs
@@ -17,7 +17,8 @@
 const FILE: &str = "# revision customers/acme 7\nentries:\n  customers/acme:\n    kind: customer\n    \
                     owner: licensing\n    key_sha256: []\n";
 
-/// Starts an API at which every edit of revision 7 has the given outcome; any other edit is a conflict.
+/// Starts an API at which every edit of revision 7 has the given outcome; any other edit is a
+/// conflict.
 fn serve(outcome: EditOutcome) -> Handle {
     let operator = OperatorName::new("asha").unwrap();
     let submit = move |req| {
@@ -201,8 +202,8 @@
 
 #[test]
 fn a_request_is_traced_through_logs() {
-    // An operator has only the logs and the id of a failed request. The trace must show the request's
-    // own line and the earlier lines about its host and upstream, and nothing else.
+    // An operator has only the logs and the id of a failed request. The trace must show the
+    // request's own line and the earlier lines about its host and upstream, and nothing else.
     let path = std::env::temp_dir().join(format!("trace-{}.log", std::process::id()));
     std::fs::write(&path, LOG).unwrap();
     let tool = || Command::new(env!("CARGO_BIN_EXE_buckthorncross"));
@@ -236,8 +237,9 @@
 
 #[test]
 fn all_requests_of_one_content_are_traced_with_the_crashes_under_it() {
-    // A caller repeats the same content under new request ids. An operator has one request id, reads
-    // the id of the content from that request's line, and needs all requests and crashes of the content.
+    // A caller repeats the same content under new request ids. An operator has one request id,
+    // reads the id of the content from that request's line, and needs all requests and crashes of
+    // the content.
     let path = std::env::temp_dir().join(format!("trace-ends-{}.log", std::process::id()));
     std::fs::write(&path, CRASH_LOG).unwrap();
     let mut tool = Command::new(env!("CARGO_BIN_EXE_buckthorncross"));
