--- a/src/cmd/trace.rs
+++ b/src/cmd/trace.rs
@@ -1,4 +1,4 @@
-//! One request's story, from the logs of several hosts.
+//! `trace`: collects the lines that explain one request from the logs of several hosts.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader};
@@ -9,7 +9,7 @@
 use crate::cli::Trace;
 use crate::failure::Failure;
 use crate::output::Output;
-use crate::story::{Line, story};
+use crate::timeline::{LogLine, timeline};
 
 pub(super) fn run(output: &Output, args: &Trace) -> Result<(), Failure> {
     let mut lines = Vec::new();
@@ -20,11 +20,11 @@
         let host = host.unwrap_or_default();
         for text in BufReader::new(f).lines() {
             let text = text.wrap_err_with(|| format!("{name} cannot be read"))?;
-            lines.extend(Line::parse(&host, &text));
+            lines.extend(LogLine::parse(&host, &text));
         }
     }
-    let story = story(&args.id, lines);
-    if story.is_empty() {
+    let timeline = timeline(&args.id, lines);
+    if timeline.is_empty() {
         let e = eyre::eyre!(
             "no line of these logs has the id {}; name the logs of all hosts with --logs, and \
              look whether lines were dropped at that time",
@@ -32,8 +32,8 @@
         );
         return Err(e.into());
     }
-    let values = story.iter().map(Line::to_json).collect::<Vec<_>>();
+    let values = timeline.iter().map(LogLine::to_json).collect::<Vec<_>>();
     output.reply(&json!({ "lines": values }), |_| {
-        story.iter().for_each(|line| println!("{line}"));
+        timeline.iter().for_each(|line| println!("{line}"));
     })
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,7 +1,7 @@
 //! `buckthorncross`: the operators' tool.
 //!
-//! It speaks the operators' API of one daemon and prints tables for people or, with
-//! `--json`, the API's replies for programs. Exit codes say what became of the command:
+//! The tool calls the operators' API of one daemon and prints tables for people or, with
+//! `--json`, the API's replies for programs. Its exit code gives the outcome of the command:
 //!
 //! | code | meaning |
 //! |---|---|
@@ -17,7 +17,7 @@
 mod cmd;
 mod failure;
 mod output;
-mod story;
+mod timeline;
 
 use std::process::ExitCode;
 
