--- a/bench/src/cli.rs
+++ b/bench/src/cli.rs
@@ -1,11 +1,11 @@
-//! Arguments of the measuring tool.
+//! Command line arguments.
 
 use argh::FromArgs;
 
-/// Measures the router and its decisions. The last line printed is one JSON object.
+/// Runs experiments on the router and its decisions. The last line printed is one JSON object.
 #[derive(Debug, FromArgs)]
 pub struct Args {
-    /// what to run
+    /// experiment to run
     #[argh(subcommand)]
     pub command: Command,
 }
@@ -16,37 +16,37 @@
 pub enum Command {
     /// Cost of the daemon between caller and engine.
     Overhead(Overhead),
-    /// A daemon that leaves with streams open, and one without its store.
+    /// Shutdown of a daemon with open streams, and a daemon without its store.
     Outage(Outage),
-    /// The promises on requests under a fault a second.
+    /// Invariants of requests while a fault is injected every second.
     Faults(Faults),
     /// Roll-outs under faults.
     Rollout(Rollout),
-    /// Every experiment, as one page.
+    /// All experiments in one HTML page.
     Report(ReportPage),
     /// Cost and quality of the choice of version.
     Cascade(Cascade),
     /// Bad answers before a bad version is suspended.
     BadVersion(BadVersion),
-    /// Choice of upstream beside simpler ways.
+    /// Choice of upstream compared with simpler policies.
     Balance(Balance),
-    /// A partner's batch on steady interactive work.
+    /// A partner's batch load on top of steady interactive load.
     Burst(Burst),
-    /// Memberships of many daemons in one loop.
+    /// Membership of many simulated daemons.
     Membership(Membership),
-    /// Edits of the catalogue in force at every daemon.
+    /// Propagation of catalogue edits to all daemons.
     Config(Config),
     /// Cost of claims and sessions.
     Claims(Claims),
     /// Time and memory of a choice of upstream.
     Decide(Decide),
-    /// Edits coming into force at daemons that share one thread.
+    /// Propagation of catalogue edits between simulated daemons.
     Spread(Spread),
     /// Cost, delay and losses of bills.
     Ledger(Ledger),
 }
 
-/// The same requests straight to the stand-in engine and through the daemon.
+/// Compares requests sent directly to the stand-in engine with requests through the daemon.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "overhead")]
 pub struct Overhead {
@@ -64,7 +64,8 @@
     pub seconds: f64,
 }
 
-/// SIGTERM with 200 streams open; then a steady load whose middle half has no store.
+/// Sends SIGTERM with 200 streams open, then takes the store down in the middle half of a steady
+/// load.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "outage")]
 pub struct Outage {
@@ -77,12 +78,13 @@
     /// folder for plots
     #[argh(option)]
     pub plot: Option<std::path::PathBuf>,
-    /// length of the load in seconds, twice that of the outage
+    /// length of the load in seconds; the outage lasts half as long
     #[argh(option, default = "120.0")]
     pub seconds: f64,
 }
 
-/// Real daemons under steady load of both users with a fault a second, beside none.
+/// Runs real daemons under steady load of both users with a fault every second, compared with no
+/// faults.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "faults")]
 pub struct Faults {
@@ -98,13 +100,13 @@
     /// length of each arm in seconds
     #[argh(option, default = "60.0")]
     pub seconds: f64,
-    /// requests a second
+    /// requests per second
     #[argh(option, default = "100.0")]
     pub rate: f64,
-    /// daemons
+    /// number of daemons
     #[argh(option, default = "6")]
     pub daemons: usize,
-    /// print each broken promise
+    /// print each violated invariant
     #[argh(switch)]
     pub verbose: bool,
 }
@@ -121,7 +123,7 @@
     pub seed: u64,
 }
 
-/// Bad answers served before a bad version is suspended everywhere.
+/// Counts bad answers served before a bad version is suspended everywhere.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "bad-version")]
 pub struct BadVersion {
@@ -134,18 +136,18 @@
     /// folder for plots
     #[argh(option)]
     pub plot: Option<std::path::PathBuf>,
-    /// runs of each arm, seeds following each other
+    /// runs of each arm, with consecutive seeds
     #[argh(option, default = "20")]
     pub runs: u64,
-    /// ratings in the long run of the test alone
+    /// ratings in the long run of the detector alone
     #[argh(option, default = "50_000_000")]
     pub ratings: u64,
-    /// requests in the long run of the whole loop
+    /// requests in the long run of the whole control loop
     #[argh(option, default = "1_000_000")]
     pub loop_requests: u64,
 }
 
-/// choice of upstream beside round robin, random and least loaded by report
+/// compares the choice of upstream with round robin, random and least loaded by report
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "balance")]
 pub struct Balance {
@@ -160,7 +162,7 @@
     pub plot: Option<std::path::PathBuf>,
 }
 
-/// a batch of ten times the capacity on steady interactive work
+/// adds a batch load of ten times the capacity to steady interactive load
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "burst")]
 pub struct Burst {
@@ -175,7 +177,7 @@
     pub plot: Option<std::path::PathBuf>,
 }
 
-/// cost of claims of work that runs only once, and of sessions
+/// measures the cost of claims for work that must run only once, and of sessions
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "claims")]
 pub struct Claims {
@@ -190,7 +192,7 @@
     pub plot: Option<std::path::PathBuf>,
 }
 
-/// time of a choice and memory of an upstream at 12,000 upstreams and 10 versions
+/// measures the time of a choice and the memory per upstream at 12,000 upstreams and 10 versions
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "decide")]
 pub struct Decide {
@@ -205,8 +207,8 @@
     pub plot: Option<std::path::PathBuf>,
 }
 
-/// A roll-out driven to its end while drivers are paused, stores fail and engines ignore
-/// fencing.
+/// Drives a roll-out to its end while drivers are paused, stores fail and engines ignore fencing
+/// tokens.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "rollout")]
 pub struct Rollout {
@@ -221,7 +223,7 @@
     pub plot: Option<std::path::PathBuf>,
 }
 
-/// Cost at the quality target, beside simpler ways and an oracle.
+/// Measures cost at the quality target, compared with simpler policies and an oracle.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "cascade")]
 pub struct Cascade {
@@ -237,12 +239,12 @@
     /// requests in each arm
     #[argh(option, default = "60_000")]
     pub requests: usize,
-    /// requests to a real daemon over loopback, 0 for none
+    /// requests to a real daemon over loopback; 0 skips that arm
     #[argh(option, default = "3000")]
     pub real: usize,
 }
 
-/// Edits coming into force at up to 460 daemons on virtual time, beside an arm in which
+/// Measures how edits reach up to 460 daemons in simulated time, compared with an arm in which
 /// every daemon watches the store itself.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "spread")]
@@ -256,12 +258,12 @@
     /// folder for plots
     #[argh(option)]
     pub plot: Option<std::path::PathBuf>,
-    /// edits, at 0.3 a second; 50 at once follow
+    /// number of steady edits, made at 0.3 per second and followed by a burst of 50
     #[argh(option, default = "20")]
     pub edits: u64,
 }
 
-/// Bills: the store's writes, bytes, the delay at the end of an answer, losses at crashes.
+/// Measures bills: writes to the store, bytes, delay at the end of an answer, losses in crashes.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "ledger")]
 pub struct Ledger {
@@ -274,15 +276,15 @@
     /// folder for plots
     #[argh(option)]
     pub plot: Option<std::path::PathBuf>,
-    /// length of each load in seconds of the fleet's own time
+    /// length of each load in seconds of simulated time
     #[argh(option, default = "120")]
     pub seconds: u64,
-    /// also run 460 daemons at 30,000 requests a second (some 2 GB, minutes)
+    /// also run 460 daemons at 30,000 requests per second (takes about 2 GB and several minutes)
     #[argh(switch)]
     pub large: bool,
 }
 
-/// Edits of the catalogue in force at every daemon: real processes, a stand-in store.
+/// Measures how catalogue edits reach all daemons, with real processes and a stand-in store.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "config")]
 pub struct Config {
@@ -295,18 +297,18 @@
     /// folder for plots
     #[argh(option)]
     pub plot: Option<std::path::PathBuf>,
-    /// sizes of the fleet, with commas between; empty for the faults alone
+    /// comma-separated fleet sizes; empty to run only the fault arms
     #[argh(option, default = "String::from(\"8,16,32,64,128\")")]
     pub sizes: String,
-    /// seconds of each of rest and steady edits
+    /// length of the idle phase and of the phase of steady edits, in seconds each
     #[argh(option, default = "30")]
     pub seconds: u64,
-    /// rounds of two operators at once; 0 leaves out all faults
+    /// rounds in which two operators edit concurrently; 0 skips all fault arms
     #[argh(option, default = "1000")]
     pub rounds: u32,
 }
 
-/// Memberships of many daemons in one loop, in simulated time, with messages lost.
+/// Simulates the membership of many daemons with lost messages.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "membership")]
 pub struct Membership {
--- a/bench/src/cmd.rs
+++ b/bench/src/cmd.rs
@@ -1,4 +1,4 @@
-//! One module an experiment.
+//! The experiments, one module each.
 
 pub mod bad_version;
 pub mod balance;
--- a/bench/src/cmd/bad_version.rs
+++ b/bench/src/cmd/bad_version.rs
@@ -1,9 +1,9 @@
-//! How many bad answers are served before a bad version is suspended everywhere.
+//! `bad-version`: bad answers served before a bad version is suspended in all daemons.
 //!
-//! Two cases: a version of 0.95 that falls to 0.6 after 10,000 good requests, and a canary that is
-//! bad from the start. The least is the mean of the best sequential test there is (CUSUM that
-//! knows both shares) at the same rate of false alarms, with every answer rated at once and in one
-//! place. The naive arm ejects by each daemon's own last ratings.
+//! Two cases: a version of quality 0.95 that drops to 0.6 after 10,000 good requests, and a canary
+//! that is bad from the start. The optimum is the mean for the optimal sequential test (CUSUM that
+//! knows both qualities) at the same rate of false alarms, with every answer rated at once and in
+//! one place. In the naive arm each daemon ejects a version based on its own latest ratings only.
 
 mod false_alarms;
 mod naive;
@@ -13,7 +13,7 @@
 use types::prelude::*;
 
 use crate::cli::BadVersion;
-use crate::fleet::{Fleet, Surroundings};
+use crate::fleet::{Fleet, FleetConfig};
 use crate::parallel::in_parallel;
 use crate::report::{Curve, Report};
 
@@ -23,11 +23,11 @@
 const TARGET: f64 = 0.93;
 const FALSE_ALARM_REQUESTS: f64 = 1e6;
 const GOOD_REQUESTS: f64 = 10_000.0;
-const REQUESTS_A_SECOND: f64 = 20.0;
+const REQUESTS_PER_S: f64 = 20.0;
 const CANARY_SHARE: f64 = 0.2;
-const MOST_SECONDS: f64 = 1000.0;
+const MAX_SECONDS: f64 = 1000.0;
 
-/// What happens to the version in question.
+/// How the tested version becomes bad.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Case {
     TurnsBad,
@@ -42,16 +42,16 @@
         }
     }
 
-    /// Of the version in question, before any budget.
-    fn requests_a_second(self) -> f64 {
+    /// Requests per second that the tested version gets before any traffic is held back.
+    fn requests_per_second(self) -> f64 {
         match self {
-            Self::TurnsBad => REQUESTS_A_SECOND,
-            Self::Canary => REQUESTS_A_SECOND * CANARY_SHARE,
+            Self::TurnsBad => REQUESTS_PER_S,
+            Self::Canary => REQUESTS_PER_S * CANARY_SHARE,
         }
     }
 }
 
-/// What the version in question gave.
+/// Counts of the tested version's requests.
 #[derive(Debug, Clone, Copy, Default)]
 struct Outcome {
     bad: f64,
@@ -62,27 +62,35 @@
 
 pub fn run(options: &BadVersion) -> eyre::Result<Report> {
     let mut report = Report::new("bad-version", options.seed);
-    let least = least_bad_answers(1.0);
-    report.note("least", "bad_answers", least);
+    let optimal = optimal_bad_answers(1.0);
+    report.note("least", "bad_answers", optimal);
     for case in [Case::TurnsBad, Case::Canary] {
-        let mut base = None;
-        for (name, surroundings) in arms() {
-            let bad = run_arm(&mut report, options, case, name, &surroundings);
+        let mut baseline = None;
+        for (name, cfg) in arms() {
+            let bad = run_arm(&mut report, options, case, name, &cfg);
             let arm = format!("{}/{name}", case.name());
-            let same = least_with_delays(&surroundings, case);
-            report.note(&arm, "ratio_to_least", bad / least);
-            report.note(&arm, "ratio_to_least_with_same_rater", bad / same);
-            report.note(&arm, "ratio_to_8_daemons", bad / *base.get_or_insert(bad));
+            let optimal_with_delays = optimal_bad_answers_with_delays(&cfg, case);
+            report.note(&arm, "ratio_to_least", bad / optimal);
+            report.note(
+                &arm,
+                "ratio_to_least_with_same_rater",
+                bad / optimal_with_delays,
+            );
+            report.note(
+                &arm,
+                "ratio_to_8_daemons",
+                bad / *baseline.get_or_insert(bad),
+            );
         }
-        naive::run(&mut report, options, case, least);
+        naive::run(&mut report, options, case, optimal);
     }
     false_alarms::run(&mut report, options);
     Ok(report)
 }
 
-fn arms() -> Vec<(&'static str, Surroundings)> {
-    let with = |change: fn(&mut Surroundings)| {
-        let mut changed = Surroundings::default();
+fn arms() -> Vec<(&'static str, FleetConfig)> {
+    let with = |change: fn(&mut FleetConfig)| {
+        let mut changed = FleetConfig::default();
         change(&mut changed);
         changed
     };
@@ -111,8 +119,9 @@
     ]
 }
 
-/// Bad answers that the best test needs when this share of answers is rated.
-fn least_bad_answers(rated: f64) -> f64 {
+/// Mean number of bad answers until the optimal test detects them if this share of answers is
+/// rated.
+fn optimal_bad_answers(rated: f64) -> f64 {
     let wanted = FALSE_ALARM_REQUESTS * rated;
     let (mut low, mut high) = (1.0, wanted.ln());
     while high - low > 0.01 {
@@ -126,12 +135,12 @@
     mean_run_length(BAD, GOOD, BAD, high) / rated * (1.0 - BAD)
 }
 
-/// The same for a test in one place that waits for the rater and cannot hold traffic back.
-fn least_with_delays(surroundings: &Surroundings, case: Case) -> f64 {
-    let rate = case.requests_a_second();
-    let rated = (surroundings.rater_rate.0 / rate).min(1.0);
-    let waiting = rate * surroundings.rater_lag.as_secs_f64() * (1.0 - BAD);
-    least_bad_answers(rated) + waiting
+/// The same for a centralized test that waits for the rater and can't hold traffic back.
+fn optimal_bad_answers_with_delays(cfg: &FleetConfig, case: Case) -> f64 {
+    let rate = case.requests_per_second();
+    let rated = (cfg.rater_rate.0 / rate).min(1.0);
+    let waiting = rate * cfg.rater_lag.as_secs_f64() * (1.0 - BAD);
+    optimal_bad_answers(rated) + waiting
 }
 
 fn run_arm(
@@ -139,10 +148,10 @@
     options: &BadVersion,
     case: Case,
     name: &str,
-    surroundings: &Surroundings,
+    cfg: &FleetConfig,
 ) -> f64 {
     let runs = in_parallel(options.runs, |run| {
-        run_once(case, surroundings, options.seed * 1000 + run)
+        simulate(case, cfg, options.seed * 1000 + run)
     });
     let arm = format!("{}/{name}", case.name());
     let count = runs.len().max(1) as f64;
@@ -190,79 +199,79 @@
     }
 }
 
-/// The version in question first, then the one beside it.
+/// Returns the tested version, followed by the strong version that serves beside it.
 fn candidates(case: Case) -> Vec<Candidate> {
     let strong = candidate("large@1", 1000, STRONG);
-    let mut asked = match case {
+    let mut tested = match case {
         Case::TurnsBad => candidate("mid@1", 200, GOOD),
         Case::Canary => candidate("large@2", 1000, STRONG),
     };
     if case == Case::Canary {
-        asked.rollout = Some(RolloutShare {
+        tested.rollout = Some(RolloutShare {
             from: strong.version.clone(),
             share: Share::clamped(CANARY_SHARE),
         });
     }
-    vec![asked, strong]
+    vec![tested, strong]
 }
 
-fn run_once(case: Case, surroundings: &Surroundings, seed: u64) -> Outcome {
+fn simulate(case: Case, cfg: &FleetConfig, seed: u64) -> Outcome {
     let mut traffic = Traffic {
-        fleet: Fleet::new(surroundings.clone(), seed),
+        fleet: Fleet::new(cfg.clone(), seed),
         offer: offer(),
-        all: candidates(case),
+        candidates: candidates(case),
     };
-    let strong = traffic.all[1].version.clone();
-    let asked = traffic.all[0].version.clone();
+    let strong = traffic.candidates[1].version.clone();
+    let tested = traffic.candidates[0].version.clone();
     if case == Case::Canary {
-        let canary = traffic.all.remove(0);
+        let canary = traffic.candidates.remove(0);
         traffic.serve_until(&strong, STRONG, |served, _| {
             served.requests >= GOOD_REQUESTS
         });
-        traffic.all.insert(0, canary);
+        traffic.candidates.insert(0, canary);
     } else {
-        traffic.serve_until(&asked, GOOD, |served, _| served.requests >= GOOD_REQUESTS);
+        traffic.serve_until(&tested, GOOD, |served, _| served.requests >= GOOD_REQUESTS);
     }
-    let daemons = surroundings.daemons;
-    let mut outcome = traffic.serve_until(&asked, BAD, |served, fleet| {
-        served.seconds > MOST_SECONDS || fleet.suspended_in(&asked) == daemons
+    let daemons = cfg.daemons;
+    let mut outcome = traffic.serve_until(&tested, BAD, |served, fleet| {
+        served.seconds > MAX_SECONDS || fleet.suspended_daemons(&tested) == daemons
     });
-    outcome.suspended = traffic.fleet.suspended_in(&asked) == daemons;
+    outcome.suspended = traffic.fleet.suspended_daemons(&tested) == daemons;
     outcome
 }
 
-/// Requests at a steady mean rate to a fleet.
+/// Generates requests to a fleet at a constant mean rate.
 struct Traffic {
     fleet: Fleet,
     offer: OfferTerms,
-    all: Vec<Candidate>,
+    candidates: Vec<Candidate>,
 }
 
 impl Traffic {
-    /// Serves until `done`; `share` is the true quality of the version in question.
+    /// Serves requests until `is_done`. `share` is the true quality of the tested version.
     fn serve_until(
         &mut self,
-        asked: &VersionId,
+        tested: &VersionId,
         share: f64,
-        done: impl Fn(&Outcome, &Fleet) -> bool,
+        is_done: impl Fn(&Outcome, &Fleet) -> bool,
     ) -> Outcome {
         let mut served = Outcome::default();
-        while !done(&served, &self.fleet) {
+        while !is_done(&served, &self.fleet) {
             let uniform: f64 = self.fleet.rng.random();
-            let pause = -uniform.max(f64::MIN_POSITIVE).ln() / REQUESTS_A_SECOND;
+            let pause = -uniform.max(f64::MIN_POSITIVE).ln() / REQUESTS_PER_S;
             served.seconds += pause;
             let next = self.fleet.now + Span::from_secs_f64(pause);
             self.fleet.advance(next);
-            self.serve_one(asked, share, &mut served);
+            self.serve_request(tested, share, &mut served);
         }
         served
     }
 
-    fn serve_one(&mut self, asked: &VersionId, share: f64, served: &mut Outcome) {
-        let daemon = self.fleet.any_daemon();
+    fn serve_request(&mut self, tested: &VersionId, share: f64, served: &mut Outcome) {
+        let daemon = self.fleet.random_daemon();
         let input = ChoiceInput {
             offer: &self.offer,
-            candidates: &self.all,
+            candidates: &self.candidates,
             pin: None,
             in_session: false,
             may_escalate: false,
@@ -271,13 +280,13 @@
         let Some(plan) = self.fleet.choose(daemon, &input) else {
             return;
         };
-        let is_asked = plan.first == *asked;
-        let truth = if is_asked { share } else { STRONG };
-        let adequate = self.fleet.rng.random_bool(truth);
+        let is_tested = plan.first == *tested;
+        let true_quality = if is_tested { share } else { STRONG };
+        let adequate = self.fleet.rng.random_bool(true_quality);
         let rating = Rating::direct(adequate);
         let class = &self.offer.class;
         self.fleet.offer_rating(daemon, class, &plan.first, rating);
-        if is_asked {
+        if is_tested {
             served.requests += 1.0;
             served.bad += f64::from(u8::from(!adequate));
         }
--- a/bench/src/cmd/bad_version/false_alarms.rs
+++ b/bench/src/cmd/bad_version/false_alarms.rs
@@ -1,4 +1,4 @@
-//! Suspensions of a version that is good: long runs of the test alone, and of the whole loop.
+//! Counts suspensions of a good version in long runs of the detector alone and of a whole fleet.
 
 use quality::{Config, Detector, Thresholds};
 use rand::rngs::StdRng;
@@ -7,26 +7,27 @@
 
 use super::{Case, FALSE_ALARM_REQUESTS, GOOD, Traffic, candidates, offer};
 use crate::cli::BadVersion;
-use crate::fleet::{Fleet, Surroundings};
+use crate::fleet::{Fleet, FleetConfig};
 use crate::report::Report;
 
 pub(super) fn run(report: &mut Report, options: &BadVersion) {
     let null = GOOD - Config::default().tolerance;
     let thresholds = Thresholds::new(null, FALSE_ALARM_REQUESTS);
     for (name, share) in [("at-the-null", thresholds.null), ("at-0.95", GOOD)] {
-        let alarms = test_alone(&thresholds, share, options);
+        let alarms = run_detector(&thresholds, share, options);
         let arm = format!("false-alarms/test-{name}");
         report.note(&arm, "ratings", options.ratings as f64);
         report.note(&arm, "alarms", alarms as f64);
-        let each = alarms as f64 * FALSE_ALARM_REQUESTS / options.ratings.max(1) as f64;
-        report.note(&arm, "alarms_per_million", each);
+        let alarms_per_million =
+            alarms as f64 * FALSE_ALARM_REQUESTS / options.ratings.max(1) as f64;
+        report.note(&arm, "alarms_per_million", alarms_per_million);
     }
     for (name, daemons) in [("8-daemons", 8), ("64-daemons", 64)] {
-        whole_loop(report, options, name, daemons);
+        run_fleet(report, options, name, daemons);
     }
 }
 
-fn test_alone(thresholds: &Thresholds, share: f64, options: &BadVersion) -> u64 {
+fn run_detector(thresholds: &Thresholds, share: f64, options: &BadVersion) -> u64 {
     let mut rng = StdRng::seed_from_u64(options.seed);
     let mut detector = Detector::default();
     let mut alarms = 0;
@@ -41,20 +42,20 @@
     alarms
 }
 
-fn whole_loop(report: &mut Report, options: &BadVersion, name: &str, daemons: usize) {
-    let surroundings = Surroundings {
+fn run_fleet(report: &mut Report, options: &BadVersion, name: &str, daemons: usize) {
+    let cfg = FleetConfig {
         daemons,
         loss: 0.3,
-        ..Surroundings::default()
+        ..FleetConfig::default()
     };
     let mut traffic = Traffic {
-        fleet: Fleet::new(surroundings, options.seed),
+        fleet: Fleet::new(cfg, options.seed),
         offer: offer(),
-        all: candidates(Case::TurnsBad),
+        candidates: candidates(Case::TurnsBad),
     };
-    let asked = traffic.all[0].version.clone();
+    let tested = traffic.candidates[0].version.clone();
     let wanted = options.loop_requests as f64;
-    let served = traffic.serve_until(&asked, GOOD, |served, fleet| {
+    let served = traffic.serve_until(&tested, GOOD, |served, fleet| {
         served.requests >= wanted || fleet.suspensions() > 0
     });
     let seconds = traffic.fleet.now.since(Time::ZERO).as_secs_f64();
--- a/bench/src/cmd/balance/world.rs
+++ b/bench/src/cmd/balance/world.rs
@@ -325,14 +325,14 @@
             Fault::Slow => self.engines[0].speed = 0.2,
             Fault::DomainLost => {
                 for engine in (0..ENGINES).step_by(DOMAINS) {
-                    self.lose(now, engine);
+                    self.fail_engine(now, engine);
                 }
             }
         }
     }
 
-    fn lose(&mut self, now: Time, engine: usize) {
-        self.engines[engine].lose();
+    fn fail_engine(&mut self, now: Time, engine: usize) {
+        self.engines[engine].fail();
         let cut = self.requests.iter();
         let cut = cut.filter(|(_, request)| request.engine == Some(engine));
         let cut: Vec<_> = cut.map(|(id, _)| *id).collect();
--- a/bench/src/cmd/cascade.rs
+++ b/bench/src/cmd/cascade.rs
@@ -1,9 +1,11 @@
-//! Cost and quality of the choice of version, beside simpler ways and an oracle.
+//! `cascade`: cost and quality of the choice of version, compared with simpler policies and an
+//! oracle.
 //!
-//! Both users' mixes of classes, three models of unlike cost and quality, and catalogues whose
-//! expected qualities are off by a few hundredths. Requests differ in difficulty, which the router
-//! does not see; where engines state a confidence, it says something of the answer's adequacy. The
-//! oracle knows every version's true quality in each class, and mixes versions and cascades at
+//! The workload has both users' mixes of classes, three models of different cost and quality, and
+//! catalogues whose expected qualities are off by a few hundredths. Requests differ in difficulty,
+//! which the router can't see. If engines state a confidence, it correlates with the adequacy of the
+//! answer. The oracle knows every version's true quality in each class and finds the cheapest
+//! mixture of versions and cascades; `oracle-without-cascades` mixes versions only.
 //! least cost; `oracle-without-cascades` mixes versions only.
 
 mod cost;
@@ -16,43 +18,44 @@
 use types::prelude::*;
 
 use crate::cli::Cascade;
-use crate::fleet::{Fleet, Surroundings};
+use crate::fleet::{Fleet, FleetConfig};
 use crate::report::{Curve, Report};
 use oracle::Oracle;
 use workload::{Answer, Class, Request, User};
 
-const REQUESTS_A_SECOND: f64 = 40.0;
+const REQUESTS_PER_S: f64 = 40.0;
 const FIRST_REQUESTS: usize = 2000;
-const CURVE_EVERY: usize = 500;
-/// Confidence below which the fixed cascade goes on.
+const CURVE_INTERVAL_REQUESTS: usize = 500;
+/// Confidence below which the fixed cascade escalates.
 const FIXED_THRESHOLD: f64 = 0.5;
 
-/// Standard errors below the target that count as a broken promise and not as chance.
-const SURE_BELOW: f64 = 2.0;
+/// A mean adequacy below the target by more than this many standard errors is a violation; less may
+/// be chance.
+const VIOLATION_STANDARD_ERRORS: f64 = 2.0;
 
-/// A way to choose.
+/// How versions are chosen.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Way {
+enum Policy {
     Ours(usize),
     AlwaysStrongest,
     AlwaysCheapest,
     FixedCascade,
 }
 
-/// Cost and quality so far, of one class.
+/// Accumulated cost and quality of one class.
 #[derive(Debug, Clone, Default)]
-struct Sums {
+struct Totals {
     requests: f64,
     cost: f64,
-    /// Expected adequacy of what was served, without the noise of each answer.
+    /// Sum of the expected adequacy of the served answers, without the noise of each answer.
     adequacy: f64,
     adequacy_squared: f64,
     oracle: f64,
     oracle_without_cascades: f64,
 }
 
-impl Sums {
-    /// Of the mean adequacy.
+impl Totals {
+    /// Standard error of the mean adequacy.
     fn standard_error(&self) -> f64 {
         let count = self.requests.max(1.0);
         let mean = self.adequacy / count;
@@ -63,18 +66,22 @@
 pub fn run(options: &Cascade) -> eyre::Result<Report> {
     let mut report = Report::new("cascade", options.seed);
     for user in User::both() {
-        for signal in [false, true] {
+        for has_confidence in [false, true] {
             let oracles: Vec<Oracle> = user
                 .classes
                 .iter()
-                .map(|class| Oracle::new(class, &user, signal, options.seed))
+                .map(|class| Oracle::new(class, &user, has_confidence, options.seed))
                 .collect();
-            for (name, way) in ways(signal) {
-                let setting = if signal { "confidence" } else { "plain" };
+            for (name, policy) in policies(has_confidence) {
+                let setting = if has_confidence {
+                    "confidence"
+                } else {
+                    "plain"
+                };
                 let arm = format!("{}/{setting}/{name}", user.name);
-                let mut run = Run::new(&user, &oracles, way, signal, options.seed);
+                let mut run = Run::new(&user, &oracles, policy, has_confidence, options.seed);
                 run.serve(options.requests);
-                run.note(&mut report, &arm, way);
+                run.note(&mut report, &arm, policy);
             }
         }
     }
@@ -85,50 +92,56 @@
     Ok(report)
 }
 
-fn ways(signal: bool) -> Vec<(&'static str, Way)> {
-    let mut ways = vec![
-        ("ours-8-daemons", Way::Ours(8)),
-        ("ours-64-daemons", Way::Ours(64)),
-        ("always-strongest", Way::AlwaysStrongest),
-        ("always-cheapest", Way::AlwaysCheapest),
+fn policies(has_confidence: bool) -> Vec<(&'static str, Policy)> {
+    let mut policies = vec![
+        ("ours-8-daemons", Policy::Ours(8)),
+        ("ours-64-daemons", Policy::Ours(64)),
+        ("always-strongest", Policy::AlwaysStrongest),
+        ("always-cheapest", Policy::AlwaysCheapest),
     ];
-    if signal {
-        ways.push(("fixed-cascade", Way::FixedCascade));
+    if has_confidence {
+        policies.push(("fixed-cascade", Policy::FixedCascade));
     }
-    ways
+    policies
 }
 
-/// One arm.
+/// One arm while it runs.
 struct Run<'a> {
     user: &'a User,
     oracles: &'a [Oracle],
-    way: Way,
-    signal: bool,
+    policy: Policy,
+    has_confidence: bool,
     fleet: Fleet,
-    all: Vec<Sums>,
-    first: Vec<Sums>,
+    all: Vec<Totals>,
+    first: Vec<Totals>,
     curve: Vec<(f64, f64)>,
 }
 
 impl<'a> Run<'a> {
-    fn new(user: &'a User, oracles: &'a [Oracle], way: Way, signal: bool, seed: u64) -> Self {
-        let daemons = match way {
-            Way::Ours(daemons) => daemons,
+    fn new(
+        user: &'a User,
+        oracles: &'a [Oracle],
+        policy: Policy,
+        has_confidence: bool,
+        seed: u64,
+    ) -> Self {
+        let daemons = match policy {
+            Policy::Ours(daemons) => daemons,
             _ => 1,
         };
-        let surroundings = Surroundings {
+        let cfg = FleetConfig {
             daemons,
             loss: 0.1,
-            ..Surroundings::default()
+            ..FleetConfig::default()
         };
         Self {
             user,
             oracles,
-            way,
-            signal,
-            fleet: Fleet::new(surroundings, seed),
-            all: vec![Sums::default(); user.classes.len()],
-            first: vec![Sums::default(); user.classes.len()],
+            policy,
+            has_confidence,
+            fleet: Fleet::new(cfg, seed),
+            all: vec![Totals::default(); user.classes.len()],
+            first: vec![Totals::default(); user.classes.len()],
             curve: Vec::new(),
         }
     }
@@ -136,34 +149,34 @@
     fn serve(&mut self, requests: usize) {
         for number in 0..requests {
             let uniform: f64 = self.fleet.rng.random();
-            let pause = -uniform.max(f64::MIN_POSITIVE).ln() / REQUESTS_A_SECOND;
+            let pause = -uniform.max(f64::MIN_POSITIVE).ln() / REQUESTS_PER_S;
             let next = self.fleet.now + Span::from_secs_f64(pause);
             self.fleet.advance(next);
-            self.serve_one(number);
-            if (number + 1).is_multiple_of(CURVE_EVERY) {
+            self.serve_request(number);
+            if (number + 1).is_multiple_of(CURVE_INTERVAL_REQUESTS) {
                 self.curve.push(((number + 1) as f64, ratio(&self.all)));
             }
         }
     }
 
-    fn serve_one(&mut self, number: usize) {
+    fn serve_request(&mut self, number: usize) {
         let index = self.user.pick_class(&mut self.fleet.rng);
         let class = &self.user.classes[index];
         let request = Request::draw(&mut self.fleet.rng);
-        let (cost, adequacy) = match self.way {
-            Way::Ours(_) => self.ours(class, &request),
-            Way::AlwaysStrongest => self.fixed(class, &request, class.versions.len() - 1),
-            Way::AlwaysCheapest => self.fixed(class, &request, 0),
-            Way::FixedCascade => self.fixed_cascade(class, &request),
+        let (cost, adequacy) = match self.policy {
+            Policy::Ours(_) => self.choose_and_serve(class, &request),
+            Policy::AlwaysStrongest => self.fixed(class, &request, class.versions.len() - 1),
+            Policy::AlwaysCheapest => self.fixed(class, &request, 0),
+            Policy::FixedCascade => self.fixed_cascade(class, &request),
         };
         let oracle = &self.oracles[index];
-        let add = |sums: &mut Sums| {
-            sums.requests += 1.0;
-            sums.cost += cost;
-            sums.adequacy += adequacy;
-            sums.adequacy_squared += adequacy * adequacy;
-            sums.oracle += oracle.cost;
-            sums.oracle_without_cascades += oracle.cost_without_cascades;
+        let add = |totals: &mut Totals| {
+            totals.requests += 1.0;
+            totals.cost += cost;
+            totals.adequacy += adequacy;
+            totals.adequacy_squared += adequacy * adequacy;
+            totals.oracle += oracle.cost;
+            totals.oracle_without_cascades += oracle.cost_without_cascades;
         };
         add(&mut self.all[index]);
         if number < FIRST_REQUESTS {
@@ -171,8 +184,8 @@
         }
     }
 
-    fn ours(&mut self, class: &Class, request: &Request) -> (f64, f64) {
-        let daemon = self.fleet.any_daemon();
+    fn choose_and_serve(&mut self, class: &Class, request: &Request) -> (f64, f64) {
+        let daemon = self.fleet.random_daemon();
         let input = ChoiceInput {
             offer: &class.offer,
             candidates: &class.candidates,
@@ -197,7 +210,7 @@
 
     fn answer(&mut self, class: &Class, request: &Request, version: &VersionId) -> Answer {
         let index = class.index_of(version);
-        request.answer(class, index, self.signal, &mut self.fleet.rng)
+        request.answer(class, index, self.has_confidence, &mut self.fleet.rng)
     }
 
     fn rate(
@@ -218,13 +231,13 @@
     }
 
     fn fixed(&mut self, class: &Class, request: &Request, index: usize) -> (f64, f64) {
-        let answer = request.answer(class, index, self.signal, &mut self.fleet.rng);
+        let answer = request.answer(class, index, self.has_confidence, &mut self.fleet.rng);
         (answer.cost, answer.adequacy)
     }
 
     fn fixed_cascade(&mut self, class: &Class, request: &Request) -> (f64, f64) {
         let strongest = class.versions.len() - 1;
-        let first = request.answer(class, 0, self.signal, &mut self.fleet.rng);
+        let first = request.answer(class, 0, self.has_confidence, &mut self.fleet.rng);
         let plan = Plan {
             first: class.candidates[0].version.clone(),
             escalation: Confidence::new(FIXED_THRESHOLD).map(|below| quality::Escalation {
@@ -236,40 +249,40 @@
         if !plan.escalates(first.confidence) {
             return (first.cost, first.adequacy);
         }
-        let second = request.answer(class, strongest, self.signal, &mut self.fleet.rng);
+        let second = request.answer(class, strongest, self.has_confidence, &mut self.fleet.rng);
         (first.cost + second.cost, second.adequacy)
     }
 
-    fn note(mut self, report: &mut Report, arm: &str, way: Way) {
+    fn note(mut self, report: &mut Report, arm: &str, policy: Policy) {
         report.note(arm, "cost_to_oracle", ratio(&self.all));
         report.note(arm, "cost_to_oracle_first_2000", ratio(&self.first));
-        let total = |figure: fn(&Sums) -> f64| self.all.iter().map(figure).sum::<f64>();
-        let plain = total(|sums| sums.cost) / total(|sums| sums.oracle_without_cascades);
+        let total = |figure: fn(&Totals) -> f64| self.all.iter().map(figure).sum::<f64>();
+        let plain = total(|totals| totals.cost) / total(|totals| totals.oracle_without_cascades);
         report.note(arm, "cost_to_oracle_without_cascades", plain);
-        let first = |figure: fn(&Sums) -> f64| self.first.iter().map(figure).sum::<f64>();
-        let plain = first(|sums| sums.cost) / first(|sums| sums.oracle_without_cascades);
+        let first = |figure: fn(&Totals) -> f64| self.first.iter().map(figure).sum::<f64>();
+        let plain = first(|totals| totals.cost) / first(|totals| totals.oracle_without_cascades);
         report.note(arm, "cost_to_oracle_without_cascades_first_2000", plain);
-        for (class, sums) in self.user.classes.iter().zip(&self.first) {
+        for (class, totals) in self.user.classes.iter().zip(&self.first) {
             let name = class.offer.class.as_str();
             report.note(
                 arm,
                 &format!("cost_to_oracle_first_2000/{name}"),
-                sums.cost / sums.oracle,
+                totals.cost / totals.oracle,
             );
         }
-        for (class, sums) in self.user.classes.iter().zip(&self.all) {
-            let quality = sums.adequacy / sums.requests.max(1.0);
+        for (class, totals) in self.user.classes.iter().zip(&self.all) {
+            let quality = totals.adequacy / totals.requests.max(1.0);
             let above = quality - class.offer.target.get();
             let name = class.offer.class.as_str();
             report.note(arm, &format!("quality_above_target/{name}"), above);
             report.note(
                 arm,
                 &format!("cost_to_oracle/{name}"),
-                sums.cost / sums.oracle,
+                totals.cost / totals.oracle,
             );
-            let error = sums.standard_error();
+            let error = totals.standard_error();
             report.note(arm, &format!("quality_standard_error/{name}"), error);
-            if matches!(way, Way::Ours(_)) && above < -SURE_BELOW * error {
+            if matches!(policy, Policy::Ours(_)) && above < -VIOLATION_STANDARD_ERRORS * error {
                 report.violations += 1;
             }
         }
@@ -282,8 +295,8 @@
     }
 }
 
-fn ratio(sums: &[Sums]) -> f64 {
-    let cost: f64 = sums.iter().map(|sums| sums.cost).sum();
-    let oracle: f64 = sums.iter().map(|sums| sums.oracle).sum();
+fn ratio(totals: &[Totals]) -> f64 {
+    let cost: f64 = totals.iter().map(|totals| totals.cost).sum();
+    let oracle: f64 = totals.iter().map(|totals| totals.oracle).sum();
     cost / oracle.max(f64::MIN_POSITIVE)
 }
--- a/bench/src/cmd/cascade/cost.rs
+++ b/bench/src/cmd/cascade/cost.rs
@@ -1,4 +1,4 @@
-//! What the decisions themselves cost: time of a choice, of building a table, bytes of facts.
+//! Measures the cost of the decisions: time of a choice and of building a table, size of facts.
 
 use std::time::Instant;
 
@@ -13,11 +13,11 @@
 const VERSIONS: u64 = 10;
 const RATINGS: u64 = 300;
 const CHOICES: u32 = 200_000;
-const TABLES: u32 = 2000;
-/// Longer than a table stands.
-const PAUSE: Span = Span::from_millis(300);
+const TABLE_BUILDS: u32 = 2000;
+/// Longer than the lifetime of a table, so that each choice builds a new one.
+const TABLE_INTERVAL: Span = Span::from_millis(300);
 
-/// Measures with as many versions as the fleet of two years will have.
+/// Measures with the number of versions that the fleet is expected to have in two years.
 pub(super) fn run(report: &mut Report, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let user = &User::both()[0];
@@ -26,29 +26,29 @@
     let mut quality = Quality::new(Config::default(), Incarnation(1), Time::ZERO);
     let input = input(offer, &candidates);
     quality.choose(Time::ZERO, &input, &mut rng);
-    let bytes = learn(&mut quality, offer, &candidates, &mut rng);
+    let bytes = record_ratings(&mut quality, offer, &candidates, &mut rng);
     report.note("decision-cost", "fact_bytes", bytes);
-    let mut now = Time::ZERO + PAUSE;
+    let mut now = Time::ZERO + TABLE_INTERVAL;
     let start = Instant::now();
     for _ in 0..CHOICES {
         quality.choose(now, &input, &mut rng);
     }
-    let each = start.elapsed().as_secs_f64() * 1e6 / f64::from(CHOICES);
-    report.note("decision-cost", "choice_micros", each);
+    let mean_micros = start.elapsed().as_secs_f64() * 1e6 / f64::from(CHOICES);
+    report.note("decision-cost", "choice_micros", mean_micros);
     let start = Instant::now();
-    for _ in 0..TABLES {
-        now = now + PAUSE;
+    for _ in 0..TABLE_BUILDS {
+        now = now + TABLE_INTERVAL;
         quality.choose(now, &input, &mut rng);
     }
-    let each = start.elapsed().as_secs_f64() * 1e6 / f64::from(TABLES);
-    report.note("decision-cost", "table_micros", each);
+    let mean_micros = start.elapsed().as_secs_f64() * 1e6 / f64::from(TABLE_BUILDS);
+    report.note("decision-cost", "table_micros", mean_micros);
     let start = Instant::now();
-    for _ in 0..TABLES {
-        now = now + PAUSE;
+    for _ in 0..TABLE_BUILDS {
+        now = now + TABLE_INTERVAL;
         quality.tick(now, 460, &mut rng);
     }
-    let each = start.elapsed().as_secs_f64() * 1e6 / f64::from(TABLES);
-    report.note("decision-cost", "tick_micros_20_streams", each);
+    let mean_micros = start.elapsed().as_secs_f64() * 1e6 / f64::from(TABLE_BUILDS);
+    report.note("decision-cost", "tick_micros_20_streams", mean_micros);
 }
 
 fn candidate(number: u64) -> Candidate {
@@ -73,8 +73,8 @@
     }
 }
 
-/// Rates every version in every bin of confidence; tells the mean size of a fact then.
-fn learn(
+/// Rates every version in every confidence bin; returns the mean size of a fact in bytes.
+fn record_ratings(
     quality: &mut Quality,
     offer: &OfferTerms,
     candidates: &[Candidate],
@@ -87,9 +87,9 @@
                 confidence: quality::Confidence::new(rng.random()),
                 escalated: false,
             };
-            let taken =
+            let recorded =
                 quality.record_rating(Time::ZERO, &offer.class, &candidate.version, rating, rng);
-            debug_assert!(taken.is_ok());
+            debug_assert!(recorded.is_ok());
         }
     }
     let facts = quality.take_unpublished_facts(Time::ZERO, rng);
--- a/bench/src/cmd/cascade/real.rs
+++ b/bench/src/cmd/cascade/real.rs
@@ -1,8 +1,8 @@
-//! The same decisions in a real daemon over loopback, to show that the loop tells the truth.
+//! Compares a real daemon over loopback with the simulation, to validate the simulation.
 //!
-//! One class, two models, the rater drawing from true qualities. The loop is run with the same
-//! numbers. Costs are counted from who served and how often, by the same prices; quality is
-//! the true quality of who served, so no cascades are asked for here.
+//! One class and two models, with a rater that draws from the true qualities; the simulation uses
+//! the same numbers. Costs are computed from the prices and the number of requests per version.
+//! Quality is the true quality of the serving version, so no cascades are requested here.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -17,29 +17,29 @@
 use types::prelude::*;
 
 use crate::daemons::{CLUSTER, Daemon, DaemonPlan, Scratch};
-use crate::fleet::{Fleet, Surroundings};
-use crate::load::http::{Ask, Connection};
+use crate::fleet::{Fleet, FleetConfig};
+use crate::load::http::{Connection, HttpRequest};
 use crate::report::Report;
 
 const KEY: &str = "example-bench";
 const CLASS: &str = "tagging";
 const TARGET: f64 = 0.93;
-/// Name, price and true quality; the catalogue claims the same.
+/// Name, price and true quality. The catalogue states the same quality.
 const VERSIONS: [(&str, u64, f64); 2] = [("small@1", 10, 0.85), ("large@1", 100, 0.98)];
-/// The rater's lag.
-const LAG: Span = Span::from_millis(20);
+/// Delay from an answer to its rating.
+const RATER_LAG: Span = Span::from_millis(20);
 
-/// Between requests: the rater's rate is by the second.
-const PACE: Span = Span::from_millis(25);
+/// Time between requests. Requests are paced because the rater's rate limit is per second.
+const REQUEST_INTERVAL: Span = Span::from_millis(25);
 
-/// What served: requests by version.
+/// Number of requests by the version that served them.
 type Served = BTreeMap<String, f64>;
 
-/// Runs both.
+/// Runs the daemon and the simulation.
 pub(super) fn run(report: &mut Report, requests: usize, seed: u64) -> eyre::Result<()> {
     let real = serve_real(requests)?;
-    let in_loop = serve_in_loop(requests, seed);
-    for (arm, served) in [("real/daemon", &real), ("real/loop", &in_loop)] {
+    let simulated = serve_simulated(requests, seed);
+    for (arm, served) in [("real/daemon", &real), ("real/loop", &simulated)] {
         let count: f64 = served.values().sum();
         let mean = |figure: fn(&(&str, u64, f64)) -> f64| {
             let sums = VERSIONS.iter().map(|version| {
@@ -79,7 +79,7 @@
             ..EngineConfig::default()
         },
         rater: RaterConfig {
-            lag: LAG,
+            lag: RATER_LAG,
             quality: quality.collect::<Result<_, _>>()?,
             ..RaterConfig::default()
         },
@@ -94,15 +94,15 @@
     let mut served = Served::new();
     let start = Instant::now();
     for number in 0..requests {
-        let due = PACE.times(number as u64).to_duration();
+        let due = REQUEST_INTERVAL.times(number as u64).to_duration();
         std::thread::sleep(due.saturating_sub(start.elapsed()));
-        let version = ask(&mut connection, number).wrap_err("a request to the daemon")?;
+        let version = send_request(&mut connection, number).wrap_err("a request to the daemon")?;
         *served.entry(version).or_default() += 1.0;
     }
     Ok(served)
 }
 
-fn ask(connection: &mut Connection, number: usize) -> eyre::Result<String> {
+fn send_request(connection: &mut Connection, number: usize) -> eyre::Result<String> {
     let text = format!("Which tag fits letter {number}?");
     let body = json!({
         "model": "tags",
@@ -116,16 +116,16 @@
         ("content-type", "application/json"),
         ("authorization", authorization.as_str()),
     ];
-    let ask = Ask {
+    let request = HttpRequest {
         method: "POST",
         path: "/v1/chat/completions",
         headers: &headers,
         body: body.as_bytes(),
     };
-    // A streamed answer is not held back, so that no cascade begins.
-    let got = connection.ask_stream(&ask, |_| ())?;
-    ensure!(got.status == 200, "status {}", got.status);
-    Ok(got.header("x-served-by").to_owned())
+    // A streamed answer is not held back, so it can't escalate.
+    let response = connection.send_streaming(&request, |_| ())?;
+    ensure!(response.status == 200, "status {}", response.status);
+    Ok(response.header("x-served-by").to_owned())
 }
 
 fn entries() -> String {
@@ -150,13 +150,13 @@
     )
 }
 
-fn serve_in_loop(requests: usize, seed: u64) -> Served {
-    let surroundings = Surroundings {
+fn serve_simulated(requests: usize, seed: u64) -> Served {
+    let cfg = FleetConfig {
         daemons: 1,
-        rater_lag: LAG,
-        ..Surroundings::default()
+        rater_lag: RATER_LAG,
+        ..FleetConfig::default()
     };
-    let mut fleet = Fleet::new(surroundings, seed);
+    let mut fleet = Fleet::new(cfg, seed);
     let offer = OfferTerms {
         name: EntryName::new("tags").expect("a constant name"),
         class: ClassName::new(CLASS).expect("a constant name"),
@@ -183,15 +183,15 @@
     };
     let mut served = Served::new();
     for _ in 0..requests {
-        fleet.advance(fleet.now + PACE);
+        fleet.advance(fleet.now + REQUEST_INTERVAL);
         let Some(plan) = fleet.choose(0, &input) else {
             continue;
         };
         let name = plan.first.to_string();
-        let truth = VERSIONS.iter().find(|version| version.0 == name);
+        let served_version = VERSIONS.iter().find(|version| version.0 == name);
         let adequate = fleet
             .rng
-            .random_bool(truth.map_or(0.0, |version| version.2));
+            .random_bool(served_version.map_or(0.0, |version| version.2));
         fleet.offer_rating(0, &offer.class, &plan.first, Rating::direct(adequate));
         *served.entry(name).or_default() += 1.0;
     }
--- a/bench/src/cmd/cascade/workload.rs
+++ b/bench/src/cmd/cascade/workload.rs
@@ -1,25 +1,25 @@
-//! Both users' mixes of work, and answers drawn from true qualities.
+//! Request mixes of both users, and answers drawn from true qualities.
 
 use quality::{Candidate, Confidence, OfferTerms};
 use rand::{Rng, RngExt};
 use types::prelude::*;
 
-/// How far a catalogue's expected quality may be off.
-const CLAIM_ERRORS: [f64; 3] = [0.04, -0.03, 0.01];
-/// How much harder the hardest requests are than the easiest.
-const SPREAD: f64 = 5.0;
-const STEPS: usize = 2000;
-const SURE: f64 = 0.72;
-const UNSURE: f64 = 0.38;
-const NOISE: f64 = 0.17;
+/// Errors of the catalogue's expected quality, by version.
+const EXPECTED_QUALITY_ERRORS: [f64; 3] = [0.04, -0.03, 0.01];
+/// Difference in difficulty between the hardest and the easiest requests.
+const DIFFICULTY_RANGE: f64 = 5.0;
+const DIFFICULTY_STEPS: usize = 2000;
+const ADEQUATE_CONFIDENCE: f64 = 0.72;
+const INADEQUATE_CONFIDENCE: f64 = 0.38;
+const CONFIDENCE_NOISE: f64 = 0.17;
 
-/// One user's mix.
+/// A user's mix of requests.
 pub(super) struct User {
     pub(super) name: &'static str,
     pub(super) classes: Vec<Class>,
 }
 
-/// A class of work.
+/// A class of requests.
 pub(super) struct Class {
     pub(super) offer: OfferTerms,
     pub(super) candidates: Vec<Candidate>,
@@ -27,25 +27,25 @@
     share: f64,
 }
 
-/// What a version really is in a class.
+/// True cost and ability of a version in a class.
 pub(super) struct TrueVersion {
     pub(super) cost: f64,
-    /// Ability on the scale of difficulty.
+    /// Ability, on the same scale as difficulty.
     ability: f64,
 }
 
-/// One answer.
+/// An answer by one version.
 pub(super) struct Answer {
     pub(super) cost: f64,
-    /// Chance that this request's answer by this version is adequate.
+    /// Probability that this version's answer to this request is adequate.
     pub(super) adequacy: f64,
     pub(super) adequate: bool,
     pub(super) confidence: Option<Confidence>,
 }
 
-/// One request.
+/// A request.
 pub(super) struct Request {
-    /// From 0, easiest, to 1.
+    /// Difficulty from 0 (easiest) to 1 (hardest).
     difficulty: f64,
 }
 
@@ -73,7 +73,7 @@
         ]
     }
 
-    /// Index of the next request's class.
+    /// Draws the class of the next request and returns its index.
     pub(super) fn pick_class(&self, rng: &mut impl Rng) -> usize {
         let mut left: f64 = rng.random();
         for (index, class) in self.classes.iter().enumerate() {
@@ -86,7 +86,7 @@
     }
 }
 
-/// Of cost, latency and exposure.
+/// Weights of cost, latency and exposure.
 #[derive(Clone, Copy)]
 struct Weights(f64, f64, f64);
 
@@ -94,20 +94,20 @@
 const COSTS: [u64; 3] = [100, 400, 1500];
 const LATENCIES_MS: [u64; 3] = [400, 900, 2200];
 
-fn class(name: &str, share: f64, target: f64, weights: Weights, truth: [f64; 3]) -> Class {
+fn class(name: &str, share: f64, target: f64, weights: Weights, true_qualities: [f64; 3]) -> Class {
     let candidate = |index: usize| Candidate {
         version: NAMES[index].parse().expect("a constant version"),
         accepts_new_sessions: true,
         cost: Cost(COSTS[index]),
         latency: Span::from_millis(LATENCIES_MS[index]),
         expected: Some(Share::clamped(
-            (truth[index] + CLAIM_ERRORS[index]).min(0.99),
+            (true_qualities[index] + EXPECTED_QUALITY_ERRORS[index]).min(0.99),
         )),
         rollout: None,
     };
     let version = |index: usize| TrueVersion {
         cost: COSTS[index] as f64,
-        ability: ability_of(truth[index]),
+        ability: ability_of(true_qualities[index]),
     };
     Class {
         offer: OfferTerms {
@@ -124,23 +124,24 @@
     }
 }
 
-/// The ability with which this share of all requests is answered well.
+/// Finds the ability at which this share of all requests is answered adequately.
 fn ability_of(share: f64) -> f64 {
     let (mut low, mut high) = (-10.0, 20.0);
     for _ in 0..50 {
-        let middle = (low + high) / 2.0;
-        let steps = (0..STEPS).map(|n| adequacy(middle, (n as f64 + 0.5) / STEPS as f64));
-        if steps.sum::<f64>() / (STEPS as f64) < share {
-            low = middle;
+        let midpoint = (low + high) / 2.0;
+        let steps = (0..DIFFICULTY_STEPS)
+            .map(|n| adequacy(midpoint, (n as f64 + 0.5) / DIFFICULTY_STEPS as f64));
+        if steps.sum::<f64>() / (DIFFICULTY_STEPS as f64) < share {
+            low = midpoint;
         } else {
-            high = middle;
+            high = midpoint;
         }
     }
     (low + high) / 2.0
 }
 
 fn adequacy(ability: f64, difficulty: f64) -> f64 {
-    1.0 / (1.0 + (SPREAD * difficulty - ability).exp())
+    1.0 / (1.0 + (DIFFICULTY_RANGE * difficulty - ability).exp())
 }
 
 impl Class {
@@ -162,26 +163,30 @@
         &self,
         class: &Class,
         index: usize,
-        signal: bool,
+        has_confidence: bool,
         rng: &mut impl Rng,
     ) -> Answer {
         let version = &class.versions[index];
         let adequacy = adequacy(version.ability, self.difficulty);
         let adequate = rng.random_bool(adequacy);
-        let middle = if adequate { SURE } else { UNSURE };
+        let midpoint = if adequate {
+            ADEQUATE_CONFIDENCE
+        } else {
+            INADEQUATE_CONFIDENCE
+        };
         let noise: f64 = (0..4).map(|_| rng.random::<f64>() - 0.5).sum();
-        let stated = Confidence::new(middle + noise * NOISE * 3f64.sqrt());
+        let stated = Confidence::new(midpoint + noise * CONFIDENCE_NOISE * 3f64.sqrt());
         Answer {
             cost: version.cost,
-            // With a confidence in hand whether an answer passed depends on its adequacy, so
-            // that only the outcome itself is without bias.
-            adequacy: if signal {
+            // If engines state a confidence, whether an answer is accepted depends on its adequacy,
+            // so only the actual outcome is unbiased.
+            adequacy: if has_confidence {
                 f64::from(u8::from(adequate))
             } else {
                 adequacy
             },
             adequate,
-            confidence: stated.filter(|_| signal),
+            confidence: stated.filter(|_| has_confidence),
         }
     }
 }
--- a/bench/src/cmd/faults.rs
+++ b/bench/src/cmd/faults.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 use crate::cli::Faults;
-use crate::load::{self, Arrivals, Latencies, Seen};
+use crate::load::{self, Arrivals, Latencies, WorkerResult};
 use crate::report::{Curve, Report};
 use caller::{Caller, Told};
 use fleet::Fleet;
@@ -73,14 +73,14 @@
         (seen, troubles.join())
     });
     let (seen, troubles) = seen;
-    let seen: Vec<Seen<Vec<Told>>> = seen?;
+    let seen: Vec<WorkerResult<Vec<Told>>> = seen?;
     let troubles = troubles.map_err(|_| eyre::eyre!("the thread of faults panicked"))??;
     report.note(arm, "faults", troubles.len() as f64);
     for (name, times) in trouble::tally(&troubles) {
         report.note(arm, &format!("fault_{name}"), times as f64);
     }
     std::thread::sleep(SETTLE);
-    note_latencies(report, arm, &load::merged(&seen));
+    note_latencies(report, arm, &load::merge_latencies(&seen));
     let told = seen.into_iter().flat_map(|s| s.notes).collect::<Vec<_>>();
     oracle::count(&fleet, &told, &troubles, options.verbose)
 }
--- a/bench/src/cmd/faults/bills.rs
+++ b/bench/src/cmd/faults/bills.rs
@@ -7,7 +7,7 @@
 
 use super::fleet::Fleet;
 use crate::daemons::OPERATOR_TOKEN;
-use crate::load::http::{Ask, Connection};
+use crate::load::http::{Connection, HttpRequest};
 
 /// Longest wait for the bills of daemons to reach the store.
 const COMPLETE_WITHIN: Duration = Duration::from_secs(30);
@@ -31,17 +31,17 @@
 fn export(fleet: &Fleet, index: usize) -> Option<Value> {
     let address = fleet.with_daemon(index, |daemon| daemon.plan.addresses.operators);
     let bearer = format!("Bearer {OPERATOR_TOKEN}");
-    let ask = Ask {
+    let request = HttpRequest {
         method: "GET",
         path: "/bills",
         headers: &[("authorization", &bearer)],
         body: &[],
     };
-    match Connection::new(address).ask(&ask) {
-        Ok(got) if got.status == 200 => serde_json::from_slice(&got.body).ok(),
-        Ok(got) => {
-            let body = String::from_utf8_lossy(&got.body);
-            eprintln!("faults: {address}/bills: {}: {body}", got.status);
+    match Connection::new(address).send(&request) {
+        Ok(response) if response.status == 200 => serde_json::from_slice(&response.body).ok(),
+        Ok(response) => {
+            let body = String::from_utf8_lossy(&response.body);
+            eprintln!("faults: {address}/bills: {}: {body}", response.status);
             None
         }
         Err(e) => {
--- a/bench/src/cmd/faults/caller.rs
+++ b/bench/src/cmd/faults/caller.rs
@@ -8,8 +8,8 @@
 
 use super::balancer::Balancer;
 use super::mix::{Kind, Mix, Wanted};
-use crate::load::Counted;
-use crate::load::http::{Ask, Connection, Got};
+use crate::load::RequestOutcome;
+use crate::load::http::{Connection, HttpRequest, HttpResponse};
 
 /// Calls that a caller makes at most for one request.
 const MAX_CALLS: usize = 5;
@@ -101,7 +101,7 @@
     }
 
     /// Sees one request through.
-    pub fn act(&mut self, notes: &mut Vec<Told>, number: usize) -> Counted {
+    pub fn act(&mut self, notes: &mut Vec<Told>, number: usize) -> RequestOutcome {
         let wanted = self.mix.wanted(number);
         let mut calls = Vec::new();
         if wanted.is_impatient {
@@ -125,9 +125,9 @@
         let counts = told.wanted.kind.is_idempotent() && told.is_answered();
         notes.push(told);
         if counts {
-            Counted::Good
+            RequestOutcome::Good
         } else {
-            Counted::Failed
+            RequestOutcome::Failed
         }
     }
 
@@ -183,7 +183,7 @@
     if let Some(session) = &wanted.session {
         headers.push(("x-session-id", session));
     }
-    let ask = Ask {
+    let request = HttpRequest {
         method: "POST",
         path: &wanted.path,
         headers: &headers,
@@ -193,7 +193,7 @@
         return End::NotThere;
     }
     let mut events = Vec::new();
-    match connection.ask_stream(&ask, |data| events.push(data.to_vec())) {
+    match connection.send_streaming(&request, |data| events.push(data.to_vec())) {
         Err(e) => End::Cut(e.to_string()),
         Ok(got) if got.status != 200 => refused(&got),
         Ok(got) if wanted.kind.is_plain() => plain(wanted, &got),
@@ -202,14 +202,14 @@
     }
 }
 
-fn refused(got: &Got) -> End {
+fn refused(got: &HttpResponse) -> End {
     let body = serde_json::from_slice::<Value>(&got.body).unwrap_or_default();
     let text = |field: &str| body["error"][field].as_str().unwrap_or("").to_owned();
     End::Refused(got.status, text("code"), text("run"))
 }
 
 /// A plain service tells the tag back.
-fn plain(wanted: &Wanted, got: &Got) -> End {
+fn plain(wanted: &Wanted, got: &HttpResponse) -> End {
     let body = serde_json::from_slice::<Value>(&got.body).unwrap_or_default();
     if body["tag"] == wanted.tag.as_str() {
         End::Answered(String::new())
@@ -218,13 +218,13 @@
     }
 }
 
-fn whole(wanted: &Wanted, got: &Got) -> End {
+fn whole(wanted: &Wanted, got: &HttpResponse) -> End {
     let body = serde_json::from_slice::<Value>(&got.body).unwrap_or_default();
     let content = body["choices"][0]["message"]["content"].as_str();
     compare(wanted, got, content.unwrap_or_default())
 }
 
-fn streamed(wanted: &Wanted, got: &Got, events: &[Vec<u8>]) -> End {
+fn streamed(wanted: &Wanted, got: &HttpResponse, events: &[Vec<u8>]) -> End {
     let mut content = String::new();
     for event in events {
         let chunk = serde_json::from_slice::<Value>(event).unwrap_or_default();
@@ -241,7 +241,7 @@
 }
 
 /// The stand-in's answers are a function of version, prompt and length.
-fn compare(wanted: &Wanted, got: &Got, content: &str) -> End {
+fn compare(wanted: &Wanted, got: &HttpResponse, content: &str) -> End {
     let version = got.header("x-served-by").to_owned();
     let expected = version
         .parse::<VersionId>()
--- a/bench/src/daemons.rs
+++ b/bench/src/daemons.rs
@@ -1,7 +1,6 @@
-//! Real daemons as child processes, with settings written for them.
+//! Runs real daemons as child processes with generated settings.
 //!
-//! Each is stopped by its own process id: with SIGTERM to see it leave, with SIGKILL to
-//! see it die.
+//! Each is signalled by its own process id: SIGTERM tests a graceful shutdown, SIGKILL a crash.
 
 use std::fs;
 use std::io;
@@ -14,25 +13,25 @@
 use rand::RngExt;
 use standins::platform::Platform;
 
-use crate::load::http::{Ask, Connection};
+use crate::load::http::{Connection, HttpRequest};
 
-/// Longest wait for a daemon to be ready.
-const READY_WITHIN: Duration = Duration::from_secs(20);
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
+/// Time limit for a daemon to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A folder that goes when dropped.
+/// A temporary folder that is removed when dropped.
 #[derive(Debug)]
 pub struct Scratch(PathBuf);
 
 impl Scratch {
-    /// Makes one in the system's folder for such.
+    /// Creates a folder in the system's folder for temporary files.
     pub fn new(name: &str) -> io::Result<Self> {
         let path = std::env::temp_dir().join(format!("{name}-{}", std::process::id()));
         fs::create_dir_all(&path)?;
         Ok(Self(path))
     }
 
-    /// Its path.
+    /// Path of the folder.
     pub fn path(&self) -> &Path {
         &self.0
     }
@@ -40,67 +39,67 @@
 
 impl Drop for Scratch {
     fn drop(&mut self) {
-        // What is left lies in the system's folder for temporary files.
+        // Files that can't be removed stay in the system's folder for temporary files.
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-/// Where a daemon listens.
+/// Addresses on which a daemon listens.
 #[derive(Debug, Clone, Copy)]
 pub struct Addresses {
-    /// For callers.
+    /// Listener for callers.
     pub callers: SocketAddr,
-    /// For operators.
+    /// Listener for the operators' API.
     pub operators: SocketAddr,
-    /// For other daemons.
+    /// Listener for other daemons.
     pub peers: SocketAddr,
 }
 
-/// Ports below those that the kernel gives out by itself: an address is found before its
-/// daemon starts, and any other process could be given such a port in between.
-const PORTS: std::ops::Range<u16> = 12_000..32_000;
-const TRIES: usize = 100;
+/// Ports below the kernel's ephemeral range. An address is chosen before its daemon starts, and in
+/// between the kernel could assign an ephemeral port to another process.
+const PORT_RANGE: std::ops::Range<u16> = 12_000..32_000;
+const MAX_PORT_ATTEMPTS: usize = 100;
 
 impl Addresses {
-    /// Ports that are free now.
+    /// Finds three ports that are currently free.
     pub fn free() -> eyre::Result<Self> {
-        // All held at once, so that they differ.
-        let held = [listener()?, listener()?, listener()?];
+        // All are bound at the same time, so that they differ.
+        let listeners = [listener()?, listener()?, listener()?];
         Ok(Self {
-            callers: held[0].local_addr()?,
-            operators: held[1].local_addr()?,
-            peers: held[2].local_addr()?,
+            callers: listeners[0].local_addr()?,
+            operators: listeners[1].local_addr()?,
+            peers: listeners[2].local_addr()?,
         })
     }
 }
 
 fn listener() -> eyre::Result<TcpListener> {
-    let ports = (0..TRIES).map(|_| rand::rng().random_range(PORTS));
+    let ports = (0..MAX_PORT_ATTEMPTS).map(|_| rand::rng().random_range(PORT_RANGE));
     let mut listeners = ports.filter_map(|port| TcpListener::bind(("127.0.0.1", port)).ok());
     listeners
         .next()
-        .ok_or_else(|| eyre::eyre!("no free port among {PORTS:?}"))
+        .ok_or_else(|| eyre::eyre!("no free port among {PORT_RANGE:?}"))
 }
 
-/// What one daemon is told.
+/// Settings of one daemon.
 #[derive(Debug, Clone)]
 pub struct DaemonPlan {
-    /// Its name.
+    /// Name of the daemon.
     pub name: String,
-    /// Its failure domain.
+    /// Failure domain of the daemon.
     pub failure_domain: String,
-    /// Where it listens.
+    /// Addresses on which it listens.
     pub addresses: Addresses,
-    /// Daemons to join.
+    /// Peer addresses of the daemons that it joins.
     pub seeds: Vec<SocketAddr>,
-    /// Such as `warn`.
+    /// Log filter, such as `warn`.
     pub log: String,
-    /// A customer's key, to see when it serves.
+    /// A customer's key, used to check whether the daemon is ready.
     pub key: String,
 }
 
 impl DaemonPlan {
-    /// For one daemon alone, which serves the customer of a key.
+    /// Settings of a single daemon that serves the customer with this key.
     pub fn alone(key: &str) -> eyre::Result<Self> {
         Ok(Self {
             name: "entry-1".to_owned(),
@@ -113,75 +112,76 @@
     }
 }
 
-/// The fleet that bench daemons belong to.
+/// Name of the cluster that all daemons of the experiments belong to.
 pub const CLUSTER: &str = "bench";
-/// The token of the bench's operator.
+/// Token for the operators' API.
 pub const OPERATOR_TOKEN: &str = "bench-operator-token";
 
-/// A daemon's process.
+/// A running daemon process.
 #[derive(Debug)]
 pub struct Daemon {
-    /// What it was told.
+    /// Settings that it was started with.
     pub plan: DaemonPlan,
-    settings: PathBuf,
+    settings_path: PathBuf,
     child: Child,
 }
 
 impl Daemon {
-    /// Starts it and waits until it is ready.
+    /// Starts a daemon and waits until it is ready.
     pub fn start(plan: DaemonPlan, platform: &Platform, scratch: &Path) -> eyre::Result<Self> {
-        let settings = scratch.join(format!("{}.yaml", plan.name));
-        fs::write(&settings, yaml(&plan, platform))?;
-        let child = spawn(&settings, scratch, &plan.name)?;
+        let settings_path = scratch.join(format!("{}.yaml", plan.name));
+        fs::write(&settings_path, settings_yaml(&plan, platform))?;
+        let child = spawn(&settings_path, scratch, &plan.name)?;
         let mut daemon = Self {
             plan,
-            settings,
+            settings_path,
             child,
         };
         daemon.wait_ready()?;
         Ok(daemon)
     }
 
-    /// Starts it again with the same settings, after it stopped or was killed.
+    /// Restarts the daemon with the same settings after it stopped or was killed.
     pub fn restart(&mut self) -> eyre::Result<()> {
-        let scratch = self.settings.parent().unwrap_or(Path::new("."));
-        self.child = spawn(&self.settings, scratch, &self.plan.name)?;
+        let scratch = self.settings_path.parent().unwrap_or(Path::new("."));
+        self.child = spawn(&self.settings_path, scratch, &self.plan.name)?;
         self.wait_ready()
     }
 
     fn wait_ready(&mut self) -> eyre::Result<()> {
-        let ends = Instant::now() + READY_WITHIN;
-        while Instant::now() < ends {
+        let deadline = Instant::now() + READY_TIMEOUT;
+        while Instant::now() < deadline {
             if let Some(status) = self.child.try_wait()? {
-                bail!("daemon {} ended at its start: {status}", self.plan.name);
+                bail!("daemon {} exited during startup: {status}", self.plan.name);
             }
             if self.is_ready() {
                 return Ok(());
             }
-            std::thread::sleep(LOOK_AGAIN);
+            std::thread::sleep(POLL_INTERVAL);
         }
-        bail!("daemon {} is not ready in time", self.plan.name)
+        bail!("daemon {} did not become ready in time", self.plan.name)
     }
 
-    /// Whether it serves its customer: before it holds a catalogue it refuses all.
+    /// Returns whether the daemon serves its customer. It refuses all requests until it has a
+    /// catalogue.
     pub fn is_ready(&self) -> bool {
         let bearer = format!("Bearer {}", self.plan.key);
-        let ask = Ask {
+        let request = HttpRequest {
             method: "GET",
             path: "/v1/models",
             headers: &[("authorization", &bearer)],
             body: &[],
         };
-        let got = Connection::new(self.plan.addresses.callers).ask(&ask);
-        got.is_ok_and(|got| got.status == 200)
+        let response = Connection::new(self.plan.addresses.callers).send(&request);
+        response.is_ok_and(|response| response.status == 200)
     }
 
-    /// Its process id.
+    /// Process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Its resident memory in bytes.
+    /// Resident memory in bytes.
     pub fn resident_bytes(&self) -> eyre::Result<u64> {
         let status = fs::read_to_string(format!("/proc/{}/status", self.pid()))?;
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -189,39 +189,39 @@
         Ok(kib.unwrap_or(0) * 1024)
     }
 
-    /// Processor time that it has used, in seconds.
+    /// Processor time used so far, in seconds.
     pub fn cpu_seconds(&self) -> eyre::Result<f64> {
         let stat = fs::read_to_string(format!("/proc/{}/stat", self.pid()))?;
-        let after = stat.rsplit_once(") ").map_or("", |(_, rest)| rest);
-        let fields = after.split_whitespace().skip(11).take(2);
+        let after_name = stat.rsplit_once(") ").map_or("", |(_, rest)| rest);
+        let fields = after_name.split_whitespace().skip(11).take(2);
         let ticks = fields.filter_map(|f| f.parse::<u64>().ok()).sum::<u64>();
         Ok(ticks as f64 / TICKS_PER_SECOND)
     }
 
-    /// Asks it to leave; gives whether it ended in time and well.
+    /// Sends SIGTERM; returns whether the daemon exited successfully in time.
     pub fn terminate(&mut self, within: Duration) -> eyre::Result<bool> {
         self.signal("TERM")?;
-        let ends = Instant::now() + within;
-        while Instant::now() < ends {
+        let deadline = Instant::now() + within;
+        while Instant::now() < deadline {
             if let Some(status) = self.child.try_wait()? {
                 return Ok(status.success());
             }
-            std::thread::sleep(LOOK_AGAIN);
+            std::thread::sleep(POLL_INTERVAL);
         }
         Ok(false)
     }
 
-    /// Stops it for a while, as a paused host would.
+    /// Suspends the process with SIGSTOP, like a paused host.
     pub fn pause(&self) -> eyre::Result<()> {
         self.signal("STOP")
     }
 
-    /// Lets it go on.
+    /// Resumes the process with SIGCONT.
     pub fn resume(&self) -> eyre::Result<()> {
         self.signal("CONT")
     }
 
-    /// Ends it at once.
+    /// Kills the process with SIGKILL.
     pub fn kill(&mut self) -> io::Result<()> {
         self.child.kill()?;
         self.child.wait().map(|_| ())
@@ -239,17 +239,17 @@
     }
 }
 
-/// The unit of processor time in `/proc`, on every Linux of today.
+/// Clock ticks per second of processor time in `/proc`, 100 on all current Linux systems.
 const TICKS_PER_SECOND: f64 = 100.0;
 
 impl Drop for Daemon {
     fn drop(&mut self) {
-        // It may have ended already.
+        // Fails if the process has already ended.
         let _ = self.kill();
     }
 }
 
-fn spawn(settings: &Path, scratch: &Path, name: &str) -> eyre::Result<Child> {
+fn spawn(settings_path: &Path, scratch: &Path, name: &str) -> eyre::Result<Child> {
     let program = std::env::current_exe()?.with_file_name("buckthorncrossd");
     if !program.exists() {
         bail!(
@@ -263,7 +263,7 @@
         .open(scratch.join(format!("{name}.log")))?;
     Command::new(program)
         .arg("run")
-        .arg(settings)
+        .arg(settings_path)
         .stdin(Stdio::null())
         .stdout(log.try_clone()?)
         .stderr(log)
@@ -271,7 +271,7 @@
         .wrap_err("starting buckthorncrossd")
 }
 
-fn yaml(plan: &DaemonPlan, platform: &Platform) -> String {
+fn settings_yaml(plan: &DaemonPlan, platform: &Platform) -> String {
     let seeds = plan.seeds.iter().map(|seed| format!("'{seed}'"));
     let seeds = seeds.collect::<Vec<_>>().join(", ");
     format!(
--- a/bench/src/echo.rs
+++ b/bench/src/echo.rs
@@ -1,4 +1,4 @@
-//! One daemon before four engines, one customer and one offer, without limits.
+//! Test setup with one daemon, four engines, one customer and one offer, without limits.
 
 pub mod path;
 
@@ -12,50 +12,50 @@
 
 use crate::daemons::{CLUSTER, Daemon, DaemonPlan, Scratch};
 
-/// What callers through the daemon ask for.
+/// Offer requested by callers of the daemon.
 pub const OFFER: &str = "echo";
-/// What callers of the engines ask for.
+/// Version requested by direct callers of the engines.
 pub const VERSION: &str = "echo-large@2026-12";
-const KEY: &str = "example-bench";
-/// The customer's key, as a header.
+const CUSTOMER_KEY: &str = "example-bench";
+/// Value of the `authorization` header with the customer's key.
 pub const AUTHORIZATION: &str = "Bearer example-bench";
-/// Tokens of each slow stream.
+/// Number of tokens in each slow stream.
 pub const SLOW_TOKENS: u32 = 20;
 
 const ENGINES: usize = 4;
 const SLOTS: u32 = 1024;
-/// Length of an answer unless the request says more.
-const SHORT_ANSWER: u32 = 8;
+/// Tokens of an answer unless the request asks for more.
+const ANSWER_TOKENS: u32 = 8;
 
-/// Answers at once.
-pub fn quick_engine() -> EngineConfig {
+/// Settings of an engine that answers without delay.
+pub fn instant_engine() -> EngineConfig {
     EngineConfig {
-        answer_tokens: SHORT_ANSWER,
+        answer_tokens: ANSWER_TOKENS,
         cache_tokens: 10_000,
         max_run_records: 0,
         ..EngineConfig::default()
     }
 }
 
-/// Gives tokens faster than the daemon is expected to pass on.
-pub fn token_engine() -> EngineConfig {
+/// Settings of an engine that produces tokens faster than the daemon is expected to relay them.
+pub fn token_rate_engine() -> EngineConfig {
     EngineConfig {
         answer_tokens: 4096,
         token_time: Span::from_millis(5),
-        ..quick_engine()
+        ..instant_engine()
     }
 }
 
-/// Spreads the tokens of a slow stream over a time.
+/// Settings of an engine that spreads the tokens of a slow stream evenly over a time.
 pub fn slow_engine(length: Duration) -> EngineConfig {
     EngineConfig {
         answer_tokens: SLOW_TOKENS,
         token_time: Span::from(length / SLOW_TOKENS),
-        ..quick_engine()
+        ..instant_engine()
     }
 }
 
-/// A request's body; a stream when tokens are given.
+/// Returns the body of a chat request, which asks for a stream if `tokens` is given.
 pub fn body(model: &str, id: &str, tokens: Option<u32>) -> String {
     let text = format!("{id} say something short about the price of a manicure");
     let mut body = json!({
@@ -69,27 +69,27 @@
     body.to_string()
 }
 
-/// A running platform with one daemon.
+/// A running stand-in platform with one daemon.
 pub struct Setup {
-    /// The daemon; stops before the platform.
+    /// The daemon. Declared first so that it stops before the platform.
     pub daemon: Daemon,
-    /// The stand-ins.
+    /// Stand-ins of the platform's services.
     pub platform: Platform,
     _scratch: Scratch,
 }
 
 impl Setup {
-    /// Starts all.
+    /// Starts the platform and the daemon.
     pub fn start(engine: &EngineConfig) -> eyre::Result<Self> {
-        let entries = catalogue::file::parse("overhead", &entries())?;
+        let catalogue_yaml = catalogue::file::parse("overhead", &catalogue_yaml())?;
         let cfg = PlatformConfig {
             engine: engine.clone(),
             ..PlatformConfig::default()
         };
-        let platform = Platform::start(&cfg, &entries)?;
+        let platform = Platform::start(&cfg, &catalogue_yaml)?;
         platform.seed(&CLUSTER.parse()?, &"bench".parse()?, Clock::new().wall());
         let scratch = Scratch::new("buckthorncross-overhead")?;
-        let plan = DaemonPlan::alone(KEY)?;
+        let plan = DaemonPlan::alone(CUSTOMER_KEY)?;
         let daemon = Daemon::start(plan, &platform, scratch.path())?;
         Ok(Self {
             daemon,
@@ -98,7 +98,7 @@
         })
     }
 
-    /// Where the engines listen.
+    /// Addresses of the engines.
     pub fn engines(&self) -> Vec<SocketAddr> {
         self.platform
             .engines
@@ -108,9 +108,9 @@
     }
 }
 
-/// One customer, one pool, one offer, no limits.
-fn entries() -> String {
-    let hash = catalogue::entry::KeyHash::from_key(KEY);
+/// Returns the catalogue entries of one customer, one service, one model and one offer.
+fn catalogue_yaml() -> String {
+    let hash = catalogue::entry::KeyHash::from_key(CUSTOMER_KEY);
     let upstreams = (1..=ENGINES).map(|n| {
         format!(
             "      - {{id: echo-{n}, address: '10.0.0.{n}:80', failure_domain: one, slots: {SLOTS}}}\n"
--- a/bench/src/echo/path.rs
+++ b/bench/src/echo/path.rs
@@ -1,102 +1,107 @@
-//! The straight and the through arm, and how one request of an arm is made.
+//! The two arms, direct to the engines and through the daemon, and how their requests are sent.
 
 use std::net::SocketAddr;
 
 use super::Setup;
-use crate::load::http::{Ask, Connection, Got};
-use crate::load::{Counted, Seen};
+use crate::load::http::{Connection, HttpRequest, HttpResponse};
+use crate::load::{RequestOutcome, WorkerResult};
 
-/// Name of the arm without a daemon.
-pub const STRAIGHT: &str = "straight";
-/// Name of the arm through a daemon.
-pub const THROUGH: &str = "through";
+/// Name of the arm that sends requests directly to the engines.
+pub const DIRECT: &str = "straight";
+/// Name of the arm that sends requests through a daemon.
+pub const VIA_DAEMON: &str = "through";
 
-/// An arm with the addresses that its workers use in turn.
+/// One side of the comparison.
 pub struct Arm {
-    /// Its name in the report.
+    /// Name in the report.
     pub name: &'static str,
-    /// Where its workers connect, in turn.
+    /// Addresses to which the workers connect, round robin.
     pub addresses: Vec<SocketAddr>,
-    /// What its requests ask for.
+    /// Value of the requests' `model` field.
     pub model: &'static str,
 }
 
-/// Both arms.
+/// Returns the direct arm and the arm through the daemon.
 pub fn arms(setup: &Setup) -> [Arm; 2] {
     [
         Arm {
-            name: STRAIGHT,
+            name: DIRECT,
             addresses: setup.engines(),
             model: super::VERSION,
         },
         Arm {
-            name: THROUGH,
+            name: VIA_DAEMON,
             addresses: vec![setup.daemon.plan.addresses.callers],
             model: super::OFFER,
         },
     ]
 }
 
-/// What workers count besides latencies.
+/// Counts that a worker keeps in addition to latencies.
 #[derive(Debug, Default)]
 pub struct Notes {
-    /// Requests without a whole answer.
+    /// Requests without a complete response.
     pub failed: u64,
-    /// Events of streams.
+    /// Events received on streams.
     pub tokens: u64,
-    /// What the first failure said.
+    /// Message of the first failure.
     pub failure: Option<String>,
 }
 
-/// Makes one request; a stream when tokens are given, which is good only with its end marker.
-pub fn ask(
+/// Sends one request, as a stream if `tokens` is given. A stream without its end marker counts as
+/// failed.
+pub fn send_request(
     connection: &mut Connection,
     notes: &mut Notes,
     arm: &Arm,
     id: &str,
     tokens: Option<u32>,
-) -> Counted {
+) -> RequestOutcome {
     let body = super::body(arm.model, id, tokens);
     let headers = [
         ("content-type", "application/json"),
         ("authorization", super::AUTHORIZATION),
         ("x-request-id", id),
     ];
-    let ask = Ask {
+    let request = HttpRequest {
         method: "POST",
         path: "/v1/chat/completions",
         headers: &headers,
         body: body.as_bytes(),
     };
     let mut events = 0;
-    let mut last = Vec::new();
-    let got = connection.ask_stream(&ask, |data| {
+    let mut last_event = Vec::new();
+    let response = connection.send_streaming(&request, |data| {
         events += 1;
-        last.clear();
-        last.extend_from_slice(data);
+        last_event.clear();
+        last_event.extend_from_slice(data);
     });
     notes.tokens += events;
-    let is_whole = tokens.is_none() || last == b"[DONE]";
-    match got {
-        Ok(Got { status: 200, .. }) if is_whole => Counted::Good,
-        Ok(got) => fail(
+    let is_complete = tokens.is_none() || last_event == b"[DONE]";
+    match response {
+        Ok(HttpResponse { status: 200, .. }) if is_complete => RequestOutcome::Good,
+        Ok(response) => record_failure(
             notes,
-            format!("{}: {}", got.status, String::from_utf8_lossy(&got.body)),
+            format!(
+                "{}: {}",
+                response.status,
+                String::from_utf8_lossy(&response.body)
+            ),
         ),
-        Err(e) => fail(notes, e.to_string()),
+        Err(e) => record_failure(notes, e.to_string()),
     }
 }
 
-fn fail(notes: &mut Notes, message: String) -> Counted {
+fn record_failure(notes: &mut Notes, message: String) -> RequestOutcome {
     notes.failed += 1;
     notes.failure.get_or_insert(message);
-    Counted::Failed
+    RequestOutcome::Failed
 }
 
-/// Failures of all workers; the first is printed for the reader.
-pub fn failures(arm: &Arm, seen: &[Seen<Notes>]) -> f64 {
-    if let Some(failure) = seen.iter().find_map(|s| s.notes.failure.as_ref()) {
+/// Returns the number of failures of all workers and prints the message of one of them.
+pub fn count_failures(arm: &Arm, results: &[WorkerResult<Notes>]) -> f64 {
+    if let Some(failure) = results.iter().find_map(|s| s.notes.failure.as_ref()) {
         eprintln!("{}: a request failed: {failure}", arm.name);
     }
-    seen.iter().map(|s| s.notes.failed as f64).sum()
+    results.iter().map(|s| s.notes.failed as f64).sum()
 }
--- a/bench/src/fake.rs
+++ b/bench/src/fake.rs
@@ -1,4 +1,4 @@
-//! Fakes for experiments in fast time: an event queue and engines.
+//! Fakes for experiments in simulated time: an event queue and engines.
 
 pub mod engine;
 pub mod events;
--- a/bench/src/fake/events.rs
+++ b/bench/src/fake/events.rs
@@ -1,34 +1,35 @@
-//! Events in the order of their time.
+//! Event queue of a discrete-event simulation.
 
 use std::collections::BTreeMap;
 
 use types::prelude::*;
 
-/// Events to come. Those of the same time come in the order in which they were added.
+/// Pending events in order of time. Events of the same time keep the order in which they were
+/// added.
 #[derive(Debug)]
 pub struct Events<E> {
     queue: BTreeMap<(Time, u64), E>,
-    added: u64,
+    last_sequence: u64,
 }
 
 impl<E> Events<E> {
-    /// None to come.
+    /// Creates an empty queue.
     pub fn new() -> Self {
         Self {
             queue: BTreeMap::new(),
-            added: 0,
+            last_sequence: 0,
         }
     }
 
-    /// Adds an event.
-    pub fn add(&mut self, at: Time, event: E) {
-        self.added += 1;
-        self.queue.insert((at, self.added), event);
+    /// Schedules an event.
+    pub fn add(&mut self, time: Time, event: E) {
+        self.last_sequence += 1;
+        self.queue.insert((time, self.last_sequence), event);
     }
 
-    /// Takes the next event and its time.
+    /// Removes the next event and returns it with its time.
     pub fn next(&mut self) -> Option<(Time, E)> {
-        let ((at, _), event) = self.queue.pop_first()?;
-        Some((at, event))
+        let ((time, _), event) = self.queue.pop_first()?;
+        Some((time, event))
     }
 }
--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -1,7 +1,8 @@
-//! Instances of the decisions in fast time, with fakes of the gossip and of the rater.
+//! Simulates a fleet of daemons that choose versions, with simplified gossip and a simplified
+//! rater.
 //!
-//! No cluster is simulated: instances exchange their facts by a push epidemic that loses some,
-//! and ratings come back after a lag, up to a rate.
+//! Only the choice of version is the real component. Facts spread by a push epidemic that loses
+//! some messages; ratings arrive after a delay and up to a maximum rate.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -12,28 +13,28 @@
 use rand::{RngExt, SeedableRng};
 use types::prelude::*;
 
-const TICK: Span = Span::from_millis(100);
-const ROUND: Span = Span::from_millis(200);
-const FANOUT: usize = 3;
-/// Rounds that a fact is passed on beyond the logarithm of the fleet.
+const TICK_INTERVAL: Span = Span::from_millis(100);
+const GOSSIP_INTERVAL: Span = Span::from_millis(200);
+const GOSSIP_FANOUT: usize = 3;
+/// Number of rounds that a fact is relayed in addition to the binary logarithm of the fleet's size.
 const EXTRA_ROUNDS: u32 = 3;
 
-/// How the fakes behave.
+/// Settings of the simulated fleet.
 #[derive(Debug, Clone)]
-pub struct Surroundings {
-    /// Instances.
+pub struct FleetConfig {
+    /// Number of daemons.
     pub daemons: usize,
-    /// Share of messages lost.
+    /// Fraction of messages lost.
     pub loss: f64,
-    /// From an answer to its rating.
+    /// Delay from an answer to its rating.
     pub rater_lag: Span,
-    /// Ratings that the rater takes.
+    /// Maximum rate of ratings that the rater accepts.
     pub rater_rate: Rate,
-    /// Settings of every instance.
+    /// Settings of the component in every daemon.
     pub config: Config,
 }
 
-impl Default for Surroundings {
+impl Default for FleetConfig {
     fn default() -> Self {
         let rater_rate = Rate(20.0);
         Self {
@@ -49,7 +50,7 @@
     }
 }
 
-/// One fact on its way: who said it, its key, its number and its value.
+/// A published fact that is being relayed.
 #[derive(Debug)]
 struct Fact {
     origin: usize,
@@ -60,81 +61,84 @@
 
 struct Member {
     quality: Quality,
-    held: BTreeMap<(usize, Vec<u8>), u64>,
-    passing_on: Vec<(Rc<Fact>, u32)>,
+    latest: BTreeMap<(usize, Vec<u8>), u64>,
+    relayed: Vec<(Rc<Fact>, u32)>,
 }
 
-/// A rating on its way back.
+/// Delivery time and number of a rating that has not been delivered yet.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-struct Due {
+struct PendingRating {
     at: Time,
     number: u64,
 }
 
-struct Rated {
+struct RatedAnswer {
     daemon: usize,
     class: ClassName,
     version: VersionId,
     rating: Rating,
 }
 
-/// Instances, gossip, rater and the time.
+/// A simulated fleet with its gossip, its rater and its clock.
 pub struct Fleet {
     pub now: Time,
     pub rng: StdRng,
-    surroundings: Surroundings,
+    cfg: FleetConfig,
     members: Vec<Member>,
-    next_tick: Time,
-    next_round: Time,
-    due: BinaryHeap<Reverse<Due>>,
-    rated: BTreeMap<u64, Rated>,
-    counter: u64,
-    rater_busy: VecDeque<Time>,
-    /// Changes of standing, with their moment.
+    next_tick_at: Time,
+    next_gossip_at: Time,
+    pending_ratings: BinaryHeap<Reverse<PendingRating>>,
+    rated_answers: BTreeMap<u64, RatedAnswer>,
+    last_number: u64,
+    accepted_at: VecDeque<Time>,
+    /// Changes of a version's phase, with their time and the daemon's index.
     pub changes: Vec<(Time, usize, Change)>,
-    /// Bytes of facts published, all instances: what each must hear once.
+    /// Bytes of all published facts, which every daemon must receive once.
     pub bytes: u64,
 }
 
 impl Fleet {
-    pub fn new(surroundings: Surroundings, seed: u64) -> Self {
+    pub fn new(cfg: FleetConfig, seed: u64) -> Self {
         let start = |number| Member {
             quality: Quality::new(
-                surroundings.config.clone(),
+                cfg.config.clone(),
                 Incarnation(number as u64 + 1),
                 Time::ZERO,
             ),
-            held: BTreeMap::new(),
-            passing_on: Vec::new(),
+            latest: BTreeMap::new(),
+            relayed: Vec::new(),
         };
         Self {
             now: Time::ZERO,
             rng: StdRng::seed_from_u64(seed),
-            members: (0..surroundings.daemons).map(start).collect(),
-            surroundings,
-            next_tick: Time::ZERO,
-            next_round: Time::ZERO,
-            due: BinaryHeap::new(),
-            rated: BTreeMap::new(),
-            counter: 0,
-            rater_busy: VecDeque::new(),
+            members: (0..cfg.daemons).map(start).collect(),
+            cfg,
+            next_tick_at: Time::ZERO,
+            next_gossip_at: Time::ZERO,
+            pending_ratings: BinaryHeap::new(),
+            rated_answers: BTreeMap::new(),
+            last_number: 0,
+            accepted_at: VecDeque::new(),
             changes: Vec::new(),
             bytes: 0,
         }
     }
 
-    /// Goes on to a moment: ratings, ticks and gossip in their order.
+    /// Advances the clock, delivering ratings, ticks and gossip rounds in order.
     pub fn advance(&mut self, to: Time) {
         loop {
-            let rating = self.due.peek().map_or(Time::NEVER, |due| due.0.at);
-            let next = rating.min(self.next_tick).min(self.next_round);
+            let rating = self
+                .pending_ratings
+                .peek()
+                .map_or(Time::NEVER, |pending| pending.0.at);
+            let next = rating.min(self.next_tick_at).min(self.next_gossip_at);
             if next > to {
                 break;
             }
             self.now = next;
             if next == rating {
                 self.deliver_rating();
-            } else if next == self.next_tick {
+            } else if next == self.next_tick_at {
                 self.tick();
             } else {
                 self.gossip();
@@ -143,8 +147,8 @@
         self.now = to;
     }
 
-    /// A random instance, as the balancer picks.
-    pub fn any_daemon(&mut self) -> usize {
+    /// Picks a random daemon, like the platform's load balancer.
+    pub fn random_daemon(&mut self) -> usize {
         self.rng.random_range(0..self.members.len())
     }
 
@@ -153,7 +157,7 @@
         quality.choose(self.now, input, &mut self.rng)
     }
 
-    /// Has an answer rated if the instance wants to and the rater takes it.
+    /// Submits an answer for rating if the daemon wants it rated and the rater accepts it.
     pub fn offer_rating(
         &mut self,
         daemon: usize,
@@ -163,56 +167,56 @@
     ) {
         let quality = &mut self.members[daemon].quality;
         let escalated = rating.escalated;
-        let wanted = quality.should_rate(self.now, class, version, escalated, &mut self.rng);
-        if !wanted || !self.rater_takes() {
+        let should_rate = quality.should_rate(self.now, class, version, escalated, &mut self.rng);
+        if !should_rate || !self.rater_accepts() {
             return;
         }
-        self.counter += 1;
-        let rated = Rated {
+        self.last_number += 1;
+        let rated = RatedAnswer {
             daemon,
             class: class.clone(),
             version: version.clone(),
             rating,
         };
-        self.rated.insert(self.counter, rated);
-        self.due.push(Reverse(Due {
-            at: self.now + self.surroundings.rater_lag,
-            number: self.counter,
+        self.rated_answers.insert(self.last_number, rated);
+        self.pending_ratings.push(Reverse(PendingRating {
+            at: self.now + self.cfg.rater_lag,
+            number: self.last_number,
         }));
     }
 
-    fn rater_takes(&mut self) -> bool {
+    fn rater_accepts(&mut self) -> bool {
         let second_ago = self.now - Span::from_secs(1);
-        while self.rater_busy.front().is_some_and(|at| *at < second_ago) {
-            self.rater_busy.pop_front();
+        while self.accepted_at.front().is_some_and(|at| *at < second_ago) {
+            self.accepted_at.pop_front();
         }
-        let free = (self.rater_busy.len() as f64) < 2.0 * self.surroundings.rater_rate.0;
+        let free = (self.accepted_at.len() as f64) < 2.0 * self.cfg.rater_rate.0;
         if free {
-            self.rater_busy.push_back(self.now);
+            self.accepted_at.push_back(self.now);
         }
         free
     }
 
     fn deliver_rating(&mut self) {
-        let Some(Reverse(due)) = self.due.pop() else {
+        let Some(Reverse(pending)) = self.pending_ratings.pop() else {
             return;
         };
-        let Some(rated) = self.rated.remove(&due.number) else {
+        let Some(rated) = self.rated_answers.remove(&pending.number) else {
             return;
         };
         let quality = &mut self.members[rated.daemon].quality;
-        let taken = quality.record_rating(
+        let recorded = quality.record_rating(
             self.now,
             &rated.class,
             &rated.version,
             rated.rating,
             &mut self.rng,
         );
-        debug_assert!(taken.is_ok());
+        debug_assert!(recorded.is_ok());
     }
 
     fn tick(&mut self) {
-        self.next_tick = self.now + TICK;
+        self.next_tick_at = self.now + TICK_INTERVAL;
         let fleet = self.members.len();
         let rounds = fleet.ilog2() + EXTRA_ROUNDS;
         for (origin, member) in self.members.iter_mut().enumerate() {
@@ -224,55 +228,55 @@
                 .quality
                 .take_unpublished_facts(self.now, &mut self.rng)
             {
-                self.counter += 1;
+                self.last_number += 1;
                 let fact = Fact {
                     origin,
                     key: encoded.key.to_vec(),
-                    number: self.counter,
+                    number: self.last_number,
                     value: encoded.value.to_vec(),
                 };
                 self.bytes += (fact.key.len() + fact.value.len()) as u64;
-                member.held.insert((origin, fact.key.clone()), fact.number);
-                member.passing_on.push((Rc::new(fact), rounds));
+                member
+                    .latest
+                    .insert((origin, fact.key.clone()), fact.number);
+                member.relayed.push((Rc::new(fact), rounds));
             }
         }
     }
 
     fn gossip(&mut self) {
-        self.next_round = self.now + ROUND;
+        self.next_gossip_at = self.now + GOSSIP_INTERVAL;
         let fleet = self.members.len();
-        let mut mail: Vec<(usize, Rc<Fact>)> = Vec::new();
+        let mut messages: Vec<(usize, Rc<Fact>)> = Vec::new();
         for (sender, member) in self.members.iter_mut().enumerate() {
-            for _ in 0..FANOUT.min(fleet - 1) {
+            for _ in 0..GOSSIP_FANOUT.min(fleet - 1) {
                 let peer = self.rng.random_range(0..fleet);
-                for (fact, _) in &member.passing_on {
-                    if peer != sender && !self.rng.random_bool(self.surroundings.loss) {
-                        mail.push((peer, fact.clone()));
+                for (fact, _) in &member.relayed {
+                    if peer != sender && !self.rng.random_bool(self.cfg.loss) {
+                        messages.push((peer, fact.clone()));
                     }
                 }
             }
-            for (_, rounds_left) in &mut member.passing_on {
+            for (_, rounds_left) in &mut member.relayed {
                 *rounds_left -= 1;
             }
-            member
-                .passing_on
-                .retain(|(_, rounds_left)| *rounds_left > 0);
+            member.relayed.retain(|(_, rounds_left)| *rounds_left > 0);
         }
-        for (peer, fact) in mail {
+        for (peer, fact) in messages {
             self.receive(peer, fact);
         }
     }
 
     fn receive(&mut self, peer: usize, fact: Rc<Fact>) {
         let member = &mut self.members[peer];
-        let held = member
-            .held
+        let latest = member
+            .latest
             .entry((fact.origin, fact.key.clone()))
             .or_default();
-        if fact.origin == peer || fact.number <= *held {
+        if fact.origin == peer || fact.number <= *latest {
             return;
         }
-        *held = fact.number;
+        *latest = fact.number;
         let Ok(origin) = DaemonId::new(&format!("d{}", fact.origin)) else {
             return;
         };
@@ -281,21 +285,22 @@
             .quality
             .merge_fact(self.now, &origin, key, value, &mut self.rng);
         debug_assert!(merged.is_ok());
-        let rounds = self.surroundings.daemons.ilog2() + EXTRA_ROUNDS;
+        let rounds = self.cfg.daemons.ilog2() + EXTRA_ROUNDS;
         member
-            .passing_on
+            .relayed
             .retain(|(old, _)| old.origin != fact.origin || old.key != fact.key);
-        member.passing_on.push((fact, rounds));
+        member.relayed.push((fact, rounds));
     }
 
-    /// Instances in which a version is suspended.
-    pub fn suspended_in(&self, version: &VersionId) -> usize {
-        let held = self.members.iter();
-        held.filter(|member| member.quality.is_suspended(version))
+    /// Number of daemons in which a version is suspended.
+    pub fn suspended_daemons(&self, version: &VersionId) -> usize {
+        let members = self.members.iter();
+        members
+            .filter(|member| member.quality.is_suspended(version))
             .count()
     }
 
-    /// Suspensions begun, over all instances.
+    /// Number of suspensions so far in all daemons.
     pub fn suspensions(&self) -> usize {
         let changes = self.changes.iter();
         changes
--- a/bench/src/load.rs
+++ b/bench/src/load.rs
@@ -1,8 +1,9 @@
-//! Load generator: open-loop arrivals over keep-alive connections, a thread each.
+//! Load generator with open-loop or closed-loop arrivals over keep-alive connections, one thread
+//! per connection.
 //!
-//! Latency counts from the moment a request was meant to start, not from when a free
-//! worker got to it, so a slow server can't hide its slowness by slowing the generator
-//! (coordinated omission).
+//! In an open loop, latency is measured from the intended start of a request, not from when a
+//! worker became free to send it. Otherwise a slow server would slow down the generator and hide
+//! its own latency (coordinated omission).
 
 pub mod http;
 
@@ -13,144 +14,145 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// Stack of a worker.
+/// Stack size of a worker thread.
 const STACK_BYTES: usize = 256 << 10;
-/// Digits that a histogram keeps.
-const DIGITS: u8 = 3;
-/// Longest latency that a histogram tells apart, in microseconds.
+/// Decimal digits of precision that a histogram keeps.
+const SIGNIFICANT_DIGITS: u8 = 3;
+/// Longest latency that a histogram distinguishes, in microseconds.
 const MAX_MICROS: u64 = 120_000_000;
 
-/// When requests are meant to start, from the beginning of the load.
+/// Intended start of each request, relative to the start of the load.
 #[derive(Debug, Clone)]
 pub struct Arrivals(pub Vec<Duration>);
 
 impl Arrivals {
-    /// At random, independent of each other, at a rate a second.
+    /// Draws a Poisson process with a mean rate in requests per second.
     pub fn poisson(seed: u64, rate: f64, length: Duration) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
-        let mut at = 0.0;
-        let mut starts = Vec::new();
+        let mut elapsed_s = 0.0;
+        let mut start_times = Vec::new();
         loop {
-            at += -(1.0 - rng.random::<f64>()).ln() / rate;
-            if at >= length.as_secs_f64() {
-                return Self(starts);
+            elapsed_s += -(1.0 - rng.random::<f64>()).ln() / rate;
+            if elapsed_s >= length.as_secs_f64() {
+                return Self(start_times);
             }
-            starts.push(Duration::from_secs_f64(at));
+            start_times.push(Duration::from_secs_f64(elapsed_s));
         }
     }
 }
 
-/// Latencies of a load.
+/// Histogram of request latencies.
 #[derive(Debug, Clone)]
 pub struct Latencies(Histogram<u64>);
 
 impl Latencies {
-    /// None yet.
+    /// Creates an empty histogram.
     pub fn new() -> Self {
-        let histogram = Histogram::new_with_bounds(1, MAX_MICROS, DIGITS);
+        let histogram = Histogram::new_with_bounds(1, MAX_MICROS, SIGNIFICANT_DIGITS);
         Self(histogram.expect("the bounds are constant and good"))
     }
 
-    /// Counts one.
+    /// Records one latency.
     pub fn record(&mut self, latency: Duration) {
         let micros = u64::try_from(latency.as_micros()).unwrap_or(u64::MAX);
         self.0.saturating_record(micros);
     }
 
-    /// Counts all of another's.
-    pub fn add(&mut self, other: &Self) {
+    /// Adds all latencies of another histogram.
+    pub fn merge(&mut self, other: &Self) {
         self.0.add(&other.0).expect("all have the same bounds");
     }
 
-    /// In milliseconds, by a share from 0 to 1.
+    /// Returns the latency in milliseconds at a quantile from 0 to 1.
     pub fn quantile_ms(&self, share: f64) -> f64 {
         self.0.value_at_quantile(share) as f64 / 1_000.0
     }
 
-    /// How many were counted.
+    /// Number of recorded latencies.
     pub fn count(&self) -> u64 {
         self.0.len()
     }
 
-    /// Shares from 0 to 1 with their milliseconds, for plots.
+    /// Quantiles from 0 to 1 with their latencies in milliseconds, for plots.
     pub fn curve(&self) -> Vec<(f64, f64)> {
         let steps = (0..=200).map(|n| f64::from(n) / 200.0);
         steps.map(|q| (q, self.quantile_ms(q))).collect()
     }
 }
 
-/// What one worker saw.
+/// Measurements of one worker.
 #[derive(Debug, Clone)]
-pub struct Seen<T> {
-    /// From intended start to end, of what the action counted as good.
+pub struct WorkerResult<T> {
+    /// Latencies from intended start to end of the requests that the action reported as good.
     pub latencies: Latencies,
-    /// What else the action noted.
+    /// Further data recorded by the action.
     pub notes: T,
 }
 
-/// Whether a request counts among the latencies.
+/// Whether the latency of a request is recorded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Counted {
-    /// Yes.
+pub enum RequestOutcome {
+    /// The request succeeded; its latency is recorded.
     Good,
-    /// It failed.
+    /// The request failed; its latency is not recorded.
     Failed,
 }
 
-/// Starts requests when they are meant to, with at most so many at once, and gives what
-/// the workers noted. `act` gets its worker's notes and connection and the request's number.
+/// Starts requests at their intended times, with at most `workers` in flight, and returns the
+/// workers' measurements. `action` gets its worker's connection and notes and the request's
+/// number.
 pub fn open_loop<C, T: Default + Send>(
     arrivals: &Arrivals,
     workers: usize,
     connect: impl Fn() -> C + Sync,
-    act: impl Fn(&mut C, &mut T, usize) -> Counted + Sync,
-) -> eyre::Result<Vec<Seen<T>>> {
+    action: impl Fn(&mut C, &mut T, usize) -> RequestOutcome + Sync,
+) -> eyre::Result<Vec<WorkerResult<T>>> {
     let next = AtomicUsize::new(0);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     run_workers(workers, || {
         let mut connection = connect();
-        let mut seen = Seen {
+        let mut result = WorkerResult {
             latencies: Latencies::new(),
             notes: T::default(),
         };
         loop {
             let number = next.fetch_add(1, Ordering::Relaxed);
-            let Some(start) = arrivals.0.get(number) else {
-                return seen;
+            let Some(intended_start) = arrivals.0.get(number) else {
+                return result;
             };
-            let start = begun + *start;
-            std::thread::sleep(start.saturating_duration_since(Instant::now()));
-            let counted = act(&mut connection, &mut seen.notes, number);
-            if counted == Counted::Good {
-                seen.latencies.record(start.elapsed());
+            let intended_start = started_at + *intended_start;
+            std::thread::sleep(intended_start.saturating_duration_since(Instant::now()));
+            let outcome = action(&mut connection, &mut result.notes, number);
+            if outcome == RequestOutcome::Good {
+                result.latencies.record(intended_start.elapsed());
             }
         }
     })
 }
 
-/// Repeats requests back to back on so many connections for a time.
+/// Sends requests back to back on `workers` connections for a given time.
 pub fn closed_loop<C, T: Default + Send>(
     workers: usize,
     length: Duration,
     connect: impl Fn() -> C + Sync,
-    act: impl Fn(&mut C, &mut T, usize) -> Counted + Sync,
-) -> eyre::Result<Vec<Seen<T>>> {
+    action: impl Fn(&mut C, &mut T, usize) -> RequestOutcome + Sync,
+) -> eyre::Result<Vec<WorkerResult<T>>> {
     let next = AtomicUsize::new(0);
-    let ends = Instant::now() + length;
+    let deadline = Instant::now() + length;
     run_workers(workers, || {
         let mut connection = connect();
-        let mut seen = Seen {
+        let mut result = WorkerResult {
             latencies: Latencies::new(),
             notes: T::default(),
         };
-        while Instant::now() < ends {
+        while Instant::now() < deadline {
             let number = next.fetch_add(1, Ordering::Relaxed);
-            let start = Instant::now();
-            if act(&mut connection, &mut seen.notes, number) == Counted::Good {
-                seen.latencies.record(start.elapsed());
+            let intended_start = Instant::now();
+            if action(&mut connection, &mut result.notes, number) == RequestOutcome::Good {
+                result.latencies.record(intended_start.elapsed());
             }
         }
-        seen
+        result
     })
 }
 
@@ -170,11 +172,11 @@
     })
 }
 
-/// All workers' latencies together.
-pub fn merged<T>(seen: &[Seen<T>]) -> Latencies {
+/// Merges the latencies of all workers.
+pub fn merge_latencies<T>(results: &[WorkerResult<T>]) -> Latencies {
     let mut all = Latencies::new();
-    for worker in seen {
-        all.add(&worker.latencies);
+    for worker in results {
+        all.merge(&worker.latencies);
     }
     all
 }
--- a/bench/src/load/http.rs
+++ b/bench/src/load/http.rs
@@ -1,49 +1,49 @@
-//! A caller's keep-alive connection: whole answers and server-sent events.
+//! A keep-alive HTTP/1.1 client connection that reads whole bodies and server-sent events.
 //!
-//! attohttpc closes each connection after its answer, which callers' own clients do not,
-//! so the generator speaks the little of HTTP/1.1 that it needs over a plain socket.
+//! attohttpc closes each connection after its response, which real callers' clients do not,
+//! so the load generator implements the small part of HTTP/1.1 that it needs on a plain socket.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Longest wait for a byte.
+/// Longest wait for the next byte of a response.
 const READ_TIMEOUT: Duration = Duration::from_secs(60);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// One request.
+/// An HTTP request.
 #[derive(Debug, Clone)]
-pub struct Ask<'a> {
-    /// Such as `POST`.
+pub struct HttpRequest<'a> {
+    /// HTTP method, such as `POST`.
     pub method: &'a str,
-    /// Its path.
+    /// Request path.
     pub path: &'a str,
-    /// Headers besides host and length.
+    /// Headers other than `host` and `content-length`.
     pub headers: &'a [(&'a str, &'a str)],
-    /// Its whole body.
+    /// Complete request body.
     pub body: &'a [u8],
 }
 
-/// An answer; for streams `body` is empty.
+/// An HTTP response. The body of an event stream is empty here.
 #[derive(Debug, Clone, Default)]
-pub struct Got {
-    /// The HTTP status.
+pub struct HttpResponse {
+    /// HTTP status code.
     pub status: u16,
-    /// Names in lower case with their values.
+    /// Header names in lower case, with their values.
     pub headers: Vec<(String, String)>,
-    /// The whole body.
+    /// Complete response body.
     pub body: Vec<u8>,
 }
 
-impl Got {
-    /// A header's value, empty when absent.
+impl HttpResponse {
+    /// Returns a header's value, or an empty string if it is absent.
     pub fn header(&self, name: &str) -> &str {
         let found = self.headers.iter().find(|(n, _)| n == name);
         found.map_or("", |(_, value)| value)
     }
 }
 
-/// A connection that is made when needed and kept.
+/// A connection that is opened on first use and kept alive.
 #[derive(Debug)]
 pub struct Connection {
     address: SocketAddr,
@@ -51,7 +51,7 @@
 }
 
 impl Connection {
-    /// Not connected yet.
+    /// Creates a connection that is not open yet.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Connects if it is not connected.
+    /// Opens the connection if it is not open.
     pub fn connect(&mut self) -> io::Result<()> {
         if self.stream.is_none() {
             self.stream = Some(connect(self.address)?);
@@ -67,29 +67,39 @@
         Ok(())
     }
 
-    /// Asks and reads the whole answer.
-    pub fn ask(&mut self, ask: &Ask<'_>) -> io::Result<Got> {
-        self.ask_stream(ask, |_| {})
+    /// Sends a request and reads the whole response.
+    pub fn send(&mut self, request: &HttpRequest<'_>) -> io::Result<HttpResponse> {
+        self.send_streaming(request, |_| {})
     }
 
-    /// Asks; each event's data goes to `on_event` as it comes, when the answer is a stream.
-    pub fn ask_stream(&mut self, ask: &Ask<'_>, on_event: impl FnMut(&[u8])) -> io::Result<Got> {
-        // Taken out, so that a connection in an unknown state is never used again.
+    /// Sends a request. If the response is an event stream, each event's data is passed to
+    /// `on_event` as it arrives.
+    pub fn send_streaming(
+        &mut self,
+        request: &HttpRequest<'_>,
+        on_event: impl FnMut(&[u8]),
+    ) -> io::Result<HttpResponse> {
+        // Taken out, so that a connection left in an unknown state by an error is never reused.
         let mut stream = match self.stream.take() {
             Some(stream) => stream,
             None => connect(self.address)?,
         };
-        stream.get_mut().write_all(&request(self.address, ask))?;
-        let mut got = read_head(&mut stream)?;
-        if got.header("content-type").starts_with("text/event-stream") {
-            read_events(&mut stream, &got, on_event)?;
+        stream
+            .get_mut()
+            .write_all(&encode_request(self.address, request))?;
+        let mut response = read_head(&mut stream)?;
+        if response
+            .header("content-type")
+            .starts_with("text/event-stream")
+        {
+            read_events(&mut stream, &response, on_event)?;
         } else {
-            got.body = read_body(&mut stream, &got)?;
+            response.body = read_body(&mut stream, &response)?;
         }
-        if got.header("connection") != "close" {
+        if response.header("connection") != "close" {
             self.stream = Some(stream);
         }
-        Ok(got)
+        Ok(response)
     }
 }
 
@@ -100,16 +110,16 @@
     Ok(BufReader::with_capacity(4 << 10, stream))
 }
 
-fn request(address: SocketAddr, ask: &Ask<'_>) -> Vec<u8> {
-    let (method, path, length) = (ask.method, ask.path, ask.body.len());
+fn encode_request(address: SocketAddr, request: &HttpRequest<'_>) -> Vec<u8> {
+    let (method, path, length) = (request.method, request.path, request.body.len());
     let mut text = format!("{method} {path} HTTP/1.1\r\nhost: {address}\r\n");
     text.push_str(&format!("content-length: {length}\r\n"));
-    for (name, value) in ask.headers {
+    for (name, value) in request.headers {
         text.push_str(&format!("{name}: {value}\r\n"));
     }
     text.push_str("\r\n");
     let mut bytes = text.into_bytes();
-    bytes.extend_from_slice(ask.body);
+    bytes.extend_from_slice(request.body);
     bytes
 }
 
@@ -125,40 +135,40 @@
     Ok(line)
 }
 
-fn malformed(what: &str) -> io::Error {
+fn invalid_data(what: &str) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, what.to_owned())
 }
 
-fn read_head(stream: &mut impl BufRead) -> io::Result<Got> {
+fn read_head(stream: &mut impl BufRead) -> io::Result<HttpResponse> {
     let status = read_line(stream)?;
     let code = status.split(' ').nth(1).and_then(|code| code.parse().ok());
-    let mut got = Got {
-        status: code.ok_or_else(|| malformed("no status"))?,
-        ..Got::default()
+    let mut response = HttpResponse {
+        status: code.ok_or_else(|| invalid_data("no status"))?,
+        ..HttpResponse::default()
     };
     loop {
         let line = read_line(stream)?;
         if line.is_empty() {
-            return Ok(got);
+            return Ok(response);
         }
         let header = line.split_once(':');
-        let (name, value) = header.ok_or_else(|| malformed("no header"))?;
+        let (name, value) = header.ok_or_else(|| invalid_data("no header"))?;
         let name = name.to_ascii_lowercase();
-        got.headers.push((name, value.trim().to_owned()));
+        response.headers.push((name, value.trim().to_owned()));
     }
 }
 
-fn is_chunked(got: &Got) -> bool {
-    got.header("transfer-encoding") == "chunked"
+fn is_chunked(response: &HttpResponse) -> bool {
+    response.header("transfer-encoding") == "chunked"
 }
 
-fn read_body(stream: &mut impl BufRead, got: &Got) -> io::Result<Vec<u8>> {
+fn read_body(stream: &mut impl BufRead, response: &HttpResponse) -> io::Result<Vec<u8>> {
     let mut body = Vec::new();
-    if is_chunked(got) {
+    if is_chunked(response) {
         while read_chunk(stream, &mut body)? {}
         return Ok(body);
     }
-    let length = got.header("content-length").parse().unwrap_or(0);
+    let length = response.header("content-length").parse().unwrap_or(0);
     stream.take(length).read_to_end(&mut body)?;
     if (body.len() as u64) < length {
         return Err(io::ErrorKind::UnexpectedEof.into());
@@ -166,11 +176,11 @@
     Ok(body)
 }
 
-/// Appends the next chunk; false at the end marker of the body.
+/// Appends the next chunk to `buf`; returns false at the chunk that ends the body.
 fn read_chunk(stream: &mut impl BufRead, buf: &mut Vec<u8>) -> io::Result<bool> {
     let line = read_line(stream)?;
     let size = usize::from_str_radix(line.trim(), 16);
-    let size = size.map_err(|_| malformed("no size of a chunk"))?;
+    let size = size.map_err(|_| invalid_data("no size of a chunk"))?;
     let old = buf.len();
     buf.resize(old + size, 0);
     stream.read_exact(&mut buf[old..])?;
@@ -180,15 +190,15 @@
 
 fn read_events(
     stream: &mut impl BufRead,
-    got: &Got,
+    response: &HttpResponse,
     mut on_event: impl FnMut(&[u8]),
 ) -> io::Result<()> {
-    if !is_chunked(got) {
-        return Err(malformed("a stream that is not chunked"));
+    if !is_chunked(response) {
+        return Err(invalid_data("a stream that is not chunked"));
     }
     let mut buf = Vec::new();
     loop {
-        let goes_on = read_chunk(stream, &mut buf)?;
+        let has_more = read_chunk(stream, &mut buf)?;
         let mut used = 0;
         while let Some(length) = event_length(&buf[used..]) {
             let event = &buf[used..used + length];
@@ -196,7 +206,7 @@
             used += length + 2;
         }
         buf.drain(..used);
-        if !goes_on {
+        if !has_more {
             return Ok(());
         }
     }
--- a/bench/src/main.rs
+++ b/bench/src/main.rs
@@ -1,4 +1,4 @@
-//! `buckthorncross-bench`: measures the router and its decisions.
+//! `buckthorncross-bench`: experiments that measure the router and its decisions.
 
 mod cli;
 mod cmd;
--- a/bench/src/parallel.rs
+++ b/bench/src/parallel.rs
@@ -1,12 +1,12 @@
-//! Runs that do not depend on each other, side by side.
+//! Runs independent jobs on several threads.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Few, so that other work on the machine goes on.
+/// Limited, so that other work on the machine is not starved.
 const THREADS: usize = 3;
 
-/// Results of `run(0)` to `run(count - 1)`, in this order.
+/// Runs `run(0)` to `run(count - 1)` and returns their results in this order.
 pub fn in_parallel<T: Send>(count: u64, run: impl Fn(u64) -> T + Sync) -> Vec<T> {
     let next = AtomicU64::new(0);
     let done = Mutex::new(Vec::new());
--- a/bench/src/plot.rs
+++ b/bench/src/plot.rs
@@ -1,4 +1,4 @@
-//! Curves of a report as SVG files, one for each plot.
+//! Draws the curves of a report as SVG files, one per plot.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -7,9 +7,9 @@
 
 use crate::report::{Curve, Report};
 
-const SIZE: (u32, u32) = (860, 420);
+const SIZE_PIXELS: (u32, u32) = (860, 420);
 
-/// Writes a report's plots into a folder; gives their paths.
+/// Writes a report's plots to a folder and returns their paths.
 pub fn write(report: &Report, folder: &Path) -> eyre::Result<Vec<PathBuf>> {
     std::fs::create_dir_all(folder)?;
     let mut plots = BTreeMap::<&str, Vec<&Curve>>::new();
@@ -27,15 +27,18 @@
 }
 
 fn file_name(plot: &str) -> String {
-    let keep = |c: char| if c.is_ascii_alphanumeric() { c } else { '-' };
-    plot.to_ascii_lowercase().chars().map(keep).collect()
+    let replace_special = |c: char| if c.is_ascii_alphanumeric() { c } else { '-' };
+    plot.to_ascii_lowercase()
+        .chars()
+        .map(replace_special)
+        .collect()
 }
 
 fn draw(title: &str, curves: &[&Curve], path: &Path) -> eyre::Result<()> {
     let points = || curves.iter().flat_map(|curve| curve.points.iter().copied());
     let (x_min, x_max) = bounds(points().map(|(x, _)| x));
     let (_, y_max) = bounds(points().map(|(_, y)| y));
-    let root = SVGBackend::new(path, SIZE).into_drawing_area();
+    let root = SVGBackend::new(path, SIZE_PIXELS).into_drawing_area();
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
         .caption(title, ("sans-serif", 20))
@@ -63,7 +66,7 @@
     Ok(())
 }
 
-/// Least and greatest of some numbers, never the same.
+/// Returns the minimum and maximum of the finite values, always two distinct numbers.
 fn bounds(values: impl Iterator<Item = f64>) -> (f64, f64) {
     let finite = values.filter(|value| value.is_finite());
     let (min, max) = finite.fold((f64::MAX, f64::MIN), |(min, max), value| {
--- a/bench/src/report.rs
+++ b/bench/src/report.rs
@@ -1,23 +1,23 @@
-//! What an experiment found, and its printed form.
+//! Results of an experiment and their printed form.
 
 use std::collections::BTreeMap;
 use std::path::Path;
 
 use serde::Serialize;
 
-/// Figures of one arm by name; units are part of the name.
+/// Figures of one arm by name. The name includes the unit.
 pub type Figures = BTreeMap<String, f64>;
 
-/// One experiment's outcome.
+/// Results of one experiment.
 #[derive(Debug, Clone, Serialize)]
 pub struct Report {
     /// Name of the experiment.
     pub experiment: String,
-    /// Seed of its random numbers.
+    /// Seed of the experiment's random numbers.
     pub seed: u64,
-    /// Figures of each arm.
+    /// Figures by name of the arm.
     pub arms: BTreeMap<String, Figures>,
-    /// Broken promises counted, over all arms.
+    /// Number of invariant violations over all arms.
     pub violations: u64,
     /// Curves to plot.
     #[serde(skip)]
@@ -27,16 +27,16 @@
 /// One line of a plot.
 #[derive(Debug, Clone)]
 pub struct Curve {
-    /// The plot that it belongs to.
+    /// Title of the plot that the curve belongs to.
     pub plot: String,
-    /// Its label.
+    /// Label in the legend.
     pub label: String,
-    /// Its points.
+    /// Coordinates (x, y).
     pub points: Vec<(f64, f64)>,
 }
 
 impl Report {
-    /// An empty report.
+    /// Creates an empty report.
     pub fn new(experiment: &str, seed: u64) -> Self {
         Self {
             experiment: experiment.to_owned(),
@@ -47,13 +47,13 @@
         }
     }
 
-    /// Notes a figure of an arm.
+    /// Sets a figure of an arm.
     pub fn note(&mut self, arm: &str, figure: &str, value: f64) {
         let figures = self.arms.entry(arm.to_owned()).or_default();
         figures.insert(figure.to_owned(), value);
     }
 
-    /// Writes the plots, if a folder is given, and prints the figures.
+    /// Writes the plots to a folder, if one is given, and prints the figures.
     pub fn finish(&self, json_only: bool, plot: Option<&Path>) -> eyre::Result<()> {
         if let Some(folder) = plot {
             crate::plot::write(self, folder)?;
@@ -61,7 +61,7 @@
         self.print(json_only)
     }
 
-    /// Prints a table for people, then one line of JSON.
+    /// Prints a readable table unless `json_only` is set, then one line of JSON.
     pub fn print(&self, json_only: bool) -> eyre::Result<()> {
         if !json_only {
             for (arm, figures) in &self.arms {
