--- a/bench/src/cmd/balance.rs
+++ b/bench/src/cmd/balance.rs
@@ -5,16 +5,16 @@
 //! one engine at a fifth of its speed; a failure domain lost.
 
 mod policy;
+mod simulation;
 mod workload;
-mod world;
 
 use routing::Tuning;
 
 use crate::cli;
 use crate::report::{Curve, Report};
 use policy::Kind;
+use simulation::{Found, World};
 use workload::{DOCUMENTS, Fault, SESSIONS, Workload};
-use world::{Found, World};
 
 const FLEETS: [usize; 2] = [9, 64];
 const CASES: [(&str, Workload, Fault); 4] = [
--- a/bench/src/cmd/burst.rs
+++ b/bench/src/cmd/burst.rs
@@ -6,9 +6,9 @@
 //! choose upstreams alike; they differ in what they admit.
 
 mod admitter;
-mod found;
+mod results;
+mod simulation;
 mod upstreams;
-mod world;
 
 use hdrhistogram::Histogram;
 use types::prelude::*;
@@ -16,8 +16,8 @@
 use crate::cli;
 use crate::report::{Curve, Report};
 use admitter::Kind;
-use found::Found;
-use world::{Customer, World};
+use results::Found;
+use simulation::{Customer, World};
 
 const FLEETS: [usize; 2] = [9, 64];
 const INTERACTIVE: usize = 6;
--- a/bench/src/cmd/burst/found.rs
+++ b/bench/src/cmd/burst/results.rs
@@ -5,7 +5,7 @@
 use hdrhistogram::Histogram;
 use types::prelude::*;
 
-use super::world::{ALL_SLOTS, BURST};
+use super::simulation::{ALL_SLOTS, BURST};
 
 /// Starts are held against a limit over windows of this length.
 const WINDOW_SECONDS: u64 = 5;
--- a/bench/src/cmd/burst/world.rs
+++ b/bench/src/cmd/burst/simulation.rs
@@ -9,7 +9,7 @@
 use types::prelude::*;
 
 use super::admitter::{Admitter, Answer, Ended, Kind};
-use super::found::Found;
+use super::results::Found;
 use super::upstreams::{ENGINES, SLOTS, load_report, routers};
 use crate::fake::engine::{Engine, Job, Started};
 use crate::fake::events::Events;
--- a/bench/src/cmd/faults.rs
+++ b/bench/src/cmd/faults.rs
@@ -9,9 +9,9 @@
 mod bills;
 mod caller;
 mod fleet;
+mod injection;
 mod mix;
 mod oracle;
-mod trouble;
 
 use std::time::Duration;
 
@@ -65,8 +65,8 @@
     let seen = std::thread::scope(|scope| {
         let troubles = scope.spawn(|| match wrong {
             Wrong::Nothing => Ok(Vec::new()),
-            Wrong::FaultASecond => trouble::run(&fleet, options.seed, length),
-            Wrong::EachDaemonReplaced => trouble::replace_each(&fleet, length),
+            Wrong::FaultASecond => injection::run(&fleet, options.seed, length),
+            Wrong::EachDaemonReplaced => injection::replace_each(&fleet, length),
         });
         let connect = || Caller::new(&balancer, &mix);
         let seen = load::open_loop(&arrivals, WORKERS, connect, Caller::act);
@@ -76,7 +76,7 @@
     let seen: Vec<WorkerResult<Vec<Told>>> = seen?;
     let troubles = troubles.map_err(|_| eyre::eyre!("the thread of faults panicked"))??;
     report.note(arm, "faults", troubles.len() as f64);
-    for (name, times) in trouble::tally(&troubles) {
+    for (name, times) in injection::tally(&troubles) {
         report.note(arm, &format!("fault_{name}"), times as f64);
     }
     std::thread::sleep(SETTLE);
--- a/bench/src/cmd/faults/oracle.rs
+++ b/bench/src/cmd/faults/oracle.rs
@@ -5,8 +5,8 @@
 use super::bills;
 use super::caller::{End, OneCall, Told};
 use super::fleet::Fleet;
+use super::injection::{Fault, Trouble};
 use super::mix::Kind;
-use super::trouble::{Fault, Trouble};
 use crate::report::Report;
 
 /// Broken promises and other counts of an arm.
--- a/bench/src/cmd/ledger.rs
+++ b/bench/src/cmd/ledger.rs
@@ -5,13 +5,13 @@
 //! way. Arms by fleet and rate give the slopes; arms of crashes lose hosts at random moments
 //! and count answers without a bill.
 
+mod simulation;
 mod store;
-mod world;
 
 use crate::cli;
 use crate::report::{Curve, Report};
+use simulation::{Arm, End, World};
 use types::prelude::*;
-use world::{Arm, End, World};
 
 /// Daemons and requests a second.
 const LOADS: [(usize, u64); 5] = [(3, 333), (9, 100), (9, 1000), (36, 1000), (36, 4000)];
--- a/bench/src/cmd/rollout.rs
+++ b/bench/src/cmd/rollout.rs
@@ -8,23 +8,23 @@
 //! of the runs have an operator abort or withdraw meanwhile. The naive arm sends each order
 //! once when its moment comes, counts on it and writes without comparing.
 
-mod acts;
+mod checks;
+mod environment;
 mod fleet;
 mod naive;
+mod operator;
 mod run;
 mod scale;
 mod scenario;
-mod watch;
-mod world;
 
 use catalogue::entry::RolloutState;
 use types::prelude::*;
 
 use crate::cli::Rollout;
 use crate::report::{Curve, Report};
+use environment::Fencing;
 use run::{actions, play};
 use scenario::{Operator, Outcome, Scenario, Trouble};
-use world::Fencing;
 
 /// What drives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/bench/src/cmd/rollout/fleet.rs
+++ b/bench/src/cmd/rollout/fleet.rs
@@ -9,8 +9,8 @@
 use types::prelude::*;
 
 use super::Way;
+use super::environment::Engine;
 use super::naive::Naive;
-use super::world::Engine;
 
 /// What drives in a daemon.
 #[derive(Debug)]
--- a/bench/src/cmd/rollout/run.rs
+++ b/bench/src/cmd/rollout/run.rs
@@ -8,9 +8,9 @@
 use rollout::{Effect, Order, OrderKind};
 use types::prelude::*;
 
+use super::environment::{Engine, Store, Weights};
 use super::fleet::Daemon;
 use super::scenario::{Outcome, Scenario, Trouble};
-use super::world::{Engine, Store, Weights};
 
 pub(super) const TICK: Span = Span::from_millis(200);
 const DAEMONS: u32 = 3;
--- a/bench/src/cmd/rollout/scale.rs
+++ b/bench/src/cmd/rollout/scale.rs
@@ -6,9 +6,9 @@
 use rollout::{Config, Driver, Effect};
 use types::prelude::*;
 
+use super::environment::{Engine, Fencing, Store};
 use super::fleet::report_of;
 use super::run::{first_model, name};
-use super::world::{Engine, Fencing, Store};
 use crate::report::Report;
 
 const ENGINES: [usize; 4] = [20, 300, 1200, 12_000];
--- a/bench/src/cmd/rollout/scenario.rs
+++ b/bench/src/cmd/rollout/scenario.rs
@@ -3,7 +3,7 @@
 use types::prelude::*;
 
 use super::Way;
-use super::world::Fencing;
+use super::environment::Fencing;
 
 /// What an operator does while the driver is paused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
