--- a/bench/src/cmd/balance/policy.rs
+++ b/bench/src/cmd/balance/policy.rs
@@ -1,4 +1,4 @@
-//! The ways of choosing an upstream that are compared.
+//! The policies for choosing an upstream that are compared.
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -10,48 +10,48 @@
 
 use crate::fake::engine::{Engine, Job};
 
-/// Failure domains that the engines stand in.
-pub const DOMAINS: usize = 4;
+/// Number of failure domains over which the engines are spread.
+pub const FAILURE_DOMAINS: usize = 4;
 
-/// How one daemon chooses.
+/// State of a daemon's policy.
 #[derive(Debug)]
 pub enum Policy {
-    /// Each in turn.
+    /// Round robin.
     RoundRobin(usize),
-    /// Any.
+    /// Uniformly random.
     Random,
-    /// The least loaded by the last reports; the first of several.
+    /// The engine with the least load in its last report; the first one if several are equal.
     LeastReported(Vec<Option<u32>>),
-    /// Ours.
+    /// The router's own policy.
     Ours(Box<Ours>),
-    /// Knows every engine's true state and cache.
+    /// The best engine by its true state and cache.
     Oracle,
 }
 
-/// The component that is measured.
+/// The component under test.
 #[derive(Debug)]
 pub struct Ours {
     router: Router,
     target: TargetIndex,
 }
 
-/// Which policy an arm uses.
+/// Policy of an arm.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Kind {
-    /// Each in turn.
+    /// Round robin.
     RoundRobin,
-    /// Any.
+    /// Uniformly random.
     Random,
-    /// The least loaded by the last reports.
+    /// Least load in the last report.
     LeastReported,
-    /// Ours with these numbers.
+    /// The router's own policy with this tuning.
     Ours(Tuning),
-    /// Knows everything.
+    /// Chooses by true state.
     Oracle,
 }
 
 impl Policy {
-    /// One daemon's policy.
+    /// Creates the policy of one daemon.
     pub fn new(kind: Kind, daemon: usize, engines: &[Engine]) -> Self {
         match kind {
             Kind::RoundRobin => Self::RoundRobin(daemon * 7),
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Chooses an engine for a job.
+    /// Chooses an engine for a job, excluding those already tried.
     pub fn pick(
         &mut self,
         now: Time,
@@ -71,28 +71,36 @@
         engines: &[Engine],
         rng: &mut SmallRng,
     ) -> Option<usize> {
-        let fit: Vec<_> = (0..engines.len()).filter(|e| !tried.contains(e)).collect();
+        let untried: Vec<_> = (0..engines.len()).filter(|e| !tried.contains(e)).collect();
         match self {
             Self::RoundRobin(next) => {
                 *next += 1;
-                fit.get(*next % fit.len().max(1)).copied()
+                untried.get(*next % untried.len().max(1)).copied()
             }
-            Self::Random => fit.get(rng.random_range(0..fit.len().max(1))).copied(),
+            Self::Random => untried
+                .get(rng.random_range(0..untried.len().max(1)))
+                .copied(),
             Self::LeastReported(loads) => {
-                let known = fit.into_iter().filter(|e| loads[*e].is_some());
+                let known = untried.into_iter().filter(|e| loads[*e].is_some());
                 known.min_by_key(|e| loads[*e])
             }
             Self::Ours(ours) => ours.pick(now, job, tried, rng),
             Self::Oracle => {
-                let alive = fit.into_iter().filter(|e| engines[*e].alive);
+                let alive = untried.into_iter().filter(|e| engines[*e].alive);
                 let wait = |e: &usize| engines[*e].oracle_wait(now, job);
                 alive.min_by(|a, b| wait(a).total_cmp(&wait(b)))
             }
         }
     }
 
-    /// Takes a polled load; nothing when the engine did not answer.
-    pub fn polled(&mut self, now: Time, engine: usize, load: Option<(u32, u32)>, slots: u32) {
+    /// Records the running and waiting jobs of a polled engine; `None` if it didn't answer.
+    pub fn record_polled_load(
+        &mut self,
+        now: Time,
+        engine: usize,
+        load: Option<(u32, u32)>,
+        slots: u32,
+    ) {
         match self {
             Self::LeastReported(loads) => loads[engine] = load.map(|(r, w)| r + w),
             Self::Ours(ours) => {
@@ -105,15 +113,27 @@
         }
     }
 
-    /// Takes the load that came with an answer.
-    pub fn told(&mut self, now: Time, engine: usize, load: (u32, u32), slots: u32) {
+    /// Records the load report that is attached to an answer.
+    pub fn record_attached_report(
+        &mut self,
+        now: Time,
+        engine: usize,
+        load: (u32, u32),
+        slots: u32,
+    ) {
         if let Self::Ours(ours) = self {
             ours.report(now, engine, load, slots, None);
         }
     }
 
-    /// Learns how an attempt ended.
-    pub fn finished(&mut self, now: Time, engine: usize, outcome: Outcome, rng: &mut SmallRng) {
+    /// Records the outcome of an attempt.
+    pub fn record_outcome(
+        &mut self,
+        now: Time,
+        engine: usize,
+        outcome: Outcome,
+        rng: &mut SmallRng,
+    ) {
         if let Self::Ours(ours) = self {
             let index = UpstreamIndex(engine as u32);
             let target = ours.target;
@@ -174,7 +194,7 @@
 }
 
 fn location(number: usize) -> Location {
-    let domain = format!("domain-{}", number % DOMAINS);
+    let domain = format!("domain-{}", number % FAILURE_DOMAINS);
     Location {
         failure_domain: domain.parse().expect("a name"),
         region: "region".parse().expect("a name"),
@@ -192,7 +212,7 @@
     }
 }
 
-/// A seeded generator.
+/// Creates a seeded random number generator.
 pub fn rng(seed: u64) -> SmallRng {
     SmallRng::seed_from_u64(seed)
 }
--- a/bench/src/cmd/balance/simulation.rs
+++ b/bench/src/cmd/balance/simulation.rs
@@ -1,4 +1,4 @@
-//! Sessions, daemons and engines of one arm in fast time.
+//! Simulates the sessions, daemons and engines of one arm.
 
 use std::collections::BTreeMap;
 
@@ -8,35 +8,35 @@
 use routing::Outcome;
 use types::prelude::*;
 
-use super::policy::{DOMAINS, Kind, Policy, rng};
+use super::policy::{FAILURE_DOMAINS, Kind, Policy, rng};
 use super::workload::{Fault, Workload};
 use crate::fake::engine::{Engine, Job, Started};
 use crate::fake::events::Events;
 
 const ENGINES: usize = 20;
 const SLOTS: u32 = 16;
-/// Mean time between an answer and the session's next request.
+/// Mean time between an answer and the next request of the session.
 const THINK_SECONDS: f64 = 12.0;
-/// Mean tokens of an answer.
+/// Mean number of output tokens.
 const OUTPUT_TOKENS: f64 = 150.0;
 const FIRST_TOKENS: u32 = 500;
 const TURN_TOKENS: u32 = 300;
-/// Engines are asked this often, and the answer is this old when it is used.
+/// Interval at which daemons poll the engines' load. Each report arrives `REPORT_LAG` later.
 const REPORT_INTERVAL: Span = Span::from_secs(4);
 const REPORT_LAG: Span = Span::from_millis(500);
-/// Time until an attempt to reach a lost host is given up.
+/// Time after which a connection attempt to a failed host is abandoned.
 const CONNECT_TIMEOUT: Span = Span::from_millis(500);
 const MAX_ATTEMPTS: usize = 4;
-/// What comes before is not measured.
+/// Requests that arrive before this time are not measured.
 const WARM_UP: Time = Time(60_000_000);
 const END: Time = Time(360_000_000);
-/// When a failure happens.
+/// Time at which the fault is injected.
 pub const FAULT: Time = Time(180_000_000);
 
 #[derive(Debug)]
 enum Event {
-    Begin,
-    Turn(Session),
+    StartSession,
+    StartRequest(Session),
     Attempt(u64),
     Unreachable(u64, usize),
     FirstToken(u64),
@@ -46,7 +46,8 @@
     Fault,
 }
 
-/// Its own generator makes a session the same whatever the policy does to others.
+/// A session. It has its own random number generator, so that its requests don't depend on what the
+/// policy does to other sessions.
 #[derive(Debug, Clone)]
 struct Session {
     rng: SmallRng,
@@ -66,23 +67,23 @@
     sent: Time,
 }
 
-/// What an arm showed.
+/// Results of one arm.
 #[derive(Debug)]
-pub struct Found {
-    /// Microseconds to the first token.
+pub struct Results {
+    /// Time to first token in microseconds.
     pub first_token: Histogram<u64>,
-    /// Mean milliseconds to the first token by second.
+    /// Sum of the times to first token in milliseconds and their count, by second of arrival.
     pub by_second: BTreeMap<u64, (f64, u64)>,
-    /// Prompt tokens found in caches, and all.
+    /// Prompt tokens found in caches, and all prompt tokens.
     pub cached: (u64, u64),
-    /// Attempts beyond the first.
+    /// Number of retries.
     pub retries: u64,
-    /// Requests given up while engines were alive.
-    pub lost: u64,
+    /// Requests that were given up while some engines were alive.
+    pub given_up: u64,
 }
 
-/// One arm under way.
-pub struct World {
+/// Simulation of one arm.
+pub struct Simulation {
     events: Events<Event>,
     engines: Vec<Engine>,
     policies: Vec<Policy>,
@@ -92,16 +93,16 @@
     rng: SmallRng,
     policy_rng: SmallRng,
     last_id: u64,
-    found: Found,
+    results: Results,
 }
 
-impl World {
-    /// A fleet of daemons that choose alike. The arrivals depend on the seed only.
+impl Simulation {
+    /// Creates a fleet of daemons with the same policy. Arrivals depend on the seed only.
     pub fn new(kind: Kind, daemons: usize, workload: Workload, fault: Fault, seed: u64) -> Self {
         let engines: Vec<_> = (0..ENGINES).map(|_| Engine::new(SLOTS)).collect();
         let policies = (0..daemons).map(|daemon| Policy::new(kind, daemon, &engines));
         let mut events = Events::new();
-        events.add(Time::ZERO, Event::Begin);
+        events.add(Time::ZERO, Event::StartSession);
         events.add(Time::ZERO, Event::Sample);
         events.add(FAULT, Event::Fault);
         Self {
@@ -114,50 +115,50 @@
             rng: rng(seed),
             policy_rng: rng(seed ^ 0x5eed),
             last_id: 0,
-            found: Found {
+            results: Results {
                 first_token: Histogram::new_with_bounds(1, 3_600_000_000, 3).expect("valid bounds"),
                 by_second: BTreeMap::new(),
                 cached: (0, 0),
                 retries: 0,
-                lost: 0,
+                given_up: 0,
             },
         }
     }
 
-    /// Runs to the end.
-    pub fn run(mut self) -> Found {
+    /// Runs the simulation to its end.
+    pub fn run(mut self) -> Results {
         while let Some((now, event)) = self.events.next() {
             if now > END {
                 break;
             }
             self.handle(now, event);
         }
-        self.found
+        self.results
     }
 
     fn handle(&mut self, now: Time, event: Event) {
         match event {
-            Event::Begin => self.begin(now),
-            Event::Turn(session) => self.turn(now, session),
+            Event::StartSession => self.start_session(now),
+            Event::StartRequest(session) => self.start_request(now, session),
             Event::Attempt(id) => self.attempt(now, id),
             Event::Unreachable(id, engine) => {
-                self.learn(now, id, engine, Outcome::Unreachable);
+                self.report_outcome(now, id, engine, Outcome::Unreachable);
                 self.attempt(now, id);
             }
             Event::FirstToken(id) => self.first_token(now, id),
-            Event::End(id, engine, per_token) => self.end(now, id, engine, per_token),
-            Event::Sample => self.sample(now),
-            Event::Report(loads) => self.report(now, &loads),
-            Event::Fault => self.break_something(now),
+            Event::End(id, engine, per_token) => self.end_request(now, id, engine, per_token),
+            Event::Sample => self.sample_loads(now),
+            Event::Report(loads) => self.deliver_reports(now, &loads),
+            Event::Fault => self.inject_fault(now),
         }
     }
 
-    fn begin(&mut self, now: Time) {
+    fn start_session(&mut self, now: Time) {
         let next = exponential(&mut self.rng, 1.0 / self.workload.sessions);
-        self.events.add(now + next, Event::Begin);
+        self.events.add(now + next, Event::StartSession);
         let group = zipf(&mut self.rng, self.workload.groups);
-        let own = self.rng.random::<u64>();
-        let mut rng = rng(own);
+        let session_seed = self.rng.random::<u64>();
+        let mut rng = rng(session_seed);
         let turns_left = exponential(&mut rng, self.workload.turns - 0.5)
             .as_secs_f64()
             .ceil();
@@ -165,14 +166,14 @@
             rng,
             prompt: vec![
                 (u64::from(group) * 0x9e37_79b9, self.workload.group_tokens),
-                (own, FIRST_TOKENS),
+                (session_seed, FIRST_TOKENS),
             ],
             turns_left: turns_left as u32,
         };
-        self.turn(now, session);
+        self.start_request(now, session);
     }
 
-    fn turn(&mut self, now: Time, mut session: Session) {
+    fn start_request(&mut self, now: Time, mut session: Session) {
         self.last_id += 1;
         let output = exponential(&mut session.rng, OUTPUT_TOKENS).as_secs_f64();
         let daemon = session.rng.random_range(0..self.policies.len());
@@ -196,7 +197,7 @@
         };
         if request.tried.len() >= MAX_ATTEMPTS {
             self.requests.remove(&id);
-            self.found.lost += 1;
+            self.results.given_up += 1;
             return;
         }
         let job = Job {
@@ -209,23 +210,24 @@
         let rng = &mut self.policy_rng;
         let Some(engine) = policy.pick(now, &job, &request.tried, &self.engines, rng) else {
             self.requests.remove(&id);
-            self.found.lost += 1;
+            self.results.given_up += 1;
             return;
         };
-        self.found.retries += u64::from(!request.tried.is_empty());
+        self.results.retries += u64::from(!request.tried.is_empty());
         request.tried.push(engine);
         request.sent = now;
         if !self.engines[engine].alive {
-            let late = now + CONNECT_TIMEOUT;
-            self.events.add(late, Event::Unreachable(id, engine));
+            let timed_out_at = now + CONNECT_TIMEOUT;
+            self.events
+                .add(timed_out_at, Event::Unreachable(id, engine));
             return;
         }
         request.engine = Some(engine);
         let started = self.engines[engine].arrive(now, job);
-        self.follow(engine, started);
+        self.schedule_job_events(engine, started);
     }
 
-    fn follow(&mut self, engine: usize, started: Option<Started>) {
+    fn schedule_job_events(&mut self, engine: usize, started: Option<Started>) {
         let Some(started) = started else {
             return;
         };
@@ -238,8 +240,8 @@
             .get(&started.id)
             .is_some_and(|request| request.arrived >= WARM_UP);
         if is_measured {
-            self.found.cached.0 += u64::from(started.cached.0);
-            self.found.cached.1 += u64::from(started.cached.1);
+            self.results.cached.0 += u64::from(started.cached.0);
+            self.results.cached.1 += u64::from(started.cached.1);
         }
     }
 
@@ -255,20 +257,22 @@
         if request.arrived < WARM_UP {
             return;
         }
-        let wait = now.since(request.arrived);
+        let latency = now.since(request.arrived);
         let second = request.arrived.0 / 1_000_000;
-        let mean = self.found.by_second.entry(second).or_default();
-        mean.0 += wait.as_secs_f64() * 1e3;
+        let mean = self.results.by_second.entry(second).or_default();
+        mean.0 += latency.as_secs_f64() * 1e3;
         mean.1 += 1;
-        self.found.first_token.saturating_record(wait.as_micros());
+        self.results
+            .first_token
+            .saturating_record(latency.as_micros());
     }
 
-    fn end(&mut self, now: Time, id: u64, engine: usize, per_token: Span) {
+    fn end_request(&mut self, now: Time, id: u64, engine: usize, per_token: Span) {
         if !self.engines[engine].alive {
             return;
         }
         let started = self.engines[engine].end(now);
-        self.follow(engine, started);
+        self.schedule_job_events(engine, started);
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -279,31 +283,32 @@
         };
         let load = (self.engines[engine].running, self.engines[engine].waiting());
         let policy = &mut self.policies[request.daemon];
-        policy.finished(now, engine, outcome, &mut self.policy_rng);
-        policy.told(now, engine, load, SLOTS);
+        policy.record_outcome(now, engine, outcome, &mut self.policy_rng);
+        policy.record_attached_report(now, engine, load, SLOTS);
         if let Some(request) = self.requests.remove(&id) {
-            self.next_turn(now, request.session);
+            self.schedule_next_request(now, request.session);
         }
     }
 
-    fn next_turn(&mut self, now: Time, mut session: Session) {
+    fn schedule_next_request(&mut self, now: Time, mut session: Session) {
         if session.turns_left == 0 {
             return;
         }
         session.turns_left -= 1;
         session.prompt.push((session.rng.random(), TURN_TOKENS));
-        let think = exponential(&mut session.rng, THINK_SECONDS);
-        self.events.add(now + think, Event::Turn(session));
+        let think_time = exponential(&mut session.rng, THINK_SECONDS);
+        self.events
+            .add(now + think_time, Event::StartRequest(session));
     }
 
-    fn learn(&mut self, now: Time, id: u64, engine: usize, outcome: Outcome) {
+    fn report_outcome(&mut self, now: Time, id: u64, engine: usize, outcome: Outcome) {
         if let Some(request) = self.requests.get(&id) {
             let policy = &mut self.policies[request.daemon];
-            policy.finished(now, engine, outcome, &mut self.policy_rng);
+            policy.record_outcome(now, engine, outcome, &mut self.policy_rng);
         }
     }
 
-    fn sample(&mut self, now: Time) {
+    fn sample_loads(&mut self, now: Time) {
         self.events.add(now + REPORT_INTERVAL, Event::Sample);
         let engines = self.engines.iter();
         let loads = engines.map(|e| e.alive.then(|| (e.running, e.waiting())));
@@ -311,20 +316,20 @@
         self.events.add(now + REPORT_LAG, Event::Report(loads));
     }
 
-    fn report(&mut self, now: Time, loads: &[Option<(u32, u32)>]) {
+    fn deliver_reports(&mut self, now: Time, loads: &[Option<(u32, u32)>]) {
         for policy in &mut self.policies {
             for (engine, load) in loads.iter().enumerate() {
-                policy.polled(now, engine, *load, SLOTS);
+                policy.record_polled_load(now, engine, *load, SLOTS);
             }
         }
     }
 
-    fn break_something(&mut self, now: Time) {
+    fn inject_fault(&mut self, now: Time) {
         match self.fault {
             Fault::None => (),
             Fault::Slow => self.engines[0].speed = 0.2,
             Fault::DomainLost => {
-                for engine in (0..ENGINES).step_by(DOMAINS) {
+                for engine in (0..ENGINES).step_by(FAILURE_DOMAINS) {
                     self.fail_engine(now, engine);
                 }
             }
@@ -333,11 +338,11 @@
 
     fn fail_engine(&mut self, now: Time, engine: usize) {
         self.engines[engine].fail();
-        let cut = self.requests.iter();
-        let cut = cut.filter(|(_, request)| request.engine == Some(engine));
-        let cut: Vec<_> = cut.map(|(id, _)| *id).collect();
-        for id in cut {
-            self.learn(now, id, engine, Outcome::Failed);
+        let interrupted = self.requests.iter();
+        let interrupted = interrupted.filter(|(_, request)| request.engine == Some(engine));
+        let interrupted: Vec<_> = interrupted.map(|(id, _)| *id).collect();
+        for id in interrupted {
+            self.report_outcome(now, id, engine, Outcome::Failed);
             self.events.add(now, Event::Attempt(id));
             if let Some(request) = self.requests.get_mut(&id) {
                 request.engine = None;
@@ -350,13 +355,14 @@
     Span::from_secs_f64(-mean * (1.0 - rng.random::<f64>()).ln())
 }
 
-/// A number from 0, the low ones more often: the n-th in proportion to 1/n.
+/// Draws a number from 0 to `count - 1` with a Zipf distribution: the probability of the n-th is
+/// proportional to 1/n.
 fn zipf(rng: &mut SmallRng, count: u32) -> u32 {
     let sum: f64 = (1..=count).map(|n| 1.0 / f64::from(n)).sum();
-    let mut point = rng.random::<f64>() * sum;
+    let mut remaining = rng.random::<f64>() * sum;
     for n in 1..count {
-        point -= 1.0 / f64::from(n);
-        if point <= 0.0 {
+        remaining -= 1.0 / f64::from(n);
+        if remaining <= 0.0 {
             return n - 1;
         }
     }
--- a/bench/src/cmd/balance/workload.rs
+++ b/bench/src/cmd/balance/workload.rs
@@ -1,19 +1,20 @@
-//! What callers send, and what goes wrong.
+//! Workloads and faults of the arms.
 
-/// What callers send. Few of the beginnings that sessions share are common, most are rare.
+/// Parameters of the sessions. The popularity of the shared prompt prefixes is skewed: a few are
+/// common and most are rare.
 #[derive(Debug, Clone, Copy)]
 pub struct Workload {
-    /// Sessions begun a second.
+    /// Sessions started per second.
     pub sessions: f64,
-    /// Mean requests of a session.
+    /// Mean number of requests per session.
     pub turns: f64,
-    /// Beginnings that sessions share.
+    /// Number of prompt prefixes that are shared between sessions.
     pub groups: u32,
-    /// Tokens of such a beginning.
+    /// Tokens in a shared prefix.
     pub group_tokens: u32,
 }
 
-/// Long sessions that begin with one of a few instructions.
+/// Long sessions that start with one of a few instructions.
 pub const SESSIONS: Workload = Workload {
     sessions: 7.0,
     turns: 6.0,
@@ -21,7 +22,7 @@
     group_tokens: 1_500,
 };
 
-/// Short sessions about one of many long documents, more than all caches hold.
+/// Short sessions about one of many long documents, which together exceed all caches.
 pub const DOCUMENTS: Workload = Workload {
     sessions: 22.0,
     turns: 1.6,
@@ -29,13 +30,13 @@
     group_tokens: 3_000,
 };
 
-/// What goes wrong.
+/// Fault injected into an arm.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// One engine at a fifth of its speed.
+    /// One engine runs at a fifth of its speed.
     Slow,
-    /// All engines of a failure domain are gone.
+    /// All engines of a failure domain fail.
     DomainLost,
 }
--- a/bench/src/cmd/burst.rs
+++ b/bench/src/cmd/burst.rs
@@ -1,9 +1,9 @@
-//! `burst`: a partner's batch of ten times the capacity on steady interactive work.
+//! `burst`: a partner's batch load of ten times the capacity on top of steady interactive load.
 //!
-//! Six customers send interactive work for a third of the slots, one of them three times its
-//! limit; a small customer sends some batch work all the time. Then a partner sends batch
-//! work of ten times the capacity. Each arm runs with and without the partner. All arms
-//! choose upstreams alike; they differ in what they admit.
+//! Six customers send interactive requests for a third of the slots; one of them sends three times
+//! its limit. A small customer sends batch requests all the time. Then a partner sends batch
+//! requests of ten times the capacity. Each arm runs with and without the partner. All arms choose
+//! upstreams in the same way and differ only in admission.
 
 mod admitter;
 mod results;
@@ -16,16 +16,16 @@
 use crate::cli;
 use crate::report::{Curve, Report};
 use admitter::Kind;
-use results::Found;
-use simulation::{Customer, World};
+use results::Results;
+use simulation::{Customer, Simulation};
 
-const FLEETS: [usize; 2] = [9, 64];
+const FLEET_SIZES: [usize; 2] = [9, 64];
 const INTERACTIVE: usize = 6;
 const INTERACTIVE_RATE: f64 = 4.0;
 const CAPPED_LIMIT: Rate = Rate(8.0);
 const CAPPED_RATE: f64 = 24.0;
 const SMALL_RATE: f64 = 4.0;
-/// Ten times what all slots can do.
+/// Ten times the capacity of all slots.
 const PARTNER_RATE: f64 = 800.0;
 
 /// Runs every arm.
@@ -37,14 +37,14 @@
         .take(customers.len() - 1)
         .cloned()
         .collect();
-    for daemons in FLEETS {
+    for daemons in FLEET_SIZES {
         for (name, kind) in kinds() {
-            let alone = World::new(kind, daemons, &without, options.seed).run();
-            let found = World::new(kind, daemons, &customers, options.seed).run();
+            let without_batch = Simulation::new(kind, daemons, &without, options.seed).run();
+            let results = Simulation::new(kind, daemons, &customers, options.seed).run();
             let arm = format!("{daemons}/{name}");
-            note(&mut report, &arm, &customers, &alone, &found);
+            report_results(&mut report, &arm, &customers, &without_batch, &results);
             if name == "ours" {
-                report.violations += violations(&customers, &found);
+                report.violations += violations(&customers, &results);
             }
         }
     }
@@ -62,11 +62,11 @@
 }
 
 fn customers() -> Vec<Customer> {
-    let customer = |name: &str, priority, rate, in_burst, limit| Customer {
+    let customer = |name: &str, priority, rate, only_in_burst, limit| Customer {
         id: name.parse().expect("a name"),
         priority,
         rate,
-        in_burst,
+        only_in_burst,
         limit,
     };
     let steady = |n| {
@@ -88,29 +88,43 @@
     customers
 }
 
-fn note(report: &mut Report, arm: &str, customers: &[Customer], alone: &Found, found: &Found) {
-    let before = steady(customers, alone).value_at_quantile(0.99) as f64 / 1e3;
-    let after = steady(customers, found).value_at_quantile(0.99) as f64 / 1e3;
+fn report_results(
+    report: &mut Report,
+    arm: &str,
+    customers: &[Customer],
+    without_batch: &Results,
+    results: &Results,
+) {
+    let before = steady(customers, without_batch).value_at_quantile(0.99) as f64 / 1e3;
+    let after = steady(customers, results).value_at_quantile(0.99) as f64 / 1e3;
     report.note(arm, "first_token_p99_without_batch_ms", before);
     report.note(arm, "first_token_p99_ms", after);
     report.note(arm, "first_token_p99_ratio", after / before);
-    let median = steady(customers, found).value_at_quantile(0.5) as f64 / 1e3;
+    let median = steady(customers, results).value_at_quantile(0.5) as f64 / 1e3;
     report.note(arm, "first_token_p50_ms", median);
-    report.note(arm, "batch_share_of_left", found.left.1 / found.left.0);
-    let capped = position(customers, "capped");
-    let (most, mean) = found.over_limit(capped, CAPPED_LIMIT);
-    report.note(arm, "capped_most_of_limit_in_5s", most);
+    report.note(
+        arm,
+        "batch_share_of_left",
+        results.available.1 / results.available.0,
+    );
+    let capped = customer_index(customers, "capped");
+    let (max, mean) = results.starts_relative_to_limit(capped, CAPPED_LIMIT);
+    report.note(arm, "capped_most_of_limit_in_5s", max);
     report.note(arm, "capped_mean_of_limit", mean);
-    report.note(arm, "least_served_share", least_served(customers, found));
-    let small = &found.customers[position(customers, "small")];
+    report.note(
+        arm,
+        "least_served_share",
+        min_served_share(customers, results),
+    );
+    let small = &results.customers[customer_index(customers, "small")];
     let served = small.ended as f64 / small.arrived as f64;
     report.note(arm, "small_batch_served_share", served);
-    let partner = &found.customers[position(customers, "partner")];
+    let partner = &results.customers[customer_index(customers, "partner")];
     report.note(arm, "partner_ended", partner.ended as f64);
     report.note(arm, "partner_refused", partner.refused as f64);
-    report.note(arm, "gave_way", found.gave_way as f64);
-    report.note(arm, "facts", found.facts as f64);
-    let points = found.running.iter();
+    report.note(arm, "gave_way", results.preempted as f64);
+    report.note(arm, "facts", results.facts as f64);
+    let points = results.running.iter();
     report.curves.push(Curve {
         plot: format!("batch running, {}", arm.split('/').next().unwrap_or(arm)),
         label: arm.to_owned(),
@@ -120,11 +134,11 @@
     });
 }
 
-/// First tokens of the interactive customers that keep to their limits.
-fn steady(customers: &[Customer], found: &Found) -> Histogram<u64> {
-    let mut all = found.customers[0].first_token.clone();
+/// Times to first token of the interactive customers without a limit.
+fn steady(customers: &[Customer], results: &Results) -> Histogram<u64> {
+    let mut all = results.customers[0].first_token.clone();
     all.clear();
-    for (customer, counts) in customers.iter().zip(&found.customers) {
+    for (customer, counts) in customers.iter().zip(&results.customers) {
         if customer.priority == Priority::Interactive && customer.limit.is_none() {
             all.add(&counts.first_token).expect("equal bounds");
         }
@@ -132,9 +146,9 @@
     all
 }
 
-/// Part of its requests that the worst served steady customer had ended.
-fn least_served(customers: &[Customer], found: &Found) -> f64 {
-    let steady = customers.iter().zip(&found.customers);
+/// Lowest share of completed requests among the interactive customers without a limit.
+fn min_served_share(customers: &[Customer], results: &Results) -> f64 {
+    let steady = customers.iter().zip(&results.customers);
     let steady = steady.filter(|(customer, _)| {
         customer.priority == Priority::Interactive && customer.limit.is_none()
     });
@@ -142,13 +156,14 @@
     shares.fold(f64::INFINITY, f64::min)
 }
 
-fn position(customers: &[Customer], name: &str) -> usize {
-    let found = customers.iter().position(|c| c.id.as_str() == name);
-    found.unwrap_or_default()
+fn customer_index(customers: &[Customer], name: &str) -> usize {
+    let index = customers.iter().position(|c| c.id.as_str() == name);
+    index.unwrap_or_default()
 }
 
-/// Customers over their limit by more than 5% or starved.
-fn violations(customers: &[Customer], found: &Found) -> u64 {
-    let (_, mean) = found.over_limit(position(customers, "capped"), CAPPED_LIMIT);
-    u64::from(mean > 1.05) + u64::from(least_served(customers, found) < 0.9)
+/// Counts violations: a customer above its limit by more than 5%, and a starved customer.
+fn violations(customers: &[Customer], results: &Results) -> u64 {
+    let (_, mean) =
+        results.starts_relative_to_limit(customer_index(customers, "capped"), CAPPED_LIMIT);
+    u64::from(mean > 1.05) + u64::from(min_served_share(customers, results) < 0.9)
 }
--- a/bench/src/cmd/burst/admitter.rs
+++ b/bench/src/cmd/burst/admitter.rs
@@ -1,4 +1,4 @@
-//! The ways of admitting requests that are compared.
+//! The kinds of admission that are compared.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,40 +7,40 @@
 use rand::rngs::SmallRng;
 use types::prelude::*;
 
-/// Requests that wait at a daemon with a static split, at most.
-const MAX_QUEUE: usize = 1_024;
-/// What callers are told by a static split.
-const FIXED_RETRY: Span = Span::from_secs(1);
+/// Maximum number of requests that queue at a daemon with a static split.
+const MAX_QUEUED: usize = 1_024;
+/// Retry delay that a static split gives to refused callers.
+const RETRY_AFTER: Span = Span::from_secs(1);
 
-/// Which way an arm uses.
+/// Kind of admission of an arm.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Kind {
-    /// Ours; batch gives way when told so.
+    /// The router's limiter.
     Ours {
-        /// Cancel own batch work for interactive work.
+        /// Whether batch requests are cancelled in favor of interactive ones.
         give_way: bool,
     },
-    /// Everything goes to the engines at once; they know priorities or not.
+    /// No limits: every request goes to an engine at once.
     Open {
-        /// Engines are told priorities.
+        /// Whether the engines know the requests' priorities.
         priorities: bool,
     },
-    /// An even part of slots and limits for each daemon, first come first served.
+    /// Each daemon gets an even share of slots and limits, first come first served.
     StaticSplit,
 }
 
-/// How one daemon admits.
+/// Admission state of one daemon.
 #[derive(Debug)]
 pub enum Admitter {
-    /// The component that is measured.
+    /// The component under test.
     Ours(Box<Limiter>),
-    /// Everything at once.
+    /// Admits everything at once.
     Open,
-    /// An even part, first come first served.
+    /// Even share, first come first served.
     Static(Split),
 }
 
-/// An even part of slots and limits.
+/// A daemon's even share of slots and limits.
 #[derive(Debug)]
 pub struct Split {
     slots: u32,
@@ -49,28 +49,28 @@
     buckets: BTreeMap<CustomerId, Bucket>,
 }
 
-/// What becomes of a request.
+/// Decision on a request.
 #[derive(Debug)]
-pub enum Answer {
-    /// It starts, with a grant if ours gave one.
+pub enum Decision {
+    /// The request starts, with a grant if the limiter issued one.
     Start(Option<Grant>),
-    /// It waits; ours names it by a ticket.
+    /// The request waits, with a ticket if the limiter issued one.
     Wait(Option<Ticket>),
-    /// It is refused.
+    /// The request is refused and may be retried after this time.
     Refuse(Span),
 }
 
-/// The end of a wait: by request's number or ticket.
+/// End of a request's wait.
 #[derive(Debug)]
-pub enum Ended {
-    /// A request of the static split starts.
+pub enum Resumed {
+    /// The static split starts the request with this number.
     Split(u64),
-    /// A verdict of ours.
+    /// The limiter decided on the request with this ticket.
     Ours(Ticket, Verdict),
 }
 
 impl Admitter {
-    /// One of so many daemons before so many slots.
+    /// Creates the admission of one of `daemons` daemons in front of `slots` slots.
     pub fn new(
         kind: Kind,
         daemon: usize,
@@ -100,8 +100,10 @@
             }
             Kind::Open { .. } => Self::Open,
             Kind::StaticSplit => {
-                let part = |limit: &Rate| Bucket::new(Time::ZERO, limit.0 / daemons as f64);
-                let buckets = limits.iter().map(|(id, limit)| (id.clone(), part(limit)));
+                let even_share = |limit: &Rate| Bucket::new(Time::ZERO, limit.0 / daemons as f64);
+                let buckets = limits
+                    .iter()
+                    .map(|(id, limit)| (id.clone(), even_share(limit)));
                 Self::Static(Split {
                     slots: (slots / daemons as u32).max(1),
                     running: 0,
@@ -112,20 +114,20 @@
         }
     }
 
-    /// Decides on a request.
-    pub fn admit(&mut self, now: Time, id: u64, ask: Ask, rng: &mut SmallRng) -> Answer {
+    /// Decides whether a request starts, waits or is refused.
+    pub fn admit(&mut self, now: Time, id: u64, ask: Ask, rng: &mut SmallRng) -> Decision {
         match self {
             Self::Ours(limiter) => match limiter.admit(now, ask, rng) {
-                Admission::Start(grant) => Answer::Start(Some(grant)),
-                Admission::Wait(ticket) => Answer::Wait(Some(ticket)),
-                Admission::Refuse(refusal) => Answer::Refuse(refusal.retry_after),
+                Admission::Start(grant) => Decision::Start(Some(grant)),
+                Admission::Wait(ticket) => Decision::Wait(Some(ticket)),
+                Admission::Refuse(refusal) => Decision::Refuse(refusal.retry_after),
             },
-            Self::Open => Answer::Start(None),
+            Self::Open => Decision::Start(None),
             Self::Static(split) => split.admit(now, id, &ask),
         }
     }
 
-    /// Ends a request.
+    /// Releases the resources of a completed request.
     pub fn release(&mut self, now: Time, grant: Option<Grant>, used: Tokens) {
         match (self, grant) {
             (Self::Ours(limiter), Some(grant)) => limiter.release(now, grant, used),
@@ -134,7 +136,7 @@
         }
     }
 
-    /// A running request gives way; it waits by the ticket.
+    /// Returns a preempted request to the queue; the ticket identifies it.
     pub fn give_way(&mut self, grant: Option<Grant>) -> Option<Ticket> {
         match (self, grant) {
             (Self::Ours(limiter), Some(grant)) => Some(limiter.give_way(grant)),
@@ -142,13 +144,13 @@
         }
     }
 
-    /// What no longer waits.
-    pub fn pump(&mut self, now: Time, rng: &mut SmallRng) -> Vec<Ended> {
+    /// Returns the requests whose wait has ended.
+    pub fn pump(&mut self, now: Time, rng: &mut SmallRng) -> Vec<Resumed> {
         match self {
             Self::Ours(limiter) => {
                 let ended = limiter.pump(now, rng).into_iter();
                 ended
-                    .map(|(ticket, verdict)| Ended::Ours(ticket, verdict))
+                    .map(|(ticket, verdict)| Resumed::Ours(ticket, verdict))
                     .collect()
             }
             Self::Open => Vec::new(),
@@ -156,7 +158,7 @@
         }
     }
 
-    /// A tick; returns what the other daemons are to hear.
+    /// Runs periodic work; returns the demand fact to be sent to the other daemons, if any.
     pub fn tick(&mut self, now: Time) -> Option<DemandFact> {
         match self {
             Self::Ours(limiter) => limiter.tick(now),
@@ -164,8 +166,8 @@
         }
     }
 
-    /// Takes another daemon's demand.
-    pub fn hear(&mut self, daemon: usize, fact: &DemandFact) {
+    /// Records another daemon's demand.
+    pub fn record_peer_demand(&mut self, daemon: usize, fact: &DemandFact) {
         if let Self::Ours(limiter) = self {
             limiter.peer_fact(&daemon_id(daemon), fact.clone());
         }
@@ -173,32 +175,32 @@
 }
 
 impl Split {
-    fn admit(&mut self, now: Time, id: u64, ask: &Ask) -> Answer {
+    fn admit(&mut self, now: Time, id: u64, ask: &Ask) -> Decision {
         if let Some(bucket) = self.buckets.get_mut(&ask.customer) {
             if !bucket.is_open(now, 1.0) {
-                return Answer::Refuse(FIXED_RETRY);
+                return Decision::Refuse(RETRY_AFTER);
             }
             bucket.take(1.0);
         }
         if self.running < self.slots && self.waiting.is_empty() {
             self.running += 1;
-            return Answer::Start(None);
+            return Decision::Start(None);
         }
-        if self.waiting.len() >= MAX_QUEUE {
-            return Answer::Refuse(FIXED_RETRY);
+        if self.waiting.len() >= MAX_QUEUED {
+            return Decision::Refuse(RETRY_AFTER);
         }
         self.waiting.push_back(id);
-        Answer::Wait(None)
+        Decision::Wait(None)
     }
 
-    fn pump(&mut self) -> Vec<Ended> {
+    fn pump(&mut self) -> Vec<Resumed> {
         let mut ended = Vec::new();
         while self.running < self.slots {
             let Some(id) = self.waiting.pop_front() else {
                 break;
             };
             self.running += 1;
-            ended.push(Ended::Split(id));
+            ended.push(Resumed::Split(id));
         }
         ended
     }
--- a/bench/src/cmd/burst/results.rs
+++ b/bench/src/cmd/burst/results.rs
@@ -1,49 +1,50 @@
-//! What an arm showed.
+//! Measurements of one arm.
 
 use std::collections::BTreeMap;
 
 use hdrhistogram::Histogram;
 use types::prelude::*;
 
-use super::simulation::{ALL_SLOTS, BURST};
+use super::simulation::{ALL_SLOTS, BURST_PERIOD};
 
-/// Starts are held against a limit over windows of this length.
+/// Length of the windows over which request starts are compared with a limit.
 const WINDOW_SECONDS: u64 = 5;
-/// From the batch's begin until it is measured, for facts to have spread.
-const SETTLE: Span = Span::from_secs(5);
+/// Time from the start of the burst until measurement begins, so that facts have spread.
+const SETTLING_TIME: Span = Span::from_secs(5);
 
-/// One customer's counts during the burst.
+/// Counts of one customer during the burst.
 #[derive(Debug, Clone)]
 pub struct Counts {
-    /// Requests that came.
+    /// Arrived requests.
     pub arrived: u64,
-    /// Requests that ended.
+    /// Completed requests.
     pub ended: u64,
-    /// Refusals.
+    /// Number of refusals.
     pub refused: u64,
-    /// Starts by window.
+    /// Number of started requests by window.
     pub starts: BTreeMap<u64, u64>,
-    /// Microseconds to the first token.
+    /// Time to first token in microseconds.
     pub first_token: Histogram<u64>,
 }
 
-/// What an arm showed during the burst.
+/// Measurements of one arm during the burst.
 #[derive(Debug)]
-pub struct Found {
-    /// By customer.
+pub struct Results {
+    /// Counts by customer.
     pub customers: Vec<Counts>,
-    /// Batch requests cancelled for interactive ones.
-    pub gave_way: u64,
-    /// Facts published.
+    /// Batch requests cancelled in favor of interactive ones.
+    pub preempted: u64,
+    /// Number of published facts.
     pub facts: u64,
-    /// Slots that interactive work left, and that batch used of them, summed over samples.
-    pub left: (f64, f64),
-    /// Interactive and batch requests running, by second.
+    /// Slots not used by interactive requests, and how many of them batch requests used, summed over
+    /// samples.
+    pub available: (f64, f64),
+    /// Running interactive and batch requests by second.
     pub running: BTreeMap<u64, (u32, u32)>,
 }
 
-impl Found {
-    /// Nothing yet.
+impl Results {
+    /// Creates empty measurements.
     pub fn new(customers: usize) -> Self {
         let counts = Counts {
             arrived: 0,
@@ -54,37 +55,37 @@
         };
         Self {
             customers: vec![counts; customers],
-            gave_way: 0,
+            preempted: 0,
             facts: 0,
-            left: (0.0, 0.0),
+            available: (0.0, 0.0),
             running: BTreeMap::new(),
         }
     }
 
-    /// A request came.
+    /// Records the arrival of a request.
     pub fn arrived(&mut self, now: Time, customer: usize) {
         self.customers[customer].arrived += u64::from(is_measured(now));
     }
 
-    /// A request ended.
+    /// Records the end of a request.
     pub fn ended(&mut self, now: Time, customer: usize) {
         self.customers[customer].ended += u64::from(is_measured(now));
     }
 
-    /// A request was refused.
+    /// Records a refusal.
     pub fn refused(&mut self, now: Time, customer: usize) {
         self.customers[customer].refused += u64::from(is_measured(now));
     }
 
-    /// A request started.
+    /// Records the start of a request.
     pub fn started(&mut self, now: Time, customer: usize) {
         if is_measured(now) {
-            let window = now.since(BURST.0).as_micros() / 1_000_000 / WINDOW_SECONDS;
+            let window = now.since(BURST_PERIOD.0).as_micros() / 1_000_000 / WINDOW_SECONDS;
             *self.customers[customer].starts.entry(window).or_default() += 1;
         }
     }
 
-    /// A request's first token came.
+    /// Records the first token of a request.
     pub fn first_token(&mut self, arrived: Time, now: Time, customer: usize) {
         if is_measured(arrived) {
             let wait = now.since(arrived).as_micros();
@@ -92,19 +93,19 @@
         }
     }
 
-    /// Requests at engines now.
+    /// Samples the numbers of running interactive and batch requests.
     pub fn sample(&mut self, now: Time, running: (u32, u32)) {
         self.running.insert(now.0 / 1_000_000, running);
         if !is_measured(now) {
             return;
         }
-        let left = f64::from(ALL_SLOTS.saturating_sub(running.0));
-        self.left.0 += left;
-        self.left.1 += f64::from(running.1).min(left);
+        let available = f64::from(ALL_SLOTS.saturating_sub(running.0));
+        self.available.0 += available;
+        self.available.1 += f64::from(running.1).min(available);
     }
 
-    /// Most starts of a window and their mean, as multiples of a limit.
-    pub fn over_limit(&self, customer: usize, limit: Rate) -> (f64, f64) {
+    /// Returns the maximum and the mean of starts per window, as multiples of a limit.
+    pub fn starts_relative_to_limit(&self, customer: usize, limit: Rate) -> (f64, f64) {
         let allowed = limit.0 * WINDOW_SECONDS as f64;
         let windows = self.customers[customer].starts.values();
         let windows: Vec<_> = windows.map(|starts| *starts as f64 / allowed).collect();
@@ -114,5 +115,5 @@
 }
 
 fn is_measured(now: Time) -> bool {
-    (BURST.0 + SETTLE..BURST.1).contains(&now)
+    (BURST_PERIOD.0 + SETTLING_TIME..BURST_PERIOD.1).contains(&now)
 }
--- a/bench/src/cmd/burst/upstreams.rs
+++ b/bench/src/cmd/burst/upstreams.rs
@@ -1,13 +1,13 @@
-//! The engines, as the daemons' routers see them.
+//! The engines from the perspective of the daemons' routers.
 
 use routing::{LoadReport, Location, Router, Target, TargetIndex, Tuning, UpstreamSpec};
 
-/// Engines of the arm.
+/// Number of engines.
 pub const ENGINES: usize = 20;
-/// Jobs that each runs at once.
+/// Number of jobs that an engine runs concurrently.
 pub const SLOTS: u32 = 16;
 
-/// A report in the short form that comes with an answer.
+/// Creates the short form of a load report, as attached to an answer.
 pub fn load_report((running, waiting): (u32, u32)) -> LoadReport {
     LoadReport {
         running,
@@ -18,7 +18,8 @@
     }
 }
 
-/// A router for each daemon, and the number of the version that all engines run.
+/// Creates a router for each daemon; also returns the target index of the version that all engines
+/// run.
 pub fn routers(daemons: usize) -> (Vec<Router>, TargetIndex) {
     let location = Location {
         failure_domain: "domain".parse().expect("a name"),
--- a/bench/src/cmd/claims.rs
+++ b/bench/src/cmd/claims.rs
@@ -1,5 +1,5 @@
-//! `claims`: what claims of work that runs only once cost the store and a daemon, and what
-//! sessions cost.
+//! `claims`: cost of claims for work that must run only once, to the store and to a daemon, and cost
+//! of sessions.
 
 mod sessions;
 
@@ -18,25 +18,25 @@
 use crate::cli;
 use crate::report::Report;
 
-/// Claims a second of one daemon.
+/// Claims per second of one daemon.
 const RATES: [f64; 4] = [1.0, 7.0, 70.0, 700.0];
-/// As the daemon has it.
-const GAP: Span = Span::from_millis(50);
-const STORE_TIME: Span = Span::from_millis(5);
-/// Time from a claim to its outcome's recording.
-const WORK_TIME: Span = Span::from_millis(300);
-const LENGTH: Span = Span::from_secs(120);
+/// Same interval between batches of claims as in the daemon.
+const BATCH_INTERVAL: Span = Span::from_millis(50);
+const STORE_LATENCY: Span = Span::from_millis(5);
+/// Time from a claim until its outcome is recorded.
+const WORK_DURATION: Span = Span::from_millis(300);
+const LOAD_DURATION: Span = Span::from_secs(120);
 const ROUNDS: u64 = 200_000;
 const BODY_BYTES: usize = 200;
 
-/// Runs it.
+/// Runs the experiment.
 pub fn run(options: &cli::Claims) -> eyre::Result<Report> {
     let mut report = Report::new("claims", options.seed);
     for rate in RATES {
-        pace(&mut report, options.seed, rate)?;
+        measure_rate(&mut report, options.seed, rate)?;
     }
-    processor_time(&mut report);
-    sizes(&mut report);
+    measure_processor_time(&mut report);
+    measure_sizes(&mut report);
     sessions::run(&mut report)?;
     Ok(report)
 }
@@ -56,7 +56,7 @@
 
 fn nonce(counter: u64) -> Nonce {
     Nonce {
-        // A constant that is a name.
+        // A constant that is a valid name.
         daemon: "entry-athlone-17"
             .parse()
             .unwrap_or_else(|_| unreachable!()),
@@ -65,11 +65,11 @@
     }
 }
 
-/// One daemon with claims at random moments, each recorded once its work is done, against a
-/// store that answers after a fixed time.
+/// A daemon with claims at random times, each of which is recorded once its work is done. The store
+/// answers after a constant time.
 struct Daemon {
     batcher: Batcher,
-    /// When each call came, and whether it records an outcome.
+    /// Arrival time of each call, and whether it records an outcome.
     calls: Vec<(Time, bool)>,
     reply: Option<(Time, usize)>,
     waits: Histogram<u64>,
@@ -79,7 +79,7 @@
 impl Daemon {
     fn new() -> eyre::Result<Self> {
         Ok(Self {
-            batcher: Batcher::new(GAP),
+            batcher: Batcher::new(BATCH_INTERVAL),
             calls: Vec::new(),
             reply: None,
             waits: Histogram::new(3)?,
@@ -87,33 +87,33 @@
         })
     }
 
-    fn push(&mut self, at: Time, is_record: bool) -> eyre::Result<()> {
+    fn push(&mut self, at_s: Time, is_record: bool) -> eyre::Result<()> {
         let ticket = self.calls.len() as u64;
         self.batcher
             .push(Ticket(ticket), Claim::start(spec(ticket)).1)?;
-        self.calls.push((at, is_record));
+        self.calls.push((at_s, is_record));
         Ok(())
     }
 
-    /// When its next call is answered or may be made.
+    /// Time at which the current call is answered or, if there is none, at which the next may be made.
     fn next_event(&self) -> Option<Time> {
-        let reply = self.reply.map(|(at, _)| at);
+        let reply = self.reply.map(|(at_s, _)| at_s);
         reply.or_else(|| self.batcher.due_at())
     }
 
     fn advance(&mut self, now: Time) -> eyre::Result<()> {
-        if let Some((_, parts)) = self.reply.take_if(|(at, _)| now.has_reached(*at)) {
-            for (ticket, _) in self.batcher.on_outcome(answer(parts)) {
-                let (came, is_record) = self.calls[ticket.0 as usize];
+        if let Some((_, parts)) = self.reply.take_if(|(at_s, _)| now.has_reached(*at_s)) {
+            for (ticket, _) in self.batcher.on_outcome(store_outcome(parts)) {
+                let (arrived, is_record) = self.calls[ticket.0 as usize];
                 if !is_record {
-                    self.waits.record(now.since(came).as_micros())?;
+                    self.waits.record(now.since(arrived).as_micros())?;
                 }
             }
         }
-        let before = self.batcher.waiting();
+        let waiting_before = self.batcher.waiting();
         if self.batcher.next_call(now).is_some() {
             self.store_calls += 1;
-            self.reply = Some((now + STORE_TIME, before - self.batcher.waiting()));
+            self.reply = Some((now + STORE_LATENCY, waiting_before - self.batcher.waiting()));
         }
         Ok(())
     }
@@ -122,17 +122,17 @@
 fn arrivals(seed: u64, rate: f64) -> Vec<(Time, bool)> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut arrivals = Vec::new();
-    let mut at = 0.0;
-    while at < LENGTH.as_secs_f64() {
-        at += -(1.0 - rng.random::<f64>()).ln() / rate;
-        let claim = Time::ZERO + Span::from_secs_f64(at);
-        arrivals.extend([(claim, false), (claim + WORK_TIME, true)]);
+    let mut at_s = 0.0;
+    while at_s < LOAD_DURATION.as_secs_f64() {
+        at_s += -(1.0 - rng.random::<f64>()).ln() / rate;
+        let claim = Time::ZERO + Span::from_secs_f64(at_s);
+        arrivals.extend([(claim, false), (claim + WORK_DURATION, true)]);
     }
     arrivals.sort();
     arrivals
 }
 
-fn pace(report: &mut Report, seed: u64, rate: f64) -> eyre::Result<()> {
+fn measure_rate(report: &mut Report, seed: u64, rate: f64) -> eyre::Result<()> {
     let mut daemon = Daemon::new()?;
     for (at, is_record) in arrivals(seed, rate) {
         while let Some(event) = daemon.next_event().filter(|event| *event <= at) {
@@ -141,7 +141,7 @@
         daemon.push(at, is_record)?;
         daemon.advance(at)?;
     }
-    let per_second = daemon.store_calls as f64 / LENGTH.as_secs_f64();
+    let per_second = daemon.store_calls as f64 / LOAD_DURATION.as_secs_f64();
     let wait = |quantile| daemon.waits.value_at_quantile(quantile) as f64 / 1e3;
     let arm = format!("one daemon, {rate} claims/s");
     report.note(&arm, "store_calls_per_s", per_second);
@@ -150,7 +150,7 @@
     Ok(())
 }
 
-fn answer(parts: usize) -> Outcome {
+fn store_outcome(parts: usize) -> Outcome {
     let part = keyvalue::OpReply::Txn(TxnReply {
         succeeded: true,
         replies: vec![keyvalue::OpReply::Put],
@@ -164,9 +164,9 @@
     })
 }
 
-fn processor_time(report: &mut Report) {
-    let began = Instant::now();
-    let mut mine = 0;
+fn measure_processor_time(report: &mut Report) {
+    let started_at = Instant::now();
+    let mut won = 0;
     for n in 0..ROUNDS {
         let (mut claim, _) = Claim::start(spec(n));
         let outcome = Ok(Answer {
@@ -176,17 +176,17 @@
                 replies: vec![keyvalue::OpReply::Put],
             }),
         });
-        mine += u64::from(matches!(
+        won += u64::from(matches!(
             claim.on_outcome(outcome, Time::ZERO),
             ClaimStep::Mine(_)
         ));
     }
-    report.violations += ROUNDS - mine;
-    let micros = began.elapsed().as_secs_f64() * 1e6 / ROUNDS as f64;
+    report.violations += ROUNDS - won;
+    let micros = started_at.elapsed().as_secs_f64() * 1e6 / ROUNDS as f64;
     report.note("decision", "us_per_claim", micros);
 }
 
-fn sizes(report: &mut Report) {
+fn measure_sizes(report: &mut Report) {
     let record = |state| ClaimRecord {
         nonce: nonce(1),
         fingerprint: u64::MAX / 3,
--- a/bench/src/cmd/claims/sessions.rs
+++ b/bench/src/cmd/claims/sessions.rs
@@ -1,4 +1,4 @@
-//! Processor time and memory of sessions.
+//! Measures processor time and memory of sessions.
 
 use std::time::Instant;
 
@@ -12,22 +12,22 @@
 use crate::report::Report;
 
 const ROUNDS: usize = 20_000;
-/// Daemons, now and at the size that decides.
+/// Fleet sizes: the current one, and the one that the design must support.
 const FLEETS: [usize; 2] = [9, 460];
 
-/// Notes what they cost.
+/// Measures session tokens, home daemons and pins.
 pub(super) fn run(report: &mut Report) -> eyre::Result<()> {
-    tokens(report)?;
+    measure_tokens(report)?;
     for fleet in FLEETS {
-        homes_of(report, fleet)?;
+        measure_homes(report, fleet)?;
     }
-    pins(report)
+    measure_pins(report)
 }
 
-fn time(mut act: impl FnMut(usize)) -> f64 {
-    let began = Instant::now();
-    (0..ROUNDS).for_each(&mut act);
-    began.elapsed().as_secs_f64() * 1e6 / ROUNDS as f64
+fn time_micros(mut action: impl FnMut(usize)) -> f64 {
+    let started_at = Instant::now();
+    (0..ROUNDS).for_each(&mut action);
+    started_at.elapsed().as_secs_f64() * 1e6 / ROUNDS as f64
 }
 
 fn key(n: usize) -> eyre::Result<SessionKey> {
@@ -38,7 +38,7 @@
     })
 }
 
-fn tokens(report: &mut Report) -> eyre::Result<()> {
+fn measure_tokens(report: &mut Report) -> eyre::Result<()> {
     let keys = Keys::new(vec![Key::new("k1", b"a secret of sufficient length")?])?;
     let customer: CustomerId = "clasach-centre".parse()?;
     let pinned = Pinned {
@@ -49,8 +49,8 @@
         start: WallTime(1_800_000_000_000),
     };
     let token = keys.sign(&customer, &pinned);
-    let sign = time(|_| drop(std::hint::black_box(keys.sign(&customer, &pinned))));
-    let verify = time(|_| drop(std::hint::black_box(keys.verify(&customer, &token))));
+    let sign = time_micros(|_| drop(std::hint::black_box(keys.sign(&customer, &pinned))));
+    let verify = time_micros(|_| drop(std::hint::black_box(keys.verify(&customer, &token))));
     report.note("session token", "bytes", token.len() as f64);
     report.note("session token", "us_to_sign", sign);
     report.note("session token", "us_to_verify", verify);
@@ -58,7 +58,7 @@
     Ok(())
 }
 
-fn homes_of(report: &mut Report, fleet: usize) -> eyre::Result<()> {
+fn measure_homes(report: &mut Report, fleet: usize) -> eyre::Result<()> {
     let members = (0..fleet).map(|n| -> eyre::Result<Member> {
         Ok(Member {
             id: format!("entry-{n}").parse()?,
@@ -68,13 +68,13 @@
     });
     let members = members.collect::<eyre::Result<Vec<_>>>()?;
     let keys = (0..ROUNDS).map(key).collect::<eyre::Result<Vec<_>>>()?;
-    let micros = time(|n| drop(std::hint::black_box(homes(keys[n].hash64(), &members))));
+    let micros = time_micros(|n| drop(std::hint::black_box(homes(keys[n].hash64(), &members))));
     report.note("homes of a name", &format!("us_at_{fleet}_daemons"), micros);
     Ok(())
 }
 
-fn pins(report: &mut Report) -> eyre::Result<()> {
-    let before = resident()?;
+fn measure_pins(report: &mut Report) -> eyre::Result<()> {
+    let baseline = resident_bytes()?;
     let mut table = Pins::new(Span::from_secs(3600));
     let pins = (0..MAX_PINS).map(|n| -> eyre::Result<Pin> {
         Ok(Pin {
@@ -88,16 +88,16 @@
     for pin in pins {
         table.pin(pin?, Time(1));
     }
-    let bytes = (resident()? - before) / MAX_PINS as f64;
+    let bytes = (resident_bytes()? - baseline) / MAX_PINS as f64;
     report.note("pin", "resident_bytes", bytes);
     let keys = (0..ROUNDS).map(key).collect::<eyre::Result<Vec<_>>>()?;
-    let micros = time(|n| drop(std::hint::black_box(table.get(&keys[n], Time(2)))));
+    let micros = time_micros(|n| drop(std::hint::black_box(table.get(&keys[n], Time(2)))));
     report.note("pin", "us_to_look_up", micros);
     Ok(())
 }
 
 /// Resident memory of this process in bytes.
-fn resident() -> eyre::Result<f64> {
+fn resident_bytes() -> eyre::Result<f64> {
     const PAGE_BYTES: f64 = 4096.0;
     let text = std::fs::read_to_string("/proc/self/statm")?;
     let pages = text.split(' ').nth(1).ok_or_eyre("statm has one field")?;
--- a/bench/src/fake/engine.rs
+++ b/bench/src/fake/engine.rs
@@ -187,10 +187,10 @@
 
 impl Cache {
     fn cached_tokens(&self, prompt: &[(u64, u32)]) -> u32 {
-        let cached_tokens = prompt
+        let cached_parts = prompt
             .iter()
             .take_while(|(hash, _)| self.parts.contains_key(hash));
-        cached_tokens.map(|(_, tokens)| tokens).sum()
+        cached_parts.map(|(_, tokens)| tokens).sum()
     }
 
     /// Inserts the parts of a prompt. Later parts count as used before earlier ones, so that they are
--- a/bench/src/load.rs
+++ b/bench/src/load.rs
@@ -147,9 +147,9 @@
         };
         while Instant::now() < deadline {
             let number = next.fetch_add(1, Ordering::Relaxed);
-            let intended_start = Instant::now();
+            let start = Instant::now();
             if action(&mut connection, &mut result.notes, number) == RequestOutcome::Good {
-                result.latencies.record(intended_start.elapsed());
+                result.latencies.record(start.elapsed());
             }
         }
         result
--- a/bench/src/load/http.rs
+++ b/bench/src/load/http.rs
@@ -143,7 +143,7 @@
     let status = read_line(stream)?;
     let code = status.split(' ').nth(1).and_then(|code| code.parse().ok());
     let mut response = HttpResponse {
-        status: code.ok_or_else(|| invalid_data("no status"))?,
+        status: code.ok_or_else(|| invalid_data("response has no status code"))?,
         ..HttpResponse::default()
     };
     loop {
@@ -152,7 +152,7 @@
             return Ok(response);
         }
         let header = line.split_once(':');
-        let (name, value) = header.ok_or_else(|| invalid_data("no header"))?;
+        let (name, value) = header.ok_or_else(|| invalid_data("header line has no colon"))?;
         let name = name.to_ascii_lowercase();
         response.headers.push((name, value.trim().to_owned()));
     }
@@ -180,7 +180,7 @@
 fn read_chunk(stream: &mut impl BufRead, buf: &mut Vec<u8>) -> io::Result<bool> {
     let line = read_line(stream)?;
     let size = usize::from_str_radix(line.trim(), 16);
-    let size = size.map_err(|_| invalid_data("no size of a chunk"))?;
+    let size = size.map_err(|_| invalid_data("invalid chunk size"))?;
     let old = buf.len();
     buf.resize(old + size, 0);
     stream.read_exact(&mut buf[old..])?;
@@ -194,7 +194,7 @@
     mut on_event: impl FnMut(&[u8]),
 ) -> io::Result<()> {
     if !is_chunked(response) {
-        return Err(invalid_data("a stream that is not chunked"));
+        return Err(invalid_data("event stream is not chunked"));
     }
     let mut buf = Vec::new();
     loop {
