--- a/bench/src/cmd/burst/results.rs
+++ b/bench/src/cmd/burst/results.rs
@@ -36,8 +36,8 @@
     pub preempted: u64,
     /// Number of published facts.
     pub facts: u64,
-    /// Slots not used by interactive requests, and how many of them batch requests used, summed over
-    /// samples.
+    /// Slots not used by interactive requests, and how many of them batch requests used, summed
+    /// over samples.
     pub available: (f64, f64),
     /// Running interactive and batch requests by second.
     pub running: BTreeMap<u64, (u32, u32)>,
--- a/bench/src/cmd/burst/simulation.rs
+++ b/bench/src/cmd/burst/simulation.rs
@@ -96,7 +96,8 @@
 }
 
 impl<'a> Simulation<'a> {
-    /// Creates a fleet of daemons with the same kind of admission. Arrivals depend on the seed only.
+    /// Creates a fleet of daemons with the same kind of admission. Arrivals depend on the seed
+    /// only.
     pub fn new(kind: Kind, daemons: usize, customers: &'a [Customer], seed: u64) -> Self {
         let pool: EntryName = "pool".parse().expect("a name");
         let limits: Vec<_> = customers
--- a/bench/src/cmd/cascade.rs
+++ b/bench/src/cmd/cascade.rs
@@ -3,10 +3,10 @@
 //!
 //! The workload has both users' mixes of classes, three models of different cost and quality, and
 //! catalogues whose expected qualities are off by a few hundredths. Requests differ in difficulty,
-//! which the router can't see. If engines state a confidence, it correlates with the adequacy of the
-//! answer. The oracle knows every version's true quality in each class and finds the cheapest
-//! mixture of versions and cascades; `oracle-without-cascades` mixes versions only.
-//! least cost; `oracle-without-cascades` mixes versions only.
+//! which the router can't see. If engines state a confidence, it correlates with the adequacy of
+//! the answer. The oracle knows every version's true quality in each class and finds the cheapest
+//! mixture of versions and cascades; `oracle-without-cascades` mixes versions only. least cost;
+//! `oracle-without-cascades` mixes versions only.
 
 mod cost;
 mod oracle;
--- a/bench/src/cmd/claims.rs
+++ b/bench/src/cmd/claims.rs
@@ -1,5 +1,5 @@
-//! `claims`: cost of claims for work that must run only once, to the store and to a daemon, and cost
-//! of sessions.
+//! `claims`: cost of claims for work that must run only once, to the store and to a daemon, and
+//! cost of sessions.
 
 mod sessions;
 
@@ -95,7 +95,8 @@
         Ok(())
     }
 
-    /// Time at which the current call is answered or, if there is none, at which the next may be made.
+    /// Time at which the current call is answered or, if there is none, at which the next may be
+    /// made.
     fn next_event(&self) -> Option<Time> {
         let reply = self.reply.map(|(at_s, _)| at_s);
         reply.or_else(|| self.batcher.due_at())
--- a/bench/src/cmd/decide.rs
+++ b/bench/src/cmd/decide.rs
@@ -1,8 +1,8 @@
-//! `decide`: time of a choice of upstream, of an admission and of the look whether a request is
-//! barred, memory of an upstream.
+//! `decide`: time of a choice of upstream, of an admission and of the check whether a request is
+//! barred, and memory per upstream.
 //!
-//! One daemon before 12,000 upstreams with 10 versions, each loaded by a tenth, in 5 regions
-//! and 16 failure domains. Choices, ends and reports alternate as they do under traffic.
+//! One daemon has 12,000 upstreams and 10 versions, each loaded by a tenth of the upstreams, in 5
+//! regions and 16 failure domains. Choices, ends and reports alternate as they do under traffic.
 
 use std::time::Instant;
 
@@ -27,14 +27,14 @@
 const DOMAINS: usize = 16;
 const SLOTS: u32 = 32;
 const CHOICES: usize = 200_000;
-/// Requests in flight at one daemon at the peak: 65 a second for 13 s.
+/// Requests in flight at one daemon at peak load: 65 per second for 13 s each.
 const IN_FLIGHT: usize = 850;
 const SESSIONS: u64 = 5_000;
 const DAEMONS: usize = 460;
 const CUSTOMERS: usize = 100;
-const GOAL_MICROS: f64 = 20.0;
+const MAX_P99_MICROS: f64 = 20.0;
 
-/// Measures.
+/// Runs the experiment.
 pub fn run(options: &cli::Decide) -> eyre::Result<Report> {
     let mut report = Report::new("decide", options.seed);
     let before = resident_bytes()?;
@@ -43,31 +43,31 @@
     let per_upstream = (after - before) as f64 / UPSTREAMS as f64;
     report.note("memory", "bytes_per_upstream", per_upstream);
     let mut rng = SmallRng::seed_from_u64(options.seed);
-    let times = choose(&mut router, &targets, &mut rng);
-    let filled = resident_bytes()?;
-    let traffic = (filled - after) as f64 / f64::from(1 << 20);
-    report.note("memory", "prefixes_and_traffic_mib", traffic);
-    note(&mut report, "choice", &times.0);
-    note(&mut report, "end-and-report", &times.1);
-    note(&mut report, "admission", &admissions(&mut rng));
+    let durations = measure_choices(&mut router, &targets, &mut rng);
+    let after_traffic = resident_bytes()?;
+    let traffic_mib = (after_traffic - after) as f64 / f64::from(1 << 20);
+    report.note("memory", "prefixes_and_traffic_mib", traffic_mib);
+    report_durations(&mut report, "choice", &durations.0);
+    report_durations(&mut report, "end-and-report", &durations.1);
+    report_durations(&mut report, "admission", &measure_admissions(&mut rng));
     let barring = barring::measure(&mut rng);
-    note(&mut report, "content", &barring.contents);
-    note(&mut report, "look-at-bars", &barring.looks);
-    note(&mut report, "rack-lost", &barring.floods);
+    report_durations(&mut report, "content", &barring.contents);
+    report_durations(&mut report, "look-at-bars", &barring.lookups);
+    report_durations(&mut report, "rack-lost", &barring.domain_losses);
     report.note("barring", "full_table_kib", barring.bytes as f64 / 1024.0);
-    report.violations += u64::from(micros(&times.0, 0.99) > GOAL_MICROS);
+    report.violations += u64::from(micros(&durations.0, 0.99) > MAX_P99_MICROS);
     Ok(report)
 }
 
-fn note(report: &mut Report, arm: &str, times: &Histogram<u64>) {
-    report.note(arm, "mean_us", times.mean() / 1e3);
-    report.note(arm, "p50_us", micros(times, 0.5));
-    report.note(arm, "p99_us", micros(times, 0.99));
-    report.note(arm, "most_us", times.max() as f64 / 1e3);
+fn report_durations(report: &mut Report, arm: &str, durations: &Histogram<u64>) {
+    report.note(arm, "mean_us", durations.mean() / 1e3);
+    report.note(arm, "p50_us", micros(durations, 0.5));
+    report.note(arm, "p99_us", micros(durations, 0.99));
+    report.note(arm, "most_us", durations.max() as f64 / 1e3);
 }
 
-fn micros(times: &Histogram<u64>, quantile: f64) -> f64 {
-    times.value_at_quantile(quantile) as f64 / 1e3
+fn micros(durations: &Histogram<u64>, quantile: f64) -> f64 {
+    durations.value_at_quantile(quantile) as f64 / 1e3
 }
 
 fn histogram() -> Histogram<u64> {
@@ -104,8 +104,8 @@
     }
 }
 
-/// Times of choices, and of ends with their reports, in nanoseconds.
-fn choose(
+/// Returns the durations of choices, and of ends with their reports, in nanoseconds.
+fn measure_choices(
     router: &mut Router,
     targets: &[TargetIndex],
     rng: &mut SmallRng,
@@ -122,21 +122,21 @@
             priority: Priority::Interactive,
             tried: &[],
         };
-        let began = Instant::now();
+        let started_at = Instant::now();
         let index = router.pick(now, &request, rng).expect("all are live");
         router.started(index, &request);
-        choices.saturating_record(began.elapsed().as_nanos() as u64);
+        choices.saturating_record(started_at.elapsed().as_nanos() as u64);
         running.push((index, target));
         if running.len() > IN_FLIGHT {
             let at = rng.random_range(0..running.len());
             let (index, target) = running.swap_remove(at);
-            ends.saturating_record(end(router, now, index, target, rng));
+            ends.saturating_record(measure_end(router, now, index, target, rng));
         }
     }
     (choices, ends)
 }
 
-fn end(
+fn measure_end(
     router: &mut Router,
     now: Time,
     index: UpstreamIndex,
@@ -158,13 +158,13 @@
         loaded: None,
         leaving: false,
     };
-    let began = Instant::now();
+    let started_at = Instant::now();
     router.record_report(now, index, &report);
     router.finished(now, index, target, outcome, rng);
-    began.elapsed().as_nanos() as u64
+    started_at.elapsed().as_nanos() as u64
 }
 
-/// A beginning, a session, and its turns so far.
+/// Draws the prefix hashes of a prompt: shared prefix, session, and turns of the session so far.
 fn prompt(rng: &mut SmallRng) -> Vec<PrefixHash> {
     let session = rng.random_range(0..SESSIONS);
     let turns = rng.random_range(0..5);
@@ -176,11 +176,11 @@
     levels.enumerate().map(hash).collect()
 }
 
-/// Times of admissions with 460 daemons' facts and 100 customers, in nanoseconds.
-fn admissions(rng: &mut SmallRng) -> Histogram<u64> {
+/// Returns the durations of admissions with facts of 460 daemons and 100 customers, in nanoseconds.
+fn measure_admissions(rng: &mut SmallRng) -> Histogram<u64> {
     let pool: EntryName = "pool".parse().expect("a name");
     let mut limiter = limiter(&pool);
-    let mut times = histogram();
+    let mut durations = histogram();
     let mut grants = Vec::new();
     for number in 0..CHOICES {
         let now = Time(number as u64 * 15_000);
@@ -192,9 +192,9 @@
             tokens: Tokens(500),
             deadline: now + Span::from_secs(20),
         };
-        let began = Instant::now();
+        let started_at = Instant::now();
         let admission = limiter.admit(now, ask, rng);
-        times.saturating_record(began.elapsed().as_nanos() as u64);
+        durations.saturating_record(started_at.elapsed().as_nanos() as u64);
         if let Admission::Start(grant) = admission {
             grants.push(grant);
         }
@@ -207,7 +207,7 @@
         }
         limiter.pump(now, rng);
     }
-    times
+    durations
 }
 
 fn limiter(pool: &EntryName) -> Limiter {
@@ -239,7 +239,7 @@
     format!("customer-{number}").parse().expect("a name")
 }
 
-/// Resident memory of this process, in bytes.
+/// Resident memory of this process in bytes.
 pub(super) fn resident_bytes() -> eyre::Result<u64> {
     let statm = std::fs::read_to_string("/proc/self/statm")?;
     let pages = statm.split_whitespace().nth(1);
--- a/bench/src/cmd/decide/barring.rs
+++ b/bench/src/cmd/decide/barring.rs
@@ -1,4 +1,4 @@
-//! What it takes to know a request by its content, and to look whether that is barred.
+//! Measures fingerprinting a request's content and checking whether that content is barred.
 
 use std::time::Instant;
 
@@ -10,58 +10,60 @@
 
 use super::{DAEMONS, UPSTREAMS, histogram, resident_bytes};
 
-const LOOKS: usize = 200_000;
-/// A body of a long prompt.
+const LOOKUPS: usize = 200_000;
+/// Length of the body of a request with a long prompt.
 const BODY_BYTES: usize = 4 * 1024;
-/// Contents under way at the upstreams of a failure domain that is lost.
-const LOST: usize = 3_000;
-const FLOODS: u64 = 20;
+/// Requests in flight at the upstreams of a failure domain that is lost.
+const LOST_REQUESTS: usize = 3_000;
+const DOMAIN_LOSSES: u64 = 20;
 
-/// Times in nanoseconds, and what a full table holds.
-pub(super) struct Measured {
+/// Durations in nanoseconds, and the memory of a full table in bytes.
+pub(super) struct Measurements {
     pub(super) contents: Histogram<u64>,
-    pub(super) looks: Histogram<u64>,
-    pub(super) floods: Histogram<u64>,
+    pub(super) lookups: Histogram<u64>,
+    pub(super) domain_losses: Histogram<u64>,
     pub(super) bytes: u64,
 }
 
-pub(super) fn measure(rng: &mut SmallRng) -> Measured {
-    let mut measured = Measured {
+pub(super) fn measure(rng: &mut SmallRng) -> Measurements {
+    let mut measurements = Measurements {
         contents: histogram(),
-        looks: histogram(),
-        floods: histogram(),
+        lookups: histogram(),
+        domain_losses: histogram(),
         bytes: 0,
     };
     let before = resident_bytes().unwrap_or_default();
     let mut suspects = Suspects::new(PoisonPolicy::default(), "daemon-0");
     suspects.set_fleet(DAEMONS, UPSTREAMS);
-    for n in 0..FLOODS {
-        let under = (0..LOST).map(|_| lost(rng)).collect::<Vec<_>>();
+    for n in 0..DOMAIN_LOSSES {
+        let under = (0..LOST_REQUESTS)
+            .map(|_| lost_request(rng))
+            .collect::<Vec<_>>();
         let upstream = UpstreamRun {
             id: format!("worker-{n}").parse().expect("a name"),
             started_at: None,
         };
         let now = Time::ZERO + Span::from_secs(n);
-        let began = Instant::now();
+        let started_at = Instant::now();
         suspects.ended(now, &upstream, &under);
         suspects.news(now);
-        note(&mut measured.floods, began);
+        record_elapsed(&mut measurements.domain_losses, started_at);
     }
-    measured.bytes = resident_bytes().unwrap_or_default().saturating_sub(before);
+    measurements.bytes = resident_bytes().unwrap_or_default().saturating_sub(before);
     let mut body = vec![0; BODY_BYTES];
-    for _ in 0..LOOKS {
+    for _ in 0..LOOKUPS {
         rng.fill_bytes(&mut body[..16]);
-        let began = Instant::now();
+        let started_at = Instant::now();
         let content = Content::of("customer-7", "host.example", "POST", "/drafts/7", &body);
-        note(&mut measured.contents, began);
-        let began = Instant::now();
+        record_elapsed(&mut measurements.contents, started_at);
+        let started_at = Instant::now();
         std::hint::black_box(suspects.admission(Time::ZERO, content));
-        note(&mut measured.looks, began);
+        record_elapsed(&mut measurements.lookups, started_at);
     }
-    measured
+    measurements
 }
 
-fn lost(rng: &mut SmallRng) -> Under {
+fn lost_request(rng: &mut SmallRng) -> Under {
     let body = rng.random::<u64>().to_le_bytes();
     Under {
         content: Content::of("customer-7", "host.example", "POST", "/drafts/7", &body),
@@ -71,7 +73,7 @@
     }
 }
 
-fn note(times: &mut Histogram<u64>, began: Instant) {
-    let nanos = began.elapsed().as_nanos() as u64;
-    times.record(nanos).expect("within bounds");
+fn record_elapsed(durations: &mut Histogram<u64>, started_at: Instant) {
+    let nanos = started_at.elapsed().as_nanos() as u64;
+    durations.record(nanos).expect("within bounds");
 }
--- a/bench/src/cmd/report.rs
+++ b/bench/src/cmd/report.rs
@@ -1,7 +1,7 @@
-//! All experiments, one after another, as one page.
+//! `report`: runs all experiments in sequence and writes one page.
 //!
-//! Each runs as a process of its own, so that one that fails or leaves memory behind does
-//! not disturb the next; its figures are those of its last line of output.
+//! Each experiment runs in its own process, so that a failure or leaked memory doesn't affect the
+//! next one. Its figures are read from its last line of output.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -12,7 +12,7 @@
 
 use crate::cli::ReportPage;
 
-/// Experiments, in the page's order, with further arguments.
+/// Experiments in the order of the page, with additional arguments.
 const EXPERIMENTS: &[(&str, &[&str])] = &[
     ("overhead", &[]),
     ("outage", &[]),
@@ -26,14 +26,14 @@
     ("rollout", &[]),
 ];
 
-/// Runs all and writes `index.html`.
+/// Runs all experiments and writes `index.html`.
 pub fn run(options: &ReportPage) -> eyre::Result<()> {
     std::fs::create_dir_all(&options.folder)?;
     let mut page = String::from(HEAD);
-    for (name, further) in EXPERIMENTS {
+    for (name, extra_args) in EXPERIMENTS {
         eprintln!("report: running {name}");
-        let found = experiment(name, further, options);
-        section(&mut page, name, &found, &options.folder)?;
+        let result = run_experiment(name, extra_args, options);
+        write_section(&mut page, name, &result, &options.folder)?;
     }
     page.push_str("</body></html>\n");
     let path = options.folder.join("index.html");
@@ -42,12 +42,12 @@
     Ok(())
 }
 
-fn experiment(name: &str, further: &[&str], options: &ReportPage) -> eyre::Result<Value> {
+fn run_experiment(name: &str, extra_args: &[&str], options: &ReportPage) -> eyre::Result<Value> {
     let output = Command::new(std::env::current_exe()?)
         .arg(name)
         .args(["--seed", &options.seed.to_string(), "--json", "--plot"])
         .arg(&options.folder)
-        .args(further)
+        .args(extra_args)
         .output()
         .wrap_err("starting the experiment")?;
     let text = String::from_utf8_lossy(&output.stdout);
@@ -56,7 +56,7 @@
         let errors = String::from_utf8_lossy(&output.stderr);
         eyre::bail!("{}: {}", output.status, errors.trim());
     }
-    serde_json::from_str(line).wrap_err("its last line is not JSON")
+    serde_json::from_str(line).wrap_err("the last line of output is not JSON")
 }
 
 const HEAD: &str = "<!doctype html>\n<html><head><meta charset=\"utf-8\">\
@@ -66,14 +66,14 @@
 td:first-child,th:first-child{text-align:left}</style></head><body>\n\
 <h1>buckthorncross: measurements</h1>\n";
 
-fn section(
+fn write_section(
     page: &mut String,
     name: &str,
-    found: &eyre::Result<Value>,
+    result: &eyre::Result<Value>,
     folder: &Path,
 ) -> eyre::Result<()> {
     writeln!(page, "<h2>{}</h2>", escape(name))?;
-    let report = match found {
+    let report = match result {
         Ok(report) => report,
         Err(e) => {
             writeln!(page, "<p><b>failed</b>: {}</p>", escape(&format!("{e:#}")))?;
@@ -82,12 +82,12 @@
     };
     let (seed, violations) = (&report["seed"], &report["violations"]);
     writeln!(page, "<p>Seed {seed}, violations {violations}.</p>")?;
-    table(page, &report["arms"])?;
-    plots(page, name, folder)
+    write_table(page, &report["arms"])?;
+    write_plots(page, name, folder)
 }
 
-/// A row for each figure, a column for each arm.
-fn table(page: &mut String, arms: &Value) -> eyre::Result<()> {
+/// Writes a table with a row per figure and a column per arm.
+fn write_table(page: &mut String, arms: &Value) -> eyre::Result<()> {
     let Some(arms) = arms.as_object() else {
         return Ok(());
     };
@@ -112,7 +112,7 @@
     Ok(())
 }
 
-fn plots(page: &mut String, name: &str, folder: &Path) -> eyre::Result<()> {
+fn write_plots(page: &mut String, name: &str, folder: &Path) -> eyre::Result<()> {
     let prefix = format!("{name}-");
     let mut paths = Vec::new();
     for file in std::fs::read_dir(folder)? {
--- a/bench/src/cmd/spread.rs
+++ b/bench/src/cmd/spread.rs
@@ -1,8 +1,8 @@
-//! `spread`: how an accepted edit comes into force on every daemon, and what it costs.
+//! `spread`: how an accepted edit comes into force in all daemons, and what that costs.
 //!
-//! The daemons' [`Sync`]s run in one thread on virtual time; messages take the time of
-//! the network, the store is the stand-in's table. Processor time is real. Beside it an
-//! arm in which every daemon watches the store itself.
+//! The daemons' [`Sync`]s run in one thread in simulated time. Messages have a network delay and
+//! the store is the stand-in's table. Processor time is real. In the naive arm, for comparison,
+//! every daemon watches the store itself.
 
 mod large;
 
@@ -27,79 +27,80 @@
 const KOCHI: &str = include_str!("../../../examples/kochi.yaml");
 const SIZES: [usize; 6] = [8, 16, 32, 64, 128, 460];
 const DOMAINS: [usize; 6] = [4, 4, 4, 4, 4, 16];
-const LARGEST_NAIVE: usize = 128;
-const TICK: Span = Span::from_millis(200);
-const SETTLE: Span = Span::from_secs(10);
-/// One way between failure domains, as at Clasach.
-const ONE_WAY: Span = Span::from_micros(1_500);
-const STORE_CALL: Span = Span::from_millis(4);
+const MAX_NAIVE_SIZE: usize = 128;
+const TICK_INTERVAL: Span = Span::from_millis(200);
+const SETTLING_TIME: Span = Span::from_secs(10);
+/// Minimum one-way delay between failure domains, as at Clasach. Jitter adds up to the same again.
+const MIN_NETWORK_DELAY: Span = Span::from_micros(1_500);
+const STORE_CALL_DELAY: Span = Span::from_millis(4);
 
-/// Runs it.
+/// Runs the experiment.
 pub fn run(options: &cli::Spread) -> eyre::Result<Report> {
     let mut report = Report::new("spread", options.seed);
-    large::measure(&mut report, &example()?)?;
+    large::measure(&mut report, &example_service()?)?;
     for (size, domains) in SIZES.into_iter().zip(DOMAINS) {
         for naive in [false, true] {
-            // Its calls grow with the fleet and nothing else does: no need of the largest.
-            if naive && size > LARGEST_NAIVE {
+            // In the naive arm only the store calls grow with the fleet, so the largest size is not
+            // needed.
+            if naive && size > MAX_NAIVE_SIZE {
                 continue;
             }
-            let mut world = World::new(size, domains, naive, options.seed)?;
-            world.measure(options.edits)?;
+            let mut simulation = Simulation::new(size, domains, naive, options.seed)?;
+            simulation.measure(options.edits)?;
             let label = if naive { "naive" } else { "spread" };
-            world.note(&mut report, &format!("{label} {size}"));
+            simulation.report_results(&mut report, &format!("{label} {size}"));
         }
     }
     Ok(report)
 }
 
-enum What {
+enum Event {
     Tick(usize),
     Message {
         from: usize,
         to: usize,
         bytes: bytes::Bytes,
     },
-    Called {
+    StoreCall {
         to: usize,
         req: Request,
     },
-    Watched {
+    WatchEvents {
         to: usize,
         from: i64,
     },
     Edit(u64),
 }
 
-struct World {
+struct Simulation {
     now: Time,
     rng: StdRng,
     table: Table,
     keys: Keys,
     daemons: Vec<Sync>,
     members: Vec<Member>,
-    places: BTreeMap<DaemonId, usize>,
+    indexes: BTreeMap<DaemonId, usize>,
     queue: BinaryHeap<Reverse<(Time, u64)>>,
-    due: BTreeMap<u64, What>,
-    numbers: u64,
+    pending_events: BTreeMap<u64, Event>,
+    last_number: u64,
     entry: Arc<Entry>,
     entries: Vec<EntryName>,
     head: Head,
-    accepted: BTreeMap<Revision, Time>,
+    accepted_at: BTreeMap<Revision, Time>,
     in_force: Vec<f64>,
-    reached: Vec<Revision>,
+    applied_revision: Vec<Revision>,
     bytes: u64,
     calls: u64,
     watches: u64,
-    busy: Duration,
+    cpu_time: Duration,
     violations: u64,
-    span: Span,
+    load_duration: Span,
 }
 
-impl World {
+impl Simulation {
     fn new(size: usize, domains: usize, naive: bool, seed: u64) -> eyre::Result<Self> {
         let cluster = ClusterName::new("bench")?;
-        let members = (0..size).map(|place| member(place, domains));
+        let members = (0..size).map(|index| member(index, domains));
         let members = members.collect::<eyre::Result<Vec<_>>>()?;
         let daemons = members.iter().map(|member| {
             let mut cfg = Config::new(member.id.clone(), &cluster);
@@ -108,91 +109,96 @@
             }
             Sync::new(cfg)
         });
-        let places = members.iter().enumerate();
-        let mut world = Self {
+        let indexes = members.iter().enumerate();
+        let mut simulation = Self {
             now: Time::ZERO,
             rng: StdRng::seed_from_u64(seed),
             table: Table::new(),
             keys: Keys::new(&cluster),
             daemons: daemons.collect(),
-            places: places
-                .map(|(place, member)| (member.id.clone(), place))
+            indexes: indexes
+                .map(|(index, member)| (member.id.clone(), index))
                 .collect(),
             members,
             queue: BinaryHeap::new(),
-            due: BTreeMap::new(),
-            numbers: 0,
-            entry: Arc::new(example()?),
+            pending_events: BTreeMap::new(),
+            last_number: 0,
+            entry: Arc::new(example_service()?),
             entries: (0..40)
                 .map(|n| EntryName::new(&format!("services/s{n}")))
                 .collect::<Result<_, _>>()?,
             head: Head::default(),
-            accepted: BTreeMap::new(),
+            accepted_at: BTreeMap::new(),
             in_force: Vec::new(),
-            reached: vec![Revision(0); size],
+            applied_revision: vec![Revision(0); size],
             bytes: 0,
             calls: 0,
             watches: 0,
-            busy: Duration::ZERO,
+            cpu_time: Duration::ZERO,
             violations: 0,
-            span: Span::ZERO,
+            load_duration: Span::ZERO,
         };
-        for place in 0..size {
-            let first = Span::from_micros(world.rng.random_range(0..TICK.as_micros()));
-            world.at(Time::ZERO + first, What::Tick(place));
+        for index in 0..size {
+            let first =
+                Span::from_micros(simulation.rng.random_range(0..TICK_INTERVAL.as_micros()));
+            simulation.schedule(Time::ZERO + first, Event::Tick(index));
         }
-        Ok(world)
+        Ok(simulation)
     }
 
-    /// Edits at 0.3 a second, then 50 at once, and what the daemons did meanwhile.
+    /// Makes edits at 0.3 per second, then a burst of 50, and measures the daemons meanwhile.
     fn measure(&mut self, edits: u64) -> eyre::Result<()> {
-        self.run_until(Time::ZERO + SETTLE)?;
-        (self.bytes, self.calls, self.busy) = (0, 0, Duration::ZERO);
+        self.run_until(Time::ZERO + SETTLING_TIME)?;
+        (self.bytes, self.calls, self.cpu_time) = (0, 0, Duration::ZERO);
         let begin = self.now;
         for edit in 0..edits {
             let gap = Span::from_micros(edit * 10_000_000 / 3);
-            self.at(begin + gap, What::Edit(edit));
+            self.schedule(begin + gap, Event::Edit(edit));
         }
         let burst = begin + Span::from_micros(edits * 10_000_000 / 3);
         for edit in 0..50 {
-            self.at(
+            self.schedule(
                 burst + Span::from_millis(10 * edit),
-                What::Edit(edits + edit),
+                Event::Edit(edits + edit),
             );
         }
-        let end = burst + SETTLE;
+        let end = burst + SETTLING_TIME;
         self.run_until(end)?;
-        self.span = end.since(begin);
-        let wanted = self.accepted.len() * self.daemons.len();
-        self.violations += (wanted - self.in_force.len()) as u64;
+        self.load_duration = end.since(begin);
+        let expected = self.accepted_at.len() * self.daemons.len();
+        self.violations += (expected - self.in_force.len()) as u64;
         Ok(())
     }
 
-    fn note(&mut self, report: &mut Report, arm: &str) {
+    fn report_results(&mut self, report: &mut Report, arm: &str) {
         self.in_force.sort_by(f64::total_cmp);
-        let at = |part: f64| {
-            let place = (self.in_force.len() as f64 * part) as usize;
+        let quantile = |share: f64| {
+            let index = (self.in_force.len() as f64 * share) as usize;
             self.in_force
-                .get(place.min(self.in_force.len().saturating_sub(1)))
+                .get(index.min(self.in_force.len().saturating_sub(1)))
         };
-        for (name, part) in [("p50", 0.5), ("p99", 0.99), ("max", 1.0)] {
-            let value = at(part).copied().unwrap_or(f64::NAN);
+        for (name, share) in [("p50", 0.5), ("p99", 0.99), ("max", 1.0)] {
+            let value = quantile(share).copied().unwrap_or(f64::NAN);
             report.note(arm, &format!("in_force_{name}_ms"), value);
         }
-        let secs = self.span.as_secs_f64();
-        let each = secs * self.daemons.len() as f64;
-        report.note(arm, "store_calls_per_s", self.calls as f64 / secs);
+        let seconds = self.load_duration.as_secs_f64();
+        let daemon_seconds = seconds * self.daemons.len() as f64;
+        report.note(arm, "store_calls_per_s", self.calls as f64 / seconds);
         report.note(arm, "store_watches", self.watches as f64);
-        report.note(arm, "sent_bytes_per_daemon_per_s", self.bytes as f64 / each);
-        let core = self.busy.as_secs_f64() / each;
+        report.note(
+            arm,
+            "sent_bytes_per_daemon_per_s",
+            self.bytes as f64 / daemon_seconds,
+        );
+        let core = self.cpu_time.as_secs_f64() / daemon_seconds;
         report.note(arm, "core_percent_per_daemon", 100.0 * core);
         report.violations += self.violations;
     }
 
-    fn at(&mut self, time: Time, what: What) {
-        self.numbers += 1;
-        self.due.insert(self.numbers, what);
-        self.queue.push(Reverse((time, self.numbers)));
+    fn schedule(&mut self, time: Time, event: Event) {
+        self.last_number += 1;
+        self.pending_events.insert(self.last_number, event);
+        self.queue.push(Reverse((time, self.last_number)));
     }
 
     fn run_until(&mut self, end: Time) -> eyre::Result<()> {
@@ -201,41 +207,41 @@
         {
             self.queue.pop();
             self.now = time;
-            if let Some(what) = self.due.remove(&number) {
-                self.happen(what)?;
+            if let Some(event) = self.pending_events.remove(&number) {
+                self.handle(event)?;
             }
         }
         self.now = end;
         Ok(())
     }
 
-    fn happen(&mut self, what: What) -> eyre::Result<()> {
-        let ticked = matches!(what, What::Tick(_));
-        let began = Instant::now();
+    fn handle(&mut self, event: Event) -> eyre::Result<()> {
+        let is_tick = matches!(event, Event::Tick(_));
+        let started_at = Instant::now();
         let (now, rng) = (self.now, &mut self.rng);
-        let (place, effects) = match what {
-            What::Tick(place) => (place, self.daemons[place].tick(now, &self.members, rng)),
-            What::Message { from, to, bytes } => {
+        let (index, effects) = match event {
+            Event::Tick(index) => (index, self.daemons[index].tick(now, &self.members, rng)),
+            Event::Message { from, to, bytes } => {
                 let message = Message::decode(&bytes)?;
                 let from = &self.members[from].id;
                 (to, self.daemons[to].on_message(now, from, message, rng))
             }
-            What::Called { to, req } => {
+            Event::StoreCall { to, req } => {
                 let outcome = self.table.call(now, &req);
                 (to, self.daemons[to].on_store(now, outcome, rng))
             }
-            What::Watched { to, from } => return self.watched(to, from),
-            What::Edit(number) => return self.edit(number),
+            Event::WatchEvents { to, from } => return self.deliver_watch_events(to, from),
+            Event::Edit(number) => return self.make_edit(number),
         };
-        self.busy += began.elapsed();
-        if ticked {
-            self.at(now + TICK, What::Tick(place));
+        self.cpu_time += started_at.elapsed();
+        if is_tick {
+            self.schedule(now + TICK_INTERVAL, Event::Tick(index));
         }
-        self.perform(place, effects)
+        self.apply_effects(index, effects)
     }
 
-    /// Tells a watcher what changed; the next look is when something is written.
-    fn watched(&mut self, to: usize, from: i64) -> eyre::Result<()> {
+    /// Delivers changes to a watcher. The next delivery is scheduled when something is written.
+    fn deliver_watch_events(&mut self, to: usize, from: i64) -> eyre::Result<()> {
         let end = format!("{}\u{7f}", self.keys.all());
         let changes = self.table.changes(from, self.keys.all(), Some(&end));
         let events: Vec<_> = changes
@@ -243,29 +249,29 @@
             .into_iter()
             .map(Into::into)
             .collect();
-        let began = Instant::now();
+        let started_at = Instant::now();
         let effects = self.daemons[to].on_watch(self.now, &events, &mut self.rng);
-        self.busy += began.elapsed();
-        self.perform(to, effects)
+        self.cpu_time += started_at.elapsed();
+        self.apply_effects(to, effects)
     }
 
-    fn perform(&mut self, place: usize, effects: Vec<Effect>) -> eyre::Result<()> {
+    fn apply_effects(&mut self, index: usize, effects: Vec<Effect>) -> eyre::Result<()> {
         for effect in effects {
             match effect {
                 Effect::Send { to, message } => {
-                    let began = Instant::now();
+                    let started_at = Instant::now();
                     let bytes = message.encode()?;
-                    self.busy += began.elapsed();
+                    self.cpu_time += started_at.elapsed();
                     self.bytes += bytes.len() as u64;
-                    let Some(to) = self.places.get(&to).copied() else {
+                    let Some(to) = self.indexes.get(&to).copied() else {
                         continue;
                     };
-                    let jitter = self.rng.random_range(0..ONE_WAY.as_micros());
-                    let arrival = self.now + ONE_WAY + Span::from_micros(jitter);
-                    self.at(
+                    let jitter = self.rng.random_range(0..MIN_NETWORK_DELAY.as_micros());
+                    let arrival = self.now + MIN_NETWORK_DELAY + Span::from_micros(jitter);
+                    self.schedule(
                         arrival,
-                        What::Message {
-                            from: place,
+                        Event::Message {
+                            from: index,
                             to,
                             bytes,
                         },
@@ -273,36 +279,40 @@
                 }
                 Effect::Store(req) => {
                     self.calls += 1;
-                    self.at(self.now + STORE_CALL, What::Called { to: place, req });
+                    self.schedule(
+                        self.now + STORE_CALL_DELAY,
+                        Event::StoreCall { to: index, req },
+                    );
                 }
                 Effect::Watch => {
                     self.watches += 1;
-                    self.watched(place, self.table.revision() + 1)?;
+                    self.deliver_watch_events(index, self.table.revision() + 1)?;
                 }
                 Effect::StopWatch => self.watches -= 1,
-                Effect::Applied(revision) => self.applied(place, revision),
+                Effect::Applied(revision) => self.record_applied(index, revision),
             }
         }
         Ok(())
     }
 
-    fn applied(&mut self, place: usize, revision: Revision) {
-        let before = self.reached[place];
+    fn record_applied(&mut self, index: usize, revision: Revision) {
+        let before = self.applied_revision[index];
         self.violations += u64::from(revision < before);
         if revision <= before {
             return;
         }
-        let newly = self.accepted.range(before.next()..=revision);
+        let newly_applied = self.accepted_at.range(before.next()..=revision);
         let now = self.now;
-        let waits = newly.map(|(_, at)| now.since(*at).as_secs_f64() * 1_000.0);
+        let waits = newly_applied.map(|(_, at)| now.since(*at).as_secs_f64() * 1_000.0);
         self.in_force.extend(waits);
-        self.reached[place] = revision;
+        self.applied_revision[index] = revision;
     }
 
-    /// An edit accepted at a daemon: in the store, and known there.
-    fn edit(&mut self, number: u64) -> eyre::Result<()> {
+    /// Makes an edit that a random daemon has accepted: it is in the store and known to that
+    /// daemon.
+    fn make_edit(&mut self, number: u64) -> eyre::Result<()> {
         let name = self.entries[number as usize % self.entries.len()].clone();
-        let place = self.rng.random_range(0..self.daemons.len());
+        let index = self.rng.random_range(0..self.daemons.len());
         let revision = self.head.revision.next();
         let edit_id = EditId(u128::from(revision.0));
         let record = Record {
@@ -329,29 +339,29 @@
             ..Txn::default()
         };
         self.table.call(self.now, &Request::Txn(txn))?;
-        self.accepted.insert(revision, self.now);
-        let effects = self.daemons[place].learn(vec![(name, held)], &mut self.rng);
-        self.perform(place, effects)?;
+        self.accepted_at.insert(revision, self.now);
+        let effects = self.daemons[index].learn(vec![(name, held)], &mut self.rng);
+        self.apply_effects(index, effects)?;
         for to in 0..self.daemons.len() {
             if self.daemons[to].is_watching() {
-                self.at(self.now + STORE_CALL, What::Watched { to, from });
+                self.schedule(self.now + STORE_CALL_DELAY, Event::WatchEvents { to, from });
             }
         }
         Ok(())
     }
 }
 
-fn member(place: usize, domains: usize) -> eyre::Result<Member> {
+fn member(index: usize, domains: usize) -> eyre::Result<Member> {
     Ok(Member {
-        id: DaemonId::new(&format!("entry-{place}"))?,
-        failure_domain: FailureDomain::new(&format!("domain-{}", place % domains))?,
+        id: DaemonId::new(&format!("entry-{index}"))?,
+        failure_domain: FailureDomain::new(&format!("domain-{}", index % domains))?,
     })
 }
 
-/// A service with about 20 upstreams: what an edit carries.
-fn example() -> eyre::Result<Entry> {
+/// Returns a service with about 20 upstreams, which is the content of every edit.
+fn example_service() -> eyre::Result<Entry> {
     let entries = file::parse("kochi.yaml", KOCHI)?;
     let name = EntryName::new("services/tariff-llm")?;
     let entry = entries.get(&name).map(|entry| (**entry).clone());
-    entry.ok_or_else(|| eyre::eyre!("the example lacks {name}"))
+    entry.ok_or_else(|| eyre::eyre!("the example catalogue has no entry {name}"))
 }
--- a/bench/src/cmd/spread/large.rs
+++ b/bench/src/cmd/spread/large.rs
@@ -1,4 +1,4 @@
-//! A catalogue of the size of two years from now: its memory and the work of an edit.
+//! Measures memory and the time of an edit for a catalogue of the size expected in two years.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -15,34 +15,42 @@
 const EDITS: u64 = 200;
 const ARM: &str = "catalogue of 12,000 upstreams";
 
-/// Measures it; `entry` is a service to make others from.
+/// Runs the measurement. `entry` is a service from which the others are derived.
 pub fn measure(report: &mut Report, entry: &Entry) -> eyre::Result<()> {
-    let before = resident()?;
+    let baseline = resident_bytes()?;
     let mut catalogue = Catalogue::default();
     let records = (1..=SERVICES).map(|number| record(entry, number, number));
     let records = records.collect::<eyre::Result<Vec<_>>>()?;
-    let began = Instant::now();
+    let started_at = Instant::now();
     catalogue.apply_all(records, Some(Revision(SERVICES)));
-    report.note(ARM, "load_ms", began.elapsed().as_secs_f64() * 1_000.0);
+    report.note(ARM, "load_ms", started_at.elapsed().as_secs_f64() * 1_000.0);
     let view = View::from_catalogue(&catalogue);
-    let held = resident()?.saturating_sub(before);
-    report.note(ARM, "resident_mib", held as f64 / f64::from(1 << 20));
-    let stored: usize = catalogue
+    let catalogue_bytes = resident_bytes()?.saturating_sub(baseline);
+    report.note(
+        ARM,
+        "resident_mib",
+        catalogue_bytes as f64 / f64::from(1 << 20),
+    );
+    let stored_bytes: usize = catalogue
         .since(Revision(0))
         .map(|(_, r)| r.json.len())
         .sum();
-    report.note(ARM, "stored_mib", stored as f64 / f64::from(1 << 20));
+    report.note(ARM, "stored_mib", stored_bytes as f64 / f64::from(1 << 20));
     report.note(ARM, "services", view.services.len() as f64);
-    let began = Instant::now();
+    let started_at = Instant::now();
     for edit in 1..=EDITS {
         let record = record(entry, edit, SERVICES + edit)?;
         catalogue.apply_all([record], None);
     }
-    let each = began.elapsed().as_secs_f64() * 1_000.0 / EDITS as f64;
-    report.note(ARM, "apply_ms", each);
-    let began = Instant::now();
+    let apply_ms = started_at.elapsed().as_secs_f64() * 1_000.0 / EDITS as f64;
+    report.note(ARM, "apply_ms", apply_ms);
+    let started_at = Instant::now();
     let view = View::from_catalogue(&catalogue);
-    report.note(ARM, "index_ms", began.elapsed().as_secs_f64() * 1_000.0);
+    report.note(
+        ARM,
+        "index_ms",
+        started_at.elapsed().as_secs_f64() * 1_000.0,
+    );
     report.violations += u64::from(view.services.len() as u64 != SERVICES);
     Ok(())
 }
@@ -50,9 +58,10 @@
 fn record(entry: &Entry, number: u64, revision: u64) -> eyre::Result<(EntryName, Held)> {
     let mut entry = entry.clone();
     if let Body::Service(service) = &mut entry.body {
-        let first = service.upstreams.first().cloned();
-        let first = first.ok_or_else(|| eyre::eyre!("the example has no upstream"))?;
-        let upstreams = (0..UPSTREAMS).map(|place| upstream(&first, number, place));
+        let example_upstream = service.upstreams.first().cloned();
+        let example_upstream =
+            example_upstream.ok_or_else(|| eyre::eyre!("the example service has no upstream"))?;
+        let upstreams = (0..UPSTREAMS).map(|index| upstream(&example_upstream, number, index));
         service.upstreams = upstreams.collect::<Result<_, _>>()?;
     }
     let record = Record {
@@ -67,17 +76,17 @@
     Ok((name, Held::new(Arc::new(record))))
 }
 
-fn upstream(first: &Upstream, number: u64, place: u64) -> eyre::Result<Upstream> {
-    let address = format!("10.{}.{}.{}:8000", number / 256, number % 256, place + 1);
+fn upstream(example_upstream: &Upstream, number: u64, index: u64) -> eyre::Result<Upstream> {
+    let address = format!("10.{}.{}.{}:8000", number / 256, number % 256, index + 1);
     Ok(Upstream {
-        id: UpstreamId::new(&format!("pool-{number}-worker-{place}"))?,
+        id: UpstreamId::new(&format!("pool-{number}-worker-{index}"))?,
         address: address.parse()?,
-        ..first.clone()
+        ..example_upstream.clone()
     })
 }
 
-/// This process's resident memory in bytes.
-fn resident() -> eyre::Result<u64> {
+/// Resident memory of this process in bytes.
+fn resident_bytes() -> eyre::Result<u64> {
     let status = std::fs::read_to_string("/proc/self/status")?;
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let kib = line.and_then(|line| line.split_whitespace().next()?.parse::<u64>().ok());
--- a/bench/src/fake/engine.rs
+++ b/bench/src/fake/engine.rs
@@ -146,8 +146,8 @@
         }
     }
 
-    /// Schedules a prefill and returns its end. Prompts are prefilled one at a time, interactive ones
-    /// before batch ones.
+    /// Schedules a prefill and returns its end. Prompts are prefilled one at a time, interactive
+    /// ones before batch ones.
     fn prefill(&mut self, now: Time, priority: Priority, length: Span) -> Time {
         let [interactive, batch] = self.prefill_free_at;
         if priority == Priority::Interactive {
@@ -193,8 +193,8 @@
         cached_parts.map(|(_, tokens)| tokens).sum()
     }
 
-    /// Inserts the parts of a prompt. Later parts count as used before earlier ones, so that they are
-    /// evicted first.
+    /// Inserts the parts of a prompt. Later parts count as used before earlier ones, so that they
+    /// are evicted first.
     fn insert(&mut self, prompt: &[(u64, u32)]) {
         for (hash, tokens) in prompt.iter().rev() {
             self.uses += 1;
