--- a/bench/src/cmd/config.rs
+++ b/bench/src/cmd/config.rs
@@ -1,9 +1,9 @@
-//! How soon an accepted edit is in force at every daemon, and what that costs.
+//! `config`: time until an accepted edit is in force at every daemon, and its cost.
 //!
-//! Daemons are real processes on loopback, the store is a stand-in that counts its calls.
-//! When a revision is in force is read from each daemon's own log, so that nothing that
-//! measures disturbs what is measured. For each size of the fleet: rest, steady edits, a
-//! burst. Beside it fleets in which every daemon watches the store itself. Then faults.
+//! Daemons are real processes on loopback; the store is a stand-in that counts its calls. The time
+//! at which a revision is in force is read from each daemon's own log, so that the measurement
+//! doesn't disturb what is measured. Each fleet size runs idle, with steady edits and with a burst.
+//! For comparison, some fleets run with every daemon watching the store itself. Fault arms follow.
 
 mod edit;
 mod faults;
@@ -15,21 +15,21 @@
 
 use crate::cli::Config;
 use crate::report::{Curve, Report};
-use edit::{Editor, Told};
+use edit::{EditAnswer, Editor};
 use fleet::{Fleet, Usage};
 
-/// Edits a second, steadily: 27,000 a day.
+/// Steady edits per second, about 27,000 per day.
 const STEADY_RATE: f64 = 0.3;
-/// Edits at once.
-const BURST: usize = 50;
-/// Operators that make the burst.
+/// Number of edits in a burst.
+const BURST_EDITS: usize = 50;
+/// Number of operators that make the burst concurrently.
 const BURST_OPERATORS: usize = 5;
-/// For the last revision to be everywhere and in the logs.
-const SETTLE: Duration = Duration::from_secs(5);
-/// Sizes of the fleets in which every daemon watches.
-const NAIVE_SIZES: [usize; 2] = [8, 32];
+/// Time for the last revision to reach all daemons and their logs.
+const SETTLING_TIME: Duration = Duration::from_secs(5);
+/// Sizes of the fleets in which every daemon watches the store.
+const NAIVE_FLEET_SIZES: [usize; 2] = [8, 32];
 
-/// Runs it.
+/// Runs the experiment.
 pub fn run(options: &Config) -> eyre::Result<Report> {
     let mut report = Report::new("config", options.seed);
     let sizes = options.sizes.split(',').filter(|size| !size.is_empty());
@@ -38,17 +38,17 @@
     for size in &sizes {
         measure(options, *size, false, &mut report)?;
     }
-    for size in NAIVE_SIZES.iter().filter(|size| sizes.contains(size)) {
+    for size in NAIVE_FLEET_SIZES.iter().filter(|size| sizes.contains(size)) {
         measure(options, *size, true, &mut report)?;
     }
     if options.rounds > 0 {
         faults::run(options.rounds, &mut report)?;
     }
-    draw(&sizes, &mut report);
+    add_curves(&sizes, &mut report);
     Ok(report)
 }
 
-/// One fleet: at rest, with steady edits, with a burst.
+/// Measures one fleet when idle, with steady edits and with a burst.
 fn measure(options: &Config, size: usize, naive: bool, report: &mut Report) -> eyre::Result<()> {
     let kind = if naive {
         "every_daemon_watches"
@@ -60,58 +60,58 @@
     let fleet = Fleet::start(size, naive)?;
     fleet.wait_joined()?;
     report.note(&arm, "start_s", started.elapsed().as_secs_f64());
-    std::thread::sleep(SETTLE * 2);
+    std::thread::sleep(SETTLING_TIME * 2);
     let length = Duration::from_secs(options.seconds);
 
     let before = fleet.usage()?;
     std::thread::sleep(length);
-    note_usage(&arm, "rest", &before, &fleet.usage()?, size, report);
+    report_usage(&arm, "rest", &before, &fleet.usage()?, size, report);
 
     let before = fleet.usage()?;
     let steady = edit_steadily(&fleet, length)?;
-    note_usage(&arm, "steady", &before, &fleet.usage()?, size, report);
-    std::thread::sleep(SETTLE);
+    report_usage(&arm, "steady", &before, &fleet.usage()?, size, report);
+    std::thread::sleep(SETTLING_TIME);
 
     let before = fleet.usage()?;
     let burst = edit_at_once(&fleet)?;
-    std::thread::sleep(SETTLE);
-    note_usage(&arm, "burst", &before, &fleet.usage()?, size, report);
-
-    let logs = fleet.logs()?;
-    note_spread(&arm, "steady", &steady, &logs, report);
-    note_spread(&arm, "burst", &burst, &logs, report);
-    report.violations += fleet::reverts(&logs);
-    report.note(&arm, "resident_mb_max", fleet.largest_resident()? / 1e6);
+    std::thread::sleep(SETTLING_TIME);
+    report_usage(&arm, "burst", &before, &fleet.usage()?, size, report);
+
+    let logs = fleet.read_logs()?;
+    report_propagation(&arm, "steady", &steady, &logs, report);
+    report_propagation(&arm, "burst", &burst, &logs, report);
+    report.violations += fleet::count_reverts(&logs);
+    report.note(&arm, "resident_mb_max", fleet.max_resident_bytes()? / 1e6);
     Ok(())
 }
 
-fn edit_steadily(fleet: &Fleet, length: Duration) -> eyre::Result<Vec<Told>> {
+fn edit_steadily(fleet: &Fleet, length: Duration) -> eyre::Result<Vec<EditAnswer>> {
     let mut editor = Editor::new("steady");
     let interval = Duration::from_secs_f64(1.0 / STEADY_RATE);
     let start = Instant::now();
-    let mut told = Vec::new();
+    let mut answers = Vec::new();
     for round in 0.. {
         let due = interval * round;
         if due >= length {
             break;
         }
         std::thread::sleep(due.saturating_sub(start.elapsed()));
-        let daemon = fleet.operators_of(round as usize);
-        told.push(editor.put(daemon, u64::from(round) + 1)?);
+        let daemon = fleet.operator_address(round as usize);
+        answers.push(editor.put(daemon, u64::from(round) + 1)?);
     }
     std::thread::sleep(length.saturating_sub(start.elapsed()));
-    Ok(told)
+    Ok(answers)
 }
 
-fn edit_at_once(fleet: &Fleet) -> eyre::Result<Vec<Told>> {
-    let operator = |number: usize| -> eyre::Result<Vec<Told>> {
+fn edit_at_once(fleet: &Fleet) -> eyre::Result<Vec<EditAnswer>> {
+    let operator = |number: usize| -> eyre::Result<Vec<EditAnswer>> {
         let mut editor = Editor::new(&format!("burst-{number}"));
-        let daemon = fleet.operators_of(number);
-        let edits = 0..BURST / BURST_OPERATORS;
-        let told = edits.map(|edit| editor.put(daemon, edit as u64 + 1));
-        told.collect()
+        let daemon = fleet.operator_address(number);
+        let edits = 0..BURST_EDITS / BURST_OPERATORS;
+        let answers = edits.map(|edit| editor.put(daemon, edit as u64 + 1));
+        answers.collect()
     };
-    let told = std::thread::scope(|scope| {
+    let answers = std::thread::scope(|scope| {
         let operators = 0..BURST_OPERATORS;
         let threads = operators.map(|number| scope.spawn(move || operator(number)));
         let threads = threads.collect::<Vec<_>>();
@@ -119,34 +119,40 @@
         joined.collect::<Vec<_>>()
     });
     let mut all = Vec::new();
-    for result in told {
+    for result in answers {
         all.extend(result.map_err(|_| eyre::eyre!("an operator's thread panicked"))??);
     }
     Ok(all)
 }
 
-/// From the acceptance of each edit until it was in force at the last daemon.
-fn note_spread(arm: &str, phase: &str, told: &[Told], logs: &[fleet::Log], report: &mut Report) {
-    let accepted = told.iter().filter_map(Told::accepted);
-    let mut spreads = Vec::new();
+/// Reports the time from the acceptance of each edit until it was in force at the last daemon.
+fn report_propagation(
+    arm: &str,
+    phase: &str,
+    answers: &[EditAnswer],
+    logs: &[fleet::AppliedLog],
+    report: &mut Report,
+) {
+    let accepted = answers.iter().filter_map(EditAnswer::accepted);
+    let mut delays_ms = Vec::new();
     for (revision, at) in accepted {
-        match fleet::everywhere(logs, revision) {
-            Some(everywhere) => spreads.push(everywhere.0.saturating_sub(at.0)),
+        match fleet::in_force_everywhere(logs, revision) {
+            Some(in_force_at) => delays_ms.push(in_force_at.0.saturating_sub(at.0)),
             None => report.violations += 1,
         }
     }
-    spreads.sort_unstable();
-    let refused = told.len() - told.iter().filter_map(Told::accepted).count();
-    report.note(arm, &format!("{phase}_edits"), told.len() as f64);
+    delays_ms.sort_unstable();
+    let refused = answers.len() - answers.iter().filter_map(EditAnswer::accepted).count();
+    report.note(arm, &format!("{phase}_edits"), answers.len() as f64);
     report.note(arm, &format!("{phase}_not_accepted"), refused as f64);
     for (name, share) in [("p50", 0.5), ("p99", 0.99), ("max", 1.0)] {
-        let place = ((spreads.len() as f64 * share).ceil() as usize).max(1) - 1;
-        let value = spreads.get(place).map_or(f64::NAN, |ms| *ms as f64);
+        let place = ((delays_ms.len() as f64 * share).ceil() as usize).max(1) - 1;
+        let value = delays_ms.get(place).map_or(f64::NAN, |ms| *ms as f64);
         report.note(arm, &format!("{phase}_everywhere_ms_{name}"), value);
     }
 }
 
-fn note_usage(
+fn report_usage(
     arm: &str,
     phase: &str,
     before: &Usage,
@@ -171,7 +177,7 @@
     note("store_open_watches", after.store.open_watches as f64);
 }
 
-fn draw(sizes: &[usize], report: &mut Report) {
+fn add_curves(sizes: &[usize], report: &mut Report) {
     for (plot, figure) in [
         ("everywhere", "steady_everywhere_ms_p99"),
         ("everywhere", "burst_everywhere_ms_p99"),
--- a/bench/src/cmd/config/edit.rs
+++ b/bench/src/cmd/config/edit.rs
@@ -1,4 +1,4 @@
-//! An operator who edits one entry over and over.
+//! An operator that repeatedly edits one entry.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,26 +10,26 @@
 
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What the operator was told of an edit.
+/// Answer that the operator got to an edit.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Told {
-    /// It is in the store.
+pub enum EditAnswer {
+    /// The edit is in the store.
     Applied {
-        /// The revision that it made.
+        /// Revision of the edit.
         revision: Revision,
-        /// When the answer came.
+        /// Time at which the answer was received.
         at: WallTime,
     },
-    /// Another was faster; nothing was written.
+    /// Another edit was first; nothing was written.
     Conflict,
-    /// Certainly without effect.
+    /// The edit certainly had no effect.
     NotApplied,
-    /// Not known.
+    /// The outcome is unknown.
     Unknown,
 }
 
-impl Told {
-    /// The revision and the moment of an accepted edit.
+impl EditAnswer {
+    /// Revision and time of an accepted edit.
     pub fn accepted(&self) -> Option<(Revision, WallTime)> {
         match self {
             Self::Applied { revision, at } => Some((*revision, *at)),
@@ -38,7 +38,7 @@
     }
 }
 
-/// An operator with an entry of its own.
+/// An operator with its own entry.
 #[derive(Debug)]
 pub struct Editor {
     entry: String,
@@ -47,7 +47,7 @@
 }
 
 impl Editor {
-    /// Edits a customer of this name, which is not there yet.
+    /// Creates an operator that edits the customer `bench-{name}`, which doesn't exist yet.
     pub fn new(name: &str) -> Self {
         Self {
             entry: format!("customers/bench-{name}"),
@@ -56,13 +56,13 @@
         }
     }
 
-    /// Takes a revision as the one last seen.
-    pub fn saw(&mut self, revision: Revision) {
+    /// Sets the revision that the next edit is conditional on.
+    pub fn set_revision(&mut self, revision: Revision) {
         self.revision = Some(revision);
     }
 
-    /// Puts the entry with another weight, if it is as last seen.
-    pub fn put(&mut self, daemon: SocketAddr, weight: u64) -> eyre::Result<Told> {
+    /// Writes the entry with a new weight, provided that its revision is the one last seen.
+    pub fn put(&mut self, daemon: SocketAddr, weight: u64) -> eyre::Result<EditAnswer> {
         let url = format!("http://{daemon}/catalogue/{}", self.entry);
         let hash = format!("{:064x}", fingerprint(&self.entry));
         let body = json!({
@@ -78,45 +78,45 @@
         if let Some(revision) = self.revision {
             req = req.header("If-Match", format!("\"{revision}\""));
         }
-        let answer = req.json(&body)?.send()?;
+        let response = req.json(&body)?.send()?;
         let at = self.clock.wall();
-        let status = answer.status().as_u16();
-        let body: Value = answer.json()?;
-        Ok(self.read(status, &body, at))
+        let status = response.status().as_u16();
+        let body: Value = response.json()?;
+        Ok(self.parse_answer(status, &body, at))
     }
 
-    fn read(&mut self, status: u16, body: &Value, at: WallTime) -> Told {
+    fn parse_answer(&mut self, status: u16, body: &Value, at: WallTime) -> EditAnswer {
         if (200..300).contains(&status) {
             let revision = Revision(body["revision"].as_u64().unwrap_or(0));
             self.revision = Some(revision);
-            return Told::Applied { revision, at };
+            return EditAnswer::Applied { revision, at };
         }
         match body["error"]["code"].as_str() {
-            Some("conflict" | "precondition_required") => Told::Conflict,
-            Some("outcome_unknown") => Told::Unknown,
-            _ => Told::NotApplied,
+            Some("conflict" | "precondition_required") => EditAnswer::Conflict,
+            Some("outcome_unknown") => EditAnswer::Unknown,
+            _ => EditAnswer::NotApplied,
         }
     }
 
-    /// The entry's weight and revision as a daemon holds it.
-    pub fn seen_at(&self, daemon: SocketAddr) -> eyre::Result<Option<(u64, Revision)>> {
+    /// Returns the entry's weight and revision as held by a daemon.
+    pub fn held_by(&self, daemon: SocketAddr) -> eyre::Result<Option<(u64, Revision)>> {
         let url = format!("http://{daemon}/catalogue/{}", self.entry);
-        let answer = attohttpc::get(url)
+        let response = attohttpc::get(url)
             .connect_timeout(TIMEOUT)
             .read_timeout(TIMEOUT)
             .bearer_auth(OPERATOR_TOKEN)
             .send()?;
-        if !answer.is_success() {
+        if !response.is_success() {
             return Ok(None);
         }
-        let body: Value = answer.json()?;
+        let body: Value = response.json()?;
         let weight = body["entry"]["weight"].as_u64();
         let revision = body["revision"].as_u64().map(Revision);
         Ok(weight.zip(revision))
     }
 }
 
-/// A number of a name, so that no two customers have the same key.
+/// Hashes a name (FNV-1a), so that no two customers have the same key.
 fn fingerprint(name: &str) -> u64 {
     let bytes = name.bytes();
     bytes.fold(14_695_981_039_346_656_037, |hash, byte| {
--- a/bench/src/cmd/config/fleet.rs
+++ b/bench/src/cmd/config/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of daemon processes, what they use, and what their logs say.
+//! A fleet of daemon processes, its resource usage and its logs.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -13,48 +13,48 @@
 use crate::daemons::{Addresses, CLUSTER, Daemon, DaemonPlan, OPERATOR_TOKEN, Scratch};
 
 const KOCHI: &str = include_str!("../../../../examples/kochi.yaml");
-/// Failure domains of a fleet, as many as both users have today.
+/// Number of failure domains of a fleet, as in both users' current fleets.
 const DOMAINS: usize = 8;
-/// Daemons to join by.
-const SEEDS: usize = 3;
-/// Daemons started at once.
-const STARTERS: usize = 4;
-const JOINED_WITHIN: Duration = Duration::from_secs(60);
-const LOOK_AGAIN: Duration = Duration::from_millis(200);
+/// Number of daemons that serve as seeds.
+const SEED_DAEMONS: usize = 3;
+/// Number of threads that start daemons concurrently.
+const START_THREADS: usize = 4;
+const JOIN_TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 const TIMEOUT: Duration = Duration::from_secs(20);
-const IN_FORCE: &str = "catalogue: revision ";
+const REVISION_LOG_MARKER: &str = "catalogue: revision ";
 
-/// When each revision was in force at one daemon, in order.
-pub type Log = Vec<(WallTime, Revision)>;
+/// Time and revision of each catalogue update at one daemon, in log order.
+pub type AppliedLog = Vec<(WallTime, Revision)>;
 
-/// Daemons and their store.
+/// A fleet of daemons with its stand-in platform.
 pub struct Fleet {
-    /// The processes.
+    /// Daemon processes.
     pub daemons: Vec<Daemon>,
-    /// The stand-ins.
+    /// Stand-ins of the platform's services.
     pub platform: Platform,
-    /// Where settings and logs lie; goes last.
+    /// Folder of settings and logs. Declared last so that it is removed last.
     pub scratch: Scratch,
 }
 
-/// What the whole fleet has used so far.
+/// Resource usage of the whole fleet so far.
 #[derive(Debug)]
 pub struct Usage {
-    /// When this was so.
+    /// Time of the measurement.
     pub at: Instant,
     /// Processor time in seconds.
     pub cpu: f64,
-    /// Bytes in and out between daemons.
+    /// Bytes sent and received between daemons.
     pub bytes: f64,
-    /// Messages taken and handed over.
+    /// Messages sent and received between daemons.
     pub messages: f64,
-    /// Calls of the store.
+    /// Counters of the store.
     pub store: StoreCounters,
 }
 
 impl Fleet {
-    /// Starts daemons; in the naive way each is alone in its failure domain, and so each
-    /// watches the store.
+    /// Starts a fleet. In the naive arm each daemon is alone in its failure domain and therefore
+    /// watches the store itself.
     pub fn start(size: usize, naive: bool) -> eyre::Result<Self> {
         let entries = catalogue::file::parse("kochi.yaml", KOCHI)?;
         let platform = Platform::start(&PlatformConfig::default(), &entries)?;
@@ -63,7 +63,7 @@
         let addresses = (0..size).map(|_| Addresses::free());
         let addresses = addresses.collect::<Result<Vec<_>, _>>()?;
         let domains = if naive { size } else { DOMAINS };
-        let seeds = addresses.iter().take(SEEDS).map(|a| a.peers);
+        let seeds = addresses.iter().take(SEED_DAEMONS).map(|a| a.peers);
         let seeds = seeds.collect::<Vec<_>>();
         let plans = addresses.iter().enumerate().map(|(index, addresses)| {
             let others = seeds.iter().filter(|seed| **seed != addresses.peers);
@@ -85,28 +85,28 @@
         })
     }
 
-    /// Waits until every daemon counts all as alive.
+    /// Waits until every daemon considers all daemons alive.
     pub fn wait_joined(&self) -> eyre::Result<()> {
-        let ends = Instant::now() + JOINED_WITHIN;
+        let deadline = Instant::now() + JOIN_TIMEOUT;
         for daemon in &self.daemons {
-            while alive_at(daemon.plan.addresses.operators)? < self.daemons.len() {
-                if Instant::now() > ends {
-                    bail!("{} does not know all daemons in time", daemon.plan.name);
+            while count_alive(daemon.plan.addresses.operators)? < self.daemons.len() {
+                if Instant::now() > deadline {
+                    bail!("{} did not learn of all daemons in time", daemon.plan.name);
                 }
-                std::thread::sleep(LOOK_AGAIN);
+                std::thread::sleep(POLL_INTERVAL);
             }
         }
         Ok(())
     }
 
-    /// The operators' address of some daemon.
-    pub fn operators_of(&self, number: usize) -> SocketAddr {
-        // A stride that visits other failure domains each time.
+    /// Address of the operators' API of one of the daemons.
+    pub fn operator_address(&self, number: usize) -> SocketAddr {
+        // The stride selects a different failure domain each time.
         let index = number * 7 % self.daemons.len();
         self.daemons[index].plan.addresses.operators
     }
 
-    /// What the whole fleet has used so far.
+    /// Resource usage of the whole fleet so far.
     pub fn usage(&self) -> eyre::Result<Usage> {
         let mut usage = Usage {
             at: Instant::now(),
@@ -127,34 +127,34 @@
         Ok(usage)
     }
 
-    /// The largest resident memory of a daemon, in bytes.
-    pub fn largest_resident(&self) -> eyre::Result<f64> {
+    /// Largest resident memory of any daemon in bytes.
+    pub fn max_resident_bytes(&self) -> eyre::Result<f64> {
         let sizes = self.daemons.iter().map(Daemon::resident_bytes);
         let sizes = sizes.collect::<Result<Vec<_>, _>>()?;
         Ok(sizes.into_iter().max().unwrap_or(0) as f64)
     }
 
-    /// What the daemons' logs say so far.
-    pub fn logs(&self) -> eyre::Result<Vec<Log>> {
-        let logs = self.daemons.iter().map(|daemon| self.log_of(daemon));
+    /// Reads the logs of all daemons.
+    pub fn read_logs(&self) -> eyre::Result<Vec<AppliedLog>> {
+        let logs = self.daemons.iter().map(|daemon| self.read_log(daemon));
         logs.collect()
     }
 
-    /// What one daemon's log says so far.
-    pub fn log_of(&self, daemon: &Daemon) -> eyre::Result<Log> {
+    /// Reads the log of one daemon.
+    pub fn read_log(&self, daemon: &Daemon) -> eyre::Result<AppliedLog> {
         let file = format!("{}.log", daemon.plan.name);
         let text = fs::read_to_string(self.scratch.path().join(file))?;
         Ok(text.lines().filter_map(in_force).collect())
     }
 }
 
-/// Starts daemons, a few at a time.
+/// Starts the daemons, `START_THREADS` at a time.
 fn start_all(
     plans: &[DaemonPlan],
     platform: &Platform,
     scratch: &Scratch,
 ) -> eyre::Result<Vec<Daemon>> {
-    let part = plans.len().div_ceil(STARTERS).max(1);
+    let part = plans.len().div_ceil(START_THREADS).max(1);
     let start = |plans: &[DaemonPlan]| -> eyre::Result<Vec<Daemon>> {
         let started = plans.iter();
         let started = started.map(|p| Daemon::start(p.clone(), platform, scratch.path()));
@@ -175,7 +175,7 @@
     Ok(daemons)
 }
 
-/// Reads a path of the operators' API.
+/// Sends a GET request to the operators' API.
 pub fn get(daemon: SocketAddr, path: &str) -> eyre::Result<Value> {
     let answer = attohttpc::get(format!("http://{daemon}{path}"))
         .connect_timeout(TIMEOUT)
@@ -185,25 +185,25 @@
     Ok(answer.json()?)
 }
 
-/// Daemons that one counts as alive.
-pub fn alive_at(daemon: SocketAddr) -> eyre::Result<usize> {
+/// Returns the number of daemons that a daemon considers alive.
+pub fn count_alive(daemon: SocketAddr) -> eyre::Result<usize> {
     let status = get(daemon, "/status")?;
     let members = status["members"].as_array().map_or(&[][..], Vec::as_slice);
     let alive = members.iter().filter(|member| member["state"] == "alive");
     Ok(alive.count())
 }
 
-/// Reads a log line that tells of a revision in force.
+/// Parses a log line that reports a revision in force.
 fn in_force(line: &str) -> Option<(WallTime, Revision)> {
-    let (head, rest) = line.split_once(IN_FORCE)?;
+    let (head, rest) = line.split_once(REVISION_LOG_MARKER)?;
     let revision = rest.split_whitespace().next()?.parse().ok()?;
     let at = head.split_whitespace().next()?.parse().ok()?;
     Some((at, revision))
 }
 
-/// When a revision was in force at the last daemon, if it was at all.
-pub fn everywhere(logs: &[Log], revision: Revision) -> Option<WallTime> {
-    let first = |log: &Log| {
+/// Returns the time at which a revision was in force at the last daemon, if it was at all.
+pub fn in_force_everywhere(logs: &[AppliedLog], revision: Revision) -> Option<WallTime> {
+    let first = |log: &AppliedLog| {
         let reached = log.iter().find(|(_, held)| *held >= revision);
         reached.map(|(at, _)| *at)
     };
@@ -211,8 +211,9 @@
     times.into_iter().max()
 }
 
-/// How often a daemon went back to an older revision.
-pub fn reverts(logs: &[Log]) -> u64 {
-    let back = |log: &Log| log.windows(2).filter(|pair| pair[1].1 < pair[0].1).count();
-    logs.iter().map(back).sum::<usize>() as u64
+/// Counts how often a daemon went back to an older revision.
+pub fn count_reverts(logs: &[AppliedLog]) -> u64 {
+    let count_backward_steps =
+        |log: &AppliedLog| log.windows(2).filter(|pair| pair[1].1 < pair[0].1).count();
+    logs.iter().map(count_backward_steps).sum::<usize>() as u64
 }
--- a/bench/src/cmd/ledger/simulation.rs
+++ b/bench/src/cmd/ledger/simulation.rs
@@ -1,4 +1,4 @@
-//! A fleet of ledgers in its own time.
+//! Simulates a fleet of ledgers.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -17,28 +17,28 @@
 use crate::report::Figures;
 
 const PREFIX: &str = "/buckthorncross/bench";
-const TICK: Span = Span::from_millis(200);
-const STORE_WAY: Span = Span::from_millis(2);
-const NEAREST_MICROS: u64 = 200;
-const FARTHEST_MICROS: u64 = 800;
+const TICK_INTERVAL: Span = Span::from_millis(200);
+const STORE_ONE_WAY: Span = Span::from_millis(2);
+const MIN_NETWORK_MICROS: u64 = 200;
+const MAX_NETWORK_MICROS: u64 = 800;
 const START_MILLIS: u64 = 1_800_000_000_000;
 const CUSTOMERS: u64 = 10;
 const VERSIONS: u64 = 10;
 const DOMAINS: usize = 4;
-/// Others learn of a crash after so long.
-const DETECTION: Span = Span::from_secs(3);
-const SETTLING: Span = Span::from_secs(120);
-/// A crash comes at a random moment of this many seconds, after as many.
-const CRASH_SECS: u64 = 5;
+/// Time after which the other daemons learn of a crash.
+const CRASH_DETECTION: Span = Span::from_secs(3);
+const SETTLING_TIME: Span = Span::from_secs(120);
+/// The crash happens at a random time in a window of this length, which starts after the same time.
+const CRASH_WINDOW_SECONDS: u64 = 5;
 
-/// What is unlike today's fleet without faults.
+/// Deviations of an arm from the current fleet without faults.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Arm {
-    /// Hosts lost at one moment: one at random, then the holder of its bills.
+pub struct ArmConfig {
+    /// Hosts that crash at the same time: a random one, then the holder of its bills.
     pub hosts: u32,
-    /// The store is down before the crash and for a while after.
+    /// Whether the store is down before the crash and for a while after.
     pub store_down: bool,
-    /// Charges gather so long before they go to the second holder.
+    /// How long charges are collected before they are sent to the second holder.
     pub hold: Option<Span>,
 }
 
@@ -49,9 +49,9 @@
     Call(usize, CallId, Request),
     Outcome(usize, CallId, Outcome),
     Tick(usize),
-    Wake(usize),
-    Forget(usize),
-    StoreIsBack,
+    Flush(usize),
+    RemoveMember(usize),
+    StoreUp,
     Crash,
 }
 
@@ -60,71 +60,71 @@
     ledger: Ledger,
     is_alive: bool,
     waiting: BTreeMap<Receipt, (u64, Time)>,
-    wake_at: Time,
+    flush_at: Time,
 }
 
-/// What is known once everything is sealed and rolled up.
+/// Counts after everything is sealed and rolled up.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct End {
+pub struct FinalCounts {
     pub answered: u64,
-    /// Requests whose daemon was lost before the end of their answer.
+    /// Requests whose daemon crashed before the end of their answer.
     pub cut: u64,
     pub lost: u64,
     pub doubled: u64,
 }
 
-/// A fleet of ledgers and a store.
-pub struct World {
+/// Simulation of a fleet of ledgers and a store.
+pub struct Simulation {
     now: Time,
     rng: StdRng,
     events: BinaryHeap<Reverse<(Time, u64)>>,
-    bodies: BTreeMap<u64, Event>,
-    next_event: u64,
+    pending_events: BTreeMap<u64, Event>,
+    last_event: u64,
     daemons: Vec<Daemon>,
     members: Vec<Peer>,
     store: CountedStore,
     is_store_down: bool,
-    gap: Span,
+    request_interval: Span,
     until: Time,
-    arm: Arm,
+    arm: ArmConfig,
     requests: u64,
     answered: BTreeSet<u64>,
-    custody: Histogram<u64>,
-    busy: Duration,
+    replication_delay: Histogram<u64>,
+    cpu_time: Duration,
     sent: (u64, u64),
     json_bytes: u64,
 }
 
-impl World {
-    /// Daemons and requests a second.
-    pub fn new((daemons, rate): (usize, u64), seed: u64, arm: Arm) -> Self {
-        let mut world = Self {
+impl Simulation {
+    /// Creates a simulation with a number of daemons and of requests per second.
+    pub fn new((daemons, rate): (usize, u64), seed: u64, arm: ArmConfig) -> Self {
+        let mut simulation = Self {
             now: Time::ZERO,
             rng: StdRng::seed_from_u64(seed),
             events: BinaryHeap::new(),
-            bodies: BTreeMap::new(),
-            next_event: 0,
+            pending_events: BTreeMap::new(),
+            last_event: 0,
             daemons: Vec::new(),
             members: Vec::new(),
             store: CountedStore::new(),
             is_store_down: false,
-            gap: Span::from_micros(1_000_000 / rate),
+            request_interval: Span::from_micros(1_000_000 / rate),
             until: Time::NEVER,
             arm,
             requests: 0,
             answered: BTreeSet::new(),
-            custody: Histogram::new(3).expect("three digits are allowed"),
-            busy: Duration::ZERO,
+            replication_delay: Histogram::new(3).expect("three digits are allowed"),
+            cpu_time: Duration::ZERO,
             sent: (0, 0),
             json_bytes: 0,
         };
         for index in 0..daemons {
-            world.start(index, 1);
+            simulation.start_daemon(index, 1);
         }
-        world
+        simulation
     }
 
-    fn start(&mut self, index: usize, run: u64) {
+    fn start_daemon(&mut self, index: usize, run: u64) {
         let peer = Peer {
             id: format!("entry-{index}").parse().expect("a name"),
             incarnation: Incarnation(run),
@@ -142,74 +142,74 @@
             ledger,
             is_alive: true,
             waiting: BTreeMap::new(),
-            wake_at: Time::NEVER,
+            flush_at: Time::NEVER,
         });
-        let phase = self.rng.random_range(0..TICK.as_micros());
+        let phase = self.rng.random_range(0..TICK_INTERVAL.as_micros());
         let last = self.daemons.len() - 1;
-        self.at(self.now + Span(phase), Event::Tick(last));
+        self.schedule(self.now + Span(phase), Event::Tick(last));
     }
 
-    fn at(&mut self, when: Time, event: Event) {
-        self.next_event += 1;
-        self.bodies.insert(self.next_event, event);
-        self.events.push(Reverse((when, self.next_event)));
+    fn schedule(&mut self, when: Time, event: Event) {
+        self.last_event += 1;
+        self.pending_events.insert(self.last_event, event);
+        self.events.push(Reverse((when, self.last_event)));
     }
 
-    /// Serves requests for so long.
+    /// Serves requests for the given time.
     pub fn run(&mut self, span: Span) {
         self.until = self.now + span;
-        self.at(self.now + Span::from_secs(1), Event::Answer);
+        self.schedule(self.now + Span::from_secs(1), Event::Answer);
         self.is_store_down = self.arm.store_down;
         if self.arm.hosts > 0 {
-            let micros = Span::from_secs(CRASH_SECS).as_micros();
+            let micros = Span::from_secs(CRASH_WINDOW_SECONDS).as_micros();
             let moment = Span(micros + self.rng.random_range(0..micros));
-            self.at(self.now + moment, Event::Crash);
-            self.at(self.now + span, Event::StoreIsBack);
+            self.schedule(self.now + moment, Event::Crash);
+            self.schedule(self.now + span, Event::StoreUp);
         }
-        self.step_until(self.until);
+        self.run_until(self.until);
     }
 
-    fn step_until(&mut self, until: Time) {
+    fn run_until(&mut self, until: Time) {
         while let Some(Reverse((when, _))) = self.events.peek()
             && *when <= until
             && let Some(Reverse((when, number))) = self.events.pop()
         {
             self.now = when;
-            if let Some(event) = self.bodies.remove(&number) {
-                self.happen(event);
+            if let Some(event) = self.pending_events.remove(&number) {
+                self.handle(event);
             }
         }
         self.now = until;
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Answer => self.answer(),
+            Event::Answer => self.answer_request(),
             Event::Deliver(from, to, message) => {
                 let id = self.daemons[from].peer.id.clone();
-                self.act(to, |ledger, now| ledger.on_peer(now, &id, message));
+                self.run_ledger(to, |ledger, now| ledger.on_peer(now, &id, message));
             }
             Event::Call(from, id, request) => {
                 let outcome = match self.is_store_down {
                     true => Err(CallError::NotSent("down".to_owned())),
                     false => self.store.call(self.now, &request),
                 };
-                self.at(self.now + STORE_WAY, Event::Outcome(from, id, outcome));
+                self.schedule(self.now + STORE_ONE_WAY, Event::Outcome(from, id, outcome));
             }
             Event::Outcome(to, id, outcome) => {
-                self.act(to, |ledger, now| ledger.on_store(now, id, outcome));
+                self.run_ledger(to, |ledger, now| ledger.on_store(now, id, outcome));
             }
             Event::Tick(index) => self.tick(index),
-            Event::Wake(index) => {
-                self.daemons[index].wake_at = Time::NEVER;
-                self.act(index, Ledger::flush);
+            Event::Flush(index) => {
+                self.daemons[index].flush_at = Time::NEVER;
+                self.run_ledger(index, Ledger::flush);
             }
-            Event::Forget(index) => {
+            Event::RemoveMember(index) => {
                 let peer = self.daemons[index].peer.clone();
                 self.members.retain(|member| *member != peer);
             }
-            Event::StoreIsBack => self.is_store_down = false,
-            Event::Crash => self.crash(),
+            Event::StoreUp => self.is_store_down = false,
+            Event::Crash => self.crash_hosts(),
         }
     }
 
@@ -217,11 +217,11 @@
         WallTime(START_MILLIS + self.now.0 / 1000)
     }
 
-    fn answer(&mut self) {
+    fn answer_request(&mut self) {
         if self.now.has_reached(self.until) {
             return;
         }
-        self.at(self.now + self.gap, Event::Answer);
+        self.schedule(self.now + self.request_interval, Event::Answer);
         let index = self.rng.random_range(0..self.daemons.len());
         if !self.daemons[index].is_alive {
             return;
@@ -232,22 +232,22 @@
         if number.is_multiple_of(1000) {
             self.json_bytes += serde_json::to_vec(&bill).map_or(0, |text| text.len() as u64);
         }
-        let began = Instant::now();
+        let started_at = Instant::now();
         let receipt = self.daemons[index].ledger.record(self.now, bill);
-        self.busy += began.elapsed();
+        self.cpu_time += started_at.elapsed();
         self.daemons[index]
             .waiting
             .insert(receipt, (number, self.now));
-        self.act(index, Ledger::flush);
+        self.run_ledger(index, Ledger::flush);
     }
 
-    /// Records bills at the first daemon up to its bound; gives their number.
+    /// Records bills at the first daemon up to its limit; returns their number.
     pub fn fill(&mut self) -> u64 {
         while self.daemons[0].ledger.has_room(0) {
             let bill = self.bill(self.requests);
             self.requests += 1;
             self.daemons[0].ledger.record(self.now, bill);
-            // Without peers the ends are released at once.
+            // Without peers, the ends of answers are released at once.
             self.daemons[0].ledger.flush(self.now);
         }
         self.requests
@@ -278,7 +278,8 @@
         }
     }
 
-    /// One for each request where each must be found again in the totals.
+    /// Returns the customer of a request. In crash arms each request has its own customer, so that
+    /// its bill can be found in the totals.
     fn customer(&self, number: u64) -> CustomerId {
         let number = match self.arm.hosts {
             0 => number % CUSTOMERS,
@@ -299,85 +300,92 @@
             .filter(|peer| peer.id != *me)
             .cloned()
             .collect();
-        self.act(index, |ledger, now| ledger.tick(now, wall, &members));
-        self.at(self.now + TICK, Event::Tick(index));
+        self.run_ledger(index, |ledger, now| ledger.tick(now, wall, &members));
+        self.schedule(self.now + TICK_INTERVAL, Event::Tick(index));
     }
 
-    fn act(&mut self, index: usize, act: impl FnOnce(&mut Ledger, Time) -> Vec<Effect>) {
+    fn run_ledger(&mut self, index: usize, call: impl FnOnce(&mut Ledger, Time) -> Vec<Effect>) {
         let daemon = &mut self.daemons[index];
         if !daemon.is_alive {
             return;
         }
-        let began = Instant::now();
-        let effects = act(&mut daemon.ledger, self.now);
-        self.busy += began.elapsed();
+        let started_at = Instant::now();
+        let effects = call(&mut daemon.ledger, self.now);
+        self.cpu_time += started_at.elapsed();
         for effect in effects {
-            self.perform(index, effect);
+            self.apply_effect(index, effect);
         }
         let due = self.daemons[index].ledger.next_deadline();
-        if due < self.daemons[index].wake_at {
-            self.daemons[index].wake_at = due;
-            self.at(due, Event::Wake(index));
+        if due < self.daemons[index].flush_at {
+            self.daemons[index].flush_at = due;
+            self.schedule(due, Event::Flush(index));
         }
     }
 
-    fn perform(&mut self, from: usize, effect: Effect) {
+    fn apply_effect(&mut self, from: usize, effect: Effect) {
         match effect {
             Effect::Send { to, message } => {
                 self.sent.0 += 1;
                 self.sent.1 += message.to_bytes().len() as u64;
-                let way = self.rng.random_range(NEAREST_MICROS..FARTHEST_MICROS);
+                let delay = self
+                    .rng
+                    .random_range(MIN_NETWORK_MICROS..MAX_NETWORK_MICROS);
                 let to = self.daemons.iter().position(|daemon| daemon.peer.id == to);
                 if let Some(to) = to {
-                    self.at(self.now + Span(way), Event::Deliver(from, to, message));
+                    self.schedule(self.now + Span(delay), Event::Deliver(from, to, message));
                 }
             }
             Effect::Store { id, request } => {
-                self.at(self.now + STORE_WAY, Event::Call(from, id, request));
+                self.schedule(self.now + STORE_ONE_WAY, Event::Call(from, id, request));
             }
-            Effect::Released { upto, .. } => self.release(from, upto),
+            Effect::Released { upto, .. } => self.release_answers(from, upto),
         }
     }
 
-    fn release(&mut self, index: usize, upto: Receipt) {
+    fn release_answers(&mut self, index: usize, upto: Receipt) {
         let waiting = &mut self.daemons[index].waiting;
         let later = waiting.split_off(&Receipt(upto.0 + 1));
         for (number, since) in std::mem::replace(waiting, later).into_values() {
             self.answered.insert(number);
-            // Fails only where a histogram without bounds cannot grow.
-            let _ = self.custody.record(self.now.since(since).as_micros());
+            // Fails only if an auto-resizing histogram can't grow.
+            let _ = self
+                .replication_delay
+                .record(self.now.since(since).as_micros());
         }
     }
 
-    /// Loses one host at random and, where two are to go, the holder of its bills.
-    fn crash(&mut self) {
+    /// Crashes a random host and, if two are to crash, the holder of its bills.
+    fn crash_hosts(&mut self) {
         let first = self.rng.random_range(0..self.daemons.len());
-        self.lose(first);
+        self.crash_host(first);
         if self.arm.hosts > 1 {
             let holder = self.daemons[first].ledger.fill().holder;
             let mut daemons = self.daemons.iter();
             let holder = daemons.position(|daemon| Some(&daemon.peer.id) == holder.as_ref());
-            holder.into_iter().for_each(|holder| self.lose(holder));
+            holder
+                .into_iter()
+                .for_each(|holder| self.crash_host(holder));
         }
     }
 
-    fn lose(&mut self, index: usize) {
+    fn crash_host(&mut self, index: usize) {
         self.daemons[index].is_alive = false;
-        self.at(self.now + DETECTION, Event::Forget(index));
+        self.schedule(self.now + CRASH_DETECTION, Event::RemoveMember(index));
     }
 
-    /// Delay at the end of answers, in microseconds.
-    pub fn custody(&self) -> &Histogram<u64> {
-        &self.custody
+    /// Delay at the end of answers in microseconds.
+    pub fn replication_delay(&self) -> &Histogram<u64> {
+        &self.replication_delay
     }
 
-    /// What the load of so long took.
+    /// Returns the figures of a load of the given duration.
     pub fn figures(&self, span: Span) -> Figures {
-        let secs = span.as_secs_f64();
+        let seconds = span.as_secs_f64();
         let bills = self.requests as f64;
         let daemons = self.daemons.len() as f64;
         let counts = self.store.counts;
-        let custody = |quantile| self.custody.value_at_quantile(quantile) as f64 / 1e3;
+        let replication_delay =
+            |quantile| self.replication_delay.value_at_quantile(quantile) as f64 / 1e3;
         let sampled = self.requests.div_ceil(1000) as f64;
         let fills: Vec<_> = self
             .daemons
@@ -390,35 +398,35 @@
         Figures::from(
             [
                 ("bills", bills),
-                ("store_writes_per_s", counts.writes as f64 / secs),
-                ("store_reads_per_s", counts.reads as f64 / secs),
+                ("store_writes_per_s", counts.writes as f64 / seconds),
+                ("store_reads_per_s", counts.reads as f64 / seconds),
                 (
                     "store_keys_written_per_s",
-                    counts.keys_written as f64 / secs,
+                    counts.keys_written as f64 / seconds,
                 ),
                 (
                     "store_bytes_written_per_s",
-                    counts.bytes_written as f64 / secs,
+                    counts.bytes_written as f64 / seconds,
                 ),
                 ("batch_bytes_per_bill", counts.batch_bytes as f64 / sealed),
                 ("json_bytes_per_bill", self.json_bytes as f64 / sampled),
                 ("message_bytes_per_bill", self.sent.1 as f64 / bills),
                 (
                     "messages_per_daemon_per_s",
-                    self.sent.0 as f64 / daemons / secs,
+                    self.sent.0 as f64 / daemons / seconds,
                 ),
                 (
                     "message_bytes_per_daemon_per_s",
-                    self.sent.1 as f64 / daemons / secs,
+                    self.sent.1 as f64 / daemons / seconds,
                 ),
-                ("delay_p50_ms", custody(0.50)),
-                ("delay_p99_ms", custody(0.99)),
-                ("delay_max_ms", self.custody.max() as f64 / 1e3),
+                ("delay_p50_ms", replication_delay(0.50)),
+                ("delay_p99_ms", replication_delay(0.99)),
+                ("delay_max_ms", self.replication_delay.max() as f64 / 1e3),
                 (
                     "cpu_percent_per_daemon",
-                    self.busy.as_secs_f64() / daemons / secs * 100.0,
+                    self.cpu_time.as_secs_f64() / daemons / seconds * 100.0,
                 ),
-                ("cpu_us_per_bill", self.busy.as_secs_f64() * 1e6 / bills),
+                ("cpu_us_per_bill", self.cpu_time.as_secs_f64() * 1e6 / bills),
                 ("fingerprints", fingerprints as f64),
                 (
                     "unsealed_per_daemon",
@@ -433,8 +441,8 @@
         )
     }
 
-    /// Bytes that stand in the store, by part of the ledger.
-    pub fn stored(&self) -> BTreeMap<String, u64> {
+    /// Bytes in the store by part of the ledger.
+    pub fn stored_bytes(&self) -> BTreeMap<String, u64> {
         let (items, _) = self.store.table.range(PREFIX, Some("/c"), 0);
         let mut parts = BTreeMap::new();
         for (key, item) in items {
@@ -444,9 +452,9 @@
         parts
     }
 
-    /// Waits until everything is sealed and rolled up, and compares.
-    pub fn settle(&mut self) -> End {
-        self.step_until(self.now + SETTLING);
+    /// Waits until everything is sealed and rolled up, then compares bills with answers.
+    pub fn settle(&mut self) -> FinalCounts {
+        self.run_until(self.now + SETTLING_TIME);
         let totals = self.export();
         let billed: u64 = totals.values().sum();
         let answered = self.answered.len() as u64;
@@ -456,7 +464,7 @@
                 answered.saturating_sub(billed),
                 billed.saturating_sub(answered),
             );
-            return End {
+            return FinalCounts {
                 answered,
                 cut,
                 lost,
@@ -467,7 +475,7 @@
         let lost = customers.filter(|customer| !totals.contains_key(customer));
         let lost = lost.count() as u64;
         let doubled = totals.values().filter(|bills| **bills > 1).count() as u64;
-        End {
+        FinalCounts {
             answered,
             cut,
             lost,
@@ -475,7 +483,7 @@
         }
     }
 
-    /// Bills in the totals by customer.
+    /// Exports the number of bills by customer.
     fn export(&mut self) -> BTreeMap<CustomerId, u64> {
         let mut export = Export::new(PREFIX, WallTime(0), WallTime(START_MILLIS * 2));
         let mut request = export.start();
--- a/bench/src/cmd/ledger/store.rs
+++ b/bench/src/cmd/ledger/store.rs
@@ -1,10 +1,10 @@
-//! The store's stand-in as a table, with counts of what is asked of it.
+//! The stand-in store's table, with counts of the calls.
 
 use keyvalue::{Op, Outcome, Request, Txn};
 use standins::store::Table;
 use types::prelude::*;
 
-/// Counts of calls and bytes.
+/// Counts of calls, keys and bytes.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Counts {
     pub writes: u64,
@@ -15,7 +15,7 @@
     pub bytes_written: u64,
 }
 
-/// The table and its counts.
+/// A table that counts its calls.
 pub struct CountedStore {
     pub table: Table,
     pub counts: Counts,
@@ -29,10 +29,10 @@
         }
     }
 
-    /// Makes a call.
+    /// Executes and counts a call.
     pub fn call(&mut self, now: Time, request: &Request) -> Outcome {
         match request {
-            Request::Txn(txn) if writes(txn) => self.count_writes(txn),
+            Request::Txn(txn) if is_write(txn) => self.count_writes(txn),
             _ => self.counts.reads += 1,
         }
         self.table.call(now, request)
@@ -53,6 +53,6 @@
     }
 }
 
-fn writes(txn: &Txn) -> bool {
+fn is_write(txn: &Txn) -> bool {
     txn.success.iter().any(|op| matches!(op, Op::Put(_)))
 }
