--- a/bench/src/cmd/faults.rs
+++ b/bench/src/cmd/faults.rs
@@ -1,9 +1,9 @@
-//! The promises on requests under a fault a second, and while every daemon is replaced:
-//! real daemons, stand-ins, both users.
+//! `faults`: invariants of requests while a fault is injected every second, and while every daemon
+//! is replaced, with real daemons, stand-ins and the workload of both users.
 //!
-//! One fleet serves both users' catalogues. Callers repeat what failed, under the same
-//! request id and through another daemon, as their clients do. What really ran is counted
-//! from the stand-ins' own records and compared with what callers were told.
+//! One fleet serves both users' catalogues. Callers retry failed requests under the same request id
+//! through another daemon, as their real clients do. What actually ran is counted from the
+//! stand-ins' own records and compared with the answers that callers got.
 
 mod balancer;
 mod bills;
@@ -18,74 +18,77 @@
 use crate::cli::Faults;
 use crate::load::{self, Arrivals, Latencies, WorkerResult};
 use crate::report::{Curve, Report};
-use caller::{Caller, Told};
+use caller::{Caller, CallerRecord};
 use fleet::Fleet;
-use mix::Mix;
+use mix::RequestMix;
 use oracle::Counts;
 
-/// What goes wrong in an arm.
+/// Faults that are injected in an arm.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Wrong {
-    Nothing,
-    FaultASecond,
+enum FaultMode {
+    None,
+    EverySecond,
     EachDaemonReplaced,
 }
 
-const ARMS: [(&str, Wrong); 3] = [
-    ("no_faults", Wrong::Nothing),
-    ("fault_a_second", Wrong::FaultASecond),
-    ("each_daemon_replaced", Wrong::EachDaemonReplaced),
+const ARMS: [(&str, FaultMode); 3] = [
+    ("no_faults", FaultMode::None),
+    ("fault_a_second", FaultMode::EverySecond),
+    ("each_daemon_replaced", FaultMode::EachDaemonReplaced),
 ];
 const WORKERS: usize = 512;
-/// After the load: for delayed effects and for bills to reach the store.
-const SETTLE: Duration = Duration::from_secs(4);
+/// Time after the load for delayed effects, and for bills to reach the store.
+const SETTLING_TIME: Duration = Duration::from_secs(4);
 
-/// Runs it.
+/// Runs the experiment.
 pub fn run(options: &Faults) -> eyre::Result<Report> {
     let mut report = Report::new("faults", options.seed);
-    for (arm, wrong) in ARMS {
-        let counts = arm_counts(options, wrong, arm, &mut report)?;
+    for (arm, fault_mode) in ARMS {
+        let counts = run_arm(options, fault_mode, arm, &mut report)?;
         counts.note(arm, &mut report);
         report.violations += counts.violations();
     }
     Ok(report)
 }
 
-fn arm_counts(
+fn run_arm(
     options: &Faults,
-    wrong: Wrong,
+    fault_mode: FaultMode,
     arm: &str,
     report: &mut Report,
 ) -> eyre::Result<Counts> {
     let fleet = Fleet::start(options.daemons)?;
-    let mix = Mix::new(&fleet.platform.entries, options.seed);
+    let mix = RequestMix::new(&fleet.platform.entries, options.seed);
     let length = Duration::from_secs_f64(options.seconds);
     let arrivals = Arrivals::poisson(options.seed, options.rate, length);
     let balancer = fleet.balancer();
-    let seen = std::thread::scope(|scope| {
-        let troubles = scope.spawn(|| match wrong {
-            Wrong::Nothing => Ok(Vec::new()),
-            Wrong::FaultASecond => injection::run(&fleet, options.seed, length),
-            Wrong::EachDaemonReplaced => injection::replace_each(&fleet, length),
+    let results = std::thread::scope(|scope| {
+        let injected = scope.spawn(|| match fault_mode {
+            FaultMode::None => Ok(Vec::new()),
+            FaultMode::EverySecond => injection::run(&fleet, options.seed, length),
+            FaultMode::EachDaemonReplaced => injection::replace_each(&fleet, length),
         });
         let connect = || Caller::new(&balancer, &mix);
-        let seen = load::open_loop(&arrivals, WORKERS, connect, Caller::act);
-        (seen, troubles.join())
+        let results = load::open_loop(&arrivals, WORKERS, connect, Caller::act);
+        (results, injected.join())
     });
-    let (seen, troubles) = seen;
-    let seen: Vec<WorkerResult<Vec<Told>>> = seen?;
-    let troubles = troubles.map_err(|_| eyre::eyre!("the thread of faults panicked"))??;
-    report.note(arm, "faults", troubles.len() as f64);
-    for (name, times) in injection::tally(&troubles) {
-        report.note(arm, &format!("fault_{name}"), times as f64);
+    let (results, injected) = results;
+    let results: Vec<WorkerResult<Vec<CallerRecord>>> = results?;
+    let injected = injected.map_err(|_| eyre::eyre!("the thread of faults panicked"))??;
+    report.note(arm, "faults", injected.len() as f64);
+    for (name, occurrences) in injection::count_by_kind(&injected) {
+        report.note(arm, &format!("fault_{name}"), occurrences as f64);
     }
-    std::thread::sleep(SETTLE);
-    note_latencies(report, arm, &load::merge_latencies(&seen));
-    let told = seen.into_iter().flat_map(|s| s.notes).collect::<Vec<_>>();
-    oracle::count(&fleet, &told, &troubles, options.verbose)
+    std::thread::sleep(SETTLING_TIME);
+    report_latencies(report, arm, &load::merge_latencies(&results));
+    let records = results
+        .into_iter()
+        .flat_map(|s| s.notes)
+        .collect::<Vec<_>>();
+    oracle::count(&fleet, &records, &injected, options.verbose)
 }
 
-fn note_latencies(report: &mut Report, arm: &str, latencies: &Latencies) {
+fn report_latencies(report: &mut Report, arm: &str, latencies: &Latencies) {
     report.note(arm, "idempotent_p50_ms", latencies.quantile_ms(0.5));
     report.note(arm, "idempotent_p99_ms", latencies.quantile_ms(0.99));
     report.curves.push(Curve {
--- a/bench/src/cmd/faults/balancer.rs
+++ b/bench/src/cmd/faults/balancer.rs
@@ -1,53 +1,55 @@
-//! The platform's balancer as callers see it: daemons in turn, without those known to be
-//! out. It learns late, as one that probes does.
+//! Simulated platform balancer: selects daemons round robin and skips those known to be down. Like
+//! a balancer that uses probes, it learns of changes with a delay.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
-/// One daemon behind the balancer.
+/// A daemon behind the balancer.
 #[derive(Debug)]
-struct Back {
+struct Backend {
     address: SocketAddr,
-    is_in: AtomicBool,
+    in_rotation: AtomicBool,
 }
 
-/// Which daemon a caller gets.
+/// Assigns callers to daemons.
 #[derive(Debug)]
 pub struct Balancer {
-    backs: Vec<Back>,
+    backends: Vec<Backend>,
     next: AtomicUsize,
 }
 
 impl Balancer {
-    /// All in.
+    /// Creates a balancer with all daemons in rotation.
     pub fn new(addresses: impl Iterator<Item = SocketAddr>) -> Self {
-        let backs = addresses.map(|address| Back {
+        let backends = addresses.map(|address| Backend {
             address,
-            is_in: AtomicBool::new(true),
+            in_rotation: AtomicBool::new(true),
         });
         Self {
-            backs: backs.collect(),
+            backends: backends.collect(),
             next: AtomicUsize::new(0),
         }
     }
 
-    /// A daemon, if possible not the one avoided.
+    /// Picks a daemon, if possible a different one than `avoid`.
     pub fn pick(&self, avoid: Option<usize>) -> usize {
-        let n = self.backs.len();
+        let n = self.backends.len();
         let start = self.next.fetch_add(1, Ordering::Relaxed);
         let turn = (0..n).map(|step| (start + step) % n);
-        let is_in = |index: &usize| self.backs[*index].is_in.load(Ordering::Relaxed);
-        let other = turn.clone().filter(is_in).find(|i| Some(*i) != avoid);
+        let in_rotation = |index: &usize| self.backends[*index].in_rotation.load(Ordering::Relaxed);
+        let other = turn.clone().filter(in_rotation).find(|i| Some(*i) != avoid);
         other.unwrap_or(start % n)
     }
 
-    /// Where a daemon serves callers.
+    /// Address at which a daemon serves callers.
     pub fn address(&self, daemon: usize) -> SocketAddr {
-        self.backs[daemon].address
+        self.backends[daemon].address
     }
 
-    /// Takes a daemon in or out.
-    pub fn set_in(&self, daemon: usize, is_in: bool) {
-        self.backs[daemon].is_in.store(is_in, Ordering::Relaxed);
+    /// Adds a daemon to the rotation or removes it.
+    pub fn set_in_rotation(&self, daemon: usize, in_rotation: bool) {
+        self.backends[daemon]
+            .in_rotation
+            .store(in_rotation, Ordering::Relaxed);
     }
 }
--- a/bench/src/cmd/faults/bills.rs
+++ b/bench/src/cmd/faults/bills.rs
@@ -1,4 +1,4 @@
-//! Bills as the operators' API exports them, by customer.
+//! Reads the number of bills by customer from the export of the operators' API.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -9,22 +9,22 @@
 use crate::daemons::OPERATOR_TOKEN;
 use crate::load::http::{Connection, HttpRequest};
 
-/// Longest wait for the bills of daemons to reach the store.
-const COMPLETE_WITHIN: Duration = Duration::from_secs(30);
-const LOOK_AGAIN: Duration = Duration::from_millis(500);
+/// Time limit for the daemons' bills to reach the store.
+const COMPLETION_TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Requests billed for each customer, once no daemon holds bills back; nothing when the
-/// export can't be had.
+/// Returns the billed requests by customer once no daemon holds back bills or the time limit has
+/// passed; `None` if the export can't be read.
 pub fn billed(fleet: &Fleet) -> Option<BTreeMap<String, u64>> {
-    let ends = Instant::now() + COMPLETE_WITHIN;
+    let deadline = Instant::now() + COMPLETION_TIMEOUT;
     loop {
         let exports = (0..fleet.daemons.len()).map(|index| export(fleet, index));
         let exports = exports.collect::<Option<Vec<_>>>()?;
         let is_complete = exports.iter().all(|e| e["waiting"] == 0);
-        if is_complete || Instant::now() > ends {
+        if is_complete || Instant::now() > deadline {
             return exports.first().map(requests_by_customer);
         }
-        std::thread::sleep(LOOK_AGAIN);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
--- a/bench/src/cmd/faults/caller.rs
+++ b/bench/src/cmd/faults/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: sends a request, checks the answer, repeats what failed through another daemon.
+//! A caller that sends a request, checks the response and retries failures through another daemon.
 
 use std::time::{Duration, Instant};
 
@@ -7,36 +7,36 @@
 use types::prelude::*;
 
 use super::balancer::Balancer;
-use super::mix::{Kind, Mix, Wanted};
+use super::mix::{Kind, PlannedRequest, RequestMix};
 use crate::load::RequestOutcome;
 use crate::load::http::{Connection, HttpRequest, HttpResponse};
 
-/// Calls that a caller makes at most for one request.
+/// Maximum number of calls for one request.
 const MAX_CALLS: usize = 5;
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const MAX_PAUSE: Duration = Duration::from_secs(2);
+const FIRST_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// How one call ended.
+/// Outcome of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum End {
-    /// A whole answer, our own, by this version (empty for plain services).
+pub enum CallOutcome {
+    /// A complete answer to this request, from this version (empty for plain services).
     Answered(String),
-    /// An answer that is not ours or not whole though it looked so.
+    /// An answer to another request, or one that is incomplete although it looked complete.
     Wrong(String),
-    /// A stream that ended in due form without end marker or error.
+    /// A stream that ended properly in HTTP terms but without end marker or error event.
     NoMarker,
-    /// Refused, with the status, code and what it says of the run.
+    /// A refusal with its status, its code and its statement on whether the request ran.
     Refused(u16, String, String),
-    /// A stream ended by an error event.
+    /// A stream that ended with an error event with this code.
     ErrorEvent(String),
     /// The connection broke.
     Cut(String),
-    /// No connection: nothing was asked.
+    /// No connection was made, so no request was sent.
     NotThere,
 }
 
-impl End {
-    /// Names what was not answered, for counting.
+impl CallOutcome {
+    /// Name under which an outcome other than an answer is counted.
     pub fn name(&self) -> Option<String> {
         Some(match self {
             Self::Answered(_) => return None,
@@ -50,204 +50,213 @@
     }
 }
 
-/// One call with its daemon and time.
+/// A call with its daemon, times and outcome.
 #[derive(Debug, Clone)]
-pub struct OneCall {
-    /// Which daemon.
+pub struct Call {
+    /// Index of the daemon.
     pub daemon: usize,
-    /// When it was sent.
-    pub begun: Instant,
-    /// When it ended.
+    /// Time at which the call was started.
+    pub started_at: Instant,
+    /// Time at which the call ended.
     pub ended: Instant,
-    /// How.
-    pub end: End,
+    /// Outcome of the call.
+    pub outcome: CallOutcome,
 }
 
-/// What a caller was told about one request.
+/// All answers that a caller got for one request.
 #[derive(Debug, Clone)]
-pub struct Told {
+pub struct CallerRecord {
     /// The request.
-    pub wanted: Wanted,
-    /// Every call, in order; of an impatient caller two at once.
-    pub calls: Vec<OneCall>,
+    pub planned: PlannedRequest,
+    /// Calls in order. The first two calls of a duplicated request run concurrently.
+    pub calls: Vec<Call>,
 }
 
-impl Told {
-    /// Whether a whole answer of its own came.
+impl CallerRecord {
+    /// Returns whether the request got a complete answer of its own.
     pub fn is_answered(&self) -> bool {
         let mut calls = self.calls.iter();
-        calls.any(|call| matches!(call.end, End::Answered(_)))
+        calls.any(|call| matches!(call.outcome, CallOutcome::Answered(_)))
     }
 
-    /// The version that answered.
+    /// Version that answered.
     pub fn version(&self) -> Option<&str> {
-        self.calls.iter().find_map(|call| match &call.end {
-            End::Answered(version) if !version.is_empty() => Some(version.as_str()),
+        self.calls.iter().find_map(|call| match &call.outcome {
+            CallOutcome::Answered(version) if !version.is_empty() => Some(version.as_str()),
             _ => None,
         })
     }
 }
 
-/// A worker of the load.
+/// Caller state of a load worker.
 pub struct Caller<'a> {
     balancer: &'a Balancer,
-    mix: &'a Mix,
+    mix: &'a RequestMix,
 }
 
 impl<'a> Caller<'a> {
-    /// With nothing open.
-    pub fn new(balancer: &'a Balancer, mix: &'a Mix) -> Self {
+    /// Creates a caller without open connections.
+    pub fn new(balancer: &'a Balancer, mix: &'a RequestMix) -> Self {
         Self { balancer, mix }
     }
 
-    /// Sees one request through.
-    pub fn act(&mut self, notes: &mut Vec<Told>, number: usize) -> RequestOutcome {
-        let wanted = self.mix.wanted(number);
+    /// Sends one request with retries until it is settled.
+    pub fn act(&mut self, notes: &mut Vec<CallerRecord>, number: usize) -> RequestOutcome {
+        let planned = self.mix.request(number);
         let mut calls = Vec::new();
-        if wanted.is_impatient {
-            calls.extend(self.two_at_once(&wanted));
+        if planned.is_duplicated {
+            calls.extend(self.call_two_daemons(&planned));
         }
-        let mut pause = FIRST_PAUSE;
+        let mut backoff = FIRST_BACKOFF;
         let mut avoid = None;
-        while !is_settled(&wanted, &calls) && calls.len() < MAX_CALLS {
+        while !is_settled(&planned, &calls) && calls.len() < MAX_CALLS {
             if !calls.is_empty() {
-                std::thread::sleep(pause);
-                pause = (pause * 2).min(MAX_PAUSE);
+                std::thread::sleep(backoff);
+                backoff = (backoff * 2).min(MAX_BACKOFF);
             }
             let daemon = self.balancer.pick(avoid);
-            let call = self.call(&wanted, daemon);
+            let call = self.call(&planned, daemon);
             avoid = Some(daemon);
-            if call.end != End::NotThere {
+            if call.outcome != CallOutcome::NotThere {
                 calls.push(call);
             }
         }
-        let told = Told { wanted, calls };
-        let counts = told.wanted.kind.is_idempotent() && told.is_answered();
-        notes.push(told);
-        if counts {
+        let record = CallerRecord { planned, calls };
+        let is_good = record.planned.kind.is_idempotent() && record.is_answered();
+        notes.push(record);
+        if is_good {
             RequestOutcome::Good
         } else {
             RequestOutcome::Failed
         }
     }
 
-    fn two_at_once(&self, wanted: &Wanted) -> Vec<OneCall> {
+    fn call_two_daemons(&self, planned: &PlannedRequest) -> Vec<Call> {
         let first = self.balancer.pick(None);
         let second = self.balancer.pick(Some(first));
         std::thread::scope(|scope| {
-            let other = scope.spawn(|| self.call(wanted, second));
-            let mut calls = vec![self.call(wanted, first)];
+            let other = scope.spawn(|| self.call(planned, second));
+            let mut calls = vec![self.call(planned, first)];
             calls.extend(other.join());
-            calls.retain(|call| call.end != End::NotThere);
+            calls.retain(|call| call.outcome != CallOutcome::NotThere);
             calls
         })
     }
 
-    fn call(&self, wanted: &Wanted, daemon: usize) -> OneCall {
-        let begun = Instant::now();
-        let end = send(wanted, &mut Connection::new(self.balancer.address(daemon)));
+    fn call(&self, planned: &PlannedRequest, daemon: usize) -> Call {
+        let started_at = Instant::now();
+        let outcome = send(planned, &mut Connection::new(self.balancer.address(daemon)));
         let ended = Instant::now();
-        OneCall {
+        Call {
             daemon,
-            begun,
+            started_at,
             ended,
-            end,
+            outcome,
         }
     }
 }
 
-/// Whether the caller is content or has nothing to gain by asking again.
-fn is_settled(wanted: &Wanted, calls: &[OneCall]) -> bool {
-    calls.iter().any(|call| match &call.end {
-        End::Answered(_) | End::Wrong(_) => true,
-        // Asked once more under the same id, a request of unknown outcome may be answered
-        // from what was recorded; after that its caller gives up.
-        End::Refused(_, code, _) if code == "outcome_unknown" => {
-            !wanted.kind.is_idempotent() && calls.len() > 1
+/// Whether the request was answered or another call can't help.
+fn is_settled(planned: &PlannedRequest, calls: &[Call]) -> bool {
+    calls.iter().any(|call| match &call.outcome {
+        CallOutcome::Answered(_) | CallOutcome::Wrong(_) => true,
+        // If a request of unknown outcome is sent again under the same id, it may be answered from
+        // its recorded outcome. After one such retry the caller gives up.
+        CallOutcome::Refused(_, code, _) if code == "outcome_unknown" => {
+            !planned.kind.is_idempotent() && calls.len() > 1
         }
-        End::Refused(status, _, _) => matches!(status, 400..=408 | 410..=422),
-        End::NoMarker | End::ErrorEvent(_) | End::Cut(_) | End::NotThere => false,
+        CallOutcome::Refused(status, _, _) => matches!(status, 400..=408 | 410..=422),
+        CallOutcome::NoMarker
+        | CallOutcome::ErrorEvent(_)
+        | CallOutcome::Cut(_)
+        | CallOutcome::NotThere => false,
     })
 }
 
-fn send(wanted: &Wanted, connection: &mut Connection) -> End {
-    let bearer = format!("Bearer example-{}", wanted.customer);
+fn send(planned: &PlannedRequest, connection: &mut Connection) -> CallOutcome {
+    let bearer = format!("Bearer example-{}", planned.customer);
     let mut headers = vec![
         ("authorization", bearer.as_str()),
         ("content-type", "application/json"),
-        ("idempotency-key", wanted.tag.as_str()),
+        ("idempotency-key", planned.tag.as_str()),
     ];
-    if wanted.kind == Kind::OnceChat {
+    if planned.kind == Kind::OnceChat {
         headers.push(("x-non-idempotent", "true"));
     }
-    if let Some(session) = &wanted.session {
+    if let Some(session) = &planned.session {
         headers.push(("x-session-id", session));
     }
     let request = HttpRequest {
         method: "POST",
-        path: &wanted.path,
+        path: &planned.path,
         headers: &headers,
-        body: wanted.body.as_bytes(),
+        body: planned.body.as_bytes(),
     };
     if connection.connect().is_err() {
-        return End::NotThere;
+        return CallOutcome::NotThere;
     }
     let mut events = Vec::new();
     match connection.send_streaming(&request, |data| events.push(data.to_vec())) {
-        Err(e) => End::Cut(e.to_string()),
-        Ok(got) if got.status != 200 => refused(&got),
-        Ok(got) if wanted.kind.is_plain() => plain(wanted, &got),
-        Ok(got) if wanted.kind == Kind::Stream => streamed(wanted, &got, &events),
-        Ok(got) => whole(wanted, &got),
+        Err(e) => CallOutcome::Cut(e.to_string()),
+        Ok(response) if response.status != 200 => parse_refusal(&response),
+        Ok(response) if planned.kind.is_plain() => check_plain(planned, &response),
+        Ok(response) if planned.kind == Kind::Stream => check_stream(planned, &response, &events),
+        Ok(response) => check_chat(planned, &response),
     }
 }
 
-fn refused(got: &HttpResponse) -> End {
-    let body = serde_json::from_slice::<Value>(&got.body).unwrap_or_default();
+fn parse_refusal(response: &HttpResponse) -> CallOutcome {
+    let body = serde_json::from_slice::<Value>(&response.body).unwrap_or_default();
     let text = |field: &str| body["error"][field].as_str().unwrap_or("").to_owned();
-    End::Refused(got.status, text("code"), text("run"))
+    CallOutcome::Refused(response.status, text("code"), text("run"))
 }
 
-/// A plain service tells the tag back.
-fn plain(wanted: &Wanted, got: &HttpResponse) -> End {
-    let body = serde_json::from_slice::<Value>(&got.body).unwrap_or_default();
-    if body["tag"] == wanted.tag.as_str() {
-        End::Answered(String::new())
+/// Checks the answer of a plain service, which returns the request's tag.
+fn check_plain(planned: &PlannedRequest, response: &HttpResponse) -> CallOutcome {
+    let body = serde_json::from_slice::<Value>(&response.body).unwrap_or_default();
+    if body["tag"] == planned.tag.as_str() {
+        CallOutcome::Answered(String::new())
     } else {
-        End::Wrong(String::from_utf8_lossy(&got.body).into_owned())
+        CallOutcome::Wrong(String::from_utf8_lossy(&response.body).into_owned())
     }
 }
 
-fn whole(wanted: &Wanted, got: &HttpResponse) -> End {
-    let body = serde_json::from_slice::<Value>(&got.body).unwrap_or_default();
+fn check_chat(planned: &PlannedRequest, response: &HttpResponse) -> CallOutcome {
+    let body = serde_json::from_slice::<Value>(&response.body).unwrap_or_default();
     let content = body["choices"][0]["message"]["content"].as_str();
-    compare(wanted, got, content.unwrap_or_default())
+    check_content(planned, response, content.unwrap_or_default())
 }
 
-fn streamed(wanted: &Wanted, got: &HttpResponse, events: &[Vec<u8>]) -> End {
+fn check_stream(
+    planned: &PlannedRequest,
+    response: &HttpResponse,
+    events: &[Vec<u8>],
+) -> CallOutcome {
     let mut content = String::new();
     for event in events {
         let chunk = serde_json::from_slice::<Value>(event).unwrap_or_default();
         if !chunk["error"].is_null() {
-            return End::ErrorEvent(chunk["error"]["code"].as_str().unwrap_or("").to_owned());
+            return CallOutcome::ErrorEvent(
+                chunk["error"]["code"].as_str().unwrap_or("").to_owned(),
+            );
         }
         let text = chunk["choices"][0]["delta"]["content"].as_str();
         content.push_str(text.unwrap_or_default());
     }
     if events.last().is_none_or(|event| event != b"[DONE]") {
-        return End::NoMarker;
+        return CallOutcome::NoMarker;
     }
-    compare(wanted, got, &content)
+    check_content(planned, response, &content)
 }
 
-/// The stand-in's answers are a function of version, prompt and length.
-fn compare(wanted: &Wanted, got: &HttpResponse, content: &str) -> End {
-    let version = got.header("x-served-by").to_owned();
+/// Checks a chat's content, which the stand-in derives from version, prompt and length.
+fn check_content(planned: &PlannedRequest, response: &HttpResponse, content: &str) -> CallOutcome {
+    let version = response.header("x-served-by").to_owned();
     let expected = version
         .parse::<VersionId>()
-        .map(|version| text::answer(&version, &wanted.messages, wanted.tokens));
+        .map(|version| text::answer(&version, &planned.messages, planned.tokens));
     match expected {
-        Ok(expected) if expected == content => End::Answered(version),
-        _ => End::Wrong(format!("{version}: {content:?}")),
+        Ok(expected) if expected == content => CallOutcome::Answered(version),
+        _ => CallOutcome::Wrong(format!("{version}: {content:?}")),
     }
 }
--- a/bench/src/cmd/faults/fleet.rs
+++ b/bench/src/cmd/faults/fleet.rs
@@ -1,4 +1,4 @@
-//! The platform with both users' catalogues, and the daemons.
+//! The stand-in platform with both users' catalogues, and the daemons.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -24,18 +24,18 @@
     "longford",
 ];
 
-/// All that runs.
+/// A fleet of daemons with its platform and its balancer.
 pub struct Fleet {
-    /// Stopped and started again by the faults.
+    /// Daemon processes, which fault injection stops and restarts.
     pub daemons: Vec<Mutex<Daemon>>,
-    /// The stand-ins.
+    /// Stand-ins of the platform's services.
     pub platform: Platform,
     balancer: Arc<Balancer>,
     _scratch: Scratch,
 }
 
 impl Fleet {
-    /// Starts the stand-ins and so many daemons.
+    /// Starts the stand-ins and the given number of daemons.
     pub fn start(daemons: usize) -> eyre::Result<Self> {
         let mut entries = catalogue::file::parse("kochi.yaml", KOCHI)?;
         entries.extend(catalogue::file::parse("clasach.yaml", CLASACH)?);
@@ -60,12 +60,12 @@
         })
     }
 
-    /// What callers go through.
+    /// Returns the balancer that callers use.
     pub fn balancer(&self) -> Arc<Balancer> {
         self.balancer.clone()
     }
 
-    /// Acts on one daemon.
+    /// Locks one daemon and calls `act` with it.
     pub fn with_daemon<T>(&self, index: usize, act: impl FnOnce(&mut Daemon) -> T) -> T {
         let daemon = self.daemons[index].lock();
         act(&mut daemon.unwrap_or_else(PoisonError::into_inner))
--- a/bench/src/cmd/faults/injection.rs
+++ b/bench/src/cmd/faults/injection.rs
@@ -1,4 +1,4 @@
-//! One fault a second, drawn at random; several overlap.
+//! Injects one random fault per second; faults may overlap.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -11,40 +11,40 @@
 
 use super::fleet::Fleet;
 
-const EVERY: Duration = Duration::from_secs(1);
-/// A fault that lasts goes on for so long.
-const LASTS: Duration = Duration::from_millis(2500);
-/// From a daemon's going until the balancer's probe notices.
-const PROBE: Duration = Duration::from_millis(200);
-const LEAVES_WITHIN: Duration = Duration::from_secs(30);
-/// No fault in the load's last seconds, so that the last requests can end.
-const CALM_END: Duration = Duration::from_secs(3);
+const FAULT_INTERVAL: Duration = Duration::from_secs(1);
+/// Duration of a fault that affects more than one request.
+const FAULT_DURATION: Duration = Duration::from_millis(2500);
+/// Time from when a daemon goes down until the balancer's probe notices.
+const PROBE_DELAY: Duration = Duration::from_millis(200);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time without faults at the end of the load, so that the last requests can complete.
+const FAULT_FREE_TAIL: Duration = Duration::from_secs(3);
 
-/// A fault that was made.
+/// A fault that was injected.
 #[derive(Debug, Clone)]
-pub struct Trouble {
-    /// What.
+pub struct InjectedFault {
+    /// Kind of fault.
     pub fault: Fault,
-    /// At which daemon, for those.
+    /// Index of the affected daemon, for faults of daemons.
     pub daemon: Option<usize>,
-    /// When it began.
-    pub begun: Instant,
-    /// When it was over.
+    /// Start of the fault.
+    pub started_at: Instant,
+    /// End of the fault.
     pub ended: Instant,
 }
 
-/// Kinds of fault.
+/// Kind of fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Fault {
-    /// One request meets a fault at an engine.
+    /// One request fails at an engine.
     EngineRequest,
-    /// An engine dies for a while.
+    /// An engine is down for a while.
     EngineDown,
-    /// An engine takes many times as long.
+    /// An engine is many times slower for a while.
     EngineSlow,
-    /// One request meets a fault at a plain service.
+    /// One request fails at a plain service.
     PlainRequest,
-    /// A plain service's instance dies for a while.
+    /// An instance of a plain service is down for a while.
     PlainDown,
     /// The key-value service is down.
     StoreDown,
@@ -54,7 +54,7 @@
     StoreLostReplies,
     /// A daemon is killed and replaced.
     DaemonKilled,
-    /// A daemon leaves gracefully and is replaced.
+    /// A daemon shuts down gracefully and is replaced.
     DaemonReplaced,
     /// A daemon is paused.
     DaemonPaused,
@@ -103,128 +103,130 @@
     PlainFault::Slow(Span(1_500_000)),
 ];
 
-/// Makes faults until shortly before the load's end; each is over when this returns.
-pub fn run(fleet: &Fleet, seed: u64, length: Duration) -> eyre::Result<Vec<Trouble>> {
+/// Injects faults until shortly before the end of the load; returns after all of them have ended.
+pub fn run(fleet: &Fleet, seed: u64, length: Duration) -> eyre::Result<Vec<InjectedFault>> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let begun = Instant::now();
-    let ends = begun + length.saturating_sub(CALM_END);
+    let started_at = Instant::now();
+    let deadline = started_at + length.saturating_sub(FAULT_FREE_TAIL);
     std::thread::scope(|scope| {
-        let mut made = Vec::new();
-        let mut next = begun + EVERY;
-        while next < ends {
+        let mut handles = Vec::new();
+        let mut next = started_at + FAULT_INTERVAL;
+        while next < deadline {
             std::thread::sleep(next.saturating_duration_since(Instant::now()));
-            next += EVERY;
+            next += FAULT_INTERVAL;
             let fault = FAULTS[rng.random_range(0..FAULTS.len())];
             let seed = rng.random();
-            made.push(scope.spawn(move || make(fleet, fault, seed)));
+            handles.push(scope.spawn(move || inject(fleet, fault, seed)));
         }
-        let made = made.into_iter().map(|thread| {
+        let handles = handles.into_iter().map(|thread| {
             let result = thread.join();
             result.map_err(|_| eyre::eyre!("a thread of a fault panicked"))?
         });
-        made.collect()
+        handles.collect()
     })
 }
 
-/// Replaces the daemons one after another, evenly over the load.
-pub fn replace_each(fleet: &Fleet, length: Duration) -> eyre::Result<Vec<Trouble>> {
+/// Replaces the daemons one after another, evenly spread over the load.
+pub fn replace_each(fleet: &Fleet, length: Duration) -> eyre::Result<Vec<InjectedFault>> {
     let count = fleet.daemons.len();
-    let apart = length.saturating_sub(CALM_END).div_f64(count as f64);
+    let interval = length.saturating_sub(FAULT_FREE_TAIL).div_f64(count as f64);
     let first = Instant::now();
-    let replaced = (0..count).map(|index| {
-        let start = first + apart.mul_f64(index as f64);
+    let faults = (0..count).map(|index| {
+        let start = first + interval.mul_f64(index as f64);
         std::thread::sleep(start.saturating_duration_since(Instant::now()));
-        let begun = Instant::now();
-        daemon_fault(fleet, Fault::DaemonReplaced, index)?;
+        let started_at = Instant::now();
+        inject_daemon_fault(fleet, Fault::DaemonReplaced, index)?;
         let ended = Instant::now();
-        Ok(Trouble {
+        Ok(InjectedFault {
             fault: Fault::DaemonReplaced,
             daemon: Some(index),
-            begun,
+            started_at,
             ended,
         })
     });
-    replaced.collect()
+    faults.collect()
 }
 
-/// How often each kind of fault was made.
-pub fn tally(troubles: &[Trouble]) -> BTreeMap<String, usize> {
-    let mut times = BTreeMap::new();
-    for trouble in troubles {
-        let name = format!("{:?}", trouble.fault);
-        *times.entry(name).or_default() += 1;
+/// Counts the injected faults by kind.
+pub fn count_by_kind(injected: &[InjectedFault]) -> BTreeMap<String, usize> {
+    let mut occurrences = BTreeMap::new();
+    for fault in injected {
+        let name = format!("{:?}", fault.fault);
+        *occurrences.entry(name).or_default() += 1;
     }
-    times
+    occurrences
 }
 
-fn make(fleet: &Fleet, fault: Fault, seed: u64) -> eyre::Result<Trouble> {
+fn inject(fleet: &Fleet, fault: Fault, seed: u64) -> eyre::Result<InjectedFault> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut daemon = None;
     match fault {
         Fault::EngineRequest => {
-            let which = ENGINE_FAULTS[rng.random_range(0..ENGINE_FAULTS.len())];
-            engine(fleet, &mut rng).fail_next(which);
+            let fault_kind = ENGINE_FAULTS[rng.random_range(0..ENGINE_FAULTS.len())];
+            random_engine(fleet, &mut rng).fail_next(fault_kind);
         }
         Fault::EngineDown => {
-            let engine = engine(fleet, &mut rng);
+            let engine = random_engine(fleet, &mut rng);
             engine.set_faults(|faults| faults.down = true);
-            std::thread::sleep(LASTS);
+            std::thread::sleep(FAULT_DURATION);
             engine.set_faults(|faults| faults.down = false);
         }
         Fault::EngineSlow => {
-            let engine = engine(fleet, &mut rng);
+            let engine = random_engine(fleet, &mut rng);
             engine.set_faults(|faults| faults.slow_factor = 20);
-            std::thread::sleep(LASTS);
+            std::thread::sleep(FAULT_DURATION);
             engine.set_faults(|faults| faults.slow_factor = 1);
         }
         Fault::PlainRequest => {
-            let which = PLAIN_FAULTS[rng.random_range(0..PLAIN_FAULTS.len())];
-            plain(fleet, &mut rng).fail_next(which);
+            let fault_kind = PLAIN_FAULTS[rng.random_range(0..PLAIN_FAULTS.len())];
+            random_plain_service(fleet, &mut rng).fail_next(fault_kind);
         }
         Fault::PlainDown => {
-            let plain = plain(fleet, &mut rng);
+            let plain = random_plain_service(fleet, &mut rng);
             plain.set_faults(|faults| faults.down = true);
-            std::thread::sleep(LASTS);
+            std::thread::sleep(FAULT_DURATION);
             plain.set_faults(|faults| faults.down = false);
         }
-        Fault::StoreDown | Fault::StoreSlow | Fault::StoreLostReplies => store(fleet, fault),
+        Fault::StoreDown | Fault::StoreSlow | Fault::StoreLostReplies => {
+            inject_store_fault(fleet, fault)
+        }
         Fault::DaemonKilled | Fault::DaemonReplaced | Fault::DaemonPaused => {
             let index = rng.random_range(0..fleet.daemons.len());
             daemon = Some(index);
-            daemon_fault(fleet, fault, index)?;
+            inject_daemon_fault(fleet, fault, index)?;
         }
     }
     let ended = Instant::now();
-    Ok(Trouble {
+    Ok(InjectedFault {
         fault,
         daemon,
-        begun,
+        started_at,
         ended,
     })
 }
 
-fn engine<'a>(fleet: &'a Fleet, rng: &mut StdRng) -> &'a Engine {
+fn random_engine<'a>(fleet: &'a Fleet, rng: &mut StdRng) -> &'a Engine {
     let engines = fleet.platform.engines.values().collect::<Vec<_>>();
     engines[rng.random_range(0..engines.len())]
 }
 
-fn plain<'a>(fleet: &'a Fleet, rng: &mut StdRng) -> &'a PlainService {
+fn random_plain_service<'a>(fleet: &'a Fleet, rng: &mut StdRng) -> &'a PlainService {
     let services = fleet.platform.plain.values().collect::<Vec<_>>();
     services[rng.random_range(0..services.len())]
 }
 
-fn store(fleet: &Fleet, fault: Fault) {
+fn inject_store_fault(fleet: &Fleet, fault: Fault) {
     let store = &fleet.platform.store;
     match fault {
         Fault::StoreDown => {
             store.set_faults(|faults| faults.down = true);
-            std::thread::sleep(LASTS);
+            std::thread::sleep(FAULT_DURATION);
             store.set_faults(|faults| faults.down = false);
         }
         Fault::StoreSlow => {
             store.set_faults(|faults| faults.delay = Span::from_millis(250));
-            std::thread::sleep(LASTS);
+            std::thread::sleep(FAULT_DURATION);
             store.set_faults(|faults| faults.delay = Span::ZERO);
         }
         _ => store.set_faults(|faults| {
@@ -236,39 +238,39 @@
     }
 }
 
-/// The daemon is held meanwhile, so that faults of one daemon follow each other.
-fn daemon_fault(fleet: &Fleet, fault: Fault, index: usize) -> eyre::Result<()> {
+/// Injects a fault of a daemon. The daemon is locked meanwhile, so that its faults don't overlap.
+fn inject_daemon_fault(fleet: &Fleet, fault: Fault, index: usize) -> eyre::Result<()> {
     let balancer = fleet.balancer();
     fleet.with_daemon(index, |daemon| {
         match fault {
             Fault::DaemonKilled => {
                 daemon.kill()?;
-                std::thread::sleep(PROBE);
-                balancer.set_in(index, false);
+                std::thread::sleep(PROBE_DELAY);
+                balancer.set_in_rotation(index, false);
                 daemon.restart()?;
             }
             Fault::DaemonReplaced => {
-                let noticed = balancer.clone();
+                let probe = balancer.clone();
                 std::thread::scope(|scope| {
                     scope.spawn(move || {
-                        std::thread::sleep(PROBE);
-                        noticed.set_in(index, false);
+                        std::thread::sleep(PROBE_DELAY);
+                        probe.set_in_rotation(index, false);
                     });
-                    daemon.terminate(LEAVES_WITHIN)
+                    daemon.terminate(SHUTDOWN_TIMEOUT)
                 })?;
-                // What did not end in time is ended by the platform.
+                // A daemon that didn't exit in time is killed, as the platform would.
                 daemon.kill()?;
                 daemon.restart()?;
             }
             _ => {
                 daemon.pause()?;
-                std::thread::sleep(PROBE);
-                balancer.set_in(index, false);
-                std::thread::sleep(LASTS);
+                std::thread::sleep(PROBE_DELAY);
+                balancer.set_in_rotation(index, false);
+                std::thread::sleep(FAULT_DURATION);
                 daemon.resume()?;
             }
         }
-        balancer.set_in(index, true);
+        balancer.set_in_rotation(index, true);
         Ok(())
     })
 }
--- a/bench/src/cmd/faults/mix.rs
+++ b/bench/src/cmd/faults/mix.rs
@@ -1,4 +1,4 @@
-//! Both users' mix of requests, drawn from the catalogue's own offers.
+//! Request mix of both users, drawn from the offers in the catalogue.
 
 use std::collections::BTreeMap;
 
@@ -9,59 +9,60 @@
 use standins::engine::text::Message;
 use standins::platform::Entries;
 
-/// Customers with a lower limit are left out: the mix would exceed it.
-const MIN_REQUESTS_PER_S: f64 = 50.0;
-/// Sessions that requests with one share.
+/// Minimum request rate limit of a customer in requests per second. Customers with a lower limit
+/// are left out because the mix would exceed it.
+const MIN_RATE_LIMIT: f64 = 50.0;
+/// Number of sessions of a customer and an offer over which requests are spread.
 const SESSIONS: u32 = 40;
 
-/// What kind of work a request is.
+/// Kind of request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// A chat answered at once.
+    /// A chat with a complete response.
     Whole,
-    /// A chat answered as a stream.
+    /// A chat with a streamed response.
     Stream,
     /// A chat that must not run twice.
     OnceChat,
-    /// A call of a plain service that may be repeated.
+    /// An idempotent call of a plain service.
     Plain,
     /// A call of a plain service that must not run twice.
     OncePlain,
 }
 
 impl Kind {
-    /// Whether a repeat is harmless.
+    /// Whether the request may safely be repeated.
     pub fn is_idempotent(self) -> bool {
         !matches!(self, Self::OnceChat | Self::OncePlain)
     }
 
-    /// Whether a plain service does it.
+    /// Whether the request goes to a plain service.
     pub fn is_plain(self) -> bool {
         matches!(self, Self::Plain | Self::OncePlain)
     }
 }
 
-/// One request, ready to send.
+/// A request that is ready to be sent.
 #[derive(Debug, Clone)]
-pub struct Wanted {
-    /// Names it in the stand-ins' records; also its request id.
+pub struct PlannedRequest {
+    /// Identifies the request in the stand-ins' records; also used as the request id.
     pub tag: String,
-    /// What kind of work it is.
+    /// Kind of the request.
     pub kind: Kind,
-    /// The customer, without `customers/`.
+    /// Name of the customer without `customers/`.
     pub customer: String,
-    /// Path of the call.
+    /// HTTP path.
     pub path: String,
-    /// Its body.
+    /// HTTP body.
     pub body: String,
-    /// Its chat, for chats.
+    /// Chat messages; empty for plain services.
     pub messages: Vec<Message>,
-    /// Tokens of the answer, for chats.
+    /// Output tokens; 0 for plain services.
     pub tokens: u32,
-    /// Its session, for some chats.
+    /// Session of the chat, if it has one.
     pub session: Option<String>,
-    /// Also sent through another daemon at the same time.
-    pub is_impatient: bool,
+    /// Whether the request is also sent through another daemon at the same time.
+    pub is_duplicated: bool,
 }
 
 struct Offer {
@@ -76,22 +77,19 @@
     is_idempotent: bool,
 }
 
-/// Draws requests.
-pub struct Mix {
+/// Draws random requests.
+pub struct RequestMix {
     seed: u64,
     offers: Vec<Offer>,
     services: Vec<Service>,
 }
 
-impl Mix {
-    /// From a catalogue.
+impl RequestMix {
+    /// Builds the mix from a catalogue.
     pub fn new(entries: &Entries, seed: u64) -> Self {
         let rates = request_rates(entries);
-        let busy = |customer: &str| {
-            rates
-                .get(customer)
-                .is_some_and(|r| *r >= MIN_REQUESTS_PER_S)
-        };
+        let has_sufficient_limit =
+            |customer: &str| rates.get(customer).is_some_and(|r| *r >= MIN_RATE_LIMIT);
         let mut mix = Self {
             seed,
             offers: Vec::new(),
@@ -104,7 +102,7 @@
                     let customers = offer.customers.keys().map(|c| c.as_str().to_owned());
                     mix.offers.push(Offer {
                         name: short("offers/"),
-                        customers: customers.filter(|c| busy(c)).collect(),
+                        customers: customers.filter(|c| has_sufficient_limit(c)).collect(),
                         max_tokens: u32::try_from(offer.max_output.0).unwrap_or(64).min(64),
                     });
                 }
@@ -112,7 +110,7 @@
                     let customers = service.customers.iter().map(|c| c.as_str().to_owned());
                     mix.services.push(Service {
                         name: short("services/"),
-                        customers: customers.filter(|c| busy(c)).collect(),
+                        customers: customers.filter(|c| has_sufficient_limit(c)).collect(),
                         is_idempotent: service.idempotent,
                     });
                 }
@@ -123,8 +121,8 @@
         mix
     }
 
-    /// The request of a number; the same for the same seed.
-    pub fn wanted(&self, number: usize) -> Wanted {
+    /// Returns the request with a number, which is always the same for the same seed.
+    pub fn request(&self, number: usize) -> PlannedRequest {
         let mut rng = StdRng::seed_from_u64(self.seed ^ ((number as u64) << 20));
         let tag = format!("q{}-{number}", self.seed);
         match rng.random_range(0..100) {
@@ -135,7 +133,7 @@
         }
     }
 
-    fn chat(&self, rng: &mut impl Rng, tag: String, kind: Kind) -> Wanted {
+    fn chat(&self, rng: &mut impl Rng, tag: String, kind: Kind) -> PlannedRequest {
         let offer = &self.offers[rng.random_range(0..self.offers.len())];
         let customer = pick(rng, &offer.customers);
         let session = rng.random_bool(0.2).then(|| {
@@ -156,7 +154,7 @@
             "max_tokens": tokens,
             "stream": kind == Kind::Stream,
         });
-        Wanted {
+        PlannedRequest {
             tag,
             kind,
             customer,
@@ -165,13 +163,13 @@
             messages,
             tokens,
             session,
-            is_impatient: rng.random_bool(0.03),
+            is_duplicated: rng.random_bool(0.03),
         }
     }
 
-    fn plain(&self, rng: &mut impl Rng, tag: String) -> Wanted {
+    fn plain(&self, rng: &mut impl Rng, tag: String) -> PlannedRequest {
         let service = &self.services[rng.random_range(0..self.services.len())];
-        Wanted {
+        PlannedRequest {
             kind: if service.is_idempotent {
                 Kind::Plain
             } else {
@@ -183,7 +181,7 @@
             messages: Vec::new(),
             tokens: 0,
             session: None,
-            is_impatient: rng.random_bool(0.03),
+            is_duplicated: rng.random_bool(0.03),
             tag,
         }
     }
@@ -200,7 +198,7 @@
         };
         let id = name.as_str().strip_prefix("customers/")?;
         let rate = customer.limits.requests.map_or(f64::MAX, |rate| rate.0);
-        // `dev` has its own key and no part in the mix.
+        // `dev` has its own key and is not part of the mix.
         (id != "dev").then(|| (id.to_owned(), rate))
     });
     rates.collect()
--- a/bench/src/cmd/faults/oracle.rs
+++ b/bench/src/cmd/faults/oracle.rs
@@ -1,15 +1,15 @@
-//! What really happened, from the stand-ins' records, beside what callers were told.
+//! Compares what actually ran, from the stand-ins' records, with the answers that callers got.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::bills;
-use super::caller::{End, OneCall, Told};
+use super::caller::{Call, CallOutcome, CallerRecord};
 use super::fleet::Fleet;
-use super::injection::{Fault, Trouble};
+use super::injection::{Fault, InjectedFault};
 use super::mix::Kind;
 use crate::report::Report;
 
-/// Broken promises and other counts of an arm.
+/// Violations and other counts of an arm.
 #[derive(Debug, Default)]
 pub struct Counts {
     requests: u64,
@@ -28,16 +28,17 @@
     false_not_run: u64,
     cut_without_kill: u64,
     moved_sessions: u64,
-    /// Requests that must be billed once; nothing when the export could not be had.
+    /// Answered chats, each of which must be billed exactly once. The two counts that follow are
+    /// `None` if the export of bills could not be read.
     billable: u64,
     not_billed: Option<u64>,
     billed_twice: Option<u64>,
-    /// Calls by how they ended, without those that were answered.
-    ends: BTreeMap<String, u64>,
+    /// Calls by outcome, without those that were answered.
+    outcomes: BTreeMap<String, u64>,
 }
 
 impl Counts {
-    /// Broken promises together.
+    /// Total number of violations.
     pub fn violations(&self) -> u64 {
         self.lost
             + self.doubled
@@ -50,7 +51,7 @@
             + self.billed_twice.unwrap_or(0)
     }
 
-    /// Notes all as figures.
+    /// Reports all counts as figures.
     pub fn note(&self, arm: &str, report: &mut Report) {
         let share = |part: u64, whole: u64| part as f64 / (whole.max(1)) as f64;
         let counts = [
@@ -73,8 +74,8 @@
         for (figure, count) in counts {
             report.note(arm, figure, count as f64);
         }
-        for (end, count) in &self.ends {
-            report.note(arm, &format!("call_{end}"), *count as f64);
+        for (outcome, count) in &self.outcomes {
+            report.note(arm, &format!("call_{outcome}"), *count as f64);
         }
         let bills = [
             ("not_billed", self.not_billed),
@@ -93,13 +94,13 @@
     }
 }
 
-/// What the stand-ins saw, by the request's tag.
-struct Ran {
+/// Runs at engines and effects at plain services by the request's tag, from the stand-ins' records.
+struct Executions {
     runs: BTreeMap<String, u64>,
     effects: BTreeMap<String, u64>,
 }
 
-impl Ran {
+impl Executions {
     fn new(fleet: &Fleet) -> Self {
         let mut runs = BTreeMap::new();
         for engine in fleet.platform.engines.values() {
@@ -116,127 +117,137 @@
         Self { runs, effects }
     }
 
-    fn of(&self, told: &Told) -> u64 {
-        let tag = &told.wanted.tag;
+    fn of(&self, record: &CallerRecord) -> u64 {
+        let tag = &record.planned.tag;
         let runs = self.runs.get(tag).copied().unwrap_or(0);
         runs + self.effects.get(tag).copied().unwrap_or(0)
     }
 }
 
-/// Compares what callers were told with what ran.
+/// Compares the answers that callers got with what ran.
 pub fn count(
     fleet: &Fleet,
-    told: &[Told],
-    troubles: &[Trouble],
+    records: &[CallerRecord],
+    injected: &[InjectedFault],
     verbose: bool,
 ) -> eyre::Result<Counts> {
-    let ran = Ran::new(fleet);
+    let executions = Executions::new(fleet);
     let mut counts = Counts::default();
-    for request in told {
+    for request in records {
         let before = counts.violations();
-        add(&mut counts, request, &ran, troubles);
+        count_request(&mut counts, request, &executions, injected);
         if verbose && counts.violations() > before {
             eprintln!(
-                "faults: broken promise ({} runs): {request:?}",
-                ran.of(request)
+                "faults: violated invariant ({} runs): {request:?}",
+                executions.of(request)
             );
         }
     }
-    counts.moved_sessions = moved_sessions(told);
-    count_bills(&mut counts, fleet, told, &ran);
+    counts.moved_sessions = moved_sessions(records);
+    count_bills(&mut counts, fleet, records, &executions);
     Ok(counts)
 }
 
-/// Compares the bills of each customer with its answers. Work that ran but whose answer its
-/// caller never saw whole may be billed or not; all other answers are billed exactly once.
-fn count_bills(counts: &mut Counts, fleet: &Fleet, told: &[Told], ran: &Ran) {
+/// Compares the bills of each customer with its answers. Work that ran but whose caller didn't get
+/// a complete answer may or may not be billed; every answer is billed exactly once.
+fn count_bills(
+    counts: &mut Counts,
+    fleet: &Fleet,
+    records: &[CallerRecord],
+    executions: &Executions,
+) {
     let mut answered = BTreeMap::<&str, u64>::new();
-    let mut doubtful = BTreeMap::<&str, u64>::new();
-    for request in told.iter().filter(|t| !t.wanted.kind.is_plain()) {
-        let customer = request.wanted.customer.as_str();
+    let mut uncertain = BTreeMap::<&str, u64>::new();
+    for request in records.iter().filter(|t| !t.planned.kind.is_plain()) {
+        let customer = request.planned.customer.as_str();
         if request.is_answered() {
             *answered.entry(customer).or_default() += 1;
-        } else if ran.of(request) > 0 {
-            *doubtful.entry(customer).or_default() += 1;
+        } else if executions.of(request) > 0 {
+            *uncertain.entry(customer).or_default() += 1;
         }
     }
     counts.billable = answered.values().sum();
     let Some(billed) = bills::billed(fleet) else {
-        eprintln!("faults: the bills can't be read from the operators' API");
+        eprintln!("faults: can't read the bills from the operators' API");
         return;
     };
     let (mut missing, mut extra) = (0, 0);
     for (customer, answered) in &answered {
         let billed = billed.get(*customer).copied().unwrap_or(0);
-        let most = answered + doubtful.get(customer).copied().unwrap_or(0);
+        let max = answered + uncertain.get(customer).copied().unwrap_or(0);
         missing += answered.saturating_sub(billed);
-        extra += billed.saturating_sub(most);
+        extra += billed.saturating_sub(max);
     }
     counts.not_billed = Some(missing);
     counts.billed_twice = Some(extra);
 }
 
-fn add(counts: &mut Counts, told: &Told, ran: &Ran, troubles: &[Trouble]) {
-    let kind = told.wanted.kind;
-    let is_answered = told.is_answered();
+fn count_request(
+    counts: &mut Counts,
+    record: &CallerRecord,
+    executions: &Executions,
+    injected: &[InjectedFault],
+) {
+    let kind = record.planned.kind;
+    let is_answered = record.is_answered();
     counts.requests += 1;
     if kind.is_idempotent() {
         counts.idempotent += 1;
         counts.idempotent_answered += u64::from(is_answered);
-        let first = told.calls.first();
-        let first = first.is_some_and(|call| matches!(call.end, End::Answered(_)));
+        let first = record.calls.first();
+        let first = first.is_some_and(|call| matches!(call.outcome, CallOutcome::Answered(_)));
         counts.idempotent_answered_first += u64::from(first);
     } else {
         counts.once += 1;
         counts.once_answered += u64::from(is_answered);
-        let unknown =
-            |call: &OneCall| matches!(&call.end, End::Refused(_, _, run) if run == "unknown");
-        counts.once_unknown += u64::from(!is_answered && told.calls.iter().any(unknown));
-        counts.doubled += u64::from(ran.of(told) > 1);
+        let is_unknown = |call: &Call| matches!(&call.outcome, CallOutcome::Refused(_, _, run) if run == "unknown");
+        counts.once_unknown += u64::from(!is_answered && record.calls.iter().any(is_unknown));
+        counts.doubled += u64::from(executions.of(record) > 1);
     }
-    for call in &told.calls {
-        if let Some(name) = call.end.name() {
-            *counts.ends.entry(name).or_default() += 1;
+    for call in &record.calls {
+        if let Some(name) = call.outcome.name() {
+            *counts.outcomes.entry(name).or_default() += 1;
         }
-        match &call.end {
-            End::Wrong(_) => counts.crossed += 1,
-            End::NoMarker => counts.quiet_ends += 1,
-            End::ErrorEvent(_) => counts.error_events += 1,
-            End::Cut(_) => {
+        match &call.outcome {
+            CallOutcome::Wrong(_) => counts.crossed += 1,
+            CallOutcome::NoMarker => counts.quiet_ends += 1,
+            CallOutcome::ErrorEvent(_) => counts.error_events += 1,
+            CallOutcome::Cut(_) => {
                 counts.cut_calls += 1;
-                counts.cut_without_kill += u64::from(!was_killed(call, troubles));
+                counts.cut_without_kill += u64::from(!was_killed(call, injected));
             }
             _ => {}
         }
     }
-    counts.lost += u64::from(is_lost(told));
-    counts.false_not_run += u64::from(all_say_not_run(told) && ran.of(told) > 0);
+    counts.lost += u64::from(is_lost(record));
+    counts.false_not_run += u64::from(all_say_not_run(record) && executions.of(record) > 0);
 }
 
-/// Neither answered nor refused in the end, whatever the caller tried.
-fn is_lost(told: &Told) -> bool {
-    let last = told.calls.last();
-    !told.is_answered() && last.is_none_or(|call| matches!(call.end, End::Cut(_)))
+/// Whether the request was neither answered nor finally refused, despite the caller's retries.
+fn is_lost(record: &CallerRecord) -> bool {
+    let last = record.calls.last();
+    !record.is_answered() && last.is_none_or(|call| matches!(call.outcome, CallOutcome::Cut(_)))
 }
 
-fn all_say_not_run(told: &Told) -> bool {
-    let says_no = |call: &OneCall| matches!(&call.end, End::Refused(_, _, run) if run == "no");
-    !told.calls.is_empty() && told.calls.iter().all(says_no)
+fn all_say_not_run(record: &CallerRecord) -> bool {
+    let says_no =
+        |call: &Call| matches!(&call.outcome, CallOutcome::Refused(_, _, run) if run == "no");
+    !record.calls.is_empty() && record.calls.iter().all(says_no)
 }
 
-/// Only a daemon's death may cut a call.
-fn was_killed(call: &OneCall, troubles: &[Trouble]) -> bool {
-    let kills = troubles.iter().filter(|t| t.fault == Fault::DaemonKilled);
+/// Whether the call's daemon was killed during the call, the only fault that may cut a call.
+fn was_killed(call: &Call, injected: &[InjectedFault]) -> bool {
+    let kills = injected.iter().filter(|t| t.fault == Fault::DaemonKilled);
     let mut kills = kills.filter(|t| t.daemon == Some(call.daemon));
-    kills.any(|t| t.begun <= call.ended && call.begun <= t.ended)
+    kills.any(|t| t.started_at <= call.ended && call.started_at <= t.ended)
 }
 
-/// Sessions that were answered by more than one version.
-fn moved_sessions(told: &[Told]) -> u64 {
+/// Counts sessions that were answered by more than one version.
+fn moved_sessions(records: &[CallerRecord]) -> u64 {
     let mut versions = BTreeMap::<&str, BTreeSet<&str>>::new();
-    let chats = told.iter().filter(|t| t.wanted.kind != Kind::Plain);
+    let chats = records.iter().filter(|t| t.planned.kind != Kind::Plain);
     for request in chats {
-        if let (Some(session), Some(version)) = (&request.wanted.session, request.version()) {
+        if let (Some(session), Some(version)) = (&request.planned.session, request.version()) {
             versions.entry(session).or_default().insert(version);
         }
     }
--- a/bench/src/cmd/ledger.rs
+++ b/bench/src/cmd/ledger.rs
@@ -146,7 +146,7 @@
         totals.lost as f64 / RUNS_PER_CRASH_ARM as f64,
     );
     report.note(arm, "doubled", totals.doubled as f64);
-    // Losing a daemon together with the holder of its bills is outside what the design covers.
+    // Losing a daemon together with the holder of its bills may lose bills by design.
     let lost = if cfg.hosts > 1 { 0 } else { totals.lost };
     report.violations += lost + totals.doubled;
 }
