--- a/bench/src/cmd/rollout.rs
+++ b/bench/src/cmd/rollout.rs
@@ -1,12 +1,12 @@
-//! `rollout`: a roll-out driven to its end while drivers are paused, stores fail and
-//! engines ignore fencing.
+//! `rollout`: drives a roll-out to its end while drivers are paused, stores fail and engines ignore
+//! fencing tokens.
 //!
-//! Three daemons drive one model's roll-out over engines, a store and a weight store that
-//! are a few dozen lines each. A run without faults lists the ticks at which the driver
-//! acts; then one run for each pauses the driver there for longer than its lease, lets a
-//! successor take over and hands the paused driver's late orders out when it wakes. Some
-//! of the runs have an operator abort or withdraw meanwhile. The naive arm sends each order
-//! once when its moment comes, counts on it and writes without comparing.
+//! Three daemons drive one model's roll-out over minimal simulations of engines, a store and a
+//! weight store. A run without faults lists the ticks at which the driver acts. Then, for each of
+//! these ticks, one run pauses the driver there for longer than its lease, lets a successor take
+//! over, and delivers the paused driver's late orders when it resumes. In some of the runs an
+//! operator aborts the roll-out or withdraws a version meanwhile. The naive arm sends each order
+//! once at its planned time, assumes that it succeeded, and writes without comparing revisions.
 
 mod checks;
 mod environment;
@@ -23,27 +23,28 @@
 use crate::cli::Rollout;
 use crate::report::{Curve, Report};
 use environment::Fencing;
-use run::{actions, play};
-use scenario::{Operator, Outcome, Scenario, Trouble};
+use run::{action_times, simulate};
+use scenario::{Fault, Operator, Outcome, Scenario};
 
-/// What drives.
+/// Kind of driver in an arm.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Way {
+enum DriverKind {
     /// The product's driver.
     Driver,
-    /// The same, showing its fencing number to every engine first.
+    /// The product's driver, which first announces its fencing token to every engine.
     ClaimFirst,
-    /// Orders sent once, writes without comparing.
+    /// A driver that sends each order once and writes without comparing revisions.
     Naive,
 }
 
-const WAYS: [(&str, Way); 3] = [
-    ("driver", Way::Driver),
-    ("claim_first", Way::ClaimFirst),
-    ("naive", Way::Naive),
+const DRIVER_KINDS: [(&str, DriverKind); 3] = [
+    ("driver", DriverKind::Driver),
+    ("claim_first", DriverKind::ClaimFirst),
+    ("naive", DriverKind::Naive),
 ];
 
-/// Engines of the pools: a small one, where each engine counts, and one as today's.
+/// Number of engines in the pools: a small pool, in which each engine matters, and one of current
+/// size.
 const POOLS: [usize; 2] = [6, 20];
 
 const FENCING: [(&str, Fencing); 3] = [
@@ -55,22 +56,22 @@
 /// Runs the experiment.
 pub fn run(options: &Rollout) -> eyre::Result<Report> {
     let mut report = Report::new("rollout", options.seed);
-    for (way_name, way) in WAYS {
+    for (driver_name, driver_kind) in DRIVER_KINDS {
         for (fencing_name, fencing) in FENCING {
-            let arm = format!("{way_name}/fencing_{fencing_name}");
+            let arm = format!("{driver_name}/fencing_{fencing_name}");
             let mut tally = Tally::default();
             for engines in POOLS {
-                tally.add_all(&Scenario::new(way, fencing, options.seed, engines));
+                tally.add_all(&Scenario::new(driver_kind, fencing, options.seed, engines));
             }
             tally.note(&mut report, &arm);
-            if way == Way::Driver {
+            if driver_kind == DriverKind::Driver {
                 report.violations += tally.violations();
             }
         }
     }
-    scale::note(&mut report, options.seed);
+    scale::report_tick_cost(&mut report, options.seed);
     report.curves = curves(&Scenario::new(
-        Way::Driver,
+        DriverKind::Driver,
         Fencing::Ignored,
         options.seed,
         POOLS[1],
@@ -78,9 +79,9 @@
     Ok(report)
 }
 
-/// What a run without troubles had ready and needed, over time.
+/// Returns curves of the ready and needed slots over time in a run without faults.
 fn curves(scenario: &Scenario) -> Vec<Curve> {
-    let samples = play(scenario).samples;
+    let samples = simulate(scenario).samples;
     let curve = |label: &str, at: usize| Curve {
         plot: "slots by seconds of a quiet roll-out".to_owned(),
         label: label.to_owned(),
@@ -94,54 +95,54 @@
     ]
 }
 
-/// Every pause, alone and with an operator's act; then the stores' troubles.
+/// Returns all scenarios: every pause alone and with an operator's action, then the faults.
 fn scenarios(base: &Scenario) -> Vec<Scenario> {
-    let mut list = vec![base.clone()];
-    for at in actions(base) {
+    let mut scenarios = vec![base.clone()];
+    for at in action_times(base) {
         for operator in [Operator::None, Operator::Aborts, Operator::Withdraws] {
-            list.push(Scenario {
+            scenarios.push(Scenario {
                 pause_at: vec![at],
                 operator,
                 ..base.clone()
             });
         }
-        // The successor is paused too, so that two wake with late orders.
+        // The successor is paused too, so that two daemons resume with late orders.
         let second = at + Span::from_secs(25);
         let pause_at = vec![at, second];
-        list.push(Scenario {
+        scenarios.push(Scenario {
             pause_at,
             operator: Operator::Aborts,
             ..base.clone()
         });
     }
-    let acting = actions(base);
-    for trouble in TROUBLES {
-        for at in acting.iter().step_by(8) {
+    let pause_times = action_times(base);
+    for fault in FAULTS {
+        for at in pause_times.iter().step_by(8) {
             let pause_at = vec![*at];
-            list.push(Scenario {
-                trouble,
-                trouble_at: *at,
+            scenarios.push(Scenario {
+                fault,
+                fault_at: *at,
                 ..base.clone()
             });
-            list.push(Scenario {
-                trouble,
-                trouble_at: *at,
+            scenarios.push(Scenario {
+                fault,
+                fault_at: *at,
                 pause_at,
                 ..base.clone()
             });
         }
     }
-    list
+    scenarios
 }
 
-const TROUBLES: [Trouble; 4] = [
-    Trouble::StoreDown,
-    Trouble::LostReplies,
-    Trouble::SlowWeights,
-    Trouble::DomainLost,
+const FAULTS: [Fault; 4] = [
+    Fault::StoreDown,
+    Fault::LostReplies,
+    Fault::SlowWeights,
+    Fault::DomainLost,
 ];
 
-/// Sums over the runs of an arm.
+/// Totals over the runs of an arm.
 #[derive(Debug, Default)]
 struct Tally {
     runs: u64,
@@ -156,18 +157,18 @@
     refused_orders: u64,
     unsafe_removals: u64,
     orders: u64,
-    loads_without_leave: u64,
+    loads_without_permit: u64,
     store_calls: u64,
     longest_s: f64,
-    quiet_s: Option<f64>,
+    fault_free_s: Option<f64>,
 }
 
 impl Tally {
-    /// All runs of a pool.
+    /// Adds all runs of a pool.
     fn add_all(&mut self, base: &Scenario) {
-        self.quiet_s = play(base).finished_s;
+        self.fault_free_s = simulate(base).finished_s;
         for scenario in scenarios(base) {
-            self.add(&play(&scenario));
+            self.add(&simulate(&scenario));
         }
     }
 
@@ -184,7 +185,7 @@
         self.refused_orders += outcome.refused_orders;
         self.unsafe_removals += outcome.unsafe_removals;
         self.orders += outcome.orders;
-        self.loads_without_leave += outcome.loads_without_leave;
+        self.loads_without_permit += outcome.loads_without_permit;
         self.store_calls += outcome.store_calls;
         self.longest_s = self.longest_s.max(outcome.finished_s.unwrap_or(0.0));
     }
@@ -195,7 +196,7 @@
             + self.short_runs
             + self.revived
             + self.unsafe_removals
-            + self.loads_without_leave
+            + self.loads_without_permit
             + u64::from(self.withdrawn_requests > 0.0)
     }
 
@@ -216,17 +217,17 @@
             "orders_per_run",
             self.orders as f64 / self.runs.max(1) as f64,
         );
-        note("loads_without_leave", self.loads_without_leave as f64);
+        note("loads_without_leave", self.loads_without_permit as f64);
         note(
             "store_calls_per_run",
             self.store_calls as f64 / self.runs.max(1) as f64,
         );
-        note("quiet_run_s", self.quiet_s.unwrap_or(f64::NAN));
+        note("quiet_run_s", self.fault_free_s.unwrap_or(f64::NAN));
         note("longest_run_s", self.longest_s);
     }
 }
 
-/// Whether a roll-out moves or may still move.
-fn is_under_way(state: RolloutState) -> bool {
+/// Whether a roll-out is running or may be resumed.
+fn is_active(state: RolloutState) -> bool {
     matches!(state, RolloutState::Running | RolloutState::Paused)
 }
--- a/bench/src/cmd/rollout/environment.rs
+++ b/bench/src/cmd/rollout/environment.rs
@@ -1,4 +1,4 @@
-//! Engines, the store and the weight store, as little as the roll-out needs of them.
+//! Minimal simulations of engines, the store and the weight store.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,20 +11,20 @@
 use rollout::{Order, OrderKind};
 use types::prelude::*;
 
-/// Which engines refuse old fencing numbers.
+/// Which engines refuse old fencing tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Fencing {
-    /// None.
+    /// No engine.
     Ignored,
-    /// Every other.
+    /// Every second engine.
     Half,
-    /// All.
+    /// All engines.
     Checked,
 }
 
 const LOAD_TIME: Span = Span::from_secs(6);
 
-/// An engine.
+/// A simulated engine.
 #[derive(Debug, Clone)]
 pub(super) struct Engine {
     pub(super) id: UpstreamId,
@@ -33,11 +33,11 @@
     pub(super) ready: BTreeSet<VersionName>,
     pub(super) loading: BTreeMap<VersionName, Time>,
     pub(super) fencing: u64,
-    checks: bool,
+    checks_fencing: bool,
 }
 
 impl Engine {
-    /// The `index`th engine, with one version loaded.
+    /// Creates the engine with an index, with one version loaded.
     pub(super) fn new(index: usize, domains: usize, version: &VersionName, mode: Fencing) -> Self {
         let id = format!("engine-{index:02}");
         let domain = format!("domain-{}", index % domains);
@@ -48,7 +48,7 @@
             ready: BTreeSet::from([version.clone()]),
             loading: BTreeMap::new(),
             fencing: 0,
-            checks: match mode {
+            checks_fencing: match mode {
                 Fencing::Ignored => false,
                 Fencing::Half => index.is_multiple_of(2),
                 Fencing::Checked => true,
@@ -56,24 +56,24 @@
         }
     }
 
-    /// Comes back with one version and no memory of orders.
+    /// Restarts with one version loaded and without memory of earlier orders.
     pub(super) fn restart(&mut self, version: &VersionName) {
         self.ready = BTreeSet::from([version.clone()]);
         self.loading.clear();
         self.fencing = 0;
     }
 
-    /// Ends loads whose time has come.
-    pub(super) fn settle(&mut self, now: Time) {
+    /// Completes the loads whose time has passed.
+    pub(super) fn complete_loads(&mut self, now: Time) {
         let done = self
             .loading
             .extract_if(.., |_, ready| now.has_reached(*ready));
         self.ready.extend(done.map(|(version, _)| version));
     }
 
-    /// Carries out an order; false when it is refused for its fencing number.
-    pub(super) fn order(&mut self, now: Time, order: &Order) -> bool {
-        if self.checks && order.fencing < self.fencing {
+    /// Executes an order; returns false if it is refused for its fencing token.
+    pub(super) fn execute(&mut self, now: Time, order: &Order) -> bool {
+        if self.checks_fencing && order.fencing < self.fencing {
             return false;
         }
         self.fencing = order.fencing;
@@ -94,35 +94,35 @@
     }
 }
 
-/// The weight store: leave to load at a bounded rate.
+/// The weight store, which grants permits to load a version at a limited rate.
 #[derive(Debug)]
 pub(super) struct Weights {
-    pub(super) every: Span,
-    next_at: Time,
-    unused: BTreeMap<VersionName, u64>,
+    pub(super) interval: Span,
+    next_permit_at: Time,
+    unused_permits: BTreeMap<VersionName, u64>,
 }
 
 impl Weights {
-    pub(super) fn new(every: Span) -> Self {
+    pub(super) fn new(interval: Span) -> Self {
         Self {
-            every,
-            next_at: Time::ZERO,
-            unused: BTreeMap::new(),
+            interval,
+            next_permit_at: Time::ZERO,
+            unused_permits: BTreeMap::new(),
         }
     }
 
-    pub(super) fn ask(&mut self, now: Time, version: &VersionName) -> Result<(), Span> {
-        if !now.has_reached(self.next_at) {
-            return Err(now.until(self.next_at));
+    pub(super) fn request_permit(&mut self, now: Time, version: &VersionName) -> Result<(), Span> {
+        if !now.has_reached(self.next_permit_at) {
+            return Err(now.until(self.next_permit_at));
         }
-        self.next_at = now + self.every;
-        *self.unused.entry(version.clone()).or_default() += 1;
+        self.next_permit_at = now + self.interval;
+        *self.unused_permits.entry(version.clone()).or_default() += 1;
         Ok(())
     }
 
-    /// Uses up a leave to load; false when there was none.
-    pub(super) fn take(&mut self, version: &VersionName) -> bool {
-        match self.unused.get_mut(version) {
+    /// Uses up a permit to load; returns false if there was none.
+    pub(super) fn use_permit(&mut self, version: &VersionName) -> bool {
+        match self.unused_permits.get_mut(version) {
             Some(left) if *left > 0 => {
                 *left -= 1;
                 true
@@ -132,7 +132,7 @@
     }
 }
 
-/// The store: one key with leases.
+/// A store with one key and leases.
 #[derive(Debug)]
 pub(super) struct Store {
     rng: StdRng,
@@ -140,11 +140,11 @@
     key: Option<KeyValue>,
     leases: BTreeMap<LeaseId, (Span, Time)>,
     next_lease: i64,
-    /// Down until then.
+    /// Time until which the store is down.
     pub(super) down_until: Time,
-    /// Share of replies that are lost.
-    pub(super) lost: f64,
-    /// Calls made.
+    /// Probability that a reply is lost.
+    pub(super) reply_loss: f64,
+    /// Number of calls.
     pub(super) calls: u64,
 }
 
@@ -157,7 +157,7 @@
             leases: BTreeMap::new(),
             next_lease: 1,
             down_until: Time::ZERO,
-            lost: 0.0,
+            reply_loss: 0.0,
             calls: 0,
         }
     }
@@ -169,18 +169,19 @@
         }
         self.expire(now);
         let reply = self.carry_out(now, request);
-        if self.rng.random_bool(self.lost) {
+        if self.rng.random_bool(self.reply_loss) {
             return Err(CallError::Unknown("lost".to_owned()));
         }
         let revision = ModRevision(self.revision);
         Ok(Answer { revision, reply })
     }
 
-    /// Leases run on while the store is down, as they would in a store that lost its front.
+    /// Expires leases. Their time also passes while the store is down, as in a store whose front
+    /// end failed.
     fn expire(&mut self, now: Time) {
         self.leases.retain(|_, (_, end)| !now.has_reached(*end));
-        let held = self.key.as_ref().and_then(|key| key.lease);
-        if held.is_some_and(|lease| !self.leases.contains_key(&lease)) {
+        let key_lease = self.key.as_ref().and_then(|key| key.lease);
+        if key_lease.is_some_and(|lease| !self.leases.contains_key(&lease)) {
             self.key = None;
             self.revision += 1;
         }
@@ -196,11 +197,11 @@
                 Reply::LeaseGranted(lease)
             }
             Request::LeaseKeepAlive(lease) => {
-                let kept = self.leases.get_mut(&lease).map(|(ttl, end)| {
+                let renewed_ttl = self.leases.get_mut(&lease).map(|(ttl, end)| {
                     *end = now + *ttl;
                     *ttl
                 });
-                Reply::LeaseKept(kept)
+                Reply::LeaseKept(renewed_ttl)
             }
             Request::LeaseRevoke(lease) => {
                 self.leases.remove(&lease);
--- a/bench/src/cmd/rollout/fleet.rs
+++ b/bench/src/cmd/rollout/fleet.rs
@@ -1,4 +1,4 @@
-//! The daemons that may drive, and what each of them sees.
+//! The daemons that may drive the roll-out, with their view of the engines.
 
 use std::collections::BTreeMap;
 
@@ -8,78 +8,83 @@
 use rollout::{Config, Driver, Effect};
 use types::prelude::*;
 
-use super::Way;
+use super::DriverKind;
 use super::environment::Engine;
 use super::naive::Naive;
 
-/// What drives in a daemon.
+/// Driver implementation of a daemon.
 #[derive(Debug)]
-enum Mind {
+enum Implementation {
     Driver(Box<Driver>),
     Naive(Naive),
 }
 
-/// A daemon.
+/// A daemon that may drive the roll-out.
 #[derive(Debug)]
 pub(super) struct Daemon {
-    mind: Mind,
+    implementation: Implementation,
     rank: u32,
     reports: BTreeMap<UpstreamId, Report>,
-    /// Does nothing until then.
+    /// Time until which the daemon is paused.
     pub(super) paused_until: Time,
-    /// What it was about to do when it was paused.
-    pub(super) in_hand: Vec<Effect>,
-    /// Outcomes that came since the last tick.
+    /// Effects that it had not carried out when it was paused.
+    pub(super) pending_effects: Vec<Effect>,
+    /// Outcomes of store calls since the last tick.
     pub(super) outcomes: Vec<(u64, Outcome)>,
 }
 
 impl Daemon {
-    pub(super) fn new(way: Way, rank: u32, engines: &[Engine]) -> Self {
+    pub(super) fn new(driver_kind: DriverKind, rank: u32, engines: &[Engine]) -> Self {
         let key = "rollouts/model".to_owned();
         let name = DaemonId::new(&format!("daemon-{rank}")).expect("a plain name");
         let cfg = Config {
-            announces_fencing: way == Way::ClaimFirst,
+            announces_fencing: driver_kind == DriverKind::ClaimFirst,
             ..Config::default()
         };
-        let mind = match way {
-            Way::Naive => Mind::Naive(Naive::new(key, name)),
-            Way::Driver | Way::ClaimFirst => Mind::Driver(Box::new(Driver::new(key, name, cfg))),
+        let implementation = match driver_kind {
+            DriverKind::Naive => Implementation::Naive(Naive::new(key, name)),
+            DriverKind::Driver | DriverKind::ClaimFirst => {
+                Implementation::Driver(Box::new(Driver::new(key, name, cfg)))
+            }
         };
         Self {
-            mind,
+            implementation,
             rank,
-            reports: engines.iter().map(|e| (e.id.clone(), unread(e))).collect(),
+            reports: engines
+                .iter()
+                .map(|e| (e.id.clone(), unread_report(e)))
+                .collect(),
             paused_until: Time::ZERO,
-            in_hand: Vec::new(),
+            pending_effects: Vec::new(),
             outcomes: Vec::new(),
         }
     }
 
-    /// Whether it writes only what it has compared.
-    pub(super) fn compares(&self) -> bool {
-        matches!(self.mind, Mind::Driver(_))
+    /// Whether its writes are conditional on the revision.
+    pub(super) fn checks_revision(&self) -> bool {
+        matches!(self.implementation, Implementation::Driver(_))
     }
 
-    /// The fencing number that it believes to be good.
+    /// Returns the fencing token that it believes to be valid.
     pub(super) fn fencing(&self, now: Time) -> Option<u64> {
-        match &self.mind {
-            Mind::Driver(driver) => driver.held(now).map(|held| held.fencing),
-            Mind::Naive(naive) => naive.fencing(),
+        match &self.implementation {
+            Implementation::Driver(driver) => driver.held(now).map(|held| held.fencing),
+            Implementation::Naive(naive) => naive.fencing(),
         }
     }
 
-    /// Keeps an engine's report.
+    /// Stores an engine's report.
     pub(super) fn read(&mut self, now: Time, engine: &Engine) {
         let report = Report {
             read_at: Some(now),
             ready: engine.ready.iter().cloned().collect(),
             loading: engine.loading.keys().cloned().collect(),
-            ..unread(engine)
+            ..unread_report(engine)
         };
         self.reports.insert(engine.id.clone(), report);
     }
 
-    /// One tick: outcomes first, then what is.
+    /// Runs one tick: handles outcomes of store calls, then observes the current state.
     pub(super) fn tick(
         &mut self,
         now: Time,
@@ -91,9 +96,13 @@
         let standby_rank = Some(self.rank);
         let mut effects = Vec::new();
         for (number, outcome) in std::mem::take(&mut self.outcomes) {
-            effects.extend(match &mut self.mind {
-                Mind::Driver(driver) => driver.on_store_outcome(now, number, outcome, standby_rank),
-                Mind::Naive(naive) => naive.on_store_outcome(now, number, outcome, standby_rank),
+            effects.extend(match &mut self.implementation {
+                Implementation::Driver(driver) => {
+                    driver.on_store_outcome(now, number, outcome, standby_rank)
+                }
+                Implementation::Naive(naive) => {
+                    naive.on_store_outcome(now, number, outcome, standby_rank)
+                }
             });
         }
         let engines: Vec<Report> = self.reports.values().cloned().collect();
@@ -105,27 +114,27 @@
             demand,
             standby_rank,
         };
-        effects.extend(match &mut self.mind {
-            Mind::Driver(driver) => driver.tick(now, &seen),
-            Mind::Naive(naive) => naive.tick(now, &seen),
+        effects.extend(match &mut self.implementation {
+            Implementation::Driver(driver) => driver.tick(now, &seen),
+            Implementation::Naive(naive) => naive.tick(now, &seen),
         });
         effects
     }
 
-    /// Hands the weight store's answer over.
+    /// Passes the weight store's answer to the driver.
     pub(super) fn on_permit(&mut self, now: Time, answer: Result<(), Span>) {
-        if let Mind::Driver(driver) = &mut self.mind {
+        if let Implementation::Driver(driver) = &mut self.implementation {
             driver.on_permit(now, answer);
         }
     }
 }
 
-/// An engine of the catalogue that has not reported yet.
-fn unread(engine: &Engine) -> Report {
+/// Report of an engine that has not been read yet.
+fn unread_report(engine: &Engine) -> Report {
     report_of(engine, None)
 }
 
-/// An engine's report, read at a moment.
+/// Report of an engine with the time at which it was read.
 pub(super) fn report_of(engine: &Engine, read_at: Option<Time>) -> Report {
     Report {
         id: engine.id.clone(),
--- a/bench/src/cmd/rollout/naive.rs
+++ b/bench/src/cmd/rollout/naive.rs
@@ -1,4 +1,4 @@
-//! The naive way: orders sent once when their moment comes, counted on without reading.
+//! Naive driver that sends each order once at its planned time and assumes that it succeeded.
 
 use rollout::edit::{self, Action};
 use rollout::goal::{Goal, Phase};
@@ -7,17 +7,17 @@
 use rollout::{Effect, Order, OrderKind};
 use types::prelude::*;
 
-/// Hoped to be enough for a step's loads.
-const LOADS_TAKE: Span = Span::from_secs(10);
+/// Time in which the loads of a step are assumed to be complete.
+const ASSUMED_LOAD_TIME: Span = Span::from_secs(10);
 
-/// Remembers what it has sent and believes it done.
+/// Remembers which orders it has sent and treats them as done.
 #[derive(Debug)]
 pub(super) struct Naive {
     lease: Lease,
     fencing: Option<u64>,
-    loaded: usize,
+    loads_sent: usize,
     next_step_at: Option<(usize, Time)>,
-    removed: Option<VersionName>,
+    removal_sent: Option<VersionName>,
 }
 
 impl Naive {
@@ -25,9 +25,9 @@
         Self {
             lease: Lease::new(key, daemon),
             fencing: None,
-            loaded: 0,
+            loads_sent: 0,
             next_step_at: None,
-            removed: None,
+            removal_sent: None,
         }
     }
 
@@ -49,7 +49,7 @@
     pub(super) fn tick(&mut self, now: Time, seen: &Observed<'_>) -> Vec<Effect> {
         let call = self.lease.tick(now, true, seen.standby_rank);
         let mut effects: Vec<Effect> = call.map(Effect::Store).into_iter().collect();
-        // It looks at its lease when it has none, and counts on it from then on.
+        // In a tick with a call to the store it relies on the fencing token that it already has.
         if self.fencing.is_none() || effects.is_empty() {
             self.fencing = self.lease.held(now).map(|held| held.fencing);
         }
@@ -75,25 +75,25 @@
             return;
         };
         let wanted = (share.get() * seen.engines.len() as f64).ceil() as usize;
-        for engine in seen.engines.iter().take(wanted).skip(self.loaded) {
+        for engine in seen.engines.iter().take(wanted).skip(self.loads_sent) {
             effects.push(order(&engine.id, OrderKind::Load, &rollout.to, fencing));
         }
-        self.loaded = self.loaded.max(wanted);
+        self.loads_sent = self.loads_sent.max(wanted);
         match self.next_step_at {
             Some((step, at)) if step == rollout.step => {
                 if now.has_reached(at) {
                     self.next_step_at = None;
-                    self.step_on(seen, effects);
+                    self.advance_step(seen, effects);
                 }
             }
             _ => {
-                let stay = LOADS_TAKE + rollout.gate.stay;
+                let stay = ASSUMED_LOAD_TIME + rollout.gate.stay;
                 self.next_step_at = Some((rollout.step, now + stay));
             }
         }
     }
 
-    fn step_on(&self, seen: &Observed<'_>, effects: &mut Vec<Effect>) {
+    fn advance_step(&self, seen: &Observed<'_>, effects: &mut Vec<Effect>) {
         let advanced = edit::act(seen.model, &Action::Advance);
         let next = advanced.or_else(|_| edit::finish(seen.model));
         if let Ok(model) = next {
@@ -112,10 +112,10 @@
         fencing: u64,
         effects: &mut Vec<Effect>,
     ) {
-        if self.removed.as_ref() == Some(&goal.drop) {
+        if self.removal_sent.as_ref() == Some(&goal.drop) {
             return;
         }
-        self.removed = Some(goal.drop.clone());
+        self.removal_sent = Some(goal.drop.clone());
         for engine in seen.engines {
             effects.push(order(&engine.id, OrderKind::Unload, &goal.drop, fencing));
         }
--- a/bench/src/cmd/rollout/operator.rs
+++ b/bench/src/cmd/rollout/operator.rs
@@ -1,39 +1,39 @@
-//! What the operator does in a run.
+//! Operator actions in a run.
 
 use catalogue::entry::VersionState;
 use rollout::edit::{self, Action, Start};
 use types::prelude::*;
 
-use super::is_under_way;
+use super::is_active;
 use super::run::{Run, gate, index_of, name};
 use super::scenario::Operator;
 
 impl Run<'_> {
-    /// The operator's act during a pause, and the withdrawal that ends every roll-out.
-    pub(super) fn operate(&mut self, now: Time) {
+    /// Runs the operator's action during a pause, and the withdrawal that ends every roll-out.
+    pub(super) fn run_operator(&mut self, now: Time) {
         if self.operator_at.is_some_and(|at| now.has_reached(at)) {
             self.operator_at = None;
             self.operator_acts();
         }
         let drop = self.dropped();
-        let few = self
+        let few_engines = self
             .engines
             .iter()
             .filter(|e| e.ready.contains(&drop))
             .count()
             <= 2;
-        let idle = self.on()[index_of(&drop)] < 0.5;
-        if !is_under_way(self.state()) && few && idle && self.withdrawn.is_none() {
+        let idle = self.demand_by_version()[index_of(&drop)] < 0.5;
+        if !is_active(self.state()) && few_engines && idle && self.withdrawn.is_none() {
             self.withdraw(&drop);
         }
     }
 
     fn operator_acts(&mut self) {
-        let under_way = is_under_way(self.state());
+        let under_way = is_active(self.state());
         match self.scenario.operator {
             Operator::Aborts if under_way => self.act(&Action::Abort),
             Operator::Withdraws if under_way => self.withdraw(&name("2")),
-            // All the way back, while the old version's capacity is being removed.
+            // Rolls all the way back while the old version's capacity is being removed.
             Operator::Aborts if self.withdrawn.is_none() => self.act(&Action::Start(Start {
                 to: name("1"),
                 from: Some(name("2")),
@@ -45,11 +45,11 @@
     }
 
     fn act(&mut self, action: &Action) {
-        self.write(edit::act(&self.model, action));
+        self.apply_edit(edit::act(&self.model, action));
     }
 
     fn withdraw(&mut self, version: &VersionName) {
-        self.write(edit::set_state(
+        self.apply_edit(edit::set_state(
             &self.model,
             version,
             VersionState::Withdrawn,
--- a/bench/src/cmd/rollout/run.rs
+++ b/bench/src/cmd/rollout/run.rs
@@ -1,4 +1,4 @@
-//! One run: a roll-out from its start to its end, with the troubles of a scenario.
+//! Simulates one roll-out from start to end under the faults of a scenario.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,40 +10,40 @@
 
 use super::environment::{Engine, Store, Weights};
 use super::fleet::Daemon;
-use super::scenario::{Outcome, Scenario, Trouble};
+use super::scenario::{Fault, Outcome, Scenario};
 
-pub(super) const TICK: Span = Span::from_millis(200);
+pub(super) const TICK_INTERVAL: Span = Span::from_millis(200);
 const DAEMONS: u32 = 3;
 const DOMAINS: usize = 4;
-/// Share of all slots that the demand takes on average.
-const LOAD: f64 = 0.6;
-/// The demand swings by this part of itself, once in so many seconds.
-const SWING: f64 = 0.12;
-const SWING_S: f64 = 150.0;
-/// What daemons know of the demand is so many ticks old.
-const DEMAND_LAG: usize = 50;
-/// Sessions move to another version within about this many seconds.
-const SESSION_S: f64 = 20.0;
+/// Mean demand as a share of all slots.
+const MEAN_UTILIZATION: f64 = 0.6;
+/// Relative amplitude of the demand, which oscillates with period `DEMAND_PERIOD_S` in seconds.
+const DEMAND_AMPLITUDE: f64 = 0.12;
+const DEMAND_PERIOD_S: f64 = 150.0;
+/// Age in ticks of the demand that daemons know.
+const DEMAND_LAG_TICKS: usize = 50;
+/// Time constant in seconds with which sessions move to another version.
+const SESSION_TIME_CONSTANT_S: f64 = 20.0;
 const RATINGS_PER_S: f64 = 4.0;
-const PAUSE: Span = Span::from_secs(45);
-const OPERATOR_AFTER: Span = Span::from_secs(22);
-const OUTAGE: Span = Span::from_secs(60);
-const LONGEST: Time = Time(3_600_000_000);
-const WEIGHTS_EVERY: Span = Span::from_millis(500);
-const SLOW_WEIGHTS_EVERY: Span = Span::from_secs(8);
+const PAUSE_DURATION: Span = Span::from_secs(45);
+const OPERATOR_DELAY: Span = Span::from_secs(22);
+const OUTAGE_DURATION: Span = Span::from_secs(60);
+const MAX_DURATION: Time = Time(3_600_000_000);
+const PERMIT_INTERVAL: Span = Span::from_millis(500);
+const SLOW_PERMIT_INTERVAL: Span = Span::from_secs(8);
 
-/// The moments at which the driver acts in a run without troubles.
-pub(super) fn actions(base: &Scenario) -> Vec<Time> {
-    play(base).acted_at
+/// Times at which the driver acts in a run of the scenario.
+pub(super) fn action_times(base: &Scenario) -> Vec<Time> {
+    simulate(base).acted_at
 }
 
-/// Runs a scenario to its end.
-pub(super) fn play(scenario: &Scenario) -> Outcome {
+/// Simulates a scenario to its end.
+pub(super) fn simulate(scenario: &Scenario) -> Outcome {
     let mut run = Run::new(scenario);
     let mut now = Time::ZERO;
-    while now < LONGEST && run.outcome.finished_s.is_none() {
+    while now < MAX_DURATION && run.outcome.finished_s.is_none() {
         run.tick(now);
-        now = now + TICK;
+        now = now + TICK_INTERVAL;
     }
     run.outcome.store_calls = run.store.calls;
     run.outcome
@@ -57,14 +57,14 @@
     pub(super) weights: Weights,
     pub(super) model: Model,
     pub(super) revision: Revision,
-    /// Slots taken by all.
-    pub(super) total: f64,
-    /// Part of them by version 2.
-    pub(super) part: f64,
-    /// Slots taken by versions 1 and 2 of late, latest last.
-    pub(super) past: VecDeque<[f64; 2]>,
+    /// Slots used by both versions.
+    pub(super) total_demand: f64,
+    /// Share of them used by version 2.
+    pub(super) version_2_share: f64,
+    /// Recent numbers of slots used by versions 1 and 2, latest last.
+    pub(super) demand_history: VecDeque<[f64; 2]>,
     pub(super) ratings: f64,
-    pub(super) pauses: Vec<Time>,
+    pub(super) remaining_pauses: Vec<Time>,
     pub(super) operator_at: Option<Time>,
     pub(super) withdrawn: Option<VersionName>,
     pub(super) fencing: u64,
@@ -82,12 +82,12 @@
     }
 }
 
-/// 0 for version 1, 1 for version 2.
+/// Returns 0 for version 1 and 1 for version 2.
 pub(super) fn index_of(version: &VersionName) -> usize {
     usize::from(version.as_str() == "2")
 }
 
-pub(super) fn first_model() -> Model {
+pub(super) fn initial_model() -> Model {
     let price = Price {
         input: Cost(1),
         output: Cost(1),
@@ -124,21 +124,21 @@
         let engine = |index| Engine::new(index, DOMAINS, &old, scenario.fencing);
         let engines: Vec<Engine> = (0..scenario.engines).map(engine).collect();
         let slots: f64 = engines.iter().map(|e| f64::from(e.slots)).sum();
-        let daemon = |rank| Daemon::new(scenario.way, rank, &engines);
+        let daemon = |rank| Daemon::new(scenario.driver_kind, rank, &engines);
         let daemons = (0..DAEMONS).map(daemon).collect();
         Self {
             scenario,
             engines,
             daemons,
             store: Store::new(scenario.seed),
-            weights: Weights::new(WEIGHTS_EVERY),
-            model: first_model(),
+            weights: Weights::new(PERMIT_INTERVAL),
+            model: initial_model(),
             revision: Revision(1),
-            total: slots * LOAD,
-            part: 0.0,
-            past: VecDeque::new(),
+            total_demand: slots * MEAN_UTILIZATION,
+            version_2_share: 0.0,
+            demand_history: VecDeque::new(),
             ratings: 0.0,
-            pauses: scenario.pause_at.clone(),
+            remaining_pauses: scenario.pause_at.clone(),
             operator_at: None,
             withdrawn: None,
             fencing: 0,
@@ -149,34 +149,34 @@
     fn tick(&mut self, now: Time) {
         self.engines
             .iter_mut()
-            .for_each(|engine| engine.settle(now));
-        self.trouble(now);
-        self.operate(now);
-        self.swing(now);
-        self.serve();
+            .for_each(|engine| engine.complete_loads(now));
+        self.inject_fault(now);
+        self.run_operator(now);
+        self.update_demand(now);
+        self.move_sessions();
         for index in 0..self.daemons.len() {
-            self.drive(now, index);
+            self.run_daemon(now, index);
         }
-        self.judge(now);
+        self.check(now);
     }
 
-    fn trouble(&mut self, now: Time) {
-        if now != self.scenario.trouble_at {
+    fn inject_fault(&mut self, now: Time) {
+        if now != self.scenario.fault_at {
             return;
         }
-        match self.scenario.trouble {
-            Trouble::None => {}
-            Trouble::StoreDown => self.store.down_until = now + OUTAGE,
-            Trouble::LostReplies => self.store.lost = 0.2,
-            Trouble::SlowWeights => self.weights.every = SLOW_WEIGHTS_EVERY,
-            Trouble::DomainLost => {
+        match self.scenario.fault {
+            Fault::None => {}
+            Fault::StoreDown => self.store.down_until = now + OUTAGE_DURATION,
+            Fault::LostReplies => self.store.reply_loss = 0.2,
+            Fault::SlowWeights => self.weights.interval = SLOW_PERMIT_INTERVAL,
+            Fault::DomainLost => {
                 let lost = self.engines.iter_mut().step_by(DOMAINS);
                 lost.for_each(|engine| engine.restart(&name("1")));
             }
         }
     }
 
-    pub(super) fn write(&mut self, next: Result<Model, edit::EditError>) {
+    pub(super) fn apply_edit(&mut self, next: Result<Model, edit::EditError>) {
         if let Ok(model) = next {
             self.model = model;
             self.revision = self.revision.next();
@@ -194,7 +194,7 @@
         self.rollout().state
     }
 
-    /// The version that goes in the end.
+    /// Returns the version that is removed in the end.
     pub(super) fn dropped(&self) -> VersionName {
         let rollout = self.rollout();
         match rollout.state {
@@ -203,58 +203,76 @@
         }
     }
 
-    /// Slots taken by versions 1 and 2.
-    pub(super) fn on(&self) -> [f64; 2] {
-        [self.total * (1.0 - self.part), self.total * self.part]
+    /// Slots used by versions 1 and 2.
+    pub(super) fn demand_by_version(&self) -> [f64; 2] {
+        [
+            self.total_demand * (1.0 - self.version_2_share),
+            self.total_demand * self.version_2_share,
+        ]
     }
 
-    /// The demand as daemons know it: some ticks old.
-    fn demand(&self) -> Demand {
+    /// Demand as known by the daemons, which is `DEMAND_LAG_TICKS` old.
+    fn delayed_demand(&self) -> Demand {
         let rollout = self.rollout();
-        let on = self.past.front().copied().unwrap_or_else(|| self.on());
+        let on = self
+            .demand_history
+            .front()
+            .copied()
+            .unwrap_or_else(|| self.demand_by_version());
         Demand {
             from: on[index_of(&rollout.from)],
             to: on[index_of(&rollout.to)],
         }
     }
 
-    fn swing(&mut self, now: Time) {
+    fn update_demand(&mut self, now: Time) {
         let slots: u32 = self.engines.iter().map(|e| e.slots).sum();
-        let phase = now.since(Time::ZERO).as_secs_f64() / SWING_S * std::f64::consts::TAU;
-        self.total = f64::from(slots) * LOAD * (1.0 + SWING * phase.sin());
-        self.past.push_back(self.on());
-        if self.past.len() > DEMAND_LAG {
-            self.past.pop_front();
+        let phase = now.since(Time::ZERO).as_secs_f64() / DEMAND_PERIOD_S * std::f64::consts::TAU;
+        self.total_demand =
+            f64::from(slots) * MEAN_UTILIZATION * (1.0 + DEMAND_AMPLITUDE * phase.sin());
+        self.demand_history.push_back(self.demand_by_version());
+        if self.demand_history.len() > DEMAND_LAG_TICKS {
+            self.demand_history.pop_front();
         }
     }
 
-    /// Sessions move to the versions that take new ones.
-    fn serve(&mut self) {
+    /// Moves sessions to the versions that accept new ones.
+    fn move_sessions(&mut self) {
         let rollout = self.rollout();
-        let takes = |version| self.model.versions[version].state == VersionState::Offered;
-        let share = match (takes(&rollout.from), takes(&rollout.to)) {
+        let accepts_sessions =
+            |version| self.model.versions[version].state == VersionState::Offered;
+        let share = match (
+            accepts_sessions(&rollout.from),
+            accepts_sessions(&rollout.to),
+        ) {
             (true, true) => rollout.share().get(),
             (false, true) => 1.0,
             _ => 0.0,
         };
         let new_is_2 = index_of(&rollout.to) == 1;
-        let goal = if new_is_2 { share } else { 1.0 - share };
-        let moved = 1.0 - (-TICK.as_secs_f64() / SESSION_S).exp();
-        let mut part = self.part + (goal - self.part) * moved;
+        let target_share = if new_is_2 { share } else { 1.0 - share };
+        let moved_share = 1.0 - (-TICK_INTERVAL.as_secs_f64() / SESSION_TIME_CONSTANT_S).exp();
+        let mut version_2_share =
+            self.version_2_share + (target_share - self.version_2_share) * moved_share;
         if self.is_withdrawn(&name("2")) {
-            part = 0.0;
+            version_2_share = 0.0;
         } else if self.is_withdrawn(&name("1")) {
-            part = 1.0;
+            version_2_share = 1.0;
         }
-        self.part = part;
-        let on_new = if new_is_2 { part } else { 1.0 - part };
-        self.ratings += RATINGS_PER_S * on_new * TICK.as_secs_f64();
+        self.version_2_share = version_2_share;
+        let new_version_share = if new_is_2 {
+            version_2_share
+        } else {
+            1.0 - version_2_share
+        };
+        self.ratings += RATINGS_PER_S * new_version_share * TICK_INTERVAL.as_secs_f64();
         if let Some(version) = self.withdrawn.clone() {
-            // New work on a version that an operator withdrew: it was made good again.
+            // A version that an operator has withdrawn is offered again and gets new requests.
             let revived = !self.is_withdrawn(&version);
             self.outcome.revived |= revived;
             if revived {
-                self.outcome.withdrawn_requests += self.on()[index_of(&version)] * moved;
+                self.outcome.withdrawn_requests +=
+                    self.demand_by_version()[index_of(&version)] * moved_share;
             }
         }
     }
@@ -263,31 +281,36 @@
         self.model.versions[version].state == VersionState::Withdrawn
     }
 
-    fn drive(&mut self, now: Time, index: usize) {
+    fn run_daemon(&mut self, now: Time, index: usize) {
         if now < self.daemons[index].paused_until {
             return;
         }
-        // A daemon that wakes goes on in the middle of what it was doing.
-        let in_hand = std::mem::take(&mut self.daemons[index].in_hand);
-        self.carry_out(now, index, in_hand, true);
+        // A resumed daemon first continues with what it was doing when it was paused.
+        let pending_effects = std::mem::take(&mut self.daemons[index].pending_effects);
+        self.carry_out(now, index, pending_effects, true);
         let evidence = Evidence {
             ratings: self.ratings as u64,
             ..Evidence::default()
         };
-        let demand = self.demand();
+        let demand = self.delayed_demand();
         let daemon = &mut self.daemons[index];
         let effects = daemon.tick(now, &self.model, self.revision, evidence, demand);
-        let acts = |e: &Effect| matches!(e, Effect::Order(_) | Effect::Edit { .. });
-        let holds = daemon.fencing(now).is_some();
-        if holds && (effects.iter().any(acts) || effects.iter().any(is_store)) {
+        let is_action = |e: &Effect| matches!(e, Effect::Order(_) | Effect::Edit { .. });
+        let holds_lease = daemon.fencing(now).is_some();
+        if holds_lease && (effects.iter().any(is_action) || effects.iter().any(is_store)) {
             self.outcome.acted_at.push(now);
         }
-        if holds && self.pauses.first().is_some_and(|at| now.has_reached(*at)) {
-            self.pauses.remove(0);
-            self.operator_at = Some(now + OPERATOR_AFTER);
+        if holds_lease
+            && self
+                .remaining_pauses
+                .first()
+                .is_some_and(|at| now.has_reached(*at))
+        {
+            self.remaining_pauses.remove(0);
+            self.operator_at = Some(now + OPERATOR_DELAY);
             let daemon = &mut self.daemons[index];
-            daemon.paused_until = now + PAUSE;
-            daemon.in_hand = effects;
+            daemon.paused_until = now + PAUSE_DURATION;
+            daemon.pending_effects = effects;
             return;
         }
         self.carry_out(now, index, effects, false);
@@ -306,19 +329,19 @@
                     }
                 }
                 Effect::RequestPermit(version) => {
-                    let answer = self.weights.ask(now, &version);
+                    let answer = self.weights.request_permit(now, &version);
                     self.daemons[index].on_permit(now, answer);
                 }
                 Effect::Edit { model, if_match } => {
-                    if if_match == self.revision || !self.daemons[index].compares() {
-                        self.write(Ok(*model));
+                    if if_match == self.revision || !self.daemons[index].checks_revision() {
+                        self.apply_edit(Ok(*model));
                     }
                 }
-                Effect::Order(order) => self.order(now, &order, late),
+                Effect::Order(order) => self.deliver_order(now, &order, late),
             }
         }
-        if !self.daemons[index].compares() {
-            // The naive way reads once and counts on it.
+        if !self.daemons[index].checks_revision() {
+            // The naive driver requests no reads, so it gets the engines' reports here.
             let daemon = &mut self.daemons[index];
             self.engines
                 .iter()
@@ -326,27 +349,27 @@
         }
     }
 
-    /// Hands an order to its engine. A late one goes too, whatever its deadline: its sender
-    /// was paused between looking at the clock and sending.
-    fn order(&mut self, now: Time, order: &Order, late: bool) {
+    /// Delivers an order to its engine. A late order is delivered despite its deadline, because its
+    /// sender was paused between checking the clock and sending it.
+    fn deliver_order(&mut self, now: Time, order: &Order, late: bool) {
         self.outcome.orders += 1;
         let stale = late && order.fencing < self.fencing;
         self.fencing = self.fencing.max(order.fencing);
         let Some(engine) = self.engines.iter_mut().find(|e| e.id == order.engine) else {
             return;
         };
-        let had = (engine.ready.clone(), engine.loading.len());
-        if !engine.order(now, order) {
+        let state_before = (engine.ready.clone(), engine.loading.len());
+        if !engine.execute(now, order) {
             self.outcome.refused_orders += 1;
             return;
         }
-        let changed = had != (engine.ready.clone(), engine.loading.len());
+        let changed = state_before != (engine.ready.clone(), engine.loading.len());
         if order.kind == OrderKind::Load && changed {
-            let without = u64::from(!self.weights.take(&order.version));
-            self.outcome.loads_without_leave += without;
+            let without_permit = u64::from(!self.weights.use_permit(&order.version));
+            self.outcome.loads_without_permit += without_permit;
         }
         if order.kind == OrderKind::Unload && changed && !late {
-            let is_unsafe = self.is_unsafe_without(&order.version);
+            let is_unsafe = self.is_removal_unsafe(&order.version);
             self.outcome.unsafe_removals += u64::from(is_unsafe);
         }
         if stale && changed {
--- a/bench/src/cmd/rollout/scale.rs
+++ b/bench/src/cmd/rollout/scale.rs
@@ -1,4 +1,4 @@
-//! What a driver's tick costs, by the engines of its model.
+//! Measures the cost of a driver's tick by the number of engines of its model.
 
 use std::time::Instant;
 
@@ -8,15 +8,15 @@
 
 use super::environment::{Engine, Fencing, Store};
 use super::fleet::report_of;
-use super::run::{first_model, name};
+use super::run::{initial_model, name};
 use crate::report::Report;
 
 const ENGINES: [usize; 4] = [20, 300, 1200, 12_000];
 const TICKS: u32 = 500;
-const TICK: Span = Span::from_millis(200);
+const TICK_INTERVAL: Span = Span::from_millis(200);
 
-/// Notes the mean time of a tick of a driver that holds the lease, and of one that does not.
-pub(super) fn note(report: &mut Report, seed: u64) {
+/// Reports the mean time of a tick for a driver that holds the lease and for one that doesn't.
+pub(super) fn report_tick_cost(report: &mut Report, seed: u64) {
     for engines in ENGINES {
         let arm = format!("scale/{engines}_engines");
         let (driving, reads) = measure(engines, seed, Some(0));
@@ -27,7 +27,7 @@
     }
 }
 
-/// Microseconds a tick, and load reports read a second.
+/// Returns the microseconds per tick and the load reports read per second.
 fn measure(engines: usize, seed: u64, standby_rank: Option<u32>) -> (f64, f64) {
     let daemon = DaemonId::new("daemon").expect("a plain name");
     let mut driver = Driver::new("key".to_owned(), daemon, Config::default());
@@ -38,8 +38,8 @@
         .collect();
     let mut reports: Vec<_> = real.iter().map(|e| report_of(e, None)).collect();
     reports.sort_by(|a, b| a.id.cmp(&b.id));
-    let model = first_model();
-    let (mut took, mut reads, mut now) = (0.0, 0, Time::ZERO);
+    let model = initial_model();
+    let (mut elapsed_s, mut reads, mut now) = (0.0, 0, Time::ZERO);
     for _ in 0..TICKS {
         let seen = Observed {
             model: &model,
@@ -52,12 +52,14 @@
             },
             standby_rank,
         };
-        let began = Instant::now();
+        let started_at = Instant::now();
         let effects = driver.tick(now, &seen);
-        took += began.elapsed().as_secs_f64();
+        elapsed_s += started_at.elapsed().as_secs_f64();
         for effect in effects {
             match effect {
-                Effect::Store(call) => settle(&mut driver, &mut store, now, call, standby_rank),
+                Effect::Store(call) => {
+                    complete_store_calls(&mut driver, &mut store, now, call, standby_rank)
+                }
                 Effect::Read(id) => {
                     reads += 1;
                     if let Ok(at) = reports.binary_search_by(|e| e.id.cmp(&id)) {
@@ -69,15 +71,15 @@
                 Effect::Order(_) | Effect::Edit { .. } => {}
             }
         }
-        now = now + TICK;
+        now = now + TICK_INTERVAL;
     }
     let ticks = f64::from(TICKS);
-    let seconds = ticks * TICK.as_secs_f64();
-    (took / ticks * 1e6, f64::from(reads) / seconds)
+    let seconds = ticks * TICK_INTERVAL.as_secs_f64();
+    (elapsed_s / ticks * 1e6, f64::from(reads) / seconds)
 }
 
-/// Makes a call of the store and those that follow from it.
-fn settle(
+/// Makes a call to the store and the calls that follow from its outcome.
+fn complete_store_calls(
     driver: &mut Driver,
     store: &mut Store,
     now: Time,
--- a/bench/src/cmd/rollout/scenario.rs
+++ b/bench/src/cmd/rollout/scenario.rs
@@ -1,68 +1,73 @@
-//! The conditions of a run, and what it showed.
+//! The conditions of a run and its outcome.
 
 use types::prelude::*;
 
-use super::Way;
+use super::DriverKind;
 use super::environment::Fencing;
 
-/// What an operator does while the driver is paused.
+/// Action of an operator while the driver is paused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Operator {
-    /// Nothing.
+    /// None.
     None,
-    /// Aborts the roll-out, or begins one back when it is done.
+    /// Aborts the roll-out, or starts one in the opposite direction if it is finished.
     Aborts,
-    /// Withdraws the version that comes.
+    /// Withdraws the new version.
     Withdraws,
 }
 
-/// What fails beside.
+/// Fault in addition to the pauses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Trouble {
-    /// Nothing.
+pub(super) enum Fault {
+    /// None.
     None,
     /// The store is down for a minute.
     StoreDown,
-    /// A fifth of the store's replies is lost, from then on.
+    /// A fifth of the store's replies is lost from the time of the fault on.
     LostReplies,
-    /// The weight store gives leave every few seconds only.
+    /// The weight store grants permits only every few seconds.
     SlowWeights,
-    /// The engines of a failure domain restart with the old version only.
+    /// The engines of a failure domain restart with only the old version loaded.
     DomainLost,
 }
 
-/// A run's conditions.
+/// Conditions of a run.
 #[derive(Debug, Clone)]
 pub(super) struct Scenario {
-    pub(super) way: Way,
+    pub(super) driver_kind: DriverKind,
     pub(super) fencing: Fencing,
     pub(super) seed: u64,
-    /// Engines in the pool.
+    /// Number of engines in the pool.
     pub(super) engines: usize,
-    /// Whoever drives then is paused.
+    /// Times at which the daemon that is driving is paused.
     pub(super) pause_at: Vec<Time>,
     pub(super) operator: Operator,
-    pub(super) trouble: Trouble,
-    pub(super) trouble_at: Time,
+    pub(super) fault: Fault,
+    pub(super) fault_at: Time,
 }
 
 impl Scenario {
-    /// Without troubles.
-    pub(super) fn new(way: Way, fencing: Fencing, seed: u64, engines: usize) -> Self {
+    /// Creates a scenario without faults, pauses and operator actions.
+    pub(super) fn new(
+        driver_kind: DriverKind,
+        fencing: Fencing,
+        seed: u64,
+        engines: usize,
+    ) -> Self {
         Self {
-            way,
+            driver_kind,
             fencing,
             seed,
             engines,
             pause_at: Vec::new(),
             operator: Operator::None,
-            trouble: Trouble::None,
-            trouble_at: Time::NEVER,
+            fault: Fault::None,
+            fault_at: Time::NEVER,
         }
     }
 }
 
-/// What a run showed.
+/// Outcome of a run.
 #[derive(Debug, Default)]
 pub(super) struct Outcome {
     pub(super) finished_s: Option<f64>,
@@ -75,10 +80,11 @@
     pub(super) refused_orders: u64,
     pub(super) unsafe_removals: u64,
     pub(super) orders: u64,
-    pub(super) loads_without_leave: u64,
+    pub(super) loads_without_permit: u64,
     pub(super) store_calls: u64,
-    /// Seconds, then slots ready and needed of versions 1 and 2, a sample a second.
+    /// Samples, one per second: time in seconds, ready slots of versions 1 and 2, needed slots of
+    /// versions 1 and 2.
     pub(super) samples: Vec<[f64; 5]>,
-    /// When whoever drives acted.
+    /// Times at which the driving daemon acted.
     pub(super) acted_at: Vec<Time>,
 }
