--- a/bench/src/cmd/bad_version.rs
+++ b/bench/src/cmd/bad_version.rs
@@ -122,11 +122,11 @@
 /// Mean number of bad answers until the optimal test detects them if this share of answers is
 /// rated.
 fn optimal_bad_answers(rated: f64) -> f64 {
-    let wanted = FALSE_ALARM_REQUESTS * rated;
-    let (mut low, mut high) = (1.0, wanted.ln());
+    let target_run_length = FALSE_ALARM_REQUESTS * rated;
+    let (mut low, mut high) = (1.0, target_run_length.ln());
     while high - low > 0.01 {
         let middle = (low + high) / 2.0;
-        if mean_run_length(GOOD, GOOD, BAD, middle) < wanted {
+        if mean_run_length(GOOD, GOOD, BAD, middle) < target_run_length {
             low = middle;
         } else {
             high = middle;
--- a/bench/src/cmd/bad_version/false_alarms.rs
+++ b/bench/src/cmd/bad_version/false_alarms.rs
@@ -54,9 +54,9 @@
         candidates: candidates(Case::TurnsBad),
     };
     let tested = traffic.candidates[0].version.clone();
-    let wanted = options.loop_requests as f64;
+    let target_requests = options.loop_requests as f64;
     let served = traffic.serve_until(&tested, GOOD, |served, fleet| {
-        served.requests >= wanted || fleet.suspensions() > 0
+        served.requests >= target_requests || fleet.suspensions() > 0
     });
     let seconds = traffic.fleet.now.since(Time::ZERO).as_secs_f64();
     let arm = format!("false-alarms/whole-loop-{name}-loss");
--- a/bench/src/cmd/config.rs
+++ b/bench/src/cmd/config.rs
@@ -146,8 +146,8 @@
     report.note(arm, &format!("{phase}_edits"), answers.len() as f64);
     report.note(arm, &format!("{phase}_not_accepted"), refused as f64);
     for (name, share) in [("p50", 0.5), ("p99", 0.99), ("max", 1.0)] {
-        let place = ((delays_ms.len() as f64 * share).ceil() as usize).max(1) - 1;
-        let value = delays_ms.get(place).map_or(f64::NAN, |ms| *ms as f64);
+        let index = ((delays_ms.len() as f64 * share).ceil() as usize).max(1) - 1;
+        let value = delays_ms.get(index).map_or(f64::NAN, |ms| *ms as f64);
         report.note(arm, &format!("{phase}_everywhere_ms_{name}"), value);
     }
 }
@@ -161,11 +161,17 @@
     report: &mut Report,
 ) {
     let seconds = after.at.duration_since(before.at).as_secs_f64();
-    let each = seconds * size as f64;
+    let daemon_seconds = seconds * size as f64;
     let mut note = |name: &str, value: f64| report.note(arm, &format!("{phase}_{name}"), value);
-    note("cpu_percent", 100.0 * (after.cpu - before.cpu) / each);
-    note("bytes_per_s", (after.bytes - before.bytes) / each);
-    note("messages_per_s", (after.messages - before.messages) / each);
+    note(
+        "cpu_percent",
+        100.0 * (after.cpu - before.cpu) / daemon_seconds,
+    );
+    note("bytes_per_s", (after.bytes - before.bytes) / daemon_seconds);
+    note(
+        "messages_per_s",
+        (after.messages - before.messages) / daemon_seconds,
+    );
     let calls = after.store.calls() - before.store.calls();
     let leases = after.store.lease_renewals - before.store.lease_renewals;
     note("store_calls_per_s", calls as f64 / seconds);
--- a/bench/src/cmd/config/fleet.rs
+++ b/bench/src/cmd/config/fleet.rs
@@ -154,23 +154,23 @@
     platform: &Platform,
     scratch: &Scratch,
 ) -> eyre::Result<Vec<Daemon>> {
-    let part = plans.len().div_ceil(START_THREADS).max(1);
+    let chunk_size = plans.len().div_ceil(START_THREADS).max(1);
     let start = |plans: &[DaemonPlan]| -> eyre::Result<Vec<Daemon>> {
         let started = plans.iter();
         let started = started.map(|p| Daemon::start(p.clone(), platform, scratch.path()));
         started.collect()
     };
-    let parts = std::thread::scope(|scope| {
+    let results = std::thread::scope(|scope| {
         let threads = plans
-            .chunks(part)
+            .chunks(chunk_size)
             .map(|plans| scope.spawn(move || start(plans)));
         let threads = threads.collect::<Vec<_>>();
         let joined = threads.into_iter().map(std::thread::ScopedJoinHandle::join);
         joined.collect::<Vec<_>>()
     });
     let mut daemons = Vec::new();
-    for part in parts {
-        daemons.extend(part.map_err(|_| eyre!("a starter's thread panicked"))??);
+    for result in results {
+        daemons.extend(result.map_err(|_| eyre!("a thread that starts daemons panicked"))??);
     }
     Ok(daemons)
 }
--- a/bench/src/cmd/faults.rs
+++ b/bench/src/cmd/faults.rs
@@ -74,7 +74,7 @@
     });
     let (results, injected) = results;
     let results: Vec<WorkerResult<Vec<CallerRecord>>> = results?;
-    let injected = injected.map_err(|_| eyre::eyre!("the thread of faults panicked"))??;
+    let injected = injected.map_err(|_| eyre::eyre!("the fault injection thread panicked"))??;
     report.note(arm, "faults", injected.len() as f64);
     for (name, occurrences) in injection::count_by_kind(&injected) {
         report.note(arm, &format!("fault_{name}"), occurrences as f64);
--- a/bench/src/cmd/faults/injection.rs
+++ b/bench/src/cmd/faults/injection.rs
@@ -120,7 +120,7 @@
         }
         let handles = handles.into_iter().map(|thread| {
             let result = thread.join();
-            result.map_err(|_| eyre::eyre!("a thread of a fault panicked"))?
+            result.map_err(|_| eyre::eyre!("the thread of an injected fault panicked"))?
         });
         handles.collect()
     })
--- a/bench/src/cmd/ledger/simulation.rs
+++ b/bench/src/cmd/ledger/simulation.rs
@@ -28,7 +28,8 @@
 /// Time after which the other daemons learn of a crash.
 const CRASH_DETECTION: Span = Span::from_secs(3);
 const SETTLING_TIME: Span = Span::from_secs(120);
-/// The crash happens at a random time in a window of this length, which starts after the same time.
+/// Length in seconds of the window in which the crash happens at a random time. The window starts
+/// the same number of seconds after the start of the load.
 const CRASH_WINDOW_SECONDS: u64 = 5;
 
 /// Deviations of an arm from the current fleet without faults.
--- a/bench/src/cmd/membership.rs
+++ b/bench/src/cmd/membership.rs
@@ -21,7 +21,7 @@
 use fleet::Fleet;
 
 const SIZES: [usize; 4] = [8, 64, 128, 460];
-/// Overhead of a message in bytes: call, frame, status code and response.
+/// Overhead of a message in bytes: call, frame, authentication tag and reply.
 const ENVELOPE_BYTES: usize = 65;
 const MESSAGE_LOSS: f64 = 0.3;
 /// Number of runs that measure an urgent fact.
--- a/bench/src/cmd/outage.rs
+++ b/bench/src/cmd/outage.rs
@@ -45,7 +45,7 @@
         let left_in_time = setup.daemon.terminate(SHUTDOWN_TIMEOUT);
         (streams.join(), left_in_time)
     });
-    let results = results.map_err(|_| eyre::eyre!("the generator panicked"))??;
+    let results = results.map_err(|_| eyre::eyre!("the load generator panicked"))??;
     let cut_streams = count_failures(arm, &results);
     report.note(SIGTERM, "streams", STREAMS as f64);
     report.note(SIGTERM, "cut", cut_streams);
@@ -92,7 +92,7 @@
         (results, outage.join())
     });
     let results = results?;
-    let response = response.map_err(|_| eyre::eyre!("the thread of the outage panicked"))??;
+    let response = response.map_err(|_| eyre::eyre!("the outage thread panicked"))??;
     let latencies = load::merge_latencies(&results);
     let failed = count_failures(&arm, &results);
     report.note(STORE_DOWN, "requests", latencies.count() as f64 + failed);
--- a/bench/src/cmd/overhead.rs
+++ b/bench/src/cmd/overhead.rs
@@ -180,7 +180,7 @@
         let resident = setup.daemon.resident_bytes();
         (streams.join(), resident)
     });
-    let results = results.map_err(|_| eyre::eyre!("the generator panicked"))??;
+    let results = results.map_err(|_| eyre::eyre!("the load generator panicked"))??;
     let mib = |bytes: u64| bytes as f64 / f64::from(1 << 20);
     report.note(
         VIA_DAEMON,
--- a/bench/src/cmd/rollout/fleet.rs
+++ b/bench/src/cmd/rollout/fleet.rs
@@ -106,7 +106,7 @@
             });
         }
         let engines: Vec<Report> = self.reports.values().cloned().collect();
-        let seen = Observed {
+        let observed = Observed {
             model,
             revision,
             engines: &engines,
@@ -115,8 +115,8 @@
             standby_rank,
         };
         effects.extend(match &mut self.implementation {
-            Implementation::Driver(driver) => driver.tick(now, &seen),
-            Implementation::Naive(naive) => naive.tick(now, &seen),
+            Implementation::Driver(driver) => driver.tick(now, &observed),
+            Implementation::Naive(naive) => naive.tick(now, &observed),
         });
         effects
     }
--- a/bench/src/cmd/rollout/naive.rs
+++ b/bench/src/cmd/rollout/naive.rs
@@ -46,19 +46,19 @@
         call.map(Effect::Store)
     }
 
-    pub(super) fn tick(&mut self, now: Time, seen: &Observed<'_>) -> Vec<Effect> {
-        let call = self.lease.tick(now, true, seen.standby_rank);
+    pub(super) fn tick(&mut self, now: Time, observed: &Observed<'_>) -> Vec<Effect> {
+        let call = self.lease.tick(now, true, observed.standby_rank);
         let mut effects: Vec<Effect> = call.map(Effect::Store).into_iter().collect();
         // In a tick with a call to the store it relies on the fencing token that it already has.
         if self.fencing.is_none() || effects.is_empty() {
             self.fencing = self.lease.held(now).map(|held| held.fencing);
         }
-        let (Some(fencing), Some(goal)) = (self.fencing, Goal::of(seen.model)) else {
+        let (Some(fencing), Some(goal)) = (self.fencing, Goal::of(observed.model)) else {
             return effects;
         };
         match goal.phase {
-            Phase::Ramp { share, .. } => self.ramp(now, seen, share, fencing, &mut effects),
-            Phase::Remove { .. } => self.remove(seen, &goal, fencing, &mut effects),
+            Phase::Ramp { share, .. } => self.ramp(now, observed, share, fencing, &mut effects),
+            Phase::Remove { .. } => self.remove(observed, &goal, fencing, &mut effects),
         }
         effects
     }
@@ -66,48 +66,53 @@
     fn ramp(
         &mut self,
         now: Time,
-        seen: &Observed<'_>,
+        observed: &Observed<'_>,
         share: Share,
         fencing: u64,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(rollout) = &seen.model.rollout else {
+        let Some(rollout) = &observed.model.rollout else {
             return;
         };
-        let wanted = (share.get() * seen.engines.len() as f64).ceil() as usize;
-        for engine in seen.engines.iter().take(wanted).skip(self.loads_sent) {
+        let engines_to_load = (share.get() * observed.engines.len() as f64).ceil() as usize;
+        for engine in observed
+            .engines
+            .iter()
+            .take(engines_to_load)
+            .skip(self.loads_sent)
+        {
             effects.push(order(&engine.id, OrderKind::Load, &rollout.to, fencing));
         }
-        self.loads_sent = self.loads_sent.max(wanted);
+        self.loads_sent = self.loads_sent.max(engines_to_load);
         match self.next_step_at {
             Some((step, at)) if step == rollout.step => {
                 if now.has_reached(at) {
                     self.next_step_at = None;
-                    self.advance_step(seen, effects);
+                    self.advance_step(observed, effects);
                 }
             }
             _ => {
-                let stay = ASSUMED_LOAD_TIME + rollout.gate.stay;
-                self.next_step_at = Some((rollout.step, now + stay));
+                let step_duration = ASSUMED_LOAD_TIME + rollout.gate.stay;
+                self.next_step_at = Some((rollout.step, now + step_duration));
             }
         }
     }
 
-    fn advance_step(&self, seen: &Observed<'_>, effects: &mut Vec<Effect>) {
-        let advanced = edit::act(seen.model, &Action::Advance);
-        let next = advanced.or_else(|_| edit::finish(seen.model));
+    fn advance_step(&self, observed: &Observed<'_>, effects: &mut Vec<Effect>) {
+        let advanced = edit::act(observed.model, &Action::Advance);
+        let next = advanced.or_else(|_| edit::finish(observed.model));
         if let Ok(model) = next {
             let model = Box::new(model);
             effects.push(Effect::Edit {
                 model,
-                if_match: seen.revision,
+                if_match: observed.revision,
             });
         }
     }
 
     fn remove(
         &mut self,
-        seen: &Observed<'_>,
+        observed: &Observed<'_>,
         goal: &Goal,
         fencing: u64,
         effects: &mut Vec<Effect>,
@@ -116,7 +121,7 @@
             return;
         }
         self.removal_sent = Some(goal.drop.clone());
-        for engine in seen.engines {
+        for engine in observed.engines {
             effects.push(order(&engine.id, OrderKind::Unload, &goal.drop, fencing));
         }
     }
--- a/bench/src/cmd/rollout/operator.rs
+++ b/bench/src/cmd/rollout/operator.rs
@@ -29,10 +29,10 @@
     }
 
     fn operator_acts(&mut self) {
-        let under_way = is_active(self.state());
+        let active = is_active(self.state());
         match self.scenario.operator {
-            Operator::Aborts if under_way => self.act(&Action::Abort),
-            Operator::Withdraws if under_way => self.withdraw(&name("2")),
+            Operator::Aborts if active => self.act(&Action::Abort),
+            Operator::Withdraws if active => self.withdraw(&name("2")),
             // Rolls all the way back while the old version's capacity is being removed.
             Operator::Aborts if self.withdrawn.is_none() => self.act(&Action::Start(Start {
                 to: name("1"),
--- a/bench/src/cmd/rollout/run.rs
+++ b/bench/src/cmd/rollout/run.rs
@@ -214,14 +214,14 @@
     /// Demand as known by the daemons, which is `DEMAND_LAG_TICKS` old.
     fn delayed_demand(&self) -> Demand {
         let rollout = self.rollout();
-        let on = self
+        let slots_used = self
             .demand_history
             .front()
             .copied()
             .unwrap_or_else(|| self.demand_by_version());
         Demand {
-            from: on[index_of(&rollout.from)],
-            to: on[index_of(&rollout.to)],
+            from: slots_used[index_of(&rollout.from)],
+            to: slots_used[index_of(&rollout.to)],
         }
     }
 
--- a/bench/src/cmd/rollout/scale.rs
+++ b/bench/src/cmd/rollout/scale.rs
@@ -41,7 +41,7 @@
     let model = initial_model();
     let (mut elapsed_s, mut reads, mut now) = (0.0, 0, Time::ZERO);
     for _ in 0..TICKS {
-        let seen = Observed {
+        let observed = Observed {
             model: &model,
             revision: Revision(1),
             engines: &reports,
@@ -53,7 +53,7 @@
             standby_rank,
         };
         let started_at = Instant::now();
-        let effects = driver.tick(now, &seen);
+        let effects = driver.tick(now, &observed);
         elapsed_s += started_at.elapsed().as_secs_f64();
         for effect in effects {
             match effect {
--- a/bench/src/cmd/spread.rs
+++ b/bench/src/cmd/spread.rs
@@ -150,12 +150,12 @@
     fn measure(&mut self, edits: u64) -> eyre::Result<()> {
         self.run_until(Time::ZERO + SETTLING_TIME)?;
         (self.bytes, self.calls, self.cpu_time) = (0, 0, Duration::ZERO);
-        let begin = self.now;
+        let load_start = self.now;
         for edit in 0..edits {
             let gap = Span::from_micros(edit * 10_000_000 / 3);
-            self.schedule(begin + gap, Event::Edit(edit));
+            self.schedule(load_start + gap, Event::Edit(edit));
         }
-        let burst = begin + Span::from_micros(edits * 10_000_000 / 3);
+        let burst = load_start + Span::from_micros(edits * 10_000_000 / 3);
         for edit in 0..50 {
             self.schedule(
                 burst + Span::from_millis(10 * edit),
@@ -164,7 +164,7 @@
         }
         let end = burst + SETTLING_TIME;
         self.run_until(end)?;
-        self.load_duration = end.since(begin);
+        self.load_duration = end.since(load_start);
         let expected = self.accepted_at.len() * self.daemons.len();
         self.violations += (expected - self.in_force.len()) as u64;
         Ok(())
--- a/bench/src/load/http.rs
+++ b/bench/src/load/http.rs
@@ -38,8 +38,8 @@
 impl HttpResponse {
     /// Returns a header's value, or an empty string if it is absent.
     pub fn header(&self, name: &str) -> &str {
-        let found = self.headers.iter().find(|(n, _)| n == name);
-        found.map_or("", |(_, value)| value)
+        let header_line = self.headers.iter().find(|(n, _)| n == name);
+        header_line.map_or("", |(_, value)| value)
     }
 }
 
