--- a/bench/src/cmd/rollout/naive.rs
+++ b/bench/src/cmd/rollout/naive.rs
@@ -1,4 +1,4 @@
-//! The naive way: orders sent once when their moment comes, counted on without reading.
+//! Naive driver that sends each order once at its planned time and assumes that it succeeded.
 
 use rollout::edit::{self, Action};
 use rollout::goal::{Goal, Phase};
@@ -7,17 +7,17 @@
 use rollout::{Effect, Order, OrderKind};
 use types::prelude::*;
 
-/// Hoped to be enough for a step's loads.
-const LOADS_TAKE: Span = Span::from_secs(10);
+/// Time in which the loads of a step are assumed to be complete.
+const ASSUMED_LOAD_TIME: Span = Span::from_secs(10);
 
-/// Remembers what it has sent and believes it done.
+/// Remembers which orders it has sent and treats them as done.
 #[derive(Debug)]
 pub(super) struct Naive {
     lease: Lease,
     fencing: Option<u64>,
-    loaded: usize,
+    loads_sent: usize,
     next_step_at: Option<(usize, Time)>,
-    removed: Option<VersionName>,
+    removal_sent: Option<VersionName>,
 }
 
 impl Naive {
@@ -25,9 +25,9 @@
         Self {
             lease: Lease::new(key, daemon),
             fencing: None,
-            loaded: 0,
+            loads_sent: 0,
             next_step_at: None,
-            removed: None,
+            removal_sent: None,
         }
     }
 
@@ -46,19 +46,19 @@
         call.map(Effect::Store)
     }
 
-    pub(super) fn tick(&mut self, now: Time, seen: &Observed<'_>) -> Vec<Effect> {
-        let call = self.lease.tick(now, true, seen.standby_rank);
+    pub(super) fn tick(&mut self, now: Time, observed: &Observed<'_>) -> Vec<Effect> {
+        let call = self.lease.tick(now, true, observed.standby_rank);
         let mut effects: Vec<Effect> = call.map(Effect::Store).into_iter().collect();
-        // It looks at its lease when it has none, and counts on it from then on.
+        // In a tick with a call to the store it relies on the fencing token that it already has.
         if self.fencing.is_none() || effects.is_empty() {
             self.fencing = self.lease.held(now).map(|held| held.fencing);
         }
-        let (Some(fencing), Some(goal)) = (self.fencing, Goal::of(seen.model)) else {
+        let (Some(fencing), Some(goal)) = (self.fencing, Goal::of(observed.model)) else {
             return effects;
         };
         match goal.phase {
-            Phase::Ramp { share, .. } => self.ramp(now, seen, share, fencing, &mut effects),
-            Phase::Remove { .. } => self.remove(seen, &goal, fencing, &mut effects),
+            Phase::Ramp { share, .. } => self.ramp(now, observed, share, fencing, &mut effects),
+            Phase::Remove { .. } => self.remove(observed, &goal, fencing, &mut effects),
         }
         effects
     }
@@ -66,57 +66,62 @@
     fn ramp(
         &mut self,
         now: Time,
-        seen: &Observed<'_>,
+        observed: &Observed<'_>,
         share: Share,
         fencing: u64,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(rollout) = &seen.model.rollout else {
+        let Some(rollout) = &observed.model.rollout else {
             return;
         };
-        let wanted = (share.get() * seen.engines.len() as f64).ceil() as usize;
-        for engine in seen.engines.iter().take(wanted).skip(self.loaded) {
+        let engines_to_load = (share.get() * observed.engines.len() as f64).ceil() as usize;
+        for engine in observed
+            .engines
+            .iter()
+            .take(engines_to_load)
+            .skip(self.loads_sent)
+        {
             effects.push(order(&engine.id, OrderKind::Load, &rollout.to, fencing));
         }
-        self.loaded = self.loaded.max(wanted);
+        self.loads_sent = self.loads_sent.max(engines_to_load);
         match self.next_step_at {
             Some((step, at)) if step == rollout.step => {
                 if now.has_reached(at) {
                     self.next_step_at = None;
-                    self.step_on(seen, effects);
+                    self.advance_step(observed, effects);
                 }
             }
             _ => {
-                let stay = LOADS_TAKE + rollout.gate.stay;
-                self.next_step_at = Some((rollout.step, now + stay));
+                let step_duration = ASSUMED_LOAD_TIME + rollout.gate.stay;
+                self.next_step_at = Some((rollout.step, now + step_duration));
             }
         }
     }
 
-    fn step_on(&self, seen: &Observed<'_>, effects: &mut Vec<Effect>) {
-        let advanced = edit::act(seen.model, &Action::Advance);
-        let next = advanced.or_else(|_| edit::finish(seen.model));
+    fn advance_step(&self, observed: &Observed<'_>, effects: &mut Vec<Effect>) {
+        let advanced = edit::act(observed.model, &Action::Advance);
+        let next = advanced.or_else(|_| edit::finish(observed.model));
         if let Ok(model) = next {
             let model = Box::new(model);
             effects.push(Effect::Edit {
                 model,
-                if_match: seen.revision,
+                if_match: observed.revision,
             });
         }
     }
 
     fn remove(
         &mut self,
-        seen: &Observed<'_>,
+        observed: &Observed<'_>,
         goal: &Goal,
         fencing: u64,
         effects: &mut Vec<Effect>,
     ) {
-        if self.removed.as_ref() == Some(&goal.drop) {
+        if self.removal_sent.as_ref() == Some(&goal.drop) {
             return;
         }
-        self.removed = Some(goal.drop.clone());
-        for engine in seen.engines {
+        self.removal_sent = Some(goal.drop.clone());
+        for engine in observed.engines {
             effects.push(order(&engine.id, OrderKind::Unload, &goal.drop, fencing));
         }
     }
