--- a/components/quality/src/budget.rs
+++ b/components/quality/src/budget.rs
@@ -18,8 +18,8 @@
     since: Time,
     ratings_seen_before: f64,
     /// Rounds the fractional part of this daemon's share up with a probability equal to the
-    /// fraction. Drawn once, so that asking again does not help, and the fleet's sum is right on
-    /// average.
+    /// fraction, so that the sum over the fleet is right on average. Drawn only once, so that
+    /// repeated checks do not raise the share.
     rounding: f64,
     spent: f64,
 }
--- a/components/quality/src/config.rs
+++ b/components/quality/src/config.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Config {
-    /// Ratings per second that the rater takes from the whole fleet.
+    /// Ratings per second that the rater accepts from the whole fleet.
     pub ratings: Rate,
     /// Mean number of requests between false suspensions, at least.
     pub false_alarm_requests: f64,
--- a/components/quality/src/detector.rs
+++ b/components/quality/src/detector.rs
@@ -4,8 +4,8 @@
 //! ratio of "share is `alternative[j]`" against "share is the null share", never below zero, and
 //! the test alarms when any of them reaches its threshold. The expected number of ratings before a
 //! false alarm is computed numerically (see [`mean_run_length`]), so the threshold is no larger
-//! than the required rate of false alarms needs. Fewer answers are rated than served, so a bound
-//! per rating is also a bound per request.
+//! than necessary for the required rate of false alarms. Fewer answers are rated than served, so a
+//! bound per rating is also a bound per request.
 
 use serde::Serialize;
 
--- a/components/quality/src/fact.rs
+++ b/components/quality/src/fact.rs
@@ -1,8 +1,8 @@
 //! Encoding of the facts that daemons publish to each other: counters of ratings, and suspensions.
 //!
 //! An evidence fact holds its daemon's own totals, which only grow, and the daemon's view of the
-//! whole fleet; a daemon that has just started takes from that view what daemons that are gone had
-//! learned. A suspension fact holds two counters, which only grow too.
+//! whole fleet; a daemon that has just started adopts that view, since it also holds the ratings of
+//! daemons that are gone. A suspension fact holds two counters, which only grow too.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use types::prelude::*;
--- a/components/quality/src/quality.rs
+++ b/components/quality/src/quality.rs
@@ -73,8 +73,8 @@
 }
 
 impl Quality {
-    /// Creates the state of a daemon without any evidence. `incarnation` tells one run of the
-    /// daemon from the next.
+    /// Creates the state of a daemon without any evidence. `incarnation` distinguishes this
+    /// run of the daemon from earlier ones.
     #[must_use]
     pub fn new(cfg: Config, incarnation: Incarnation, now: Time) -> Self {
         Self {
@@ -257,9 +257,9 @@
 
     /// Updates the fleet size and the largest size seen within the configured period.
     ///
-    /// Guards against a network partition: a daemon that sees few others would take a larger share
-    /// of every budget, and so would the daemons on the other side. Budgets are therefore divided
-    /// by the largest recent size.
+    /// Budgets are divided by the largest recent size. If they were divided by the present size,
+    /// the daemons on each side of a network partition, which see few others, would take larger
+    /// shares of every budget.
     fn update_fleet_size(&mut self, now: Time, fleet: usize) {
         self.fleet = fleet.max(1);
         if self.fleet >= self.largest_fleet || now.has_reached(self.largest_fleet_until) {
@@ -367,7 +367,7 @@
             .ok_or(FactError::TooMany(MAX_STREAMS))
     }
 
-    /// Sets the names of a candidate's streams and what the catalogue says of it.
+    /// Sets the names of a candidate's streams and the catalogue's values for it.
     fn describe(
         &mut self,
         now: Time,
--- a/components/quality/src/quality/choose.rs
+++ b/components/quality/src/quality/choose.rs
@@ -55,7 +55,7 @@
         self.streams.get(&id).map(|stream| stream.phase)
     }
 
-    /// Counts a request given to a stream, also against its budget if `on_budget` is set.
+    /// Counts a request sent to a stream, also against its budget if `on_budget` is set.
     pub(super) fn record_served(&mut self, id: StreamId, on_budget: bool) {
         if let Some(stream) = self.streams.get_mut(&id) {
             stream.served += 1;
@@ -187,9 +187,14 @@
 
     /// The strategy used when the drawn one is not allowed.
     ///
-    /// In this order: the proved versions' mixture; the best single version that meets deadline and
-    /// budget; the best one in time that is not suspect, and then any in time, budgets disregarded,
-    /// which happens when no version is proved; the fastest.
+    /// The first of these that exists:
+    ///
+    /// * a draw from the proved versions' mixture, if it meets deadline and budget;
+    /// * the best single version that meets both;
+    /// * the best one that meets the deadline and is not suspect, even beyond its budget, since no
+    ///   proved version meets the deadline;
+    /// * the best one that meets the deadline, even beyond its budget;
+    /// * the fastest one.
     fn fallback(
         &self,
         now: Time,
--- a/components/quality/src/quality/exchange.rs
+++ b/components/quality/src/quality/exchange.rs
@@ -57,8 +57,8 @@
     fn merge_evidence(&mut self, now: Time, origin: &DaemonId, id: StreamId, evidence: &Evidence) {
         self.evict_if_full(origin);
         let state = self.origins.entry(origin.clone()).or_default();
-        // Guards against a restart: the new process counts from 0, and whatever a late fact of the
-        // old process says is either in the evidence already or lost with that process.
+        // A late fact from before the daemon's restart is ignored: the new process counts from 0,
+        // and the old ratings are either in the evidence already or lost with the old process.
         if evidence.incarnation < state.incarnation {
             return;
         }
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Notes that a daemon is gone. Its counters are kept, since they would count twice if it came
-    /// back.
+    /// Records that a daemon is gone. Its counters are kept; if they were dropped and it came back,
+    /// its ratings would be added twice.
     pub fn daemon_gone(&mut self, now: Time, origin: &DaemonId) {
         self.suspensions.forget(origin);
         if let Some(state) = self.origins.get_mut(origin) {
--- a/components/quality/src/rating.rs
+++ b/components/quality/src/rating.rs
@@ -81,8 +81,8 @@
 
     /// Ratings in `self` that are not in `earlier`, bin by bin.
     ///
-    /// Guards against repeated and reordered messages: an older copy of the counters has nothing
-    /// more, so it adds nothing.
+    /// An older copy of the counters, from a repeated or reordered message, holds no further
+    /// ratings, so it adds nothing.
     pub(crate) fn beyond(&self, earlier: &Self) -> Self {
         let mut difference = Self::default();
         for (bin, (new, old)) in difference.0.iter_mut().zip(self.0.iter().zip(&earlier.0)) {
--- a/components/quality/src/stream.rs
+++ b/components/quality/src/stream.rs
@@ -115,7 +115,7 @@
     pub(crate) detector: Detector,
     pub(crate) phase: Phase,
     pub(crate) budget: Budget,
-    /// Requests that this daemon gave the version, and their number at the last refresh.
+    /// Requests that this daemon sent to the version, and their number at the last refresh.
     pub(crate) served: u64,
     pub(crate) served_at_refresh: u64,
     /// Requests per second, smoothed.
@@ -242,9 +242,9 @@
 
     /// Learns the reference from the ratings, each time their number has doubled.
     ///
-    /// Guards against suspending a cheap version that never was as good as its claim but serves
-    /// well in a mixture. A drop in quality must not lower the reference, since it would then go
-    /// undetected, so the reference is not changed while the level of the test is raised.
+    /// A cheap version that never was as good as its claim, but serves well in a mixture, would
+    /// otherwise be suspended. The reference is not changed while the level of the test is raised:
+    /// a drop in quality that lowered it would go undetected.
     fn update_reference(&mut self, cfg: &Config) {
         let due = (2.0 * self.reference_learned_at).min(self.reference_learned_at + cfg.memory);
         if self.ratings_seen < due.max(cfg.proof_ratings) || self.phase != Phase::Proved {
@@ -320,7 +320,7 @@
     pub level: f64,
     /// Share of its answers that this daemon has rated.
     pub sampling: f64,
-    /// Requests that this daemon gave the version.
+    /// Requests that this daemon sent to the version.
     pub served: u64,
 }
 
--- a/components/quality/src/suspension.rs
+++ b/components/quality/src/suspension.rs
@@ -1,6 +1,6 @@
 //! Suspensions as counters that only grow.
 //!
-//! Each stream has two counters: how often it was suspended and up to which of these suspensions it
+//! Each stream has two counters: the number of its suspensions, and the number of the last one that
 //! was lifted. It is suspended while the first is larger. Both merge by taking the larger, so the
 //! order, repetition and loss of messages do not matter. A suspension ends only at an operator's
 //! request. Several daemons publish each suspension, since the one that detected it may be replaced
@@ -101,9 +101,9 @@
 
     /// Returns the counters that this daemon should publish now.
     ///
-    /// Guards against losing a suspension together with the daemon that detected it: while fewer
-    /// than [`MIN_PUBLISHERS`] others publish it, each daemon joins with a probability at which
-    /// about that many join per tick.
+    /// While fewer than [`MIN_PUBLISHERS`] others publish a suspension, each daemon joins with a
+    /// probability at which about that many join per tick. Otherwise the suspension would be lost
+    /// together with the daemon that detected it.
     pub(crate) fn take_unpublished(
         &mut self,
         fleet: usize,
--- a/components/quality/src/table.rs
+++ b/components/quality/src/table.rs
@@ -360,8 +360,8 @@
 }
 
 /// Share of an estimate's uncertainty that counts against the version. It is small while the
-/// estimate is mostly the catalogue's claim, since the correction of the target makes up for what
-/// such a version serves too badly.
+/// estimate is mostly the catalogue's claim, since the correction of the target makes up for the
+/// deficit if such a version turns out worse than claimed.
 fn uncertainty_weight(ratings: f64, cfg: &Config) -> f64 {
     ratings / (ratings + cfg.claim_ratings)
 }
--- a/components/quality/tests/choice.rs
+++ b/components/quality/tests/choice.rs
@@ -101,8 +101,8 @@
 proptest! {
     #![proptest_config(runner())]
 
-    // Guards against serving a customer from a version that its contract excludes. It happens if an
-    // escalation, an exploration or a re-pin goes to the offer's other versions.
+    // An escalation, an exploration or a re-pin to one of the offer's other versions would serve a
+    // customer from a version that its contract excludes.
     #[test]
     fn can_only_choose_what_is_permitted(
         seed in any::<u64>(),
@@ -141,8 +141,8 @@
     }
 }
 
-// Guards against paying for the strong version on every request when a part of them suffices to
-// meet the target on average.
+// Sending only a part of the requests to the strong version meets the target on average; sending
+// all of them would cost more than needed.
 #[test]
 fn can_mix_versions_to_meet_the_target() {
     let mut fixture = Fixture::new(1);
@@ -157,8 +157,6 @@
     assert!((0.22..0.33).contains(&small), "{small}");
 }
 
-// Guards against a session that changes its version between requests, or that stays on a suspended
-// one.
 #[test]
 fn can_keep_a_session_on_its_version_until_it_is_suspended() {
     let mut fixture = Fixture::new(2);
@@ -178,7 +176,7 @@
     assert_eq!((plan.first, plan.session_moved), (version("small@1"), true));
 }
 
-// Guards against missing a deadline by choosing the better but slower version.
+// The better but slower version would miss the deadline.
 #[test]
 fn can_meet_a_deadline_with_the_faster_version() {
     let mut fixture = Fixture::new(3);
@@ -196,10 +194,10 @@
     }
 }
 
-// Guards against a canary's bad answers reaching hundreds of customers. It happens when the rater
-// is down, or a daemon is cut off from the others, so that nothing is learnt while every daemon
-// keeps giving the canary its share of traffic. The cut-off daemon sees a fleet of one, yet may
-// spend no more than its share of the whole fleet's budget.
+// When the rater is down, or a daemon is cut off from the others, no ratings arrive while every
+// daemon keeps sending the canary its share of traffic, and its bad answers could reach hundreds of
+// customers. A daemon that is cut off sees a fleet of one, yet may spend no more than its share of
+// the whole fleet's budget.
 #[test]
 fn can_bound_an_unproved_version_when_cut_off() {
     let mut spent = 0;
--- a/components/quality/tests/evidence.rs
+++ b/components/quality/tests/evidence.rs
@@ -96,9 +96,9 @@
 proptest! {
     #![proptest_config(runner())]
 
-    // Guards against counters that are doubled or lost, so that versions look better or worse than
-    // they are: gossip delivers facts late, twice, in any order or not at all, and only the last
-    // fact of each daemon is sure to arrive.
+    // Gossip delivers facts late, twice, in any order or not at all; only the last fact of each
+    // daemon is sure to arrive. Counters doubled or lost on the way would make versions look better
+    // or worse than they are.
     #[test]
     fn can_merge_in_any_order_with_loss(
         daemons in prop::collection::vec(prop::collection::vec(any::<bool>(), 1..20), 1..5),
@@ -130,7 +130,7 @@
         prop_assert!((status.ratings - expected as f64).abs() < 1e-9);
     }
 
-    // Guards against a panic of the daemon on a fact from a faulty peer or another release.
+    // A fact from a faulty peer or another release must not make the daemon panic.
     #[test]
     fn errors_on_any_bytes_without_panic(
         key in prop::collection::vec(any::<u8>(), 0..80),
@@ -141,8 +141,8 @@
         let _ = quality.merge_fact(Time::ZERO, &daemon(1), &key, &value, &mut rng);
     }
 
-    // Guards against a mixture that is dearer than needed or misses the target: compares with a
-    // search over all pairs.
+    // Compares the mixture with a search over all pairs: it must not cost more than needed or miss
+    // the target.
     #[test]
     fn can_find_the_cheapest_mixture(
         points in prop::collection::vec((1.0f64..100.0, 0.3f64..1.0), 1..8),
@@ -175,7 +175,7 @@
     Some(best)
 }
 
-// Guards against storing facts that another release or a faulty peer encoded differently.
+// Facts that another release or a faulty peer encoded differently must not be stored.
 #[test]
 fn errors_on_oversized_or_unknown_facts() {
     let mut rng = StdRng::seed_from_u64(3);
@@ -187,7 +187,7 @@
     assert_eq!(merge_fact(b"q12345678", &[1, 2]), Err(FactError::Malformed));
 }
 
-// Guards against a wrong rate of false alarms: compares the computed run length with a simulation.
+// Compares the computed run length, which determines the rate of false alarms, with a simulation.
 #[test]
 fn can_compute_the_mean_run_length() {
     let (null, alternative, threshold) = (0.9f64, 0.6f64, 3.0);
@@ -225,8 +225,8 @@
     count
 }
 
-// Guards against hours of wrong answers: a version was good for thousands of requests, then a bad
-// weight file is loaded and four answers in ten are wrong.
+// A version is good for thousands of requests, then a bad weight file is loaded and four answers in
+// ten are wrong. Unless it is suspended, it gives wrong answers for hours.
 #[test]
 fn can_suspend_a_version_that_turned_bad() {
     for seed in 0..20 {
@@ -239,8 +239,8 @@
     }
 }
 
-// Guards against suspending a cheap version that serves well in a mixture but never was as good as
-// its claim. It happens if the test keeps comparing the version with its claim.
+// A cheap version never was as good as its claim but serves well in a mixture. It would be
+// suspended if the sequential test kept comparing it with its claim.
 #[test]
 fn can_learn_that_a_claim_was_too_high() {
     let mut rng = StdRng::seed_from_u64(7);
@@ -254,11 +254,10 @@
     assert!((status.quality - 0.85).abs() < 0.02);
 }
 
-// Guards against a suspended version serving again after a host is replaced. It happens if the
-// daemon that detected the fault is gone with its facts before a new daemon starts, and no other
-// daemon published the suspension.
+// A host is replaced, and the daemon that detected a fault is gone with its facts before a new
+// daemon starts. If no other daemon published the suspension, the version would serve again.
 #[test]
-fn can_keep_a_suspension_whose_finder_is_gone() {
+fn can_keep_a_suspension_after_its_detector_is_gone() {
     let mut rng = StdRng::seed_from_u64(8);
     let candidates = [candidate("small@1", 1, 0.95)];
     let (mut detecting, mut peer) = (new_quality(1), new_quality(2));
@@ -285,10 +284,10 @@
     assert!(!joining.is_suspended(&version("small@1")));
 }
 
-// Guards against a late fact on an old suspension suspending a version again after an operator
-// lifted the suspension.
+// A fact on a suspension that arrives late, after an operator lifted that suspension, must not
+// suspend the version again.
 #[test]
-fn can_outrank_an_old_suspension_by_an_operators_word() {
+fn can_ignore_a_late_fact_on_a_lifted_suspension() {
     let mut rng = StdRng::seed_from_u64(9);
     let candidates = [candidate("small@1", 1, 0.95)];
     let (mut detecting, mut other) = (new_quality(1), new_quality(2));
@@ -312,10 +311,10 @@
     assert!(!other.is_suspended(&version("small@1")));
 }
 
-// Guards against a new daemon that sends every request to the strongest version, since all evidence
-// of the fleet came from daemons that have been replaced since.
+// All evidence of the fleet came from daemons that have been replaced since. Without it, a new
+// daemon would send every request to the strongest version.
 #[test]
-fn can_take_over_what_departed_daemons_learnt() {
+fn can_adopt_evidence_of_departed_daemons() {
     let mut rng = StdRng::seed_from_u64(10);
     let candidates = [candidate("small@1", 1, 0.95)];
     let mut old = new_quality(1);
