--- a/components/quality/src/quality/exchange.rs
+++ b/components/quality/src/quality/exchange.rs
@@ -142,7 +142,7 @@
     }
 }
 
-/// Replaces a stream's evidence by an older daemon's view if that rests on more ratings.
+/// Replaces a stream's evidence by an older daemon's view if that view holds more ratings.
 fn adopt(stream: &mut Stream, evidence: &Evidence, cfg: &crate::config::Config) {
     let mut view = DecayedTotals::default();
     view.add(&evidence.view, cfg.memory);
