--- a/components/routing/src/feedback.rs
+++ b/components/routing/src/feedback.rs
@@ -12,9 +12,9 @@
 /// Maximum share of a target's upstreams that may be ejected at once.
 ///
 /// When more of them fail, the cause is more likely this daemon's network or the requests
-/// themselves, and a pool without upstreams helps nobody.
+/// themselves, and ejecting all of them would leave none to serve requests.
 const MAX_EJECTED_SHARE: f64 = 0.5;
-/// Weight of the newest report in the pool's mean load by others.
+/// Weight of the newest report in the pool's mean of the load by other daemons.
 const MEAN_OTHERS_WEIGHT: f64 = 0.05;
 /// Weight of the newest answer in the pool's mean pace.
 const POOL_PACE_WEIGHT: f64 = 0.02;
@@ -243,7 +243,7 @@
         }
     }
 
-    /// Records that the platform's host list has the upstream as live.
+    /// Records that the platform's host list shows the upstream as live.
     pub fn record_listed_live(&mut self, index: UpstreamIndex) {
         let is_leaving = self.upstream(index).is_some_and(|u| u.health.is_leaving());
         if is_leaving {
--- a/components/routing/src/health.rs
+++ b/components/routing/src/health.rs
@@ -17,7 +17,7 @@
 const RAMP_UP: Span = Span::from_secs(10);
 /// Share of its usual work that an upstream gets right after its return.
 const RAMP_UP_START_SHARE: f64 = 0.05;
-/// How long an upstream that announces that it is leaving gets no work after its last sign.
+/// How long an upstream gets no work after it last announced that it is leaving.
 const LEAVING_HOLD: Span = Span::from_secs(30);
 /// How long an upstream gets no work after it closed a connection. Shorter than after an
 /// announcement, since the connection may only have been idle and timed out.
@@ -26,9 +26,9 @@
 /// Sign by which a daemon learns that an upstream is leaving.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeavingSign {
-    /// The platform's host list has the upstream as leaving.
+    /// The platform's host list shows the upstream as leaving.
     HostList,
-    /// The upstream refused a request, or said so in a load report.
+    /// The upstream refused a request, or announced its leaving in a load report.
     Refusal,
     /// The upstream closed a connection before answering.
     ClosedConnection,
@@ -146,8 +146,8 @@
         Some(until)
     }
 
-    /// Clears the host list's sign of leaving. Signs from the upstream itself remain in force,
-    /// since the list lags.
+    /// Clears the host list's sign of leaving. Signs from the upstream itself still apply, since
+    /// the list lags.
     pub(crate) fn clear_listed_leaving(&mut self) {
         self.listed_leaving = false;
     }
--- a/components/routing/src/homes.rs
+++ b/components/routing/src/homes.rs
@@ -94,8 +94,8 @@
 impl Popularity {
     /// Counts a request and returns the share of its key in all recent ones.
     ///
-    /// A key seen for the first time has share 0; otherwise a daemon with few requests would take
-    /// every rare prompt for a popular one.
+    /// A key seen for the first time has share 0; otherwise a daemon with few requests would treat
+    /// every rare prompt as a popular one.
     fn count(&mut self, now: Time, key: u64) -> f64 {
         if now.has_reached(self.rotate_at) {
             self.previous = std::mem::take(&mut self.current);
--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -10,8 +10,8 @@
 //! * A few random upstreams of the daemon's subset, near ones before far ones. Reports lag, so
 //!   daemons that all took the least loaded upstream would overload it together.
 //! * The home upstreams of the prompt's prefix, found on a hash ring that all daemons share, and
-//!   the upstreams that this daemon knows to have the prefix cached. One that is busier than others
-//!   loses to them, so load limits the cache affinity.
+//!   the upstreams that this daemon knows to have the prefix cached. They are compared with
+//!   the others by load too, so a busy upstream is not chosen for its cache alone.
 
 pub mod demand;
 pub mod health;
--- a/components/routing/src/pick.rs
+++ b/components/routing/src/pick.rs
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Considers the upstreams that answered last. Their load is known for the moment, and to this
-    /// daemon only, so other daemons do not choose them at the same time.
+    /// Considers the upstreams that answered last. Their load was reported just now, and only to
+    /// this daemon, so other daemons do not choose them at the same time.
     fn consider_recently_answered(&mut self) {
         for index in self.router.recently_answered.into_iter().flatten() {
             self.consider(index);
@@ -169,7 +169,7 @@
     }
 
     /// Samples again while the best candidate failed recently or is in a suspected failure domain.
-    /// When a failure domain is lost, both of two samples are often in it.
+    /// When a failure domain is unreachable, both of two samples are often in it.
     fn resample_if_failing(&mut self, rng: &mut impl Rng) {
         for _ in 0..MAX_RESAMPLES {
             if !self.best.is_some_and(|best| best.is_failing) {
@@ -213,9 +213,9 @@
 
     /// Considers ejected upstreams.
     ///
-    /// Guards against refusing work that an upstream could do: when the rest of its pool leaves
-    /// after it was ejected, callers would get "no upstream" while one is idle. An ejection is only
-    /// a suspicion, so it is ignored when there is nothing else.
+    /// An ejection is only a suspicion, so it is ignored when there is nothing else. Otherwise,
+    /// when the rest of a pool leaves after an upstream was ejected, callers would get "no
+    /// upstream" while that one is idle and could serve them.
     fn consider_ejected(&mut self) {
         let pending_returns = &self.router.pending_returns;
         for (_, index) in pending_returns.iter().take(MAX_SCAN) {
@@ -252,7 +252,8 @@
     }
 
     /// Estimated load ahead of the request. Where a batch request of this daemon can be cancelled
-    /// for interactive work, a slot is certain whatever the estimate.
+    /// for interactive work, its batch requests do not count and the load is at most [`BUSY_LOAD`],
+    /// since a slot is certain.
     fn load(&self, entry: &Entry) -> f64 {
         let upstream = &entry.upstream;
         let load = upstream.load(self.now, self.pool.mean_others);
@@ -297,8 +298,8 @@
     }
 
     /// Cost of recent failures of the upstream or its failure domain. A request that failed in a
-    /// domain goes to another one; if the domain is lost, it would otherwise fail there again and
-    /// again.
+    /// domain is retried in another one; if the domain is unreachable, retries there would fail
+    /// too.
     fn failure_cost(&self, entry: &Entry) -> f64 {
         let upstream_cost = FAILURE_POINT_COST * f64::from(entry.upstream.health.points());
         let domain = &self.router.domains[usize::from(entry.upstream.domain)];
--- a/components/routing/src/polls.rs
+++ b/components/routing/src/polls.rs
@@ -1,9 +1,9 @@
 //! Schedule of the load polls.
 //!
-//! Each answer carries a short load report, so polls serve to learn the load of upstreams that this
-//! daemon has not used recently, and what they have loaded. Upstreams in its subsets are polled
-//! often, the others in rotation. The caller limits how many are polled at once, so their number
-//! does not grow with the fleet.
+//! Each answer carries a short load report, so polls are needed only for the load of upstreams that
+//! this daemon has not used recently, and for the targets that upstreams have loaded. Upstreams in
+//! the daemon's subsets are polled often, the others in rotation. The caller limits how many are
+//! polled at once, so the number of polls does not grow with the fleet.
 
 use types::prelude::*;
 
--- a/components/routing/src/preemption.rs
+++ b/components/routing/src/preemption.rs
@@ -3,7 +3,7 @@
 //! Reports lag, so when batch work fills all slots, an interactive request often meets a full
 //! upstream and waits until a request ends there. This daemon knows for certain where its own batch
 //! requests run: one of them can be cancelled and resumed later, and its slot goes to the
-//! interactive request, since engines put that first.
+//! interactive request, to which engines give priority.
 
 use types::prelude::*;
 
--- a/components/routing/src/upstream.rs
+++ b/components/routing/src/upstream.rs
@@ -140,7 +140,7 @@
 
     /// Estimated requests per slot, those of other daemons included.
     ///
-    /// The older a report is, the less it tells, so the estimate of the others' load moves from the
+    /// A report loses its value with age, so the estimate of the others' load moves from the
     /// reported value towards `mean_others`, the pool's mean. An old report of an idle upstream
     /// would otherwise attract every daemon to it.
     pub(crate) fn load(&self, now: Time, mean_others: f64) -> f64 {
--- a/components/routing/tests/choice.rs
+++ b/components/routing/tests/choice.rs
@@ -120,7 +120,6 @@
 const W0: UpstreamIndex = UpstreamIndex(0);
 const W1: UpstreamIndex = UpstreamIndex(1);
 
-// Guards against sending everything to one upstream while no upstream has reported its load.
 #[test]
 fn can_spread_load_without_reports() {
     let mut f = Fixture::new(&["a"; 8]);
@@ -132,7 +131,6 @@
     assert!(most <= 8, "one of 8 got {most} of 32");
 }
 
-// Guards against load reports being ignored in the choice.
 #[test]
 fn can_prefer_an_upstream_reported_idle() {
     let mut f = Fixture::new(&["a", "a"]);
@@ -144,9 +142,9 @@
 
 #[test]
 fn can_discount_a_report_as_it_ages() {
-    // Guards against a stale "idle" report: all daemons that hold one would send everything to that
-    // upstream. The report's weight decays towards the pool's mean, so that a stale one attracts no
-    // more requests than others.
+    // All daemons that hold a stale "idle" report would send everything to that upstream. The
+    // estimate therefore decays towards the pool's mean as the report ages, so that a stale one
+    // attracts no more requests than others.
     let mut f = Fixture::new(&["a"; 4]);
     let polled = |f: &Fixture, running| LoadReport {
         loaded: Some(vec![f.target]),
@@ -165,7 +163,8 @@
     assert!(chosen[&W1] > stale, "{chosen:?}");
 }
 
-// Guards against a needless re-prefill, and against a popular prefix overloading its one home.
+// Without affinity, requests would need a re-prefill each time; without the limit, a popular prefix
+// would overload its one home.
 #[test]
 fn can_keep_cache_affinity_until_the_upstream_is_busy() {
     let mut f = Fixture::new(&["a"; 8]);
@@ -181,7 +180,8 @@
     assert!(at_home <= SLOTS as usize + 1, "{at_home} of 40 at one home");
 }
 
-// Guards against a session losing its cache when its next request comes through another daemon.
+// If the daemons disagreed, a session would lose its cache when its next request comes through
+// another daemon.
 #[test]
 fn can_agree_on_home_upstreams_between_daemons() {
     let domains = ["a"; 16];
@@ -208,7 +208,7 @@
     assert!(agreed > 90, "{agreed} of 100");
 }
 
-// Guards against crossing regions without need, and against queueing while others are idle.
+// Requests must not cross regions without need, nor queue while others are idle.
 #[test]
 fn can_prefer_near_upstreams_until_they_are_full() {
     let mut f = Fixture::new(&["a", "a", "away", "away"]);
@@ -219,9 +219,8 @@
 
 #[test]
 fn can_give_nothing_to_a_leaving_upstream() {
-    // Guards against cutting requests: the host list lags, so an upstream that is going down says
-    // so first by refusing work or by closing connections. A request sent after any such sign could
-    // be cut.
+    // The host list lags, so the first sign of an upstream's shutdown is often that it refuses work
+    // or closes connections. A request sent after any sign of leaving could be cut off.
     use LeavingSign::*;
     for sign in [HostList, Refusal, ClosedConnection] {
         let mut f = Fixture::new(&["a"; 3]);
@@ -230,7 +229,7 @@
     }
 }
 
-// Guards against a lagging host list cancelling what the upstream itself announced.
+// The host list lags: it may still show an upstream as live after the upstream itself refused work.
 #[test]
 fn can_keep_own_signs_of_leaving_against_a_lagging_list() {
     let mut f = Fixture::new(&["a"; 3]);
@@ -241,7 +240,7 @@
     assert!(f.chosen(100).contains_key(&W0));
 }
 
-// Guards against full load on an upstream right after its ejection, when it may still be failing.
+// Right after its ejection an upstream may still be failing, so it must not get its full load yet.
 #[test]
 fn can_eject_a_failing_upstream_and_readmit_it_gradually() {
     let mut f = Fixture::new(&["a"; 4]);
@@ -256,8 +255,8 @@
 
 #[test]
 fn can_eject_again_after_one_failure_on_return() {
-    // Guards against a broken upstream that fails three callers each time its ejection ends, which
-    // happens if the ejection is not remembered.
+    // If the earlier ejection were forgotten, a broken upstream would fail three callers each time
+    // its ejection ends.
     let mut f = Fixture::new(&["a"; 4]);
     f.fail_next(W0, 3);
     f.advance(7);
@@ -268,9 +267,8 @@
 
 #[test]
 fn can_eject_at_most_half_of_a_pool() {
-    // Guards against ejecting every upstream when the daemon's own network fails for a moment and
-    // all of them look broken at once: the daemon would then refuse all requests for seconds after
-    // its network is back.
+    // When the daemon's own network fails for a moment, all upstreams look broken at once. If all
+    // were ejected, the daemon would refuse all requests for seconds after its network is back.
     let mut f = Fixture::new(&["a"; 6]);
     for number in 0..6 {
         f.fail_next(UpstreamIndex(number), 5);
@@ -279,7 +277,7 @@
     f.pick(&[]);
 }
 
-// Guards against keeping an upstream that answers without errors but far slower than its pool.
+// An upstream that answers without errors, but far slower than its pool, is ejected too.
 #[test]
 fn can_eject_a_slow_upstream() {
     let mut f = Fixture::new(&["a"; 5]);
@@ -297,8 +295,8 @@
 
 #[test]
 fn can_avoid_an_unreachable_failure_domain() {
-    // Guards against each upstream of an unreachable failure domain having to fail several callers
-    // before its own ejection: after four of them failed, the rest are avoided without an attempt.
+    // After four upstreams of a failure domain were unreachable, the rest are avoided without an
+    // attempt. Otherwise each of them would fail several callers before its own ejection.
     let mut f = Fixture::new(&["b", "b", "b", "b", "b", "b", "c", "c", "c", "c", "c", "c"]);
     for number in 0..4 {
         let index = UpstreamIndex(number);
@@ -315,9 +313,9 @@
 
 #[test]
 fn can_retry_in_another_failure_domain() {
-    // Guards against a request being lost when a failure domain became unreachable a moment ago:
-    // after the first attempt there fails, it would be sent to the next upstream there, and the
-    // next.
+    // When a failure domain has just become unreachable and the first attempt there fails, retries
+    // at one upstream after another of the same domain would fail too, and the request would be
+    // lost.
     let domains = ["b", "b", "b", "b", "b", "b", "c", "c"];
     let mut f = Fixture::new(&domains);
     let tried = [W0];
@@ -328,8 +326,8 @@
     }
 }
 
-// Guards against repeated refusals by an upstream that unloaded the target, and against a malformed
-// report of loaded targets.
+// An upstream that unloaded the target would refuse every request. The report that makes it
+// eligible again is malformed: it lists one target twice, and an unknown one.
 #[test]
 fn can_stop_using_an_upstream_that_lacks_the_target() {
     let mut f = Fixture::new(&["a"; 2]);
@@ -343,7 +341,7 @@
     assert!(f.chosen(50).contains_key(&W0));
 }
 
-// Guards against sending a request again to an upstream at which it failed.
+// A request must not be retried at an upstream at which it failed.
 #[test]
 fn errors_when_all_were_tried() {
     let mut f = Fixture::new(&["a"; 2]);
@@ -355,9 +353,8 @@
 
 #[test]
 fn can_route_interactive_work_where_own_batch_work_is_preemptible() {
-    // Guards against an interactive request waiting until a request ends while batch work fills
-    // every slot: at an upstream where this daemon can cancel a batch request of its own, it does
-    // not wait.
+    // Batch work fills every slot, so an interactive request would wait until a request ends. It
+    // does not wait at an upstream where this daemon can cancel a batch request of its own.
     let mut f = Fixture::new(&["a"; 8]);
     for number in 0..8 {
         f.router
@@ -379,8 +376,8 @@
 
 #[test]
 fn can_keep_the_index_of_a_removed_upstream_until_its_work_ends() {
-    // Guards against counting the end of an old request against a new upstream: an operator removes
-    // an upstream while a request runs on it, and its index is given to a new one at once.
+    // An operator removes an upstream while a request runs on it. If a new upstream got its index
+    // at once, the end of the old request would be counted at the new upstream.
     let mut f = Fixture::new(&["a"]);
     let index = f.pick(&[]);
     f.router.configure(vec![spec(7, "a", f.target)]);
@@ -391,7 +388,7 @@
     assert!(f.router.upstream(index).is_none());
 }
 
-// Guards against a poll load that grows with the fleet.
+// Polling every upstream often would make the poll load grow with the fleet.
 #[test]
 fn can_poll_the_subset_often_and_the_rest_in_rotation() {
     let mut f = Fixture::new(&["a"; 100]);
@@ -408,8 +405,8 @@
     assert_eq!((often, seldom), (32, 68));
 }
 
-// Guards against refusing callers while an upstream is idle: one of two was ejected after failures,
-// then the other began to leave, and the ejection was treated as a certainty.
+// One of two upstreams is ejected after failures, then the other begins to leave. If the ejection
+// were treated as a certainty, callers would be refused while the first upstream is idle.
 #[test]
 fn can_use_an_ejected_upstream_when_the_others_left() {
     let mut fixture = Fixture::new(&["a", "a"]);
