--- a/components/rollout/src/capacity.rs
+++ b/components/rollout/src/capacity.rs
@@ -7,7 +7,7 @@
 use crate::goal::{Goal, Phase};
 use crate::observed::{Engine, Observed};
 
-/// Number of engines that a version which still serves sessions keeps at least.
+/// Minimum number of engines kept for a version that still serves sessions.
 const MIN_ENGINES: usize = 2;
 
 /// Slots of the engines that have a version ready, by recent reports only.
@@ -97,7 +97,7 @@
     }
 }
 
-/// Slots that a version that goes keeps once the other has all new sessions.
+/// Slots to keep for the version that goes once the other gets all new sessions.
 fn slots_kept(state: VersionState, demand: f64, draining: f64) -> f64 {
     match state {
         // An operator has offered it again, so the driver must not remove it.
--- a/components/rollout/src/driver.rs
+++ b/components/rollout/src/driver.rs
@@ -20,9 +20,9 @@
 pub struct Config {
     /// Capacity to provide, as a multiple of the demand.
     pub headroom: f64,
-    /// Engines that may lose capacity to late orders while the demand still fits.
+    /// Number of engines that late orders may take capacity from while the demand still fits.
     pub margin_engines: usize,
-    /// Loads in flight at once.
+    /// Maximum number of loads in flight.
     pub loads_at_once: usize,
     /// Maximum age of the report that an order to load is based on.
     pub max_load_report_age: Span,
@@ -52,7 +52,8 @@
     }
 }
 
-/// When this holder first saw the present step, and how many ratings there were.
+/// The present step as this holder first observed it: the end of its minimum duration, and the
+/// number of ratings then.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct StepStart {
     step: usize,
@@ -72,7 +73,7 @@
     Granted(VersionName, Time),
 }
 
-/// An order that was sent and whose effect was not read yet.
+/// An order that was sent and whose effect no report shows yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct PendingOrder {
     kind: OrderKind,
@@ -80,7 +81,8 @@
     repeat_at: Time,
 }
 
-/// Engines read or sent the fencing token per tick at most, besides the one that an order needs.
+/// Maximum number of engines read per tick, besides the one that an order needs, and maximum number
+/// of engines sent the fencing token per tick.
 const MAX_ENGINES_PER_TICK: usize = 16;
 
 /// Drives one model's roll-out while it holds the lease.
@@ -199,8 +201,8 @@
         effects
     }
 
-    /// Whether nothing is left to do: by reports that are recent enough, every engine that takes
-    /// new work has the version that stays ready and does not have the other.
+    /// Whether nothing is left to do: according to recent reports, every engine that takes new work
+    /// has the version that stays ready and does not have the other.
     fn is_complete(&self, now: Time, goal: &Goal, observed: &Observed<'_>) -> bool {
         let mut serving = observed.engines.iter().filter(|e| !e.leaving);
         let removing = matches!(goal.phase, Phase::Remove { .. });
@@ -208,7 +210,7 @@
         removing && serving.all(|e| settled(e) && e.is_fresh(now, self.cfg.recheck_interval))
     }
 
-    /// Drops pending orders whose effect was read, and those that are due to be repeated.
+    /// Drops pending orders whose effect a report shows, and those that are due to be repeated.
     fn drop_settled(&mut self, now: Time, observed: &Observed<'_>) {
         self.pending.retain(|id, order| {
             let engine = find_engine(observed, id);
@@ -220,8 +222,8 @@
         });
     }
 
-    /// Sends this holder's fencing token to engines, which then reject older ones, with an order
-    /// that changes nothing: to load a version that is already loaded.
+    /// Announces this holder's fencing token to engines, so that they reject older ones. The order
+    /// that carries it changes nothing, since it loads a version that is already loaded.
     fn announce_fencing(&mut self, cx: &TickContext<'_>, effects: &mut Vec<Effect>) {
         if !self.cfg.announces_fencing {
             return;
@@ -244,7 +246,7 @@
         }
     }
 
-    /// Creates an order and keeps it as pending until its effect is read.
+    /// Creates an order and keeps it as pending until a report shows its effect.
     fn send(
         &mut self,
         cx: &TickContext<'_>,
--- a/components/rollout/src/driver/gates.rs
+++ b/components/rollout/src/driver/gates.rs
@@ -1,4 +1,4 @@
-//! Decides when a roll-out goes to its next step, and when back.
+//! Decides when a roll-out goes to its next step, and when it goes back to the old version.
 
 use catalogue::entry::{Model, RolloutState};
 use types::prelude::*;
@@ -13,7 +13,8 @@
 const EDIT_RETRY_AFTER: Span = Span::from_secs(30);
 
 impl Driver {
-    /// Goes to the next step when its gate is open, and back when the new version is suspended.
+    /// Goes to the next step when the gate is open, or back to the old version when the new one is
+    /// suspended.
     pub(super) fn advance(&mut self, cx: &TickContext<'_>, effects: &mut Vec<Effect>) {
         let Some(rollout) = &cx.observed.model.rollout else {
             return;
@@ -66,8 +67,8 @@
         }
     }
 
-    /// Requests an edit of the entry at the observed revision: once per revision, and again when
-    /// the edit seems lost.
+    /// Requests an edit of the entry at the observed revision, and requests it again after
+    /// [`EDIT_RETRY_AFTER`] in case it was lost.
     fn edit(&mut self, cx: &TickContext<'_>, next: Result<Model, EditError>) -> Option<Effect> {
         self.waiting = Some(Waiting::Edit);
         let if_match = cx.observed.revision;
--- a/components/rollout/src/driver/orders.rs
+++ b/components/rollout/src/driver/orders.rs
@@ -10,8 +10,8 @@
 use crate::observed::Engine;
 use crate::waiting::Waiting;
 
-/// A permit is used within this time, and a request for one is given up after it.
-const PERMIT_KEPT: Span = Span::from_secs(60);
+/// Time after which an unused permit expires, and after which a request for one is given up.
+const PERMIT_TIMEOUT: Span = Span::from_secs(60);
 /// Minimum delay before the weight store is asked again, whatever it answers.
 const MIN_PERMIT_RETRY: Span = Span::from_secs(1);
 
@@ -23,7 +23,7 @@
             return;
         };
         self.permit = match answer {
-            Ok(()) => Permit::Granted(version.clone(), now + PERMIT_KEPT),
+            Ok(()) => Permit::Granted(version.clone(), now + PERMIT_TIMEOUT),
             Err(retry_after) => Permit::Free(now + retry_after.max(MIN_PERMIT_RETRY)),
         };
     }
@@ -93,7 +93,7 @@
             Permit::Requested(_, until) if now < *until => return false,
             _ => {}
         }
-        self.permit = Permit::Requested(version.clone(), now + PERMIT_KEPT);
+        self.permit = Permit::Requested(version.clone(), now + PERMIT_TIMEOUT);
         effects.push(Effect::RequestPermit(version.clone()));
         false
     }
@@ -112,8 +112,8 @@
             self.waiting.get_or_insert(waiting);
             return;
         }
-        // The order follows a report that was requested for it, since the engine may have changed
-        // after an older report was read.
+        // The order is sent only after a report that was requested for it, since the engine may
+        // have changed after an older report was read.
         let requested = self
             .confirming_read
             .as_ref()
@@ -135,8 +135,8 @@
         let removing = matches!(goal.phase, Phase::Remove { .. });
         // An engine that lacks the version that stays, for instance after a restart that other
         // reports do not show yet, loads it before it gives up the other, so that it is never left
-        // with neither. One without room for
-        // both gives up the old one first, where that can be spared.
+        // with neither. One without room for both, or that is leaving, gives up the old one first,
+        // if its capacity can be spared.
         let should_unload = |e: &&Engine| match e.has_ready(&goal.keep) {
             true => removing,
             false => e.is_full || e.leaving,
@@ -170,7 +170,7 @@
 }
 
 impl TickContext<'_> {
-    /// Whether the version that stays is suspended. The other one is needed for going back then.
+    /// Whether the version that stays is suspended. The other one must then be kept, to go back to.
     fn is_kept_suspended(&self) -> bool {
         let evidence = self.observed.evidence;
         let keeps_new = self
--- a/components/rollout/src/edit.rs
+++ b/components/rollout/src/edit.rs
@@ -1,8 +1,8 @@
 //! Edits of a model's entry: roll-outs started, advanced and ended, versions offered and withdrawn.
 //!
 //! Each function takes the present entry and returns the entry to write. The write is conditional
-//! on the revision that was read, so of two operators who act at once one is told that the entry
-//! has changed.
+//! on the revision that was read, so when two operators act at once, one gets the error that the
+//! entry has changed.
 
 use catalogue::entry::{Gate, Model, Rollout, RolloutState, VersionState};
 use types::prelude::*;
--- a/components/rollout/src/lease.rs
+++ b/components/rollout/src/lease.rs
@@ -2,8 +2,8 @@
 //!
 //! It is a key of the store that is bound to a store lease and created only when absent. The
 //! revision of its creation is the fencing token, which grows with every holder. The holder counts
-//! its lease from before the request for it, so it stops no later than the store lets another
-//! daemon in.
+//! the lease's duration from before its request, so it stops no later than the time at which the
+//! store lets another daemon create the key.
 
 use keyvalue::{
     Answer, CallError, Compare, KeyValue, LeaseId, Op, OpReply, Outcome, Put, Range, Reply,
@@ -40,7 +40,7 @@
     Reading,
     /// Asking the store for a lease, which counts from this time.
     Granting(Time),
-    /// Creating the key; the deadline if that succeeds.
+    /// Creating the key; if that succeeds, the lease is held until this deadline.
     Creating(LeaseId, Time),
     /// The reply to the creation was lost; reading whether it took effect.
     Confirming(LeaseId, Time),
@@ -86,8 +86,8 @@
 
     /// The lease, while it is certain that no other daemon holds it.
     ///
-    /// Guards against acting after a pause: the deadline is before the time at which the store can
-    /// let a successor in, so a driver that wakes too late finds that it has passed.
+    /// The deadline is before the time at which the store can let a successor create the key, so a
+    /// driver that was paused for too long finds that the deadline has passed and does not act.
     #[must_use]
     pub fn held(&self, now: Time) -> Option<HeldLease> {
         match self.state {
--- a/components/rollout/src/observed.rs
+++ b/components/rollout/src/observed.rs
@@ -14,9 +14,10 @@
     pub engines: &'a [Engine],
     /// What is known about the quality of the answers.
     pub evidence: Evidence,
-    /// Requests that run and wait, over the whole fleet.
+    /// Running and waiting requests, over the whole fleet.
     pub demand: Demand,
-    /// This daemon's place in the standby order for the lease; nothing when it should not try.
+    /// This daemon's place in the standby order for the lease; `None` when it should not try to
+    /// acquire it.
     pub standby_rank: Option<u32>,
 }
 
@@ -37,7 +38,7 @@
     pub loading: Vec<VersionName>,
     /// Whether it takes no new work.
     pub leaving: bool,
-    /// Whether it last refused a load for want of room.
+    /// Whether it last refused a load for lack of room.
     pub is_full: bool,
 }
 
@@ -72,12 +73,12 @@
     pub old_suspended: bool,
 }
 
-/// Requests that run and wait, in slots, over the whole fleet.
+/// Running and waiting requests, in slots, over the whole fleet.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Demand {
-    /// Demand on the version that goes.
+    /// Demand on the old version, `from` in the roll-out.
     pub from: f64,
-    /// Demand on the version that comes.
+    /// Demand on the new version, `to` in the roll-out.
     pub to: f64,
 }
 
--- a/components/rollout/src/waiting.rs
+++ b/components/rollout/src/waiting.rs
@@ -29,13 +29,13 @@
     },
     /// Room for a version: engines are full and none can be spared.
     Room(VersionName),
-    /// The time at which the weight store may be asked for a permit again.
+    /// Time left until the weight store may be asked for a permit again.
     WeightStore(Span),
     /// An operator, who resumes or aborts it.
     Operator,
     /// Sessions of the version that goes, or an operator who withdraws it.
     Sessions(VersionName),
-    /// Its own edit of the catalogue, which was sent.
+    /// Its own edit of the catalogue, which was sent but is not yet observed.
     Edit,
 }
 
--- a/components/rollout/tests/driver.rs
+++ b/components/rollout/tests/driver.rs
@@ -83,8 +83,8 @@
 
 /// A driver is paused with an unsent order that removes version 2, since the roll-out was going
 /// back to 1. Its successor introduces 2 again and removes 1 as soon as 2 just fits the demand.
-/// Then the first driver wakes, and its engine accepts the old fencing token: the demand does not
-/// fit any more. So a removal leaves capacity for one more lost engine.
+/// Then the first driver wakes and sends its order, and the engine accepts the old fencing token:
+/// the demand no longer fits. So a removal must leave enough capacity to lose one more engine.
 #[test]
 fn keeps_capacity_for_one_late_removal() {
     // Two engines with 2 ready, 32 slots, fit the demand and its headroom, and no more.
@@ -95,13 +95,15 @@
 }
 
 /// During the removal of the old version all engines but one restart and lose the new one just
-/// after their reports were read. Each is read again before its removal, and one that has lost the
-/// new version keeps the old one; otherwise it would be left with neither.
+/// after their reports were read. Each engine is read again before it is ordered to remove the old
+/// version, and one that has lost the new version keeps the old one; otherwise it would be left
+/// with neither.
 #[test]
 fn never_removes_the_only_version_of_an_engine() {
     for ticks in 0..30 {
         let mut sim = done_with_restarts(4, 20.0, 0);
-        // No removal yet, since a loss between a report and the order would not be seen.
+        // This demand prevents removals until the engines restart: a restart between a report and
+        // the order that follows it would go unnoticed.
         sim.demand = [f64::from(u32::MAX), 0.0];
         sim.run(ticks);
         sim.demand = [0.0, 20.0];
@@ -241,7 +243,7 @@
     assert_eq!(sim.loads, 4);
 }
 
-/// The reply to the lease's creation is lost after it took effect. A driver that took this for a
+/// The reply to the lease's creation is lost after it took effect. A driver that treated this as a
 /// failure would wait for its own lease to expire, and every roll-out would stop meanwhile.
 #[test]
 fn holds_a_lease_whose_creation_reply_was_lost() {
@@ -255,10 +257,10 @@
 }
 
 /// Two daemons find the key absent and the second one creates it. The first one's attempt fails,
-/// and the reply that says so is lost. When it reads the key, it must not take the other's lease
-/// for its own.
+/// and the reply that says so is lost. When it reads the key, it must not treat the other's
+/// lease as its own.
 #[test]
-fn does_not_take_another_daemons_lease_for_its_own() {
+fn does_not_treat_another_daemons_lease_as_its_own() {
     let mut sim = Simulation::new(2, 10.0);
     let create = loop {
         let effects = sim.tick_only(0);
