--- a/components/requests/src/attempt.rs
+++ b/components/requests/src/attempt.rs
@@ -8,14 +8,15 @@
     /// No byte of the request was written: there was no connection, or it closed before
     /// the first byte.
     NotSent,
-    /// The upstream refused the request and said, by its protocol, that it did not begin the work.
+    /// The upstream refused the request and reported, by its protocol, that it did not begin the
+    /// work.
     RefusedNotRun {
         /// Delay after which the upstream would accept the request, if it named one.
         retry_after: Option<Span>,
     },
     /// At least one byte was written and no answer came.
     Unknown(Doubt),
-    /// The answer began and stopped before its end.
+    /// The answer began but was cut off.
     Truncated {
         /// Tokens received over all attempts, including those that this one resumed from.
         received: Tokens,
@@ -60,7 +61,7 @@
     ///
     /// A reset or timeout after the first written byte does not count as "not run": the upstream
     /// may have read the whole request and be working on it. The same holds for an error status
-    /// that does not say "not run", and for the answer to another attempt, which tells nothing
+    /// that does not say "not run", and for the answer to another attempt, which shows nothing
     /// about this one.
     #[must_use]
     pub fn run(&self) -> RunState {
--- a/components/requests/src/budget.rs
+++ b/components/requests/src/budget.rs
@@ -1,9 +1,8 @@
 //! Retry budget of an entry: a token bucket that successes refill.
 //!
-//! Guards against retry storms: without a budget, each request to a failing pool would be sent
-//! several times, and the pool would get more traffic than a healthy one. With it, the retries
-//! are at most [`RETRIES_PER_SUCCESS`] times the successes plus a small steady allowance,
-//! whatever fails.
+//! Without a budget, each request to a failing pool would be sent several times, and the pool would
+//! get more traffic than a healthy one. With it, the retries are at most [`RETRIES_PER_SUCCESS`]
+//! times the successes plus a small steady allowance, whatever fails.
 
 use types::prelude::*;
 
--- a/components/requests/src/claim.rs
+++ b/components/requests/src/claim.rs
@@ -1,10 +1,10 @@
-//! Claims: durable marks in the key-value store that let a request run at most once.
+//! Claims: durable records in the key-value store that let a request run at most once.
 //!
 //! A request that is not idempotent is claimed under `claims/CUSTOMER/REQUEST` before the first
 //! byte is sent to an upstream. The claim is a write that succeeds only if the key is absent, so
-//! of all daemons, repeats and restarts only one gets it. It carries a nonce, by which a daemon
+//! only one of all daemons, retries and restarts gets it. It carries a nonce, by which a daemon
 //! recognizes its own write after a lost reply. Once the outcome is known, it is recorded in the
-//! claim, and a repeat gets the same answer; a repeat that finds no recorded outcome is told
+//! claim, and a retry gets the same answer; a retry that finds no recorded outcome is refused with
 //! "outcome unknown".
 //!
 //! The types here are state machines without I/O: they return [`keyvalue::Request`]s and take
@@ -34,9 +34,8 @@
 
 /// Returns the key of a request's claim below `prefix`, such as `/buckthorncross/main/claims/`.
 ///
-/// Guards against two requests sharing a key: names may contain `/`, so customer `a/b` with
-/// request `c` would collide with customer `a` with request `b/c`. Each `/` in the customer's
-/// name is escaped.
+/// Each `/` in the customer's name is escaped, because names may contain `/`: unescaped, customer
+/// `a/b` with request `c` would share a key with customer `a` and request `b/c`.
 #[must_use]
 pub fn claim_key(prefix: &str, customer: &CustomerId, id: &RequestId) -> String {
     let customer = customer.as_str().replace('/', "%2F");
@@ -50,7 +49,7 @@
     pub key: String,
     /// Nonce, unique for this claim among all claims of all daemons.
     pub nonce: Nonce,
-    /// Hash of the request's content; a repeat has the same.
+    /// Hash of the request's content; a retry has the same.
     pub fingerprint: u64,
     /// Lease that the key is written with; the key is deleted when it expires.
     pub lease: ClaimLease,
@@ -88,7 +87,7 @@
 /// What an existing claim, made when the request was sent before, says about it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Standing {
-    /// The request ran; its recorded answer is to be sent again.
+    /// The request ran; return its recorded answer.
     Recorded(Recorded),
     /// The request may be running or have run.
     Open,
@@ -106,8 +105,8 @@
     /// The request was claimed before, here or by another daemon: do not run it.
     Duplicate(Standing),
     /// The claim could not be made: refuse the request as not run. A write that may still take
-    /// effect is given, to be released: if it took effect later, the caller's repeat would be
-    /// told "outcome unknown".
+    /// effect is given, to be released: if it took effect later, the caller's retry would be
+    /// refused with "outcome unknown".
     Unavailable(Option<Held>),
 }
 
@@ -174,10 +173,10 @@
 
     /// Decides by the key's present value.
     ///
-    /// Guards against running twice after a lost reply. If the key is absent, the write has not
-    /// taken effect yet and is made again with the same nonce; if both take effect, the second
-    /// fails against the first, which the nonce identifies as this claim's own. If the nonce
-    /// is another's, the request never runs here.
+    /// If the key is absent, the write has not taken effect yet and is made again with the same
+    /// nonce; if both take effect, the second fails against the first, which the nonce identifies
+    /// as this claim's own. If the nonce is another's, the request never runs here. So a lost reply
+    /// does not lead to a second run.
     fn on_stored_value(&mut self, found: Vec<KeyValue>, now: Time) -> ClaimStep {
         let Some(found) = found.into_iter().next() else {
             self.expected_revision = ModRevision(0);
@@ -202,10 +201,10 @@
         }
     }
 
-    /// Takes the claim as made.
+    /// Decides whether to use a claim whose write has taken effect.
     ///
-    /// Guards against a claim that expires before its caller stops retrying: a claim that took so
-    /// long that its lease has less than the retry window left is not used.
+    /// A claim that took so long that its lease has less than the retry window left is not used: it
+    /// would expire while the caller may still retry, and the request would run again.
     fn acquired(&mut self, revision: ModRevision, now: Time) -> ClaimStep {
         let held = self.to_held(Some(revision));
         if now.has_reached(self.spec.lease.use_until) || now.has_reached(self.spec.deadline) {
--- a/components/requests/src/claim/batch.rs
+++ b/components/requests/src/claim/batch.rs
@@ -137,9 +137,8 @@
 
     /// Takes the outcome of the batch in flight and returns the outcome of each of its calls.
     ///
-    /// Guards against one bad call failing a whole batch: a refused batch (for example because
-    /// the lease of one of its writes has expired) had no effect, and its calls are sent again
-    /// one by one.
+    /// A refused batch (for example because the lease of one of its writes has expired) had no
+    /// effect. Its calls are retried one by one, so that one bad call does not fail the others.
     #[must_use]
     pub fn on_outcome(&mut self, outcome: Outcome) -> Vec<(Ticket, Outcome)> {
         let calls = std::mem::take(&mut self.in_flight);
--- a/components/requests/src/claim/lease.rs
+++ b/components/requests/src/claim/lease.rs
@@ -1,7 +1,7 @@
 //! Lease that a daemon's claims are written with.
 //!
-//! Each daemon uses one lease per time slot for all claims made in the slot, so that it asks for
-//! a lease once an hour and not once a request. The lease is never renewed: it outlives the
+//! Each daemon uses one lease per time slot for all claims made in the slot, so that it requests a
+//! lease once an hour instead of once per request. The lease is never renewed: it outlives the
 //! daemon and expires by itself, at the earliest one retry window after the slot's end.
 
 use keyvalue::{LeaseId, Outcome, Reply};
@@ -13,13 +13,13 @@
 pub const MAX_WINDOW: Span = Span::from_secs(7 * 24 * 3600);
 /// A new lease is requested when one part in this many of the slot is left.
 const REQUEST_AHEAD_DIVISOR: u64 = 4;
-/// Delay before an unanswered lease request is sent again.
+/// Delay before an unanswered lease request is retried.
 const GRANT_RETRY_DELAY: Span = Span::from_secs(1);
 
 /// How long claims last and leases are used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Windows {
-    /// Time for which callers may repeat a request.
+    /// Time for which callers may retry a request.
     pub retry: Span,
     /// Time for which a lease is used for new claims.
     pub slot: Span,
@@ -94,11 +94,11 @@
 
     /// Takes the outcome of the store call made at `requested_at`.
     ///
-    /// Guards against claims that expire early: the lease runs from its grant, which may be as
-    /// early as the call. A daemon that was paused between call and reply may make another call
-    /// before it reads that reply; counted from the later call, the slot would outlast a lease
-    /// that has nearly or fully expired. So the slot is counted from the call that the reply
-    /// belongs to. A granted lease whose reply was lost expires by itself.
+    /// The slot is counted from the call that the reply belongs to, because the lease runs from its
+    /// grant, which may be as early as that call. A daemon that was paused between call and reply
+    /// may make another call before it reads the reply; counted from the later call, the slot would
+    /// outlast a lease that has nearly or fully expired, and claims would expire early. A granted
+    /// lease whose reply was lost expires by itself.
     pub fn on_outcome(&mut self, requested_at: Time, outcome: &Outcome) {
         let Ok(answer) = outcome else {
             return;
--- a/components/requests/src/life.rs
+++ b/components/requests/src/life.rs
@@ -212,7 +212,7 @@
         self.transition(Attempted(()))
     }
 
-    /// Refuses the request; the refusal says "not run" only if no attempt can have run.
+    /// Refuses the request; its run state is "not run" only if no attempt can have run.
     #[must_use]
     pub fn refuse(self, code: Code) -> Request<Refused> {
         self.into_refused(code)
@@ -269,7 +269,7 @@
     /// another upstream. This takes nothing from the retry budget, because nothing failed.
     ///
     /// # Errors
-    /// Returns the request unchanged if its work may not be repeated or resumed.
+    /// Returns the request unchanged if its work may not be retried or resumed.
     pub fn pause(
         mut self,
         upstream: &UpstreamId,
@@ -356,7 +356,7 @@
 }
 
 impl Request<Unknown> {
-    /// Refusal to send to the caller, which says that the outcome is unknown.
+    /// Refusal to send to the caller, with an unknown outcome.
     #[must_use]
     pub fn refusal(&self) -> Refusal {
         self.core.progress.refusal(Code::OutcomeUnknown)
--- a/components/requests/src/refusal.rs
+++ b/components/requests/src/refusal.rs
@@ -1,14 +1,14 @@
-//! Refusals, and the proof that a refusal which says "not run" needs.
+//! Refusals, and the proof needed to refuse a request as "not run".
 
 use std::fmt;
 
 use types::prelude::*;
 
-/// Proof that no byte of a request reached an upstream, or that each upstream it reached said
+/// Proof that no byte of a request reached an upstream, or that each upstream it reached reported
 /// that it did not begin the work.
 ///
-/// Guards against a false "not run", after which a caller would repeat a booking that was
-/// made. Only [`crate::life::Request`] creates one, from the ends of all of its attempts.
+/// After a false "not run" a caller would retry a booking that was already made, so only
+/// [`crate::life::Request`] creates this proof, from how each of its attempts ended.
 #[derive(Debug)]
 pub struct NotRunProof(());
 
@@ -90,7 +90,7 @@
     }
 }
 
-/// What the caller is told instead of an answer: reason, run state and retry delay.
+/// What the caller gets instead of an answer: reason, run state and retry delay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
     run: RunState,
@@ -99,7 +99,7 @@
 }
 
 impl Refusal {
-    /// Creates a refusal that says "not run".
+    /// Creates a refusal with the run state "not run".
     #[must_use]
     pub fn not_run(_proof: NotRunProof, code: Code) -> Self {
         Self {
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Sets the delay after which a repeat is worthwhile.
+    /// Sets the delay after which a retry is worthwhile.
     #[must_use]
     pub fn with_retry_after(self, span: Option<Span>) -> Self {
         Self {
@@ -150,7 +150,7 @@
         self.code
     }
 
-    /// Delay after which a repeat is worthwhile.
+    /// Delay after which a retry is worthwhile.
     #[must_use]
     pub fn retry_after(&self) -> Option<Span> {
         self.retry_after
--- a/components/requests/src/step.rs
+++ b/components/requests/src/step.rs
@@ -1,6 +1,6 @@
 //! Decides what follows an attempt.
 //!
-//! The decision uses the ends of all attempts so far: a request that may have run is attempted
+//! The decision considers how all attempts so far ended: a request that may have run is attempted
 //! again only if it is idempotent, and an answer that was partly sent to the caller can only be
 //! resumed, never restarted.
 
@@ -175,13 +175,13 @@
     now: Time,
     budget: &mut RetryBudget,
 ) -> Step {
-    // Guards against a booking made twice: after a reset the first upstream may have run the
-    // request, and a second attempt would run it again. Only proof of "not run" allows one.
+    // After a reset the first upstream may have run the request, and a second attempt would, for
+    // example, make a booking twice. Only proof of "not run" allows one.
     if !facts.idempotent && progress.run() != RunState::No {
         return Step::Unknown;
     }
     let resume = facts.resumable && (progress.shown || progress.received > Tokens(0));
-    // Guards against a mixed answer: bytes of a second answer sent after those of the first.
+    // Bytes of a second answer must not follow those of the first.
     if progress.shown && !resume {
         return Step::Refuse(progress.refusal(Code::StreamCut));
     }
@@ -233,7 +233,7 @@
 pub enum OnCallerGone {
     /// Cancel the attempt: nobody waits for the answer.
     Cancel,
-    /// Let the attempt finish and record its outcome, for a repeat of the request.
+    /// Let the attempt finish and record its outcome, for a retry of the request.
     Finish,
 }
 
--- a/components/requests/tests/claims.rs
+++ b/components/requests/tests/claims.rs
@@ -99,8 +99,8 @@
     assert!(matches!(reused, ClaimStep::Duplicate(Standing::Reused)));
 }
 
-// Guards against refusing a request that never ran: the claim's write takes effect but its
-// reply is lost, and without comparing the nonce the daemon takes its own claim for another's.
+// The claim's write takes effect but its reply is lost. Without comparing the nonce, the daemon
+// would treat its own claim as another daemon's and refuse a request that never ran.
 #[test]
 fn can_recognize_its_own_write_after_a_lost_reply() {
     let mut store = store();
@@ -114,10 +114,9 @@
     assert!(matches!(step, SettleStep::Done));
 }
 
-// Guards against running a request twice. The first daemon's write is delayed, its read-back
-// finds no key, and another daemon claims and runs the request before the write takes effect.
-// This happens if the first daemon takes an empty read-back for success, or if its write is
-// not conditional.
+// The first daemon's write is delayed, its read-back finds no key, and another daemon claims and
+// runs the request before the write takes effect. The request would run twice if the first daemon
+// treated an empty read-back as success, or if its write were not conditional.
 #[test]
 fn errors_of_delayed_claims_do_not_run_twice() {
     let mut store = store();
@@ -134,10 +133,9 @@
     assert!(matches!(step, ClaimStep::Duplicate(Standing::Open)));
 }
 
-// Guards against a claim that blocks repeats for the whole retry window: a caller is told "not
-// run", and its repeats are told "outcome unknown" until the next day. This happens if the
-// claim's delayed write takes effect after the refusal, because the release deleted the key, or
-// found none, and left it absent.
+// A caller gets "not run", but the claim's delayed write takes effect after the refusal because the
+// release deleted the key, or found none, and left it absent. Its retries would get "outcome
+// unknown" for the whole retry window, until the next day.
 #[test]
 fn errors_of_abandoned_claims_leave_no_phantom() {
     for taken_over in [false, true] {
@@ -177,9 +175,8 @@
     assert!(matches!(step, ClaimStep::Unavailable(None)));
 }
 
-// Guards against a claim that expires within the retry window, so that a repeat runs again.
-// This happens if a daemon that was paused between the lease's grant and the claim uses the
-// lease past its slot.
+// If a daemon that was paused between the lease's grant and the claim used the lease past its slot,
+// the claim would expire within the retry window, and a retry would run again.
 #[test]
 fn errors_of_late_claims_are_not_used() {
     let mut store = store();
@@ -210,9 +207,9 @@
     assert_eq!(slots.current(later), None);
 }
 
-// Guards against refused claims for a minute after a daemon was paused. Its lease was granted
-// before the pause and expired during it; the reply is read after the daemon has requested a
-// lease again, and the slot must not be counted from that later call.
+// A lease was granted before the daemon was paused and expired during the pause; the reply is read
+// after the daemon has requested a lease again. If the slot were counted from that later call,
+// claims would be refused for a minute.
 #[test]
 fn errors_of_late_grants_give_no_lease() {
     let mut store = store();
@@ -241,8 +238,8 @@
     expect_held(claim(&mut store, fresh));
 }
 
-// Guards against two customers' requests sharing one claim, so that one customer gets the
-// other's answer: names may contain `/`, and joining them unescaped gives equal keys.
+// Names may contain `/`, and joining them unescaped gives equal keys. Two customers' requests would
+// share a claim, and one customer would get the other's answer.
 #[test]
 fn errors_of_slashes_do_not_join_two_keys() {
     let key = |customer: &str, id: &str| {
@@ -295,8 +292,8 @@
     assert_eq!(batcher.due_at(), Some(NOW + Span::from_secs(2)));
 }
 
-// Guards against one call that blocks all claims of a daemon: the store refuses a whole batch if
-// the lease of one of its calls is gone, and again each time the same batch is sent.
+// The store refuses a whole batch if the lease of one of its calls is gone, and again each time the
+// same batch is sent. That one call would block all claims of the daemon.
 #[test]
 fn errors_of_one_call_do_not_fail_its_batch() {
     let mut store = store();
--- a/components/requests/tests/fuzz/daemon/answers.rs
+++ b/components/requests/tests/fuzz/daemon/answers.rs
@@ -98,8 +98,8 @@
         release.into_iter().collect()
     }
 
-    /// Carries out the ledger's effects. The end of an answer is released once its bill is
-    /// safe, and only then recorded in its claim: a repeat must not get an answer without a bill.
+    /// Carries out the ledger's effects. The end of an answer is released once its bill is safe,
+    /// and only then recorded in its claim: a retry must not get an answer without a bill.
     pub(super) fn apply_ledger_effects(
         &mut self,
         oracle: &mut Oracle,
--- a/components/requests/tests/fuzz/daemon/claims.rs
+++ b/components/requests/tests/fuzz/daemon/claims.rs
@@ -1,4 +1,4 @@
-//! Makes and settles claims, and answers repeats.
+//! Makes and settles claims, and answers retries.
 
 use keyvalue::{CallError, Outcome, Request as StoreRequest};
 use requests::claim::{
@@ -125,7 +125,7 @@
     }
 }
 
-/// What the caller of a repeat is told.
+/// Returns what the caller of a retried request gets.
 fn end_of_repeat(standing: Standing) -> CallEnd {
     match standing {
         Standing::Recorded(recorded) => {
--- a/components/requests/tests/fuzz/main.rs
+++ b/components/requests/tests/fuzz/main.rs
@@ -143,9 +143,9 @@
     }
 }
 
-// Guards against false "not run", second runs, wrong bills and lost requests under any sequence
-// of faults. The tally checks that the sequences reach every kind of end; without that, finding
-// no violation would mean nothing.
+// Under any sequence of faults there must be no false "not run", second run, wrong bill or lost
+// request. The tally checks that the sequences reach every kind of end; without that, finding no
+// violation would mean nothing.
 #[test]
 fn can_keep_the_promises_under_faults() {
     let tally = RefCell::new(Tally::default());
@@ -164,8 +164,8 @@
 proptest! {
     #![proptest_config(Config { cases: 60, ..config() })]
 
-    // Guards against bills or answers that depend on the daemon a request goes through: without
-    // faults they equal those of a single daemon with neither claims nor batches.
+    // Bills and answers must not depend on the daemon a request goes through: without faults they
+    // equal those of a single daemon with neither claims nor batches.
     #[test]
     fn can_match_a_naive_router(sends in prop::collection::vec((0u8..8, 0usize..3), 1..40)) {
         let mut world = World::new(3);
--- a/components/requests/tests/fuzz/world.rs
+++ b/components/requests/tests/fuzz/world.rs
@@ -21,7 +21,7 @@
 const ROLL_UP_TICKS: usize = 30;
 /// Time within which a daemon without a lease requests one again.
 const LEASE_RETRY_DELAY: Span = Span::from_secs(2);
-/// Time for which callers may repeat a request.
+/// Time for which callers may retry a request.
 const RETRY_WINDOW: Span = Span::from_secs(500);
 /// Time after which a message of a crashed daemon that has not arrived is lost.
 const TRANSPORT_TIMEOUT: Span = Span::from_secs(60);
--- a/components/requests/tests/fuzz/world/finish.rs
+++ b/components/requests/tests/fuzz/world/finish.rs
@@ -11,7 +11,7 @@
 use crate::oracle::CallEnd;
 
 impl World {
-    /// Ends all faults, repeats requests without an answer, and checks the final state.
+    /// Ends all faults, retries requests without an answer, and checks the final state.
     pub(crate) fn finish(&mut self) {
         self.is_store_down = false;
         for index in 0..self.daemons.len() {
@@ -36,8 +36,8 @@
         self.oracle.bills_lost = answered.filter(|id| !bills.contains_key(id)).count();
     }
 
-    /// Repeats a request that has no answer yet, and checks that it gets one. Only a request that
-    /// may run at most once and may have run can be told "outcome unknown" instead.
+    /// Retries a request that has no answer yet, and checks that it gets one. Only a request that
+    /// may run at most once and may have run can get "outcome unknown" instead.
     fn repeat_without_answer(&mut self, request: u8) {
         let calls = || {
             self.oracle
--- a/components/requests/tests/life.rs
+++ b/components/requests/tests/life.rs
@@ -63,9 +63,8 @@
     assert_eq!(bill.usage.output, Tokens(5));
 }
 
-// Guards against a false "not run", after which a caller repeats work that was done: the upstream
-// may have read the request before the connection was reset, so a reset must not count as a
-// refused connection.
+// The upstream may have read the request before the connection was reset. If a reset counted as a
+// refused connection, the caller would get a false "not run" and retry work that was done.
 #[test]
 fn errors_say_not_run_only_with_proof() {
     let may_have_run = [
@@ -88,8 +87,8 @@
     }
 }
 
-// Guards against a false "not run" over two attempts, if only the end of the last one counts: the
-// first was reset, the second found no upstream.
+// The first attempt was reset, the second found no upstream. If only the last attempt counted, the
+// refusal would be a false "not run".
 #[test]
 fn errors_of_earlier_attempts_are_remembered() {
     let (req, _) = expect_retry(end(
@@ -101,9 +100,8 @@
     assert_eq!(refusal.run(), RunState::Unknown);
 }
 
-// Guards against an answer mixed from two: the first stream is truncated after a part of it was
-// sent to the caller, the engine cannot resume it, and the second answer starts from the
-// beginning.
+// The first stream is truncated after a part of it was sent to the caller, the engine cannot resume
+// it, and the second answer starts from the beginning. The caller must not get a mix of both.
 #[test]
 fn errors_of_shown_streams_are_resumed_or_refused() {
     let (_, resume) = expect_retry(end(first_attempt(facts(true, true)), &truncated(7, true)));
@@ -117,8 +115,8 @@
     assert_eq!(req.refusal().run(), RunState::Yes);
 }
 
-// Guards against a third attempt that restarts the answer: the second, resumed attempt finds no
-// upstream, and the tokens already sent to the caller must still count.
+// The second, resumed attempt finds no upstream. The tokens already sent to the caller must still
+// count, or the third attempt would restart the answer.
 #[test]
 fn can_resume_after_a_failed_resumption() {
     let (req, _) = expect_retry(end(first_attempt(facts(true, true)), &truncated(7, true)));
@@ -149,8 +147,7 @@
     assert!(matches!(next, Next::Answered(_)));
 }
 
-// Guards against a retry storm: without a retry budget, a failing pool gets more traffic than a
-// healthy one and never recovers.
+// Without a retry budget, a failing pool gets more traffic than a healthy one and never recovers.
 #[test]
 fn errors_of_a_pool_do_not_multiply_its_traffic() {
     let mut budget = RetryBudget::new(NOW);
