--- a/components/sessions/src/choice.rs
+++ b/components/sessions/src/choice.rs
@@ -2,7 +2,7 @@
 //!
 //! A pinned version is kept as long as it may run at all, even while it is draining. If it is
 //! withdrawn, or if the customer loses the permission to use it, the session moves to another
-//! version and its caller is told. Which version a new session gets is not decided here.
+//! version and its caller is notified. Which version a new session gets is not decided here.
 
 use std::collections::BTreeSet;
 
@@ -26,9 +26,9 @@
     /// Decides by the versions that may serve the session (withdrawn ones excluded) and the
     /// catalogue revision that they are from.
     ///
-    /// Guards against a session that changes its version at a daemon whose catalogue lags: a
-    /// version that was just added is unknown there, and looks as if it were withdrawn. The
-    /// pin's catalogue revision tells the two cases apart.
+    /// At a daemon whose catalogue lags, a version that was just added is unknown and looks as if
+    /// it were withdrawn. The pin's catalogue revision distinguishes the two cases, so that the
+    /// session does not change its version there.
     #[must_use]
     pub fn of(
         pin: Option<(&'a VersionId, Revision)>,
--- a/components/sessions/src/pins.rs
+++ b/components/sessions/src/pins.rs
@@ -122,10 +122,10 @@
 
     /// Adds a pin unless the one held wins over it, and returns the winning pin.
     ///
-    /// Guards against a session that changes its version after two daemons pinned it at once, or
-    /// after both sides of a network partition did: of two pins the older one wins in both
-    /// homes, in whichever order they arrive. Only a pin that names the held version as
-    /// replaced wins over an older one.
+    /// Two daemons, or the two sides of a network partition, may pin a session at once. Of two pins
+    /// the older one wins in both homes, in whichever order they arrive, so that the session does
+    /// not change its version later. Only a pin that names the held version as replaced wins over
+    /// an older one.
     pub fn pin(&mut self, pin: Pin, now: Time) -> Pin {
         let since = now - pin.age;
         let is_winner = self.by_session.get(&pin.key).is_none_or(|held| {
@@ -161,9 +161,9 @@
 
     /// Starts a sweep if the members differ from those of the last one.
     ///
-    /// Guards against pins that never reach their new homes because members change more often
-    /// than a sweep takes: each sweep finishes with the members that it began with, and the next
-    /// one covers what changed meanwhile.
+    /// Each sweep finishes with the members that it began with, and the next one covers what
+    /// changed meanwhile. If each change restarted the sweep, pins would never reach their new
+    /// homes when members change more often than a sweep takes.
     fn begin_sweep(&mut self) {
         self.sweep = (self.swept_members != self.members).then(|| Sweep {
             target: self.members.clone(),
@@ -186,9 +186,9 @@
         let part: Vec<_> = part.take(PINS_CHECKED_PER_TICK).collect();
         let mut to_send = Vec::new();
         for (key, held) in &part {
-            // Guards against a session that changes its version after its homes restarted one
-            // after the other: a restarted home has lost its pins, so another incarnation counts
-            // as a new home.
+            // A restarted home has lost its pins, so another incarnation counts as a new home.
+            // Otherwise a session would change its version after its homes restarted one after the
+            // other.
             let old = home_members(key.hash64(), &self.swept_members);
             let new = home_members(key.hash64(), &sweep.target).into_iter();
             let gained = new.filter(|home| !old.contains(home) && home.id != *own_id);
--- a/components/sessions/tests/sessions.rs
+++ b/components/sessions/tests/sessions.rs
@@ -71,9 +71,9 @@
     assert_eq!(Pinning::of(None, &permitted, Revision(7)), Pinning::New);
 }
 
-// Guards against a session that changes its version at one daemon and changes back at the next:
-// the version was just added, the session began on it, and a daemon whose catalogue lags must
-// not take the unknown version for a withdrawn one.
+// A version was just added and a session began on it. A daemon whose catalogue lags must not treat
+// the unknown version as withdrawn, or the session would change its version there and change back
+// at the next daemon.
 #[test]
 fn errors_of_a_lagging_catalogue_do_not_move_sessions() {
     let permitted = BTreeSet::from([version("a")]);
@@ -96,9 +96,8 @@
     );
 }
 
-// Guards against a customer that uses a forged token, or another customer's, to get a version it
-// is not permitted to use: a token must be bound to its customer and verified before it is
-// read.
+// A customer must not get a version that it is not permitted to use with a forged token, or with
+// another customer's: a token must be bound to its customer and verified before it is read.
 #[test]
 fn errors_of_forged_tokens_are_found() {
     let customer: CustomerId = "kochi".parse().unwrap();
@@ -116,8 +115,8 @@
     assert_eq!(keys.verify(&customer, &long), None);
 }
 
-// Guards against a session that changes its version when a failure domain is lost, because both
-// of its homes were in that domain.
+// If both homes of a session were in one failure domain, the session would change its version when
+// that domain is lost.
 #[test]
 fn can_hold_pins_in_two_failure_domains() {
     let members = members(9);
@@ -132,8 +131,8 @@
     }
 }
 
-// Guards against a version that changes from call to call: two daemons, or the two sides of a
-// network partition, pinned the same session, and its homes keep different pins.
+// Two daemons, or the two sides of a network partition, pinned the same session. If its homes kept
+// different pins, its version would change from call to call.
 #[test]
 fn can_agree_on_the_older_pin_in_any_order() {
     let pins = [pin("s", "a", 5, None), pin("s", "b", 9, None)];
@@ -162,8 +161,8 @@
     assert!(table.is_empty());
 }
 
-// Guards against a session that changes its version after a daemon was replaced, although its
-// homes never failed at the same time, because a new home was not sent its pins.
+// A new home must be sent the pins of its sessions when a daemon is replaced. Otherwise a session
+// would change its version although its homes never failed at the same time.
 #[test]
 fn can_follow_changes_of_members() {
     let before = members(9);
@@ -206,9 +205,9 @@
     }
 }
 
-// Guards against a session that changes its version after the daemons restarted in turn, under the
-// same names and too quickly to be seen as gone: a restarted home has lost its pins, and the
-// other home sees the same member names as before and does not send them again.
+// The daemons restart in turn, under the same names and too quickly to be seen as gone. A restarted
+// home has lost its pins; if the other home saw the same member names as before and did not send
+// them again, the session would change its version.
 #[test]
 fn can_refill_a_home_that_restarted_under_its_name() {
     let before = members(9);
@@ -227,9 +226,9 @@
     assert_eq!((&to_send[0].0, &to_send[0].1.key), (&first, &key));
 }
 
-// Guards against sessions that change their version in a fleet of hundreds, where a daemon is
-// replaced every half minute: if each change restarts the sweep over the pins, the last pins are
-// never reached.
+// In a fleet of hundreds a daemon is replaced every half minute. If each change restarted the sweep
+// over the pins, the last pins would never be reached and their sessions would change their
+// version.
 #[test]
 fn can_move_pins_while_members_keep_changing() {
     let all = members(9);
