--- a/components/limits/src/admission.rs
+++ b/components/limits/src/admission.rs
@@ -13,7 +13,8 @@
 const MIN_RETRY_DELAY: Span = Span::from_secs(1);
 /// Maximum time in seconds over which retries are spread.
 const MAX_SPREAD_SECONDS: f64 = 60.0;
-/// Retries are expected for the refusals of this many seconds.
+/// Window in seconds: the refusals of this long at the present rate are expected to be retried
+/// together.
 const RETRY_WINDOW_SECONDS: f64 = 10.0;
 
 impl Limiter {
@@ -167,8 +168,8 @@
     }
 }
 
-/// Whether a request may start at once, ahead of the queue. Any request that waits then is held
-/// back by limits of its own, or there would be no room.
+/// Whether a request may start at once, ahead of the queue. If there is room, requests that are
+/// already waiting are held back by their own limits, not by a lack of slots.
 fn may_start_now(
     now: Time,
     ask: &Ask,
@@ -203,7 +204,8 @@
     }
 }
 
-/// Reason why a request should not even wait, with the time that the reason is expected to last.
+/// Reason to refuse a request instead of letting it wait, with the time that the reason is expected
+/// to last.
 fn refusal_reason(
     now: Time,
     ask: &Ask,
--- a/components/limits/src/pool.rs
+++ b/components/limits/src/pool.rs
@@ -119,7 +119,8 @@
         }
     }
 
-    /// Interactive requests that started or ended since the last recalculation count at once.
+    /// Whether a batch request may start. Interactive requests that started or ended since the last
+    /// recalculation are counted immediately.
     fn has_room_for_batch(&self) -> bool {
         let in_use = self.batch.running + self.interactive.running;
         in_use
--- a/components/limits/tests/limits.rs
+++ b/components/limits/tests/limits.rs
@@ -108,8 +108,8 @@
 
 #[test]
 fn can_reserve_slots_for_interactive_requests() {
-    // Guards against batch work that fills all slots: a partner sends ten times what the pool can
-    // run, and the next interactive request would wait until a batch answer ends.
+    // A partner sends ten times the batch work that the pool can run. If it filled all slots, the
+    // next interactive request would wait until a batch answer is complete.
     let mut f = Fixture::new(20);
     let config = Config {
         reserve: 0.05,
@@ -167,8 +167,8 @@
 
 #[test]
 fn can_refuse_at_once_if_the_deadline_cannot_be_met() {
-    // Guards against a late refusal: a caller with two seconds left joins a queue of ten seconds.
-    // If it were held until its deadline, it would be refused too late to go elsewhere.
+    // A caller with two seconds left joins a queue of ten seconds. If it were held until its
+    // deadline, it would be refused too late to go elsewhere.
     let mut f = Fixture::new(1);
     let first = f.start("x", Interactive);
     f.advance(Span::from_secs(1));
@@ -186,8 +186,8 @@
 
 #[test]
 fn can_spread_retries_of_simultaneous_refusals() {
-    // Guards against synchronized retries: a thousand callers that are refused in one second and
-    // told to retry after the same delay would be refused together again.
+    // If a thousand callers that are refused in one second all got the same retry delay, they would
+    // be refused together again.
     let mut f = Fixture::new(1);
     let first = f.start("x", Interactive);
     f.advance(Span::from_secs(1));
@@ -232,9 +232,9 @@
 
 #[test]
 fn can_resume_a_preempted_request_first() {
-    // Guards against lost work: a batch request is half done when an interactive request preempts
-    // it. At the end of its customer's queue of a thousand requests its deadline would pass and
-    // the half would be lost.
+    // A batch request is half done when an interactive request preempts it. At the end of its
+    // customer's queue of a thousand requests its deadline would pass and the finished half would
+    // be lost.
     let mut f = Fixture::new(1);
     let grant = f.start("b", Batch);
     let later = f.wait("b", Batch);
@@ -250,8 +250,8 @@
 
 #[test]
 fn can_exclude_rate_limited_requests_from_slot_demand() {
-    // A customer sends three times its limit. Guards against counting its waiting requests as
-    // demand, though they need no slot yet: this kept batch work off idle slots.
+    // A customer sends three times its limit. Its requests that wait for the rate limit need no
+    // slot yet: when they were counted as demand, they kept batch work off idle slots.
     let mut f = Fixture::new(10);
     f.limiter
         .set_customer(f.now, &"x".parse().unwrap(), bounds(1.0), 1);
@@ -365,9 +365,8 @@
 
 #[test]
 fn can_delay_an_increase_until_others_know() {
-    // The demand at one daemon grows tenfold. Guards against taking the larger share at once: the
-    // others would still use theirs until the fact arrives, and the customer would exceed its
-    // limit.
+    // The demand at one daemon grows tenfold. If it took the larger share at once, the others would
+    // still use theirs until the fact arrives, and the customer would exceed its limit.
     let mut fleet = Fleet::new(4);
     fleet.run(6, |_| 10.0);
     for _ in 0..50 {
