--- a/components/membership/src/membership.rs
+++ b/components/membership/src/membership.rs
@@ -216,7 +216,7 @@
     /// Estimated number of reachable daemons, including this one, based on the last probes.
     ///
     /// An isolated daemon probes one other per second, so it needs minutes to declare hundreds
-    /// down. That hardly any probe is answered shows after seconds.
+    /// down. The share of answered probes drops within seconds.
     #[must_use]
     pub fn reachable(&self) -> usize {
         let others = self.members.present() as f64;
--- a/components/membership/src/membership/receive.rs
+++ b/components/membership/src/membership/receive.rs
@@ -207,8 +207,8 @@
     /// Sends a few members to a joining daemon when the budget does not allow a full page.
     ///
     /// When a whole fleet starts at once, the first daemons to join use up the seeds' repair
-    /// budget, and the others would know nobody. A daemon that knows a few members soon learns of
-    /// the rest.
+    /// budget, and the others would know no other member. A daemon that knows a few members soon
+    /// learns of the rest.
     fn send_short_page(&mut self, from: &Sender, rng: &mut impl Rng, outcome: &mut Outcome) {
         if self.join_budget.available() == 0 {
             return;
--- a/components/membership/src/message.rs
+++ b/components/membership/src/message.rs
@@ -146,9 +146,9 @@
 /// Summary of what a daemon knows of a range of origins.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// The range starts after this origin; at the first if none.
+    /// Origin after which the range starts; if absent, it starts at the first origin.
     pub after: Option<OriginId>,
-    /// The range ends with this origin, inclusive; at the last if none.
+    /// Last origin of the range, inclusive; if absent, the range has no upper end.
     pub until: Option<OriginId>,
     /// Origins in the range.
     pub entries: Vec<DigestEntry>,
--- a/components/membership/src/origin.rs
+++ b/components/membership/src/origin.rs
@@ -206,7 +206,7 @@
     /// Retired origins beyond [`MAX_RETIRED`], those with the lowest incarnations.
     ///
     /// The choice depends on the origins alone and not on when they were received. Otherwise
-    /// daemons would give back to each other what each has dropped.
+    /// daemons would send each other the origins that the other has dropped.
     fn excess_retired(&self) -> Vec<OriginId> {
         let retired = self.origins.iter().filter(|(_, o)| o.drop_at.is_some());
         let mut retired = retired.map(|(id, _)| id).collect::<Vec<_>>();
--- a/components/membership/src/rumor.rs
+++ b/components/membership/src/rumor.rs
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Notes that a peer sent an update that is already known: it is sent one time less, unless it
-    /// is urgent.
+    /// Records that a peer sent an update that is already known: it is sent one time less, unless
+    /// it is urgent.
     ///
     /// An urgent update reaches each daemon several times within milliseconds, so all daemons
     /// would stop sending it at once. Now and then a daemon would be missed and learn of a
@@ -121,7 +121,7 @@
         queue.map(|(urgency, _, _, subject)| (*urgency, subject))
     }
 
-    /// Notes that an update was sent once.
+    /// Records that an update was sent once.
     pub(crate) fn mark_sent(&mut self, subject: &Subject) {
         let Some(mut rumor) = self.rumors.get(subject).copied() else {
             return;
--- a/components/membership/tests/facts.rs
+++ b/components/membership/tests/facts.rs
@@ -65,8 +65,8 @@
     assert!(took.is_some());
 }
 
-// Guards against slow suspension of a bad version: daemons that do not know of it yet keep sending
-// it work. With a third of the messages lost, 128 daemons must know within a second.
+// Daemons that do not know yet that a bad version is suspended keep sending it work. With a third
+// of the messages lost, 128 daemons must know within a second.
 #[test]
 fn can_spread_urgent_facts_in_a_second() {
     for seed in 1..=3 {
@@ -156,7 +156,7 @@
 }
 
 // An earlier run that was paused resumes after its successor took over its name. Its outdated
-// messages must not be taken for the successor's.
+// messages must not be mistaken for the successor's.
 #[test]
 fn errors_on_messages_of_an_earlier_run() {
     let mut fleet = Fleet::new(4, 8);
--- a/components/membership/tests/membership.rs
+++ b/components/membership/tests/membership.rs
@@ -53,9 +53,9 @@
     assert_eq!(fleet.count(now, is_down), 28);
 }
 
-// A fifth of the messages is lost. Guards against members that are declared down and taken back
-// all the time: a lost acknowledgement is covered by indirect probes, a lost refutation by the
-// direct probes before a suspicion expires.
+// With a fifth of the messages lost, members must not be declared down and up again all the time: a
+// lost acknowledgement is covered by indirect probes, a lost refutation by the direct probes before
+// a suspicion expires.
 #[test]
 fn can_tolerate_message_loss() {
     let mut fleet = Fleet::new(32, 3);
@@ -165,8 +165,8 @@
     assert_eq!(fleet.count(Time::ZERO, raised), 1);
 }
 
-// Two hosts are given the same name by mistake. They must not raise their incarnations above
-// each other without end and flood the fleet with updates; the operator is told of both.
+// Two hosts are given the same name by mistake. They must not raise their incarnations above each
+// other without end and flood the fleet with updates; both are reported to the operator.
 #[test]
 fn can_tolerate_duplicate_names() {
     let mut fleet = Fleet::new(8, 11);
@@ -247,9 +247,9 @@
     assert_eq!(alive.record.state, State::Alive);
 }
 
-// All hosts of a large fleet restart at the same moment. A daemon that knows few others takes
-// itself for the first of the fleet and sends, requests and watches as such. Each must know nearly
-// all others within seconds, though each seed answers only a few joins.
+// All hosts of a large fleet restart at the same moment. A daemon that knows few others assumes
+// that it is the first of the fleet, and sends, requests and watches accordingly. Each must know
+// nearly all others within seconds, though each seed answers only a few joins.
 #[test]
 fn can_discover_a_large_fleet_that_starts_at_once() {
     let size = 295;
@@ -270,8 +270,8 @@
 }
 
 // All hosts of a large fleet restart at the same moment and join through the same few seeds, whose
-// repair budget is used up by the first of them. Guards against leaving the others unanswered:
-// they knew nobody for over a second, took themselves for alone and requested everything from the
+// repair budget is used up by the first of them. When the others were left unanswered, they knew no
+// other member for over a second, assumed that they were alone and requested everything from the
 // store.
 #[test]
 fn can_answer_all_simultaneous_joins() {
@@ -288,8 +288,8 @@
 }
 
 // All hosts of a fleet restart at the same moment, the seeds a tenth of a second after the others.
-// Guards against a join retry half a second later: such a daemon knew nobody from whom to request
-// a configuration, and refused its callers meanwhile.
+// When joins were retried only half a second later, such a daemon knew no other member to request a
+// configuration from, and refused its callers meanwhile.
 #[test]
 fn can_join_seeds_that_start_a_moment_later() {
     let mut fleet = Fleet::new(0, 22);
