--- a/components/node/src/claims.rs
+++ b/components/node/src/claims.rs
@@ -164,8 +164,8 @@
         rx.recv_async().await.unwrap_or_else(|_| Err(stopping()))
     }
 
-    /// A settlement that finds the queue full is dropped. Its claim stays open, and retries are
-    /// told "outcome unknown", which is safe.
+    /// A settlement that finds the queue full is dropped. Its claim stays open, and retries get
+    /// "outcome unknown", which is safe.
     fn settle(&self, (settle, call): (Settle, Request)) {
         if self.jobs.try_send(Job::Settle(settle, call)).is_err() {
             tracing::warn!("claims: the queue of settlements is full, one is left open");
--- a/components/node/src/claims/worker.rs
+++ b/components/node/src/claims/worker.rs
@@ -23,7 +23,7 @@
 /// Most settlements deferred during an outage. Beyond it the oldest is dropped, and its claim
 /// stays open.
 pub(super) const MAX_DEFERRED: usize = 4096;
-/// How long settlements are retried when the thread is told to stop.
+/// How long settlements are retried once the thread is to stop.
 const STOP_TIMEOUT: Span = Span::from_secs(3);
 
 enum Waiter {
--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -78,7 +78,7 @@
         })
     }
 
-    /// Handles events and ticks until told to stop.
+    /// Handles events and ticks until it is stopped.
     pub(crate) fn run(mut self, events: &flume::Receiver<Event>) {
         let tick = self.shared.settings.control.tick.to_duration();
         let mut next_tick = Instant::now();
--- a/components/node/src/control/peering.rs
+++ b/components/node/src/control/peering.rs
@@ -10,8 +10,8 @@
 use crate::shared::lock;
 
 impl Control {
-    /// Handles a message of another daemon. A question that no part answers is dropped, which tells
-    /// the asker to go elsewhere.
+    /// Handles a message of another daemon. A query that no part answers is dropped, upon which the
+    /// sender asks another daemon.
     pub(super) fn handle_peer(&mut self, now: Time, inbound: Inbound) {
         let (from, payload) = match inbound {
             Inbound::Message { from, payload } => (from, payload),
@@ -123,7 +123,8 @@
         let Some(revision) = revision.map(u64::from_le_bytes).map(Revision) else {
             return;
         };
-        // The fact may have been delayed: what the daemon reported itself since then holds.
+        // The fact may have been delayed: a revision at least as high that the daemon has reported
+        // directly takes precedence.
         let heard = self.catalogue.sync().heard(origin);
         if heard.is_none_or(|heard| heard.revision < revision) {
             self.catalogue.report(now, origin, revision, Span::ZERO);
--- a/components/node/src/control/quarantine.rs
+++ b/components/node/src/control/quarantine.rs
@@ -58,11 +58,11 @@
 
 fn log_change(change: &Change) {
     match change {
-        Change::Quarantined(bar) => tracing::warn!(
+        Change::Quarantined(entry) => tracing::warn!(
             "traffic: request {} of {} is quarantined, {} upstreams crashed under it",
-            bar.content,
-            bar.customer.as_deref().unwrap_or("an unknown customer"),
-            bar.crashes.len()
+            entry.content,
+            entry.customer.as_deref().unwrap_or("an unknown customer"),
+            entry.crashes.len()
         ),
         Change::Cleared(content) => {
             tracing::info!("traffic: request {content} is no longer quarantined")
--- a/components/node/src/event.rs
+++ b/components/node/src/event.rs
@@ -19,7 +19,7 @@
 pub enum Event {
     /// A call of the store ended.
     Store(StoreUse, Outcome),
-    /// Watched keys changed; an empty list says that a watch began.
+    /// Watched keys changed; an empty list means that a watch began.
     Watch(Vec<WatchEvent>),
     /// An answer is whole; its end is held back until the release.
     Bill(Box<Bill>, ReleaseTo),
--- a/components/node/src/measured.rs
+++ b/components/node/src/measured.rs
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Records that a token came.
+    /// Records that a token arrived.
     pub(crate) fn token(&mut self, now: Time) {
         match self.last.replace(now) {
             None => self.offer.first_token(now.since(self.arrived)),
--- a/components/node/src/outbound.rs
+++ b/components/node/src/outbound.rs
@@ -21,7 +21,7 @@
 const CALL_TIMEOUT: Span = Span::from_secs(2);
 /// Pause before the weight store is asked again, if it did not name one.
 const SLOT_RETRY_PAUSE: Span = Span::from_secs(2);
-/// Status with which an engine refuses a load for want of room for another version.
+/// Status with which an engine refuses a load because it has no room for another version.
 const NO_ROOM: u16 = 507;
 
 /// A call of an engine.
--- a/components/node/src/quarantine.rs
+++ b/components/node/src/quarantine.rs
@@ -46,7 +46,7 @@
 pub(crate) struct Quarantine {
     clock: Clock,
     pub(crate) suspects: SharedSuspects,
-    runs: Mutex<Attempts<UpstreamIndex>>,
+    attempts: Mutex<Attempts<UpstreamIndex>>,
 }
 
 impl Quarantine {
@@ -55,7 +55,7 @@
         Self {
             clock,
             suspects: SharedSuspects::new(suspects),
-            runs: Mutex::default(),
+            attempts: Mutex::default(),
         }
     }
 
@@ -78,75 +78,76 @@
     }
 
     /// Records that a content is sent to an upstream.
-    pub(crate) fn run_started(
+    pub(crate) fn attempt_started(
         &self,
         picked: &PickedUpstream,
         content: &CustomerContent,
     ) -> AttemptId {
         let now = self.clock.now();
         let customer = Some(Arc::clone(&content.customer));
-        lock(&self.runs).sent(now, picked.index, content.content, customer)
+        lock(&self.attempts).sent(now, picked.index, content.content, customer)
     }
 
-    /// Records how a run ended. If its connection broke, waits until it is known whether the
+    /// Records how an attempt ended. If its connection broke, waits until it is known whether the
     /// upstream crashed, for a fifth of a second at most.
-    pub(crate) async fn run_ended(
+    pub(crate) async fn attempt_ended(
         &self,
         picked: &PickedUpstream,
         content: &CustomerContent,
-        run: AttemptId,
+        attempt: AttemptId,
         end: &AttemptEnd,
     ) {
         let now = self.clock.now();
-        let kind = run_end(end);
+        let kind = attempt_end(end);
         if kind == PoisonAttemptEnd::Answered {
             self.suspects.lock().answered(now, content.content);
         }
-        let under = lock(&self.runs).attempt_ended(now, picked.index, run, kind);
-        if let Some(under) = under {
-            return self.record_crash(picked, &[under]);
+        let crashed = lock(&self.attempts).attempt_ended(now, picked.index, attempt, kind);
+        if let Some(crashed) = crashed {
+            return self.record_crash(picked, &[crashed]);
         }
         if kind == PoisonAttemptEnd::Broken && probe_refused(picked.address).await {
-            let under =
-                lock(&self.runs).upstream_crashed(self.clock.now(), picked.index, Time::ZERO);
-            self.record_crash(picked, &under.unwrap_or_default());
+            let crashed =
+                lock(&self.attempts).upstream_crashed(self.clock.now(), picked.index, Time::ZERO);
+            self.record_crash(picked, &crashed.unwrap_or_default());
         }
     }
 
-    fn record_crash(&self, picked: &PickedUpstream, under: &[CrashedAttempt]) {
+    fn record_crash(&self, picked: &PickedUpstream, crashed: &[CrashedAttempt]) {
         tracing::warn!(
             "traffic: upstream {} crashed with {} requests in flight",
             picked.id,
-            under.len()
+            crashed.len()
         );
         let upstream = UpstreamInstance {
             id: picked.id.clone(),
             started_at: Some(rounded(self.clock.wall())),
         };
         let mut suspects = self.suspects.lock();
-        suspects.upstream_crashed(self.clock.now(), &upstream, under);
+        suspects.upstream_crashed(self.clock.now(), &upstream, crashed);
     }
 
     /// The quarantined contents, for the dump.
     pub(crate) fn dump(&self, now: Time) -> serde_json::Value {
-        let barred = self.suspects.lock().quarantined();
-        let barred = barred.into_iter().map(|bar| {
-            let ends = bar.crashes.iter();
-            let ends = ends.map(|(upstream, ran)| json!({"upstream": upstream.id, "ran": ran}));
+        let quarantined = self.suspects.lock().quarantined();
+        let quarantined = quarantined.into_iter().map(|entry| {
+            let crashes = entry.crashes.iter();
+            let crashes =
+                crashes.map(|(upstream, ran)| json!({"upstream": upstream.id, "ran": ran}));
             json!({
-                "content": bar.content,
-                "customer": bar.customer,
-                "since": now.since(bar.since),
-                "tried_in": now.until(bar.until),
-                "ends": ends.collect::<Vec<_>>(),
+                "content": entry.content,
+                "customer": entry.customer,
+                "since": now.since(entry.since),
+                "tried_in": now.until(entry.until),
+                "ends": crashes.collect::<Vec<_>>(),
             })
         });
-        barred.collect()
+        quarantined.collect()
     }
 
     /// Drops expired records, and sets the size of the fleet.
     pub(crate) fn expire(&self, now: Time, daemons: usize, upstreams: usize) {
-        lock(&self.runs).expire(now);
+        lock(&self.attempts).expire(now);
         let mut suspects = self.suspects.lock();
         suspects.set_fleet(daemons, upstreams);
         suspects.expire(now);
@@ -160,8 +161,8 @@
     WallTime(wall.0 - wall.0 % CRASH_WINDOW_MS)
 }
 
-/// What an attempt's end says about its upstream.
-fn run_end(end: &AttemptEnd) -> PoisonAttemptEnd {
+/// Maps an attempt's end to what it shows about the upstream.
+fn attempt_end(end: &AttemptEnd) -> PoisonAttemptEnd {
     match end {
         AttemptEnd::Whole { .. } => PoisonAttemptEnd::Answered,
         AttemptEnd::Unknown(Doubt::Reset) | AttemptEnd::Truncated { .. } => {
--- a/components/node/src/rating.rs
+++ b/components/node/src/rating.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// Whether to rate an answer of a version; a yes counts against the rater's rate limit.
+/// Whether to rate an answer of a version; if so, it counts against the rater's rate limit.
 pub(crate) fn should_rate(
     shared: &Shared,
     class: &ClassName,
--- a/components/node/src/sessions.rs
+++ b/components/node/src/sessions.rs
@@ -18,7 +18,7 @@
 
 use crate::shared::lock;
 
-/// How long a home's reply is waited for.
+/// Timeout for a home's reply.
 const HOME_TIMEOUT: Span = Span::from_millis(150);
 /// A pin expires after this time without use.
 const PIN_IDLE_TTL: Span = Span::from_secs(3600);
--- a/components/node/src/shared.rs
+++ b/components/node/src/shared.rs
@@ -76,7 +76,7 @@
         self.clock.now()
     }
 
-    /// Retries saved up by each entry, for the dump.
+    /// Retries left in each entry's budget, for the dump.
     pub(crate) fn retries_left(&self) -> BTreeMap<EntryName, f64> {
         let budgets = lock(&self.budgets);
         let saved = budgets.iter();
--- a/components/node/src/snapshot.rs
+++ b/components/node/src/snapshot.rs
@@ -38,8 +38,8 @@
     /// The reason to refuse an entry with this freshness rule because the catalogue may be out of
     /// date, if there is one.
     ///
-    /// Decided for each request: a snapshot ages while the control thread is held up or the
-    /// process is paused, and must not pass for fresh afterwards.
+    /// Decided for each request: a snapshot ages while the control thread is held up or the process
+    /// is paused, and must not be treated as fresh afterwards.
     #[must_use]
     pub fn stale(&self, now: Time, rule: &Freshness) -> Option<String> {
         match decide(now, rule, self.confirmed, self.reach) {
--- a/components/node/src/systems/catalogue.rs
+++ b/components/node/src/systems/catalogue.rs
@@ -95,9 +95,9 @@
         &self.sync
     }
 
-    /// Notes that a caller waits, for `patience` at most, until a revision is in force everywhere.
-    pub fn wait_for(&mut self, now: Time, revision: Revision, patience: Span) {
-        self.sync.wait_for(revision, now + patience);
+    /// Records that a caller waits, for `timeout` at most, until a revision is in force everywhere.
+    pub fn wait_for(&mut self, now: Time, revision: Revision, timeout: Span) {
+        self.sync.wait_for(revision, now + timeout);
     }
 
     /// The catalogue indexed for serving requests.
--- a/components/node/src/systems/rollout.rs
+++ b/components/node/src/systems/rollout.rs
@@ -53,7 +53,7 @@
 pub enum CallResult {
     /// An engine's load report.
     Report(ModelName, UpstreamId, LoadReport),
-    /// An engine refused a load for want of room.
+    /// An engine refused a load because it has no room.
     Full(ModelName, UpstreamId),
     /// The weight store gave a slot, or the pause before it may be asked again.
     Permit(ModelName, Result<(), Span>),
@@ -196,7 +196,7 @@
         Task::Store(self.last_ticket, request)
     }
 
-    /// Gives up every lease and looks for none any more: the daemon is leaving.
+    /// Gives up every lease and requests no more: the daemon is leaving.
     pub(crate) fn leave(&mut self, now: Time) -> Vec<Task> {
         let driven = std::mem::take(&mut self.driven);
         self.leaving = true;
--- a/components/node/src/systems/rollout/observations.rs
+++ b/components/node/src/systems/rollout/observations.rs
@@ -9,7 +9,7 @@
 use engine::LoadReport;
 use types::prelude::*;
 
-/// How long an engine that refused a load for want of room is left alone.
+/// Delay before an engine that refused a load because it had no room may get another.
 const FULL_RETRY_PAUSE: Span = Span::from_secs(60);
 /// The demand is divided between the versions like the requests given to them in this window.
 const SERVED_WINDOW: Span = Span::from_secs(60);
--- a/components/node/src/systems/routing.rs
+++ b/components/node/src/systems/routing.rs
@@ -6,7 +6,7 @@
 use types::prelude::*;
 
 /// Replaces the router's upstreams by those of the catalogue. An upstream without a region is
-/// taken to be in the daemon's own.
+/// assumed to be in the daemon's own.
 pub fn configure(router: &mut Router, view: &View, own_region: &Region) {
     let mut specs = Vec::new();
     for (name, service) in &view.services {
--- a/components/node/src/traffic/chat.rs
+++ b/components/node/src/traffic/chat.rs
@@ -17,7 +17,7 @@
 use super::resolve::{Resolved, resolve};
 use crate::quarantine::CustomerContent;
 
-/// Retry-After that a caller is told when the catalogue may be out of date.
+/// Retry-After sent to a caller when the catalogue may be out of date.
 const STALE_CATALOGUE_RETRY_AFTER: Span = Span::from_secs(1);
 /// Longest pause between two tokens before an engine counts as stalled.
 const STALL_TIMEOUT: Span = Span::from_secs(10);
--- a/components/node/src/traffic/chat/run.rs
+++ b/components/node/src/traffic/chat/run.rs
@@ -23,7 +23,7 @@
 use crate::traffic::refusal::Refusal;
 use crate::traffic::upstream::PickedUpstream;
 
-/// Retry-After that a caller is told when no version can take the request.
+/// Retry-After sent to a caller when no version can take the request.
 const NO_VERSION_RETRY_AFTER: Span = Span::from_secs(1);
 
 /// Output tokens reserved from token limits until the answer's length is known.
@@ -59,8 +59,8 @@
     Refusal::unavailable(code, message, NO_VERSION_RETRY_AFTER)
 }
 
-/// Hash of the body, the same for a retry. Headers do not count: they say how the work is
-/// asked for, not what it is.
+/// Hash of the body, the same for a retry. Headers do not count: they specify how the work is
+/// requested, not what it is.
 fn fingerprint(job: &Job) -> u64 {
     let body = serde_json::to_vec(&job.params.fields).unwrap_or_default();
     xxhash_rust::xxh3::xxh3_64(&body)
@@ -181,7 +181,7 @@
             .await;
     }
 
-    /// What the limiter is asked for. The tokens used are settled when the request ends.
+    /// Admission request to the limiter. The tokens used are settled when the request ends.
     fn admission_ask(&self, version: &VersionId) -> Ask {
         let job = self.job;
         let view = &job.cx.snapshot.view;
@@ -278,9 +278,11 @@
         let began = self.shared().now();
         relay.set_upstream(picked.index);
         let (quarantine, content) = (&self.shared().quarantine, &self.job.content);
-        let run = quarantine.run_started(picked, content);
+        let attempt_id = quarantine.attempt_started(picked, content);
         let end = relay.attempt(picked.address, &mut request).await;
-        quarantine.run_ended(picked, content, run, &end).await;
+        quarantine
+            .attempt_ended(picked, content, attempt_id, &end)
+            .await;
         self.shared().metrics.attempt(measured::attempt_label(&end));
         let outcome = relay.outcome(&end, began);
         let now = self.shared().now();
--- a/components/node/src/traffic/claim.rs
+++ b/components/node/src/traffic/claim.rs
@@ -38,8 +38,8 @@
         ClaimStep::Duplicate(Standing::Recorded(_)) => {
             Claimed::Refused(Refusal::ran(Code::AnswerNotKept))
         }
-        // A retry may reuse the id with another wording of the same work. Told "not run", its
-        // caller would send the work again under a new id.
+        // A retry may reuse the id with another wording of the same work. If it were refused as
+        // "not run", its caller would send the work again under a new id.
         ClaimStep::Duplicate(Standing::Reused) => {
             Claimed::Refused(Refusal::unknown(Code::IdReused))
         }
--- a/components/node/src/traffic/in_flight.rs
+++ b/components/node/src/traffic/in_flight.rs
@@ -6,7 +6,7 @@
 
 use super::refusal::Refusal;
 
-/// Retry-After that a caller is told when the bound is reached.
+/// Retry-After sent to a caller when the bound is reached.
 const OVERLOADED_RETRY_AFTER: Span = Span::from_secs(1);
 
 /// Counter of requests in flight, shared by all event loops.
--- a/components/node/src/traffic/limited.rs
+++ b/components/node/src/traffic/limited.rs
@@ -1,4 +1,4 @@
-//! Maps the limiter's refusals to the codes that callers are told.
+//! Maps the limiter's refusals to the codes sent to callers.
 
 use limits::Refusal;
 use requests::refusal::Code;
--- a/components/node/src/traffic/plain.rs
+++ b/components/node/src/traffic/plain.rs
@@ -124,7 +124,7 @@
 }
 
 impl Job {
-    /// What the limiter is asked for.
+    /// Admission request to the limiter.
     fn admission_ask(&self) -> Ask {
         Ask {
             customer: self.cx.customer.clone(),
@@ -136,8 +136,8 @@
         }
     }
 
-    /// Hash of the method, path and body, the same for a retry. Headers do not count: they say
-    /// how the work is asked for, not what it is.
+    /// Hash of the method, path and body, the same for a retry. Headers do not count: they specify
+    /// how the work is requested, not what it is.
     fn fingerprint(&self) -> u64 {
         let mut hasher = Xxh3::new();
         for part in [self.call.method.as_str(), &self.call.path] {
@@ -175,7 +175,11 @@
             return refuse_unrun(job, responder, ready.refuse(Code::NoUpstream)).await;
         };
         let request = ready.attempt(picked.id.clone());
-        let run = job.cx.shared.quarantine.run_started(&picked, &job.content);
+        let attempt_id = job
+            .cx
+            .shared
+            .quarantine
+            .attempt_started(&picked, &job.content);
         let time_left = request.time_left(job.cx.shared.now());
         let (end, answer) = tokio::select! {
             biased;
@@ -186,7 +190,9 @@
             }
         };
         let quarantine = &job.cx.shared.quarantine;
-        quarantine.run_ended(&picked, &job.content, run, &end).await;
+        quarantine
+            .attempt_ended(&picked, &job.content, attempt_id, &end)
+            .await;
         tried.push(picked.index);
         let now = job.cx.shared.now();
         let next = job.cx.shared.with_budget(&job.service, |budget| {
@@ -230,7 +236,7 @@
         Ok(answer) if is_not_run(&answer) => {
             (AttemptEnd::RefusedNotRun { retry_after: None }, None)
         }
-        // A gateway error on a request that may be repeated is worth a retry at another upstream.
+        // After a gateway error, an idempotent request is retried at another upstream.
         Ok(answer) if answer.status >= 502 && job.idempotent => {
             (AttemptEnd::UpstreamError(answer.status), None)
         }
--- a/components/node/src/traffic/resolve.rs
+++ b/components/node/src/traffic/resolve.rs
@@ -16,7 +16,7 @@
     pub name: EntryName,
     /// The offer.
     pub offer: Arc<Offer>,
-    /// Versions permitted; those that drain only serve the sessions they have.
+    /// Versions permitted; draining ones serve only their existing sessions.
     pub versions: BTreeSet<VersionId>,
 }
 
--- a/components/node/src/traffic/upstream.rs
+++ b/components/node/src/traffic/upstream.rs
@@ -39,7 +39,7 @@
 /// Resolves when the caller is gone, for work that is cancelled then; never for other work.
 ///
 /// Before anything of the answer is written, only the connection shows that the caller left.
-/// Without this check the upstream would go on working for nobody.
+/// Without this check the upstream would continue work that nobody waits for.
 pub(crate) async fn cancellation(responder: &Responder, facts: &Facts) {
     match on_caller_gone(facts) {
         OnCallerGone::Cancel => responder.gone().await,
@@ -47,7 +47,7 @@
     }
 }
 
-/// Classifies a failed attempt; `received` and `shown` tell how much of its answer has come.
+/// Classifies a failed attempt; `received` and `shown` give how much of its answer has arrived.
 pub(crate) fn attempt_end(error: &AttemptError, received: Tokens, shown: bool) -> AttemptEnd {
     match error {
         AttemptError::NotSent(_) => AttemptEnd::NotSent,
--- a/components/node/src/watching.rs
+++ b/components/node/src/watching.rs
@@ -66,7 +66,7 @@
     }
 }
 
-/// Restarts the watch whenever it ends, until told to stop.
+/// Restarts the watch whenever it ends, until it is stopped.
 fn follow(store: &dyn Store, watch: &Watch, events: &flume::Sender<Event>) {
     let mut sink = |batch: store::WatchBatch| {
         let delivered = events.send(Event::Watch(batch.events));
--- a/components/node/tests/it/claims.rs
+++ b/components/node/tests/it/claims.rs
@@ -74,8 +74,8 @@
     seen.unwrap()
 }
 
-// A caller that got its answer late repeats the booking through another daemon, which runs it
-// again if there is no claim, or one known to the first daemon only.
+// A caller that got its answer late retries the booking through another daemon, which runs it again
+// if there is no claim, or one known to the first daemon only.
 #[test]
 fn can_book_once_through_two_daemons() {
     let harness = start(2);
@@ -88,8 +88,8 @@
 }
 
 // An upstream resets the connection after the request was written and the work was done. If the
-// reset counted as one from before the request, the caller would be told "not run", or the daemon
-// would retry, and the booking would be made twice.
+// reset counted as one from before the request, the caller would get "not run", or the daemon would
+// retry, and the booking would be made twice.
 #[test]
 fn errors_after_a_written_request_are_unknown_and_final() {
     let harness = start(2);
@@ -115,7 +115,7 @@
 }
 
 // A daemon crashed between its claim and the answer of its attempt. If a claim without an outcome
-// counted as free, the booking would be made again, or made after the caller was told "not run".
+// counted as free, the booking would be made again, or made after the caller got "not run".
 #[test]
 fn errors_of_a_crashed_daemon_leave_its_claim_in_force() {
     let harness = start(1);
@@ -135,7 +135,7 @@
     assert_eq!(effects(&harness, "b1"), 0);
 }
 
-// With the store down no claim can be made: the caller must be told "not run", and the same booking
+// With the store down no claim can be made: the caller must get "not run", and the same booking
 // must go through once the store is back. A lost reply of the store is no reason to refuse.
 #[test]
 fn can_book_after_a_store_outage_and_through_lost_replies() {
@@ -193,7 +193,7 @@
 
 // A caller's connection breaks while work that may run only once is in flight, and the daemon is
 // shut down. If the work were cancelled with its caller or cut by the shutdown, the caller's retry
-// would be told "outcome unknown" and nobody would have the result.
+// would get "outcome unknown" and nobody would have the result.
 #[test]
 fn can_finish_work_that_runs_once_after_its_caller_left() {
     let engine = EngineConfig {
@@ -225,7 +225,7 @@
 }
 
 // A booking was answered, and its daemon is shut down during a store outage. If the daemon stopped
-// without recording the outcome, the caller's retry would be told "outcome unknown".
+// without recording the outcome, the caller's retry would get "outcome unknown".
 #[test]
 fn can_record_outcomes_that_wait_at_a_shutdown() {
     let mut harness = start(2);
--- a/components/node/tests/it/fleet.rs
+++ b/components/node/tests/it/fleet.rs
@@ -69,8 +69,8 @@
 
 #[test]
 fn errors_for_the_second_of_two_operators() {
-    // Two operators read the same entry at two daemons and both write it. The second must not be
-    // told that its edit was applied.
+    // Two operators read the same entry at two daemons and both write it. The second must not get
+    // the reply that its edit was applied.
     let harness = Harness::with_daemons(&PlatformConfig::default(), 2);
     harness.wait_joined();
     let tags = [etag(&harness, 0), etag(&harness, 1)];
--- a/components/node/tests/it/limits.rs
+++ b/components/node/tests/it/limits.rs
@@ -25,7 +25,7 @@
 }
 
 // A program in a loop exceeds its customer's limit. Its refused requests must be reported as not
-// run, with a Retry-After, or it repeats work that it takes to have failed.
+// run, with a Retry-After, or it retries work that it assumes has failed.
 #[test]
 fn errors_beyond_a_customers_limit_say_not_run_and_when_to_return() {
     let harness = Harness::start(&PlatformConfig::default());
--- a/components/node/tests/it/quality.rs
+++ b/components/node/tests/it/quality.rs
@@ -63,8 +63,8 @@
 #[test]
 fn can_escalate_low_confidence_answers() {
     // The cheap model is right seven times in ten and states its confidence. Once the confidence is
-    // known to tell right answers from wrong ones, low-confidence answers must be discarded for the
-    // strong model's, and the caller must see a single answer.
+    // known to distinguish right answers from wrong ones, low-confidence answers must be discarded
+    // for the strong model's, and the caller must see a single answer.
     let quality = [("small@v1", 0.7), ("large@v1", 1.0)];
     let class: ClassName = "answer".parse().unwrap();
     let quality = quality.map(|(version, q)| ((version.parse().unwrap(), class.clone()), q));
