--- a/components/ledger/src/journal.rs
+++ b/components/ledger/src/journal.rs
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Drops charges up to the number `sealed`, which never goes back.
+    /// Drops charges up to the number `sealed`, which never decreases.
     pub(crate) fn advance(&mut self, sealed: u64) {
         let newly_sealed = sealed.saturating_sub(self.sealed);
         let newly_sealed = usize::try_from(newly_sealed).unwrap_or(usize::MAX);
--- a/components/ledger/src/replication.rs
+++ b/components/ledger/src/replication.rs
@@ -36,7 +36,7 @@
     tries: u8,
     next_send: Time,
     refresh_at: Time,
-    /// The previous holder, which is told to drop its copy once this one has acknowledged the
+    /// The previous holder, which is asked to drop its copy once this one has acknowledged the
     /// charge with this number.
     previous: Option<(DaemonId, u64)>,
 }
@@ -152,8 +152,8 @@
     (has_page || has_some) && !replica.is_window_full()
 }
 
-/// Whether a page is due that only tells the holder what is sealed, so that it can drop it,
-/// and that the sender is alive.
+/// Whether a page without bills is due: it lists what is sealed, so that the holder can drop it,
+/// and shows that the sender is alive.
 fn is_refresh_due(replica: &Replica, journal: &Journal, now: Time) -> bool {
     let is_due = now.has_reached(replica.refresh_at);
     is_due && (!journal.is_empty() || replica.sent_sealed < journal.sealed())
@@ -192,9 +192,9 @@
     if incarnation == replica.incarnation {
         replica.acked = replica.acked.max(upto.min(replica.sent));
     } else {
-        // A restarted holder has lost everything; `upto` is where its copy starts again.
-        // Without going back there, it would never acknowledge later charges, and charges held
-        // only here would count as replicated.
+        // A restarted holder has lost everything; `upto` is where its copy starts again. Without
+        // resuming from there, it would never acknowledge later charges, and charges held only here
+        // would count as replicated.
         replica.acked = upto;
         replica.sent = upto;
         replica.next_send = now;
--- a/components/ledger/src/rollup/commit.rs
+++ b/components/ledger/src/rollup/commit.rs
@@ -150,9 +150,9 @@
 
 /// Adds charges to totals, counting each bill id once.
 ///
-/// Guards against billing a request twice: a caller's retry through another daemon leaves a
-/// second bill in another batch. It is ignored because its fingerprint is among those of this
-/// roll-up or of an earlier one.
+/// A caller's retry through another daemon leaves a second bill of the same request in another
+/// batch. It is ignored because its fingerprint is among those of this roll-up or of an earlier
+/// one, so the request is billed once.
 fn add_up(
     batches: &[Batch],
     seen: &KnownFingerprints,
--- a/components/ledger/tests/ledger.rs
+++ b/components/ledger/tests/ledger.rs
@@ -120,9 +120,8 @@
     assert!(fleet.keys("/batches/").is_empty());
 }
 
-// Guards against a complete answer that is never billed: if the daemon ended the answer and
-// crashed before the second holder had the bill, the bill would be lost. The end must wait for
-// the acknowledgement.
+// The end of an answer must wait for the second holder's acknowledgement of the bill. If the daemon
+// ended the answer earlier and then crashed, a complete answer would never be billed.
 #[test]
 fn holds_back_an_answer_until_its_bill_is_replicated() {
     let mut fleet = fleet(2);
@@ -154,8 +153,8 @@
     assert_eq!(fleet.bills_of(1), 1);
 }
 
-// Guards against a lost bill when the daemon crashes right after the end of an answer, before
-// its batch is sealed: the second holder must notice and seal in its place.
+// The daemon crashes right after the end of an answer, before its batch is sealed. The second
+// holder must notice and seal in its place, or the bill is lost.
 #[test]
 fn can_seal_for_a_daemon_that_died() {
     let mut fleet = fleet(3);
@@ -189,8 +188,8 @@
     assert_eq!(fleet.bills_of(1), 1);
 }
 
-// Guards against a batch written twice when the reply to the first write is lost: the mark has
-// advanced, so the retry must have no effect.
+// The reply to the first write of a batch is lost. The mark has advanced, so the retry must have no
+// effect, or the batch would be written twice.
 #[test]
 fn can_seal_once_when_the_reply_is_lost() {
     let mut fleet = fleet(2);
@@ -261,8 +260,7 @@
     assert_eq!(fleet.bills_of(1), 1);
 }
 
-// Guards against an origin that is never sealed again because the outcome of a call was lost
-// inside the process.
+// The outcome of a call is lost inside the process. The origin must still be sealed again.
 #[test]
 fn can_seal_after_an_outcome_is_lost() {
     let mut fleet = fleet(2);
@@ -273,8 +271,8 @@
     assert_eq!(fleet.daemons[0].ledger.fill().own, 0);
 }
 
-// Guards against an unbounded number of marks: those of incarnations that ended more than a week
-// ago are deleted, while that of a live daemon stays.
+// Marks of incarnations that ended more than a week ago are deleted, or their number would grow
+// without bound. The mark of a live daemon stays.
 #[test]
 fn can_delete_the_marks_of_past_incarnations() {
     let mut fleet = fleet(2);
@@ -346,8 +344,8 @@
     assert_eq!(fleet.bills_of(1), 1);
 }
 
-// The second holder restarts, and membership has not noticed it by the time the daemon crashes.
-// The acknowledgement of the new incarnation must tell the daemon that the earlier copy is lost.
+// The second holder restarts, and membership has not noticed it by the time the daemon crashes. The
+// acknowledgement of the new incarnation must inform the daemon that the earlier copy is lost.
 #[test]
 fn can_keep_bills_when_the_holder_restarts_unnoticed() {
     let mut fleet = fleet(2);
--- a/components/ledger/tests/support/counting.rs
+++ b/components/ledger/tests/support/counting.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-// Guards against billing a request twice: a caller retries through another daemon while the first
-// is still answering, and both record a bill.
+// A caller retries through another daemon while the first is still answering, and both record a
+// bill. Only one may count.
 #[test]
 fn can_bill_once_when_two_daemons_answer() {
     let mut fleet = fleet(3);
@@ -14,8 +14,8 @@
     assert_eq!(fleet.bills_of(1), 1);
 }
 
-// Guards against billing a retry that comes minutes after the request was rolled up; the
-// fingerprint must still be kept then.
+// A retry comes minutes after the request was rolled up. The fingerprint must still be kept then,
+// or the request would be billed twice.
 #[test]
 fn can_bill_once_when_the_retry_follows_the_roll_up() {
     let mut fleet = fleet(3);
@@ -158,8 +158,8 @@
     assert_eq!(rolled, 100);
 }
 
-// Guards against memory that fills up with copies in a long outage: a slow holder that was
-// replaced must drop its copy, or each replacement would leave one more.
+// A slow holder that was replaced must drop its copy. In a long outage each replacement would
+// otherwise leave one more copy, and they would fill the memory.
 #[test]
 fn drops_copies_that_another_daemon_holds() {
     let mut fleet = fleet(4);
@@ -176,8 +176,8 @@
     assert_eq!(fleet.daemons[holder].ledger.fill().custody, 1);
 }
 
-// Guards against unbounded memory on a holder: many bills wait for the store and there is only
-// one peer, which must not exceed its capacity.
+// Many bills wait for the store and there is only one peer. As their holder it must not exceed its
+// capacity, or its memory use would be unbounded.
 #[test]
 fn a_holder_never_exceeds_its_capacity() {
     let mut fleet = Fleet::new(2, |cfg| cfg.custody_capacity = 10);
@@ -190,7 +190,7 @@
     }
 }
 
-// Guards against an undecodable batch that blocks its shard's roll-ups; it must be moved aside.
+// An undecodable batch must be moved aside, or it would block its shard's roll-ups.
 #[test]
 fn can_roll_up_beside_a_damaged_batch() {
     let mut fleet = fleet(2);
--- a/components/ledger/tests/support/fleet.rs
+++ b/components/ledger/tests/support/fleet.rs
@@ -49,7 +49,7 @@
     pub(crate) is_store_down: bool,
     pub(crate) daemons: Vec<Daemon>,
     pub(crate) pending: Vec<Pending>,
-    /// Writes that take effect after their caller was told that the reply was lost.
+    /// Writes that take effect after their reply was reported lost to the caller.
     pub(crate) delayed: Vec<Request>,
     /// Requests whose complete answer was released.
     pub(crate) answered: BTreeSet<u32>,
--- a/components/ledger/tests/support/fuzz.rs
+++ b/components/ledger/tests/support/fuzz.rs
@@ -10,7 +10,7 @@
 
 const DAEMONS: usize = 4;
 const REQUESTS: u32 = 16;
-/// Time to find new holders; longer than a failed holder is avoided.
+/// Time to find new holders; longer than the time for which a failed holder is avoided.
 const RECOVERY: Span = Span::from_secs(6);
 
 #[derive(Debug, Clone)]
