--- a/components/peers/src/client.rs
+++ b/components/peers/src/client.rs
@@ -4,10 +4,10 @@
 //! A message that cannot be delivered is dropped: a queue that grows while a peer is
 //! unreachable would deliver outdated state and use memory for each of hundreds of peers.
 //!
-//! A peer that does not answer may be stalled or busy, or its connection may have failed
-//! silently; only a new connection tells these apart. A connection is therefore replaced
-//! after one message or two consecutive queries without an answer. A query always ends by
-//! its deadline, whatever stage it has reached.
+//! A peer that does not answer may be stalled or busy, or its connection may have failed silently;
+//! only a new connection distinguishes these cases. A connection is therefore replaced after one
+//! message or two consecutive queries without an answer. A query always ends by its deadline,
+//! whatever stage it has reached.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/components/peers/src/handle.rs
+++ b/components/peers/src/handle.rs
@@ -39,8 +39,8 @@
         from: Sender,
         /// Content of the query.
         payload: Payload,
-        /// Channel for the reply; if it is dropped unused, the sender is told that this daemon
-        /// is overloaded.
+        /// Channel for the reply; if it is dropped unused, the sender gets the reply that this
+        /// daemon is overloaded.
         reply: Reply,
     },
 }
--- a/components/peers/src/seal.rs
+++ b/components/peers/src/seal.rs
@@ -59,7 +59,7 @@
     /// The authentication tag does not match.
     #[error("the peer holds another secret under the same key id")]
     Tag,
-    /// The sequence number was used before or is too old to tell.
+    /// The sequence number was received before, or is older than the replay window.
     #[error("the message was received before")]
     Replay,
     /// The content cannot be decoded.
@@ -140,8 +140,8 @@
 
 /// Replay window: the sequence numbers received on a connection.
 ///
-/// Guards against a recorded message that is sent again, which would otherwise be accepted
-/// twice. Queries run concurrently, so numbers may arrive slightly out of order.
+/// Without it, a recorded message that is replayed would be accepted twice. Queries run
+/// concurrently, so numbers may arrive slightly out of order.
 #[derive(Debug, Default)]
 pub(crate) struct ReplayWindow {
     highest: u32,
@@ -149,7 +149,7 @@
 }
 
 impl ReplayWindow {
-    /// Records a sequence number; fails if it was received before or is too old to tell.
+    /// Records a sequence number; fails if it was received before or is older than the window.
     pub(crate) fn accept(&mut self, number: u32) -> Result<(), Refusal> {
         if number > self.highest {
             let shift = number - self.highest;
--- a/components/peers/tests/peers.rs
+++ b/components/peers/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Messages and queries proxy daemons over loopback, also with faults on the path.
+//! Messages and queries between daemons over loopback, also with faults on the path.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -99,8 +99,8 @@
     assert_eq!((a.connects, b.received, b.connections_in), (1, 4, 1));
 }
 
-// Guards against accepting messages from a daemon of another cluster, or with another secret,
-// that was configured with this cluster's addresses by mistake. Both sides must report it.
+// A daemon of another cluster, or with another secret, was configured with this cluster's addresses
+// by mistake. Its messages must be refused, and both sides must report it.
 #[test]
 fn refuses_another_cluster_or_key() {
     let (b, inbound) = start(config("b", keys(&[1, 2], 1)));
@@ -123,8 +123,8 @@
     assert!(inbound.is_empty());
 }
 
-// Guards against refused messages during a key rotation: first all daemons accept both keys,
-// then all send with the new one, then the old one is removed.
+// During a key rotation no message may be refused: first all daemons accept both keys, then all
+// send with the new one, then the old one is removed.
 #[test]
 fn can_change_keys_without_a_stop() {
     let (a, from_b) = start(config("a", keys(&[1], 1)));
@@ -153,8 +153,8 @@
     wait_until("refusal", || b.stats().refused_key == 1);
 }
 
-// Guards against short secrets, repeated key ids and a sending key that peers do not know, and
-// against secrets in debug output.
+// Short secrets, repeated key ids and a sending key that peers do not know are rejected, and debug
+// output shows no secrets.
 #[test]
 fn rejects_invalid_keys() {
     let short = Key {
@@ -169,9 +169,9 @@
     assert!(!format!("{:?}", key(1, 77)).contains("77"));
 }
 
-// Guards against memory exhaustion by anyone who can reach the port: an announced frame of
-// gigabytes, or noise, must end the connection without a buffer being allocated, and other
-// peers must be served as before.
+// Anyone who can reach the port could exhaust the memory. An announced frame of gigabytes, or
+// noise, must end the connection without a buffer being allocated, and other peers must be served
+// as before.
 #[test]
 fn can_bear_bad_frames() {
     let (a, _) = start(config("a", keys(&[1], 1)));
@@ -209,9 +209,9 @@
     std::thread::spawn(move || std::io::copy(&mut from, &mut to));
 }
 
-// Guards against replay by an attacker on the path who resends a recorded message on the same
-// connection and on a new one. Without sequence numbers the first replay would be accepted;
-// without the challenge the second would be, even after a restart of the receiver.
+// An attacker on the path resends a recorded message on the same connection and on a new one.
+// Without sequence numbers the first replay would be accepted; without the challenge the second
+// would be, even after a restart of the receiver.
 #[test]
 fn errors_on_replayed_messages() {
     let proxy = TcpListener::bind(any_port()).unwrap();
@@ -245,8 +245,8 @@
     assert!(inbound.is_empty());
 }
 
-// A peer restarts: its connections break, then its port is closed, then a new process listens
-// on the same port. Messages sent in proxy must be dropped and counted, and later ones arrive.
+// A peer restarts: its connections break, then its port is closed, then a new process listens on
+// the same port. Messages sent in between must be dropped and counted, and later ones must arrive.
 #[test]
 fn reconnects_to_a_restarted_peer() {
     let (a, _) = start(config("a", keys(&[1], 1)));
@@ -276,8 +276,9 @@
     });
 }
 
-// Guards against unbounded memory when the receiver's control thread stalls: what does not fit
-// into its queue must be refused and counted, and the sender of a query must be told.
+// The receiver's control thread stalls. What does not fit into its queue must be refused and
+// counted, or memory use would be unbounded, and the sender of a query must get a reply that says
+// so.
 #[test]
 fn refuses_messages_beyond_the_queue() {
     let (tx, _rx) = flume::bounded(2);
@@ -302,9 +303,8 @@
     );
 }
 
-// Guards against reusing the clock offset of a daemon's previous incarnation: without a new
-// measurement the restarted daemon received no proof for half a minute that its copy of the
-// store is current.
+// The clock offset of a daemon's previous incarnation must not be reused: without a new measurement
+// the restarted daemon received no proof for half a minute that its copy of the store is current.
 #[test]
 fn measures_the_clock_of_a_restarted_peer_at_once() {
     let (a, _) = start(config("a", keys(&[1], 1)));
--- a/components/peers/tests/silence.rs
+++ b/components/peers/tests/silence.rs
@@ -111,10 +111,11 @@
 
 #[test]
 fn a_query_is_not_blocked_by_undelivered_messages() {
-    // Guards against a query that is blocked behind messages on a silent connection, each of which waits
-    // two seconds while no other peer is queried. In a fleet of 40 with silent connections, queries were
-    // outstanding for 18 to 22 s although new connections worked. The daemons that sent them were outdated
-    // by as much, and callers were refused a route that had been added up to 19 s before.
+    // A query must not wait behind messages on a silent connection: each of them waits two seconds,
+    // and no other peer is queried meanwhile. In a fleet of 40 with silent connections, queries
+    // were outstanding for 18 to 22 s although new connections worked. The daemons that sent them
+    // were outdated by as much, and callers were refused a route that had been added up to 19 s
+    // before.
     let (a, b, proxy, ..) = start_behind_proxy();
     proxy.mute();
     for _ in 0..4 {
@@ -132,7 +133,7 @@
 
 #[test]
 fn replaces_a_silent_connection() {
-    // Guards against keeping a connection that has gone silent: no update or query would reach the peer,
+    // If a connection that has gone silent were kept, no update or query would reach the peer,
     // although a new connection would work at once.
     let (a, b, proxy, _b, inbound) = start_behind_proxy();
     proxy.mute();
