--- a/components/catalogue/src/edit.rs
+++ b/components/catalogue/src/edit.rs
@@ -112,9 +112,9 @@
     /// The highest revision that any daemon reported; `None` while there are other daemons but
     /// this one lacks recent replies from them.
     ///
-    /// A daemon that was paused or partitioned off cannot tell that a store was restored from
-    /// an old copy. It would conclude that an edit was never made, or make one at a revision
-    /// that the fleet has already used.
+    /// A daemon that was paused or partitioned off cannot detect that a store was restored from an
+    /// old copy. It would conclude that an edit was never made, or make one at a revision that the
+    /// fleet has already used.
     pub fleet_revision: Option<Revision>,
 }
 
@@ -122,7 +122,7 @@
     /// Returns the reason if no verdict may be based on a store with this head.
     ///
     /// Daemons first repair a store that was restored from an older copy. A verdict before the
-    /// repair could take a lost write for one that never took effect, report a conflict with an
+    /// repair could mistake a lost write for one that never took effect, report a conflict with an
     /// entry that was replaced long ago, or reuse a revision that the fleet has seen.
     fn reason_to_wait(&self, head: Revision) -> Option<&'static str> {
         match self.fleet_revision {
--- a/components/catalogue/src/edit/query.rs
+++ b/components/catalogue/src/edit/query.rs
@@ -127,7 +127,7 @@
     /// Writes the void marker that keeps the edit from ever taking effect.
     fn void_edit(&self, snapshot: &Snapshot) -> Step {
         let revision = snapshot.head.head.revision.next();
-        // The marker needs an id other than the edit's own, or it would be taken for the edit.
+        // The marker needs an id other than the edit's own, or it would be mistaken for the edit.
         let edit_id = EditId(!self.id.0);
         let name = void_name(self.id);
         let record = Record {
--- a/components/catalogue/src/entry/service.rs
+++ b/components/catalogue/src/entry/service.rs
@@ -18,7 +18,7 @@
     /// For plain services: customers who may use the service.
     #[serde(default)]
     pub customers: Vec<CustomerId>,
-    /// For plain services: whether requests other than GET, HEAD and OPTIONS may be repeated too.
+    /// For plain services: whether requests other than GET, HEAD and OPTIONS may be retried too.
     #[serde(default)]
     pub idempotent: bool,
     /// For plain services: limits across all customers.
@@ -62,7 +62,7 @@
     /// Number of requests that the upstream runs concurrently.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Whether the upstream refuses orders with an outdated fencing number.
+    /// Whether the upstream refuses orders with an outdated fencing token.
     #[serde(default)]
     pub checks_fencing: bool,
 }
--- a/components/catalogue/src/sync/contact.rs
+++ b/components/catalogue/src/sync/contact.rs
@@ -1,11 +1,11 @@
 //! Whether this daemon knows the fleet's current revision.
 //!
-//! A daemon that has just started, was paused or was partitioned off cannot tell a store
-//! restored from an old copy from an up-to-date one. It therefore decides edits and queries
-//! only with recent replies from peers, and after many new members appeared at once, also
-//! with replies from these. Only replies from established peers count, which have been running
-//! for a while and have recent replies themselves: a peer that has just started or resumed
-//! after a pause knows no more than the daemon that asks.
+//! A daemon that has just started, was paused or was partitioned off cannot distinguish a store
+//! restored from an old copy from an up-to-date one. It therefore decides edits and queries only
+//! with recent replies from peers, and after many new members appeared at once, also with replies
+//! from these. Only replies from established peers count, which have been running for a while and
+//! have recent replies themselves: a peer that has just started or resumed after a pause knows no
+//! more than the daemon that asks.
 
 use std::collections::BTreeSet;
 
--- a/components/catalogue/src/sync/freshness.rs
+++ b/components/catalogue/src/sync/freshness.rs
@@ -200,8 +200,8 @@
     }
 
     /// Tracks the fleet size. It shrinks only while the catalogue is fresh and after
-    /// [`FLEET_MEMORY`]. Otherwise a daemon partitioned with a few others would take them for
-    /// the whole fleet once the membership has declared the rest dead.
+    /// [`FLEET_MEMORY`]. Otherwise a daemon partitioned with a few others would count them as the
+    /// whole fleet once the membership has declared the rest dead.
     pub(super) fn update_fleet_size(&mut self, now: Time) {
         let size = self.members.len();
         let max_age = self.cfg.poll_interval.times(2);
--- a/components/catalogue/src/sync/source.rs
+++ b/components/catalogue/src/sync/source.rs
@@ -25,7 +25,7 @@
 /// than a watcher.
 const STALE_POLL_FACTOR: u64 = 10;
 
-/// How long the outcome of a call is waited for before another call may be made.
+/// Timeout for the outcome of a call, after which another call may be made.
 const CALL_TIMEOUT: Span = Span::from_secs(60);
 
 /// State of the reads from the store.
@@ -127,7 +127,7 @@
         self.poll(now, effects);
     }
 
-    /// Whether the last validation is older than anti-entropy rounds should let it become.
+    /// Whether the last validation is older than it can be while anti-entropy rounds succeed.
     fn is_stale(&self, now: Time) -> bool {
         let max_age = self.cfg.poll_interval.times(5);
         self.validated_at.is_none_or(|at| now.since(at) > max_age)
--- a/components/catalogue/src/sync/transfer.rs
+++ b/components/catalogue/src/sync/transfer.rs
@@ -113,7 +113,7 @@
         for (revision, record) in self.catalogue.since(cursor) {
             let is_full =
                 size >= self.cfg.page_size.as_usize() || records.len() >= MAX_PAGE_RECORDS;
-            // Records of one revision stay on one page: the cursor could not tell them apart.
+            // Records of one revision stay on one page: the cursor could not distinguish them.
             if is_full && revision > last {
                 is_last = false;
                 break;
--- a/components/catalogue/tests/fleet/edits.rs
+++ b/components/catalogue/tests/fleet/edits.rs
@@ -63,8 +63,8 @@
     assert_eq!(differences[0].standing, Some(2.into()));
 }
 
-/// The store applies the edit but its reply is lost. If "not applied" were reported, the
-/// operator would repeat the change or assume that the old entry is still in force.
+/// The store applies the edit but its reply is lost. If "not applied" were reported, the operator
+/// would retry the change or assume that the old entry is still in force.
 #[test]
 fn can_detect_an_applied_edit_whose_reply_was_lost() {
     let mut fleet = Fleet::new(2, 3);
@@ -76,9 +76,9 @@
     assert_eq!(fleet.applied_edits.len(), 1);
 }
 
-/// The reply is lost, a read shows the old value, and only then does the write take effect.
-/// Without a fencing write of the head, both the retry and the delayed write would be applied,
-/// or a reported "not applied" would turn out false.
+/// The reply is lost, a read shows the old value, and only then does the write take effect. Without
+/// a fencing write of the head, both the retry and the delayed write would be applied, or a
+/// reported "not applied" would be false.
 #[test]
 fn can_fence_a_write_delayed_past_the_read() {
     let mut fleet = Fleet::new(2, 4);
--- a/components/catalogue/tests/rules.rs
+++ b/components/catalogue/tests/rules.rs
@@ -247,9 +247,9 @@
     }))
 }
 
-/// An entry was removed so long ago that its tombstone is gone. An older copy from a paused
-/// daemon or an old store must not bring it back. A daemon that was paused since then must
-/// drop it, although no tombstone tells it to.
+/// An entry was removed so long ago that its tombstone is gone. An older copy from a paused daemon
+/// or an old store must not bring it back. A daemon that was paused since then must drop it,
+/// although there is no tombstone for it.
 #[test]
 fn errors_removed_entry_stays_removed_without_its_tombstone() {
     let entry = kochi().remove(&name("customers/dev"));
