--- a/components/engine/src/call.rs
+++ b/components/engine/src/call.rs
@@ -169,7 +169,7 @@
 /// Whether a request may be sent on a pooled connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Reuse {
-    /// It may, and is sent again on a new connection if the pooled one was closed.
+    /// It may, and is retried on a new connection if the pooled one was closed.
     Allowed,
     /// It is sent on a new connection.
     Never,
--- a/components/engine/src/error.rs
+++ b/components/engine/src/error.rs
@@ -104,10 +104,10 @@
 /// Why an order failed, or why it is unknown whether it was carried out.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum OrderError {
-    /// The engine holds a newer fencing number: another driver has taken over.
+    /// The engine holds a newer fencing token: another driver has taken over.
     #[error("the engine holds fencing number {held}, newer than this order's")]
     Fenced {
-        /// The fencing number that the engine holds.
+        /// The fencing token that the engine holds.
         held: u64,
     },
     /// The engine refused the order.
--- a/components/engine/src/orders.rs
+++ b/components/engine/src/orders.rs
@@ -30,7 +30,7 @@
     /// Whether the engine accepts no new work.
     #[serde(default)]
     pub leaving: bool,
-    /// Fencing number of the last order.
+    /// Fencing token of the last order.
     #[serde(default)]
     pub fencing: u64,
 }
--- a/components/engine/src/plain.rs
+++ b/components/engine/src/plain.rs
@@ -51,8 +51,9 @@
 impl Client {
     /// Forwards one request, at most once.
     ///
-    /// The connection is not pooled: a plain service does not say which request it answers, so
-    /// a late answer on a reused connection would be taken for the next request's.
+    /// The connection is not pooled: a plain service does not identify the request that it answers,
+    /// so a late answer on a reused connection would be mistaken for the answer to the next
+    /// request.
     ///
     /// # Errors
     /// States what is known if no complete answer came.
--- a/components/engine/src/stream.rs
+++ b/components/engine/src/stream.rs
@@ -137,7 +137,7 @@
             return Err(self.truncated(Doubt::Reported(error.to_string())));
         }
         // A chunk of another request, sent by mistake on this connection, must not reach the
-        // caller. The attempt's id, echoed by the engine, tells them apart.
+        // caller. The attempt's id, echoed by the engine, distinguishes them.
         if chunk.id != self.attempt {
             return Err(AttemptError::Crossed {
                 got: chunk.id.into_owned(),
--- a/components/engine/tests/it/attempts.rs
+++ b/components/engine/tests/it/attempts.rs
@@ -136,9 +136,9 @@
 
 #[test]
 fn errors_as_not_run_only_when_the_engine_says_so() {
-    // Guards against making a booking twice: an engine's 503 sent after the run was taken for
-    // "not run", and the work was retried elsewhere. Only the engine's own header shows that
-    // the work was not begun.
+    // An engine's 503 sent after the run was mistaken for "not run", the work was retried
+    // elsewhere, and a booking was made twice. Only the engine's own header shows that the work was
+    // not begun.
     let engine = start();
     let marked = ask_with_fault(&engine, EngineFault::RefuseNotRun);
     assert!(matches!(marked, AttemptError::NotRun { .. }), "{marked}");
@@ -167,7 +167,7 @@
 #[test]
 fn errors_as_unknown_after_a_reset() {
     // The connection closes after the request was written, either before or after the run. The
-    // client cannot tell which, so neither may count as "not run".
+    // client cannot distinguish the two, so neither may count as "not run".
     let engine = start();
     for fault in [EngineFault::ResetBefore, EngineFault::ResetAfter] {
         let error = ask_with_fault(&engine, fault);
@@ -191,8 +191,8 @@
 
 #[test]
 fn errors_on_cut_streams() {
-    // Guards against passing off half a notice as complete because a stream stopped early.
-    // Only the end marker completes it, however it stops.
+    // Half a notice must not be passed off as complete because a stream stopped early. Only the end
+    // marker completes it, however it stops.
     let engine = start();
     let cuts = [
         (EngineFault::Truncate(3), Doubt::NoEnd),
@@ -237,8 +237,8 @@
 
 #[test]
 fn errors_on_whole_answers_cut_short() {
-    // Guards against giving a caller half a JSON text with status 200: an HTTP library may
-    // end a body of known length without an error if the connection closes early.
+    // An HTTP library may end a body of known length without an error if the connection closes
+    // early. The caller would get half a JSON text with status 200.
     let engine = start();
     let error = ask_with_fault(&engine, EngineFault::Break(2));
     let cause = Doubt::Closed;
@@ -253,8 +253,8 @@
 
 #[test]
 fn errors_on_crossed_answers() {
-    // Guards against giving a caller another customer's answer: the engine answers on the wrong
-    // connection, at once or in the middle of a stream. The echoed id shows it.
+    // The engine answers on the wrong connection, at once or in the middle of a stream. The echoed
+    // id shows it; without this check the caller would get another customer's answer.
     let engine = start();
     let crossed = [
         EngineFault::Crossed,
@@ -290,8 +290,8 @@
 
 #[test]
 fn errors_on_answers_above_the_size_limit() {
-    // Guards against running out of memory when an upstream sends an endless body or an endless
-    // line of an event stream. Both are bounded while they are read.
+    // An upstream sends an endless body or an endless line of an event stream. Both are bounded
+    // while they are read, or the process would run out of memory.
     let client = Client::new(ClientConfig {
         max_answer: ByteSize(64),
         max_event: ByteSize(64),
@@ -353,8 +353,8 @@
 
 #[test]
 fn errors_on_redirects_without_following() {
-    // Guards against running a booking twice: an upstream accepted it and also answered with a
-    // redirect, and the HTTP library sent the same body to the new location by itself.
+    // An upstream accepted a booking and also answered with a redirect. The HTTP library sent the
+    // same body to the new location by itself, and the booking ran twice.
     let engine = start();
     let location = format!("http://{}/v1/chat/completions", engine.address());
     let head = "HTTP/1.1 307 Temporary Redirect\r\ncontent-length: 0";
@@ -371,8 +371,8 @@
 
 #[test]
 fn errors_when_an_upstream_does_not_read() {
-    // Guards against waiting forever in a write: the upstream accepts the connection but reads
-    // nothing, the socket's buffers are full, and the HTTP library has no write timeout.
+    // The upstream accepts the connection but reads nothing, the socket's buffers are full, and the
+    // HTTP library has no write timeout. The write must not wait forever.
     let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
     let address = listener.local_addr().unwrap();
     let request = ChatRequest {
@@ -424,8 +424,8 @@
 
 #[test]
 fn can_go_on_after_an_upstream_closed_an_idle_connection() {
-    // Guards against failing a request that was sent on an idle connection just as the engine
-    // closed it: the engine is healthy.
+    // A request was sent on an idle connection just as the engine closed it. It must not fail,
+    // because the engine is healthy.
     let (address, connections) = serve_counting(1);
     let client = Client::default();
     for _ in 0..3 {
@@ -436,8 +436,8 @@
 
 #[test]
 fn can_give_work_that_runs_only_once_a_connection_of_its_own() {
-    // A booking sent on a pooled connection just as the engine closes it may or may not have
-    // been read. It could not be sent again, and its caller would not learn the outcome.
+    // A booking sent on a pooled connection just as the engine closes it may or may not have been
+    // read. It could not be retried, and its caller would not learn the outcome.
     let (address, connections) = serve_counting(3);
     let client = Client::default();
     block_on(client.chat(address, &request(body(false), false))).unwrap();
--- a/components/engine/tests/it/calls.rs
+++ b/components/engine/tests/it/calls.rs
@@ -42,9 +42,8 @@
 
 #[test]
 fn errors_when_another_driver_has_taken_over() {
-    // Guards against orders from a driver that was paused beyond its lease: after another
-    // driver took over, it would unload the version just loaded. The engine refuses its old
-    // fencing number.
+    // A driver was paused beyond its lease, and another driver took over. An order of the first
+    // would unload the version just loaded; the engine refuses it by its old fencing token.
     let engine = Engine::start(EngineConfig::default()).unwrap();
     let client = Client::default();
     let address = engine.address();
