--- a/components/ledger/src/replication.rs
+++ b/components/ledger/src/replication.rs
@@ -152,7 +152,7 @@
     (has_page || has_some) && !replica.is_window_full()
 }
 
-/// Whether a page without bills is due: it lists what is sealed, so that the holder can drop it,
+/// Whether a page without charges is due: it lists what is sealed, so that the holder can drop it,
 /// and shows that the sender is alive.
 fn is_refresh_due(replica: &Replica, journal: &Journal, now: Time) -> bool {
     let is_due = now.has_reached(replica.refresh_at);
--- a/components/ledger/tests/ledger.rs
+++ b/components/ledger/tests/ledger.rs
@@ -260,7 +260,8 @@
     assert_eq!(fleet.bills_of(1), 1);
 }
 
-// The outcome of a call is lost inside the process. The origin must still be sealed again.
+// The outcome of a call is lost inside the process. The origin must still be sealed again, or its
+// later bills would never reach the store.
 #[test]
 fn can_seal_after_an_outcome_is_lost() {
     let mut fleet = fleet(2);
--- a/components/node/src/control/peering.rs
+++ b/components/node/src/control/peering.rs
@@ -10,8 +10,8 @@
 use crate::shared::lock;
 
 impl Control {
-    /// Handles a message of another daemon. A query that no part answers is dropped, upon which the
-    /// sender asks another daemon.
+    /// Handles a message of another daemon. A query that no part answers is dropped; its sender is
+    /// then refused and can ask another daemon.
     pub(super) fn handle_peer(&mut self, now: Time, inbound: Inbound) {
         let (from, payload) = match inbound {
             Inbound::Message { from, payload } => (from, payload),
