--- a/bench/src/cmd/decide/barring.rs
+++ b/bench/src/cmd/decide/barring.rs
@@ -1,4 +1,4 @@
-//! Measures fingerprinting a request's content and checking whether that content is barred.
+//! Measures fingerprinting a request's content and checking whether that content is quarantined.
 
 use std::time::Instant;
 
@@ -36,17 +36,17 @@
     let mut suspects = Suspects::new(PoisonPolicy::default(), "daemon-0");
     suspects.set_fleet(DAEMONS, UPSTREAMS);
     for n in 0..DOMAIN_LOSSES {
-        let under = (0..LOST_REQUESTS)
+        let crashed = (0..LOST_REQUESTS)
             .map(|_| lost_request(rng))
             .collect::<Vec<_>>();
-        let upstream = UpstreamRun {
+        let upstream = UpstreamInstance {
             id: format!("worker-{n}").parse().expect("a name"),
             started_at: None,
         };
         let now = Time::ZERO + Span::from_secs(n);
         let started_at = Instant::now();
-        suspects.ended(now, &upstream, &under);
-        suspects.news(now);
+        suspects.upstream_crashed(now, &upstream, &crashed);
+        suspects.take_updates(now);
         record_elapsed(&mut measurements.domain_losses, started_at);
     }
     measurements.bytes = resident_bytes().unwrap_or_default().saturating_sub(before);
@@ -63,7 +63,7 @@
     measurements
 }
 
-fn lost_request(rng: &mut SmallRng) -> Under {
+fn lost_request(rng: &mut SmallRng) -> CrashedAttempt {
     let body = rng.random::<u64>().to_le_bytes();
     CrashedAttempt {
         content: Content::of("customer-7", "host.example", "POST", "/drafts/7", &body),
