--- a/components/fleet/src/clocks.rs
+++ b/components/fleet/src/clocks.rs
@@ -32,9 +32,9 @@
     /// The local time at which a report was made, or `None` if it is not newer than that daemon's
     /// previous one.
     ///
-    /// Guards against reports that are delayed and relayed as new: a dead watcher would count as
-    /// working for as long as its reports go round. The report cannot be later than the previous
-    /// one by more than the time that the reporter's own clock shows between the two.
+    /// A report is later than the previous one by at most the time between them on the reporter's
+    /// own clock. Without this bound, delayed reports would be relayed as new, and a dead watcher
+    /// would count as working for as long as its reports circulate.
     pub(crate) fn reported_at(&mut self, now: Time, report: &StoreReport) -> Option<Time> {
         let by_reported_age = now - Span::from_millis(u64::from(report.age_ms));
         let previous = self.0.get(&report.daemon);
--- a/components/fleet/src/control.rs
+++ b/components/fleet/src/control.rs
@@ -36,7 +36,7 @@
 /// once.
 const REGISTERED_DAEMONS: usize = 6;
 /// A daemon that has reached no peer by its configured seeds this long after its start writes an
-/// entry to the store so that others find it.
+/// entry to the store so that its peers find it.
 const ALONE_AFTER: Span = Span::from_millis(1_500);
 /// An unanswered request to a peer is logged as slow after this time.
 const SLOW_REQUEST: Span = Span::from_millis(1_000);
@@ -285,7 +285,8 @@
         }
     }
 
-    /// Logs a failed request. A slow one kept this daemon from asking any other peer meanwhile.
+    /// Logs a failed request. A slow one kept this daemon from sending a request to another peer
+    /// meanwhile.
     fn log_failed_request(&self, now: Time, why: &AskError) {
         let Some((peer, since)) = self.peer_sync.last_request() else {
             return;
@@ -337,8 +338,8 @@
         self.apply_changes(now, &changes, source);
     }
 
-    /// Gossips new changes once: whoever receives a change forwards it to some others, so that it
-    /// reaches every daemon within a few hops. A daemon that was left out asks for it at its next
+    /// Gossips new changes once: whoever receives a change forwards it to some peers, so that it
+    /// reaches every daemon within a few hops. A daemon that missed it requests it at its next
     /// tick.
     fn forward_changes(&mut self, now: Time, before: Revision) {
         let from_watch = self.watch_control.mode() == Mode::Watch;
@@ -434,8 +435,8 @@
         }
     }
 
-    /// Sends a heartbeat, and tells the event loop the load from peers and how current its plan is.
-    /// The plan goes first, because the validation of freshness refers to it.
+    /// Sends a heartbeat, and sends the event loop the peers' load and how current its plan is. The
+    /// plan goes first, because the validation of freshness refers to it.
     fn share_status(&mut self, now: Time) {
         self.plan();
         let watches = self.watch_works(now);
@@ -453,9 +454,9 @@
         let _ = self.traffic.commands.send(Command::PeerState(peer_state));
     }
 
-    /// Whether this daemon keeps an entry in the store by which others find it: the first few do,
-    /// and any daemon that knows no other. Every entry costs calls of the store, and each change of
-    /// one is an event for the watchers.
+    /// Whether this daemon keeps an entry in the store by which its peers find it: the first few
+    /// do, and any daemon that knows no peer. Every entry costs calls of the store, and each change
+    /// of one is an event for the watchers.
     fn needs_entry(&self, now: Time) -> bool {
         let running = now.since(Time::ZERO);
         match self.peering.daemons() {
--- a/components/fleet/src/control/freshness.rs
+++ b/components/fleet/src/control/freshness.rs
@@ -1,8 +1,9 @@
 //! How current the mirror of the store's keys is, and whether to watch the store to find out.
 //!
-//! A mirror is known to be current at a moment by a claim about no later revision than it holds,
-//! from the own watch or from another daemon. That knowledge is a lease: once it runs out, the
-//! daemon watches the store itself, whatever it hears of other watchers.
+//! A mirror was current at a moment if a claim for that moment names no later revision than the
+//! mirror holds. Claims come from the own watch or from another daemon. They validate the mirror
+//! for a limited time: once that has passed, the daemon watches the store itself, whatever it hears
+//! of other watchers.
 
 use traffic::Validation;
 use types::prelude::*;
@@ -97,13 +98,13 @@
 
     /// Adopts what peers report about the store while this daemon does not call it itself.
     ///
-    /// Guards against an outage in which the leases of living upstreams run out: a daemon that had
-    /// not noticed it would drop all of them once it hears that their entries are deleted.
+    /// In an outage the leases of live upstreams expire. A daemon that had not noticed the outage
+    /// would drop all of these upstreams once it receives the deletion of their entries.
     fn adopt_peer_view(&mut self, now: Time) {
-        let others = self.peering.peer_states();
+        let peers = self.peering.peer_states();
         match self.store_works {
-            false if others.has_watcher() => self.store_answered(now),
-            true if others.is_store_unreachable(self.daemons) => {
+            false if peers.has_watcher() => self.store_answered(now),
+            true if peers.is_store_unreachable(self.daemons) => {
                 self.store_failed("no daemon gets an answer from the store");
             }
             _ => {}
--- a/components/fleet/src/control/quarantine.rs
+++ b/components/fleet/src/control/quarantine.rs
@@ -1,4 +1,4 @@
-//! Sharing reports on request contents that crashed upstreams, and the quarantine of such contents.
+//! Sharing updates on request contents that crashed upstreams, and the quarantine of such contents.
 
 use poison::{Change, Content, ContentUpdates, Quarantine};
 use traffic::Command;
@@ -8,14 +8,14 @@
 use crate::codec::Codec;
 use crate::quarantine::QuarantineEntry;
 
-/// Reports on contents go out at most this often; the first one after a pause goes out at once.
+/// Updates on contents are sent at most this often; the first one after a pause goes out at once.
 const MIN_GOSSIP_INTERVAL: Span = Span::from_millis(50);
 
 impl<C: Codec> Control<C> {
-    /// Merges a peer's reports on contents and forwards news at once.
+    /// Merges a peer's updates on contents and forwards what is new at once.
     ///
-    /// Guards against a request that crashes an upstream at each daemon it reaches: one crash at
-    /// each of three daemons adds up to three, and every daemon must know before the caller's next
+    /// A request may crash one upstream at each daemon it reaches. One crash at each of three
+    /// daemons counts as three, and every daemon must know of them before the caller's next
     /// attempt.
     pub(super) fn merge_content_updates(&mut self, now: Time, updates: ContentUpdates) {
         let crashed = self.traffic.suspects.lock().merge_updates(now, updates);
@@ -26,7 +26,7 @@
         self.gossip_suspects(now);
     }
 
-    /// Gossips new reports on contents and logs changes of the quarantine.
+    /// Gossips new updates on contents and logs changes of the quarantine.
     pub(super) fn gossip_suspects(&mut self, now: Time) {
         if now < self.next_suspect_gossip_at {
             return;
@@ -46,8 +46,8 @@
 }
 
 impl<C: Codec> Control<C> {
-    /// Applies quarantine entries that others wrote to the store, and lifts those deleted from it
-    /// by an operator or another daemon.
+    /// Applies quarantine entries that peers wrote to the store, and lifts those deleted from it by
+    /// an operator or another daemon.
     pub(super) fn apply_quarantine_changes(&mut self, now: Time, changes: &[mirror::Change]) {
         let prefix = self.codec.quarantine_prefix();
         for change in changes {
@@ -100,7 +100,7 @@
     }
 }
 
-/// The upstreams that crashed, each with the time for which the content had run there.
+/// The upstreams that crashed, each with the time for which it had been processing the content.
 fn crash_list(quarantined: &Quarantine) -> String {
     let crashes = quarantined.crashes.iter();
     let crashes = crashes.map(|(upstream, ran)| format!("{} {}ms", upstream.id, ran.as_millis()));
--- a/components/fleet/src/control/rollouts.rs
+++ b/components/fleet/src/control/rollouts.rs
@@ -9,7 +9,7 @@
 
 /// Evidence on roll-outs is reported once per this many ticks at most.
 const REPORT_TICKS: u32 = 2;
-/// Adds one tick between two reports for this many daemons in the fleet. The two collectors then
+/// Adds one tick between two reports for this many daemons in the fleet. The two aggregators then
 /// get some 500 reports a second from a fleet of any size; 295 daemons that report at every second
 /// tick would send each of them 1,475.
 const DAEMONS_PER_TICK: usize = 50;
@@ -22,7 +22,7 @@
 
 impl<C: Codec> Control<C> {
     /// Judges the roll-outs and, when it is this daemon's turn, reports its evidence to the
-    /// collectors.
+    /// aggregators.
     pub(super) fn step_rollouts(&mut self, now: Time, is_tick: bool) {
         let services = self.rollouts.services();
         if services.is_empty() {
@@ -73,7 +73,7 @@
     }
 
     /// Fraction of a service's traffic that the upstreams of a version can take: all of it once
-    /// they are at least half as many as the others.
+    /// they are at least half as many as the remaining ones.
     fn serving_capacity(&self, service: &str, version: &str) -> f64 {
         let upstreams = self.planner.upstreams();
         let ready = upstreams.iter().filter(|upstream| {
--- a/components/fleet/src/entry.rs
+++ b/components/fleet/src/entry.rs
@@ -1,8 +1,8 @@
 //! A daemon's entry in the store: its address and the sizes of the fleet and the store.
 //!
 //! The sizes guide daemons that start after a loss of the whole fleet: a store of one page is read
-//! by every daemon at once; a larger one is read by a few of a large fleet, and the others copy it
-//! from them.
+//! by every daemon at once; in a large fleet, a larger one is read by a few daemons, and the other
+//! daemons copy it from them.
 
 use std::fmt;
 use std::net::SocketAddr;
--- a/components/fleet/src/freshness.rs
+++ b/components/fleet/src/freshness.rs
@@ -43,7 +43,7 @@
 /// Claims for one receiver.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Freshness {
-    /// The receiver's run, to whose clock the claims refer.
+    /// The receiver's process, to whose clock the claims refer.
     pub run: Incarnation,
     /// The newest claims.
     pub claims: Vec<WireClaim>,
@@ -67,7 +67,7 @@
     }
 
     /// Merges a peer's claims. Returns how many were dropped because they cannot refer to the clock
-    /// of this run.
+    /// of this process.
     pub fn merge(&mut self, now: Time, run: Incarnation, received: &Freshness) -> usize {
         if received.run != run {
             return received.claims.len();
--- a/components/fleet/src/gossip.rs
+++ b/components/fleet/src/gossip.rs
@@ -1,9 +1,9 @@
 //! Which peers receive a gossip message.
 //!
-//! In a small fleet all of them. In a large one a few, drawn each time from a partial view that
-//! changes slowly: news still crosses the fleet in a few rounds, while a daemon keeps connections
-//! to its view only. If peers were drawn from the whole fleet, each daemon would end up with a
-//! connection to nearly every other: 460 of them, and 15 MB, with 300 daemons.
+//! In a small fleet all do. In a large one a few do, drawn each time from a partial view that
+//! changes slowly: a change still reaches the whole fleet in a few rounds, while a daemon keeps
+//! connections to its view only. If peers were drawn from the whole fleet, each daemon would end up
+//! with a connection to nearly every other: 460 of them, and 15 MB, with 300 daemons.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 use rand::seq::{IndexedRandom, IteratorRandom};
 use types::prelude::*;
 
-/// A fleet of up to this many daemons is small: each sends its heartbeats to all others.
+/// A fleet of up to this many daemons is small: each daemon sends its heartbeats to all its peers.
 const SMALL_FLEET: usize = 16;
 /// Peers of the own failure domain in the view. Load at upstreams matters most there, and traffic
 /// between failure domains costs money. About as many peers send to each daemon, and their loads
@@ -26,8 +26,8 @@
 /// Peers of the local view that receive a change: each daemon sends it only once, so more peers
 /// must receive it.
 const LOCAL_CHANGE_FANOUT: usize = 5;
-/// Peers of the remote view that receive a message: news from one daemon reaches 88 others in some
-/// four rounds, at the same cost per daemon in a fleet of any size.
+/// Peers of the remote view that receive a message: a message from one daemon reaches 88 peers in
+/// some four rounds, at the same cost per daemon in a fleet of any size.
 const REMOTE_FANOUT: usize = 1;
 /// Interval at which one peer of each view is replaced: often enough that no part of the fleet
 /// stays separate from the rest, and seldom enough that few connections are opened.
@@ -45,7 +45,7 @@
 /// Kind of a gossip message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GossipKind {
-    /// A heartbeat to the own failure domain only; soon repeated.
+    /// A heartbeat to the own failure domain only; the next one follows soon.
     LocalHeartbeat,
     /// A heartbeat to all failure domains.
     Heartbeat,
@@ -53,7 +53,7 @@
     Change,
 }
 
-/// Whether every daemon of a fleet of this size sends to all others.
+/// Whether every daemon of a fleet of this size sends to all its peers.
 #[must_use]
 pub fn is_small(fleet: usize) -> bool {
     fleet <= SMALL_FLEET
--- a/components/fleet/src/heartbeat.rs
+++ b/components/fleet/src/heartbeat.rs
@@ -1,12 +1,12 @@
 //! Heartbeats: the state that a daemon sends to a few peers several times a second.
 //!
-//! Only two daemons watch the store, since every change costs a call for each watcher. The others
-//! must notice at once when no watcher is left that reaches both the store and them. Every
-//! heartbeat therefore names the daemons whose watch is known to work and the age of each report. A
-//! relay adds the time for which it held the report, and no two clocks are compared.
+//! Only two daemons watch the store, since every change costs a call for each watcher. Each of the
+//! other daemons must notice at once when no watcher is left that reaches both the store and
+//! itself. Every heartbeat therefore names the daemons whose watch is known to work and the age of
+//! each report. A relay adds the time for which it held the report, and no two clocks are compared.
 //!
 //! Fields added after the first version of the message follow behind it, so that daemons of either
-//! version read each other: an older one ignores the rest, a newer one does without it.
+//! version read each other: an older one ignores them, a newer one treats them as absent.
 //!
 //! A heartbeat also carries claims on how current copies of the store's keys are, see
 //! [`crate::freshness`].
@@ -30,8 +30,8 @@
 /// Daemons of one kind named in one heartbeat at most: two watchers are enough, the rest allows for
 /// overlaps.
 const MAX_REPORTS: usize = 4;
-/// Daemons that must get no answer from the store before others take it for unreachable: fewer may
-/// be cut off from it, and those after them in the watch order get an answer a moment later.
+/// Daemons that must get no answer from the store before their peers consider it unreachable: fewer
+/// may be cut off from it, and those after them in the watch order get an answer a moment later.
 const UNREACHABLE_REPORTS: usize = 3;
 
 /// A daemon's report on whether the store answers it.
@@ -42,9 +42,9 @@
     /// Age of the report in ms as far as relays know it, not counting the network transit between
     /// them.
     pub age_ms: u16,
-    /// The run of that daemon.
+    /// Identifies the process of that daemon; increases with each restart.
     pub run: Incarnation,
-    /// Time of the report by that daemon's own clock, in ms since its run began.
+    /// Time of the report by that daemon's own clock, in ms since its process started.
     pub clock_ms: u64,
     /// The store's revision that it held then; read by the previous release only.
     pub held: Revision,
@@ -56,13 +56,13 @@
 /// When a heartbeat was sent, by its sender's clock; read by the previous release only.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SentAt {
-    /// The sender's run.
+    /// Identifies the sender's process; increases with each restart.
     pub run: Incarnation,
-    /// Time in ms since that run began.
+    /// Time in ms since that process started.
     pub clock_ms: u64,
 }
 
-/// The state of a daemon as it tells its peers.
+/// The state of a daemon as it reports it to its peers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The store's revision that the sender holds.
@@ -188,9 +188,9 @@
 
     /// Keeps only the later of a daemon's success and failure reports.
     ///
-    /// Guards against watchers whose connections to the store go silent while those to their peers
-    /// do not: nobody would watch until their last success is too old, for 2.2 s where a change is
-    /// to be in force within 2.
+    /// Watchers may lose their connections to the store but not those to their peers. If their last
+    /// success still counted, nobody would take over until it expires after 2.2 s, but a change
+    /// must be in force within 2 s.
     fn keep_latest(&mut self) {
         let store_unreachable = &self.store_unreachable;
         self.watchers.retain(|daemon, success| {
@@ -226,8 +226,8 @@
     /// answer from it, and no watch is known to work.
     #[must_use]
     pub fn is_store_unreachable(&self, fleet: usize) -> bool {
-        let others = fleet.saturating_sub(1);
-        let needed = UNREACHABLE_REPORTS.min(others).max(1);
+        let peers = fleet.saturating_sub(1);
+        let needed = UNREACHABLE_REPORTS.min(peers).max(1);
         self.store_unreachable.len() >= needed && !self.has_watcher()
     }
 
@@ -266,9 +266,9 @@
     /// Daemons to ask for changes after revision `held`: those furthest ahead, or for a daemon that
     /// holds nothing all that hold anything.
     ///
-    /// Guards against a whole fleet that requests snapshots from the few daemons that already have
-    /// the last change: each change of the store made these others for a moment, and nobody copied
-    /// from the hundred that had a snapshot.
+    /// If a daemon without a copy asked only those furthest ahead, every change of the store would
+    /// make a restarted fleet request its snapshots from the few daemons that already have that
+    /// change, and none from the hundred others that have a snapshot.
     pub fn ahead_of(&self, held: Revision) -> impl Iterator<Item = &DaemonId> {
         let furthest = self.revisions.values().map(|revision| revision.held).max();
         let least = match held == Revision::default() {
@@ -318,7 +318,7 @@
 }
 
 /// Rank of `me` among daemons in the watch order.
-pub(crate) fn watch_rank<'a>(me: &DaemonId, others: impl Iterator<Item = &'a DaemonId>) -> usize {
+pub(crate) fn watch_rank<'a>(me: &DaemonId, peers: impl Iterator<Item = &'a DaemonId>) -> usize {
     let mine = watch_order(me);
-    others.filter(|other| watch_order(other) < mine).count()
+    peers.filter(|other| watch_order(other) < mine).count()
 }
--- a/components/fleet/src/peering.rs
+++ b/components/fleet/src/peering.rs
@@ -25,8 +25,8 @@
 /// How long a peer's heartbeat is valid in a small fleet: until three messages in a row are
 /// missing.
 const REPORT_TTL_SMALL_FLEET: Span = Span::from_millis(700);
-/// How long a peer's heartbeat is valid in a large fleet, where news takes several rounds to
-/// arrive.
+/// How long a peer's heartbeat is valid in a large fleet, where a heartbeat's content takes several
+/// rounds to arrive.
 pub(crate) const REPORT_TTL_LARGE_FLEET: Span = Span::from_millis(1_400);
 /// Heartbeats in a large fleet, and to other failure domains, are sent once per this many ticks of
 /// the control thread.
@@ -38,7 +38,7 @@
 /// A daemon that is down keeps its share of upstreams' rate limits for as long as a region may be
 /// cut off, because it may still be sending from there.
 const MAX_PARTITION: Span = Span::from_secs(600);
-/// Advertised rate limits queued for the next tick; peers repeat what does not fit.
+/// Advertised rate limits queued for the next tick; peers send what does not fit again.
 const MAX_RATE_LIMITS: usize = 1_024;
 /// New daemons are logged one by one up to this many at a time.
 const MAX_LOGGED: usize = 4;
@@ -77,7 +77,7 @@
     ServeMirror(DaemonId, SyncRequest, peers::Reply),
     /// Apply changes from a peer's mirror.
     ApplyReply(SyncReply),
-    /// Merge a peer's reports on request contents.
+    /// Merge a peer's updates on request contents.
     MergeContentUpdates(ContentUpdates),
 }
 
@@ -227,10 +227,10 @@
 
     /// The daemons that share upstreams' rate limits.
     pub(crate) fn fleet(&self, now: Time) -> Fleet {
-        let others = self.members.members();
-        let others = others.filter(|member| shares_rate_limits(now, member));
-        let others = others.map(|member| &member.record.id);
-        Fleet::new(&self.members.me().id, others)
+        let peers = self.members.members();
+        let peers = peers.filter(|member| shares_rate_limits(now, member));
+        let peers = peers.map(|member| &member.record.id);
+        Fleet::new(&self.members.me().id, peers)
     }
 
     fn apply_outcome(&mut self, outcome: Outcome) {
@@ -264,7 +264,7 @@
         }
     }
 
-    /// Gossips reports on request contents to a few peers.
+    /// Gossips updates on request contents to a few peers.
     pub(crate) fn send_suspects(&mut self, now: Time, updates: &ContentUpdates) {
         match updates.encode() {
             Ok(body) => self.send_gossip(now, Part::Poison, &body, GossipKind::Change),
@@ -342,8 +342,8 @@
     /// for the rest.
     pub(crate) fn peer_loads(&mut self, now: Time) -> HashMap<u32, (f64, u32)> {
         let mut loads = self.loads.sums(now);
-        let others = self.members.fleet_size().saturating_sub(1);
-        let share = others as f64 / self.peer_states.len().max(1) as f64;
+        let peers = self.members.fleet_size().saturating_sub(1);
+        let share = peers as f64 / self.peer_states.len().max(1) as f64;
         if share > 1.0 {
             for (backlog_ms, in_flight) in loads.values_mut() {
                 *backlog_ms *= share;
@@ -370,8 +370,8 @@
         self.aggregator.staying(order)
     }
 
-    /// Reports this daemon's evidence on a roll-out to the collectors and gossips the sessions that
-    /// stay on their version.
+    /// Reports this daemon's evidence on a roll-out to the aggregators and gossips the sessions
+    /// that stay on their version.
     pub(crate) fn report(&mut self, now: Time, own: &Evidence, staying: &BTreeSet<u32>) {
         let me = self.members.me().id.clone();
         let order = own.order;
@@ -422,9 +422,9 @@
         if !ahead.is_empty() || held > Revision::default() {
             return self.choose_peer(&ahead);
         }
-        let others = self.members.members().map(|member| &member.record);
-        let others = others.filter(|record| record.state.is_present());
-        self.choose_peer(&others.collect::<Vec<_>>())
+        let peers = self.members.members().map(|member| &member.record);
+        let peers = peers.filter(|record| record.state.is_present());
+        self.choose_peer(&peers.collect::<Vec<_>>())
     }
 
     fn choose_peer(&self, candidates: &[&MemberRecord]) -> Option<SocketAddr> {
@@ -438,7 +438,7 @@
         chosen.map(|record| record.address)
     }
 
-    /// Tells peers that this daemon leaves.
+    /// Announces to peers that this daemon leaves.
     pub(crate) fn leave(&mut self, now: Time) {
         let outcome = self.members.leave(now, &mut rand::rng());
         self.apply_outcome(outcome);
--- a/components/fleet/src/planner.rs
+++ b/components/fleet/src/planner.rs
@@ -123,8 +123,8 @@
         match codec.upstream(id, value) {
             Ok(upstream) => self.list_upstream(id, upstream, is_logged),
             Err(e) => {
-                // Bytes of another writer describe no upstream, whatever the key held before; that
-                // upstream has not lapsed either.
+                // Bytes of another writer describe no upstream, so the one listed before under this
+                // key is removed; its entry has not lapsed.
                 tracing::error!("upstreams: an entry cannot be read and is left out: {e}");
                 self.upstreams.remove(id);
                 self.unreadable.insert(id.to_owned());
@@ -135,8 +135,8 @@
 
     /// Lists an upstream by its entry.
     ///
-    /// Guards against an entry of a former run that arrives after one of the current run under the
-    /// same id: the upstream would be taken for what it was before, at its former address.
+    /// An entry of a former instance that arrives after one of the current instance under the same
+    /// id is ignored: it would bring back the upstream's former address and version.
     fn list_upstream(&mut self, id: &str, mut upstream: Upstream, is_logged: bool) {
         let held = self.upstreams.get(id).and_then(|held| held.started_at);
         if upstream.started_at.is_some() && upstream.started_at < held {
--- a/components/fleet/src/presence.rs
+++ b/components/fleet/src/presence.rs
@@ -1,4 +1,4 @@
-//! This daemon's own entry in the store, by which others find it.
+//! This daemon's own entry in the store, by which its peers find it.
 
 use std::net::SocketAddr;
 
@@ -9,8 +9,8 @@
 use crate::entry::DaemonEntry;
 use crate::event::Purpose;
 
-/// Lease of the entry. Membership notices the end of a daemon by itself, so the lease only keeps
-/// the list of addresses to join by short.
+/// Lease of the entry. Membership notices by itself that a daemon is gone, so the lease only keeps
+/// the list of addresses to join through short.
 const LEASE: Span = Span::from_secs(20);
 /// Renewal interval, three times within a lease, so that two lost answers do not end it.
 const RENEW_INTERVAL: Span = Span::from_secs(6);
--- a/components/fleet/src/quarantine.rs
+++ b/components/fleet/src/quarantine.rs
@@ -1,10 +1,10 @@
 //! Quarantine entries in the store, for daemons that start and for operators.
 //!
-//! Daemons tell each other of a quarantined request content within some hundred ms, but that
-//! knowledge is lost when they stop. Each quarantine is therefore also written to the store under
-//! its content: a daemon that starts reads it with all other keys before it serves, even if the
-//! whole fleet was lost at one moment. Operators see there what is quarantined and why, and lift a
-//! quarantine by deleting its key.
+//! Daemons gossip a quarantined request content within some hundred ms, but what they know is lost
+//! when they stop. Each quarantine is therefore also written to the store under its content: a
+//! daemon that starts reads it with all other keys before it serves, even if the whole fleet was
+//! lost at one moment. Operators see there what is quarantined and why, and lift a quarantine by
+//! deleting its key.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -21,7 +21,7 @@
 /// Delay per rank by name before a daemon writes: one write is enough, and the condition on the key
 /// makes further ones harmless.
 const WRITE_DELAY_PER_RANK: Span = Span::from_secs(1);
-/// Delay before a call for the same content is repeated.
+/// Delay before a call for the same content is retried.
 const RETRY_DELAY: Span = Span::from_secs(1);
 /// Quarantine entries in the store at most, of some 300 bytes each.
 const MAX_STORED: usize = 256;
@@ -32,20 +32,20 @@
 pub struct QuarantineEntry {
     /// The customer whose requests they are.
     pub customer: Option<Arc<str>>,
-    /// Begin of the quarantine by the writer's clock, in Unix milliseconds.
+    /// Start of the quarantine by the writer's clock, in Unix milliseconds.
     pub since: WallTime,
-    /// The upstreams that crashed, each with the time for which the content had run there.
+    /// The upstreams that crashed, each with the time for which it had been processing the content.
     #[serde(rename = "ends")]
     pub crashes: Vec<QuarantineCrash>,
 }
 
-/// An upstream that crashed while it ran a content.
+/// An upstream that crashed while it was processing a content.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct QuarantineCrash {
     /// The instance of the upstream that crashed.
     pub upstream: UpstreamInstance,
-    /// Time for which the content had run there.
+    /// Time for which it had been processing the content.
     pub ran_ms: u64,
 }
 
@@ -92,7 +92,7 @@
 pub(crate) struct QuarantineSync {
     /// Contents whose entry differs, and since when.
     mismatches: BTreeMap<Content, (Wanted, Time)>,
-    /// Contents whose calls were made, and when they may be repeated.
+    /// Contents whose calls were made, and when they may be retried.
     retry_at: BTreeMap<Content, Time>,
 }
 
--- a/components/fleet/src/snapshot.rs
+++ b/components/fleet/src/snapshot.rs
@@ -1,10 +1,10 @@
 //! Snapshots of the store's keys, copied from daemon to daemon.
 //!
-//! A fleet that starts, or that was killed, needs the store's keys at every daemon at once. If each
-//! daemon read them from the store, daemons times upstreams entries would cross its link: 300
-//! daemons before 2,800 upstreams waited 4.3 s for them. A few daemons therefore read the store and
-//! the others copy from any that has a snapshot, page by page. Each daemon serves a few snapshots
-//! at a time, so that the number of daemons with a snapshot multiplies each round.
+//! When a fleet starts, every daemon needs the store's keys at once. If each read them from the
+//! store, its link would carry one entry per daemon and upstream: 300 daemons with 2,800 upstreams
+//! waited 4.3 s for them. So a few daemons read the store, and the other daemons copy from any that
+//! has a snapshot, page by page. Each daemon serves a few snapshots at a time, so that the number
+//! of daemons with a snapshot multiplies each round.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,8 +14,8 @@
 use types::prelude::*;
 
 /// Downloads served at a time. A receiver spends most of its time processing pages. More downloads
-/// share the same link, so each takes longer, and the first one to complete can serve others only
-/// later.
+/// share the same link, so each takes longer, and the first receiver to complete can serve its
+/// peers only later.
 const MAX_DOWNLOADS: usize = 4;
 /// A receiver that requests no further page within this time has given up.
 const DOWNLOAD_IDLE: Span = Span::from_millis(400);
--- a/components/fleet/src/start.rs
+++ b/components/fleet/src/start.rs
@@ -45,7 +45,7 @@
     control: JoinHandle<()>,
 }
 
-/// Starts the daemon's threads around an event loop that already runs.
+/// Starts the daemon's threads for an event loop that is already running.
 ///
 /// # Errors
 /// When the transport between daemons or a thread cannot be started.
@@ -135,7 +135,7 @@
     Ok(calls)
 }
 
-/// Whether other daemons join by this one; a daemon without seeds may be the first.
+/// Whether other daemons join through this one; a daemon without seeds may be the first.
 fn is_seed(settings: &Settings, me: SocketAddr) -> bool {
     settings.seeds.is_empty() || settings.seeds.contains(&me)
 }
@@ -195,7 +195,7 @@
 }
 
 impl Running {
-    /// Stops the daemon: the event loop finishes its requests, then the other threads end.
+    /// Stops the daemon: the event loop finishes its requests, then the other threads stop.
     pub fn stop(self) {
         // Fails only if the event loop has already ended.
         let _ = self.commands.send(Command::Stop);
--- a/components/fleet/src/succession.rs
+++ b/components/fleet/src/succession.rs
@@ -1,4 +1,4 @@
-//! Which daemons watch the store, and in which order others take over.
+//! Which daemons watch the store, and in which order the other daemons take over.
 //!
 //! Two watchers are enough, and every call of every watch is counted. The watch order is the same
 //! at all daemons, and the first two watch. A daemon that hears of fewer than two watchers ahead of
@@ -18,8 +18,8 @@
 /// one moment do the rounds behind them matter.
 const STANDBYS: usize = 8;
 /// Daemons that try in one round. If the store refuses a third of the fleet, one of sixteen almost
-/// always gets an answer. If a failure domain is cut off from the others, one of its daemons is
-/// among them after a second round.
+/// always gets an answer. If a failure domain is cut off from the rest, one of its daemons is among
+/// those sixteen after a second round.
 const ROUND_SIZE: usize = 16;
 /// Time after its start at which a daemon knows most of a large fleet, and so its rank.
 pub const MEMBERSHIP_SETTLED_AFTER: Span = Span::from_secs(3);
@@ -49,7 +49,7 @@
 /// Decides when this daemon watches the store.
 #[derive(Debug)]
 pub struct Succession {
-    /// Whether other daemons join by this one.
+    /// Whether other daemons join through this one.
     is_seed: bool,
     /// Until this time a daemon that is not a seed only listens.
     listens_until: Time,
@@ -58,11 +58,11 @@
 }
 
 impl Succession {
-    /// Creates the state of a daemon that just started. Others join by the seeds, so seeds watch
-    /// from the start; the rest listen for `listens_for` first.
+    /// Creates the state of a daemon that just started. The other daemons join through the seeds,
+    /// so seeds watch from the start; the others listen for `listens_for` first.
     ///
-    /// Guards against a fleet that starts or was killed: no daemon has heard of a watcher or knows
-    /// its rank then, so each would begin to watch, at the cost of some calls each.
+    /// When a whole fleet starts or restarts, no daemon has heard of a watcher or knows its rank.
+    /// Without the delay, each would begin to watch, at the cost of some calls each.
     #[must_use]
     pub fn new(is_seed: bool, listens_for: Span) -> Self {
         Self {
@@ -74,14 +74,14 @@
 
     /// Decides whether this daemon watches the store.
     ///
-    /// Guards against watchers that die or are cut off: their reports stop, and the next daemons in
-    /// the order take over, whatever the membership says. A daemon that hears no peer watches at
-    /// once, since nobody would tell it of a change.
+    /// When watchers crash or are cut off, their reports stop and the next daemons in the order
+    /// take over, whatever the membership shows. A daemon that hears from no peer watches at once,
+    /// since nobody would send it changes.
     ///
     /// So does a daemon whose mirror has not been validated for long, whoever else watches. It may
-    /// hear of watchers and still get no changes: where messages cross in one direction only, where
-    /// it can reach no peer, or where the watchers lag behind themselves. It would use an old copy
-    /// for as long as that lasts.
+    /// hear of watchers and still get no changes: where messages arrive in one direction only,
+    /// where it can reach no peer, or where the watchers themselves lag behind. Without this rule
+    /// it would use an old copy for as long as that lasts.
     #[must_use]
     pub fn decide(&mut self, now: Time, input: SuccessionInput) -> Mode {
         if input.is_stale && now.since(Time::ZERO) >= MEMBERSHIP_SETTLED_AFTER {
@@ -116,7 +116,7 @@
     if input.rank < STANDBYS {
         return waited >= STANDBY_DELAY.times(input.rank as u64);
     }
-    // Reports of the standbys must arrive before others try.
+    // The standbys' reports must arrive before further daemons try.
     if waited < input.report_ttl {
         return false;
     }
--- a/components/fleet/src/watcher.rs
+++ b/components/fleet/src/watcher.rs
@@ -24,9 +24,9 @@
 
 /// Timeout of the first read, doubled up to [`MAX_READ_TIMEOUT`] after each failure.
 ///
-/// Guards against a store that is silent while a fleet starts: the first read of every daemon hung
-/// until the client's timeout of 1.5 s, though the store was back 0.3 s after the start, and all
-/// callers were refused meanwhile. A healthy store answers in 4 ms.
+/// With the client's timeout of 1.5 s, a store that was silent while a fleet started, and back 0.3
+/// s later, held up the first read of every daemon for the whole timeout, and all callers were
+/// refused meanwhile. A healthy store answers in 4 ms.
 const MIN_READ_TIMEOUT: Span = Span::from_millis(250);
 /// Longest timeout of a read: a slow store takes a hundred times its usual 4 ms.
 const MAX_READ_TIMEOUT: Span = Span::from_millis(1_000);
@@ -64,7 +64,7 @@
 pub(crate) struct Progress {
     /// Revision of the mirror.
     held: AtomicU64,
-    /// Set to end a watch.
+    /// Set to stop a watch.
     stop: Arc<AtomicBool>,
 }
 
@@ -78,7 +78,7 @@
     }
 }
 
-/// Sets the mode of the watching thread, which ends when this is dropped.
+/// Sets the mode of the watching thread, which stops when this is dropped.
 #[derive(Debug)]
 pub(crate) struct WatchControl {
     modes: flume::Sender<Mode>,
@@ -108,7 +108,7 @@
         self.progress
             .stop
             .store(mode == Mode::Rest, Ordering::Relaxed);
-        // The receiving thread ends only with the process.
+        // The receiving thread stops only with the process.
         let _ = self.modes.send(mode);
         true
     }
@@ -195,14 +195,14 @@
 
     /// Reads all keys for the first time.
     ///
-    /// A stale answer is good enough where others watch the store: they send what changed since.
+    /// A stale answer suffices where peers watch the store: they send what changed since.
     ///
-    /// Guards against a fleet that starts, or was killed, and reads a large store at every daemon
-    /// at once: 300 daemons before 2,800 upstreams served nothing for 4.3 s, while the store's link
-    /// was full. A daemon that does not read first reads one page, and waits for a peer's snapshot
-    /// if there is more. If the daemons' entries tell of a large fleet and a large store, it does
-    /// not read that page either, and daemons left without a snapshot read one after the other: 295
-    /// daemons before 640 upstreams waited 3 s and then read all at once.
+    /// Only daemons with `reads_first` read all keys right away: when all 300 daemons of a starting
+    /// fleet with 2,800 upstreams did, the store's link was full and none of them served for 4.3 s.
+    /// The other daemons read one page, and wait for a peer's snapshot if there is more. If the
+    /// daemons' entries show a large fleet and a large store, they skip that page too, and those
+    /// left without a snapshot read one after the other: 295 daemons with 640 upstreams had waited
+    /// 3 s and then all read at once.
     fn initial_read(&self, timeout: Span) -> Result<(), Failure> {
         if self.reads_first {
             let listing = self.read("", 0, timeout, false)?;
@@ -304,7 +304,7 @@
             if self.events.send(Event::StoreHealth(Ok(()))).is_err() {
                 return false;
             }
-            // A batch without changes says that the copy is current.
+            // A batch without changes shows that the copy is current.
             let current_at = self.clock.now() - Span::from(batch.current_at.elapsed());
             let event = Event::Changed {
                 after,
--- a/components/fleet/tests/it/claims.rs
+++ b/components/fleet/tests/it/claims.rs
@@ -9,7 +9,7 @@
 /// Daemons in the simulated fleet.
 const FLEET: usize = 5;
 
-/// A daemon's clock: when its run began, and how much faster than true time it runs.
+/// A daemon's clock: when its process started, and how much faster than true time it advances.
 #[derive(Debug, Clone, Copy)]
 struct DaemonClock {
     began_ms: u64,
@@ -246,8 +246,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(512))]
 
-    /// Guards against claims that grow newer on slow links, which would validate copies that lack a
-    /// change.
+    /// A claim dated too late because of a slow link would validate a copy that lacks a change.
     #[test]
     fn no_claim_validates_a_copy_past_a_missing_change(
         clocks in prop::collection::vec(clock(), FLEET),
@@ -305,8 +304,7 @@
     assert!(lost <= Span::from_millis(20), "{lost}");
 }
 
-/// Claims sent to a former run of a daemon, or dated in its future, must not count for the present
-/// run.
+/// Claims sent to a daemon before its restart, or dated in its future, must not count after it.
 #[test]
 fn claims_for_another_clock_are_dropped() {
     let (run, now) = (Incarnation(2), Time::ZERO + Span::from_secs(9));
@@ -334,8 +332,7 @@
     assert_eq!(claims.validated_at(Revision(6)), None, "behind the claim");
 }
 
-/// Guards against claims that grow newer because two clocks drift apart after their offset was
-/// measured.
+/// Two clocks drift apart after their offset was measured, which must not date a claim too late.
 #[test]
 fn clock_drift_makes_no_claim_newer() {
     let drifts = |parts_per_million| DaemonClock {
--- a/components/fleet/tests/it/control.rs
+++ b/components/fleet/tests/it/control.rs
@@ -28,8 +28,8 @@
 
 #[test]
 fn an_older_configuration_never_replaces_a_newer_one() {
-    // Guards against routes that come and go for callers when an operator writes an older
-    // configuration again by mistake, or it is read from a copy that lags.
+    // An operator writes an older configuration again by mistake, or it is read from a copy that
+    // lags. If it were applied, routes would come and go for callers.
     let memory = seeded_store();
     memory.set("table", Some("5"));
     let daemons = daemons(1, &memory);
@@ -45,8 +45,8 @@
 
 #[test]
 fn a_daemon_cut_off_from_the_store_gets_changes_from_peers() {
-    // Guards against a daemon that goes on with a revoked key, or sends to upstreams that left,
-    // while the store answers the other daemons but not this one.
+    // The store answers the other daemons but not this one, which would accept a revoked key or
+    // send to upstreams that left.
     let memory = seeded_store();
     let daemons = daemons(3, &memory);
     for daemon in &daemons {
@@ -69,8 +69,7 @@
     wait_until("met", || {
         daemons.iter().all(|daemon| daemon.state("daemons") == 2)
     });
-    // The new daemon is known to the others by its entry only, so it must write that before the
-    // cut.
+    // The new daemon is known to its peers by its entry only, so it must write that before the cut.
     let late = daemon(7, StoreLink::to(&memory));
     wait_until("met", || late.state("daemons") == 3);
     late.link.is_cut.store(true, Ordering::SeqCst);
@@ -80,8 +79,8 @@
 
 #[test]
 fn standbys_take_over_when_both_watchers_lose_the_store() {
-    // Only two daemons watch, because every change costs a call for each watcher. Guards against
-    // the others missing changes until membership notices that both are cut off.
+    // Only two daemons watch, because every change costs a call for each watcher. When both lose
+    // the store, the other daemons must not miss changes until membership notices it.
     let memory = seeded_store();
     let daemons = daemons(4, &memory);
     for daemon in &daemons {
@@ -140,8 +139,8 @@
 
 #[test]
 fn only_seeds_read_a_large_store_at_fleet_start() {
-    // Guards against a fleet that is killed and restarts at one moment: every daemon read all keys
-    // from the store, whose link was full for seconds, and none of them served meanwhile.
+    // A fleet was killed and all daemons restarted at once: each read all keys from the store,
+    // whose link was full for seconds, and none of them served meanwhile.
     let memory = seeded_store();
     for n in 0..2_000 {
         let value = format!("v{n} {}", "x".repeat(200));
@@ -162,9 +161,9 @@
 
 #[test]
 fn a_restarted_large_fleet_copies_a_large_store_from_peers() {
-    // Guards against a large fleet that loses power and returns at one moment: each daemon read a
-    // first page of a store with many upstreams, waited 3 s for a copy, and then all read the whole
-    // at once. Callers were refused for 1.3 s at the median daemon and 4.3 s at the worst.
+    // A large fleet lost power and restarted at once: each daemon read the first page of a store
+    // with many upstreams, waited 3 s for a copy, and then all of them read the whole store at
+    // once. Callers were refused for 1.3 s at the median daemon and 4.3 s at the worst.
     let memory = seeded_store();
     for n in 0..600 {
         memory.set(&format!("upstream/u{n:03}"), Some("v1"));
@@ -174,13 +173,13 @@
     let first = daemon_at(0, StoreLink::to(&memory), seed, vec![seed]);
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     // None of these names hashes to one of the few daemons that read the store first.
-    let others = [1, 2, 3].map(|n| daemon_at(n, StoreLink::to(&memory), any, vec![seed]));
-    for daemon in others.iter().chain([&first]) {
+    let peers = [1, 2, 3].map(|n| daemon_at(n, StoreLink::to(&memory), any, vec![seed]));
+    for daemon in peers.iter().chain([&first]) {
         wait_until("ready", || {
             daemon.is_ready() && daemon.state("upstreams") == 601
         });
     }
-    let read = others.map(|daemon| daemon.link.keys_read.load(Ordering::SeqCst));
+    let read = peers.map(|daemon| daemon.link.keys_read.load(Ordering::SeqCst));
     assert!(read.iter().all(|keys| *keys <= 6), "{read:?} keys");
 }
 
@@ -211,8 +210,8 @@
 
 #[test]
 fn an_unreadable_upstream_entry_is_left_out_and_the_others_stay() {
-    // Another program writes under an upstream's key. Guards against callers being sent to the
-    // upstream's former address, or nowhere if the whole list were dropped.
+    // Another program writes under an upstream's key. Requests must not go on to the upstream's
+    // former address, and the other upstreams must stay listed.
     let memory = seeded_store();
     memory.set("upstream/u2", Some("v1"));
     let daemons = daemons(1, &memory);
@@ -227,8 +226,8 @@
 
 #[test]
 fn an_entry_of_a_former_instance_does_not_replace_the_current_one() {
-    // An upstream restarts under its id with another version, and a delayed entry of its former run
-    // arrives last. Guards against requests being routed by that entry.
+    // An upstream restarts under its id with another version, and a delayed entry of its former
+    // instance arrives last. Requests must not be routed by that entry.
     let memory = seeded_store();
     memory.set("upstream/u1", Some("v2@8"));
     let daemons = daemons(1, &memory);
@@ -246,9 +245,9 @@
 
 #[test]
 fn the_first_read_of_a_silent_store_is_retried_soon() {
-    // Guards against a fleet that is killed while the store is silent and starts before it is back:
-    // the first read hung for the client's whole timeout, and callers were refused for 1.2 s after
-    // the store's return.
+    // A fleet was killed while the store was silent and restarted before it was back: the first
+    // read hung for the client's whole timeout, and callers were refused for 1.2 s after the
+    // store's return.
     let memory = seeded_store();
     let link = StoreLink::to(&memory);
     link.is_cut.store(true, Ordering::SeqCst);
@@ -272,8 +271,8 @@
 
 #[test]
 fn a_delayed_store_answer_does_not_validate_a_copy() {
-    // Guards against store answers that wait seconds until a busy host reads them: a route added
-    // meanwhile was refused as unknown.
+    // A busy host read a store answer seconds after it arrived and treated it as current: a route
+    // added meanwhile was refused as unknown.
     let memory = MemoryStore::default();
     memory.set("table", Some("1"));
     let link = StoreLink::to(&memory);
--- a/components/fleet/tests/it/freshness.rs
+++ b/components/fleet/tests/it/freshness.rs
@@ -1,4 +1,4 @@
-//! No daemon takes an old copy of the configuration for a current one.
+//! No daemon treats an old copy of the configuration as current.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -61,8 +61,8 @@
     }
 }
 
-/// Guards against a validation for a new configuration that reaches the event loop before its plan:
-/// new routes were refused as unknown by the old configuration.
+/// The validation of a new configuration reached the event loop before its plan, and new routes
+/// were refused as unknown by the old configuration.
 #[test]
 fn validation_never_precedes_its_configuration() {
     let memory = MemoryStore::default();
@@ -182,8 +182,7 @@
     (first, start(link, second_settings))
 }
 
-/// Guards against a host that receives messages late and counts a superseded configuration as
-/// current.
+/// A host that receives messages late must not count a superseded configuration as current.
 #[test]
 fn a_slow_link_makes_no_validation_newer() {
     let delay = Duration::from_millis(700);
--- a/components/fleet/tests/it/gossip.rs
+++ b/components/fleet/tests/it/gossip.rs
@@ -1,4 +1,4 @@
-//! Choice of gossip recipients: few connections, and news that still crosses the fleet.
+//! Choice of gossip recipients: few connections, and messages that still reach the whole fleet.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -33,8 +33,8 @@
 
 #[test]
 fn a_daemon_contacts_few_peers_of_a_large_fleet() {
-    // Guards against recipients drawn from the whole fleet each time: a connection stays open while
-    // it is used, and after half a minute each of 300 daemons held one to nearly every other.
+    // A connection stays open while it is used. With recipients drawn from the whole fleet each
+    // time, each of 300 daemons held one to nearly every other after half a minute.
     let rng = &mut StdRng::seed_from_u64(1);
     let peers = peers_of(0, FLEET);
     let mut view = GossipView::default();
--- a/components/fleet/tests/it/harness.rs
+++ b/components/fleet/tests/it/harness.rs
@@ -70,8 +70,8 @@
         Ok(table.expect("without routes"))
     }
 
-    /// Decodes a version, followed by `@` and the start of the run if given; a question mark is
-    /// unreadable.
+    /// Decodes a version, followed by `@` and the start of the instance if given; a question mark
+    /// is unreadable.
     fn upstream(&self, id: &str, value: &Bytes) -> Result<Upstream, DecodeError> {
         let text = String::from_utf8_lossy(value);
         if text.starts_with('?') {
@@ -238,7 +238,8 @@
 }
 
 impl Daemon {
-    /// Records that an upstream crashed soon after it began to run a content of this daemon.
+    /// Records that an upstream crashed soon after it began to process a content sent by this
+    /// daemon.
     pub fn upstream_crashes(&self, upstream: &str, content: Content) {
         let upstream = UpstreamInstance {
             id: UpstreamId::new(upstream).expect("a name"),
--- a/components/fleet/tests/it/heartbeats.rs
+++ b/components/fleet/tests/it/heartbeats.rs
@@ -31,9 +31,9 @@
 
 #[test]
 fn a_daemon_without_a_copy_asks_any_peer_with_one() {
-    // Guards against a restarted fleet that copies from the few daemons with the last change only.
-    // When a key changed, just the watcher had that change for a moment; all others wanted their
-    // copy from it, it served two at a time, and callers were refused for a second more.
+    // In a restarted fleet, daemons copied only from those with the last change. When a key
+    // changed, just the watcher had that change for a moment: all others requested their copy from
+    // it, it served two at a time, and callers were refused for a second longer.
     let mut states = PeerStates::default();
     for (n, held) in [7, 7, 8, 0].into_iter().enumerate() {
         states.take(Time::ZERO, &daemon(n), &holding(held), REPORT_TTL);
@@ -77,10 +77,9 @@
 
 #[test]
 fn a_watcher_without_store_answers_no_longer_counts() {
-    // Guards against watchers whose connections to the store go silent while those to their peers
-    // do not, just as a key is revoked. Others trusted the watchers' last success until it was too
-    // old, and accepted the revoked key for more than the two seconds within which a change must be
-    // in force.
+    // The watchers lost their connections to the store, but not those to their peers, just as a key
+    // was revoked. Their peers trusted the watchers' last success until it expired, and accepted
+    // the revoked key for more than the two seconds within which a change must be in force.
     let now = at(10_000);
     let mut states = PeerStates::default();
     let works = with_watchers(vec![relayed(&report(4, 5_000), 100)]);
@@ -104,10 +103,9 @@
 
 #[test]
 fn relayed_reports_of_a_dead_watcher_expire() {
-    // Guards against the last report of a dead watcher going round while messages are delayed for
-    // seconds. Each relay adds the time for which it held the report but not the transit time, so
-    // every daemon believed in the watcher for as long as the report went round, and nobody
-    // watched.
+    // The last report of a dead watcher circulated while messages were delayed for seconds. Each
+    // relay adds the time for which it held the report but not the transit time, so every daemon
+    // counted the watcher as working for as long as the report circulated, and nobody watched.
     let mut states = PeerStates::default();
     let last = report(4, 5_000);
     states.take(
@@ -139,7 +137,7 @@
 
 #[test]
 fn the_store_is_unreachable_only_if_several_daemons_get_no_answer() {
-    // Leases of upstreams run out in an outage. A daemon that does not watch must know of the outage
+    // Leases of upstreams expire in an outage. A daemon that does not watch must know of the outage
     // to keep them. If it took the loss or partition of both watchers for an outage, it would send
     // to upstreams that left.
     let now = Time::ZERO + Span::from_secs(10);
@@ -175,8 +173,8 @@
 
 #[test]
 fn a_watcher_reported_in_late_messages_still_counts() {
-    // Guards against busy hosts that read messages late and take the store for unreachable though
-    // watchers are answered.
+    // Busy hosts that read messages late must not consider the store unreachable while it answers
+    // the watchers.
     let mut states = PeerStates::default();
     for ms in (20_000..22_000).step_by(200) {
         states.take(at(ms), &daemon(5), &with_watchers(vec![]), REPORT_TTL);
--- a/components/fleet/tests/it/memory.rs
+++ b/components/fleet/tests/it/memory.rs
@@ -86,7 +86,7 @@
     memory: MemoryStore,
     /// Fails every call while set.
     pub is_cut: Arc<AtomicBool>,
-    /// Number of watches begun.
+    /// Number of watches started.
     pub watches: Arc<AtomicUsize>,
     /// Number of reads of all keys.
     pub whole_reads: Arc<AtomicUsize>,
--- a/components/fleet/tests/it/quarantine.rs
+++ b/components/fleet/tests/it/quarantine.rs
@@ -30,9 +30,9 @@
 
 #[test]
 fn one_crash_at_each_of_three_daemons_quarantines_a_content_on_all() {
-    // A caller's retries reach three daemons, and an upstream crashes at each. Guards against each
-    // daemon counting only its own crash, which does not quarantine the content, while the caller's
-    // next retry may reach any daemon.
+    // A caller's retries reach three daemons, and an upstream crashes at each. One crash alone does
+    // not quarantine the content, so the daemons must add up their crashes: the caller's next retry
+    // may reach any of them.
     let daemons = ready_daemons(4, &seeded_store());
     let poison = content("poison");
     for (n, daemon) in daemons.iter().take(3).enumerate() {
@@ -59,8 +59,9 @@
 
 #[test]
 fn a_restarted_daemon_loads_quarantines_before_it_is_ready() {
-    // Guards against losing a quarantine when all daemons lose power at once during such a
-    // request's retries: what they told each other is gone, and the caller goes on.
+    // All daemons lose power at once while a caller retries a request that crashes upstreams. What
+    // they gossiped is lost, but the caller goes on retrying, so the quarantine must be restored
+    // from the store.
     let memory = seeded_store();
     let poison = content("poison");
     {
--- a/components/fleet/tests/it/rate_limits.rs
+++ b/components/fleet/tests/it/rate_limits.rs
@@ -29,8 +29,8 @@
 
 #[test]
 fn a_partitioned_daemon_keeps_its_share_of_rate_limits() {
-    // Guards against both sides of a partition taking over the other's share, and together sending
-    // twice what is allowed.
+    // If each side of a partition took over the other's share, they would together send twice what
+    // is allowed.
     let now = Time::ZERO + Span::from_secs(1_000);
     let down = |ago: u64| member(State::Down, now - Span::from_secs(ago));
     assert!(shares_rate_limits(now, &down(0)));
--- a/components/fleet/tests/it/snapshots.rs
+++ b/components/fleet/tests/it/snapshots.rs
@@ -67,9 +67,9 @@
 
 #[test]
 fn a_snapshot_of_pages_from_different_moments_misses_no_change() {
-    // Encoded pages are kept for a moment, since encoding them takes long. Guards against pages
-    // older than the snapshot's revision: a change between the two would never arrive, and a
-    // revoked key or an upstream that left would stay at that daemon for good.
+    // Encoded pages are cached briefly, since encoding them takes long, so a page may be older than
+    // the snapshot's revision. A change between the two must not be lost: a revoked key or an
+    // upstream that left would stay at that daemon for good.
     for seed in 0..200 {
         let rng = &mut StdRng::seed_from_u64(seed);
         let items = (0..KEYS as u64).map(|n| Change {
--- a/components/fleet/tests/it/succession.rs
+++ b/components/fleet/tests/it/succession.rs
@@ -44,8 +44,8 @@
 
 #[test]
 fn a_store_outage_does_not_make_the_whole_fleet_watch() {
-    // Guards against an outage of eight seconds in which all of 295 daemons asked the store a few
-    // times a second within half a second of the loss; each call is counted, answered or not.
+    // Half a second into an outage of eight seconds, all of 295 daemons were calling the store a
+    // few times a second. Each call is counted, answered or not.
     let watch_attempts = watch_attempts(|_| true, 30);
     let most = watch_attempts.iter().map(Vec::len).max().unwrap();
     assert!(most <= 24, "{most} daemons asked side by side");
@@ -72,16 +72,16 @@
 
 #[test]
 fn only_seeds_watch_at_fleet_start() {
-    // Guards against all daemons of a fleet that starts at one moment watching because they know
-    // nobody: some 1,600 calls before the first caller came.
+    // All daemons of a fleet that started at once watched because they knew no peer: some 1,600
+    // calls before the first request came.
     let watch_attempts = watch_attempts(|rank| rank % 100 == 7, 1);
     assert!(watch_attempts.concat().iter().all(|rank| rank % 100 == 7));
 }
 
 #[test]
 fn new_daemons_wait_until_they_know_their_rank() {
-    // Guards against new daemons that know few others and take themselves for the first ones: 1.4 s
-    // after their start 108 of 295 daemons began to watch beside the seeds.
+    // New daemons that knew few peers ranked themselves among the first: 1.4 s after their start,
+    // 108 of 295 daemons began to watch beside the seeds.
     let mut succession = Succession::new(false, REPORT_TTL);
     for ms in [1_400, 2_000, 2_900] {
         assert_eq!(succession.decide(at(ms), without_watchers(1)), Mode::Rest);
@@ -95,8 +95,8 @@
 
 #[test]
 fn a_small_fleet_without_its_seeds_watches_soon() {
-    // The seeds are dead, the others know each other at once, and a change must be in force within
-    // two seconds.
+    // The seeds are dead, the other daemons know each other at once, and a change must be in force
+    // within two seconds.
     let small = SuccessionInput {
         fleet: 9,
         ..without_watchers(0)
@@ -108,7 +108,7 @@
 #[test]
 fn an_isolated_daemon_watches_at_once() {
     // A daemon cut off from all peers but not from the store must watch whatever its rank, since
-    // nobody else would tell it of a change.
+    // nobody else would send it a change.
     let alone = SuccessionInput {
         hears_peers: false,
         ..without_watchers(200)
@@ -137,9 +137,8 @@
 
 #[test]
 fn a_daemon_with_a_stale_copy_watches_whoever_else_does() {
-    // Guards against a daemon that hears of two watchers over connections opened by others while
-    // its own requests get no answer: it rested, and refused routes that had been added 20 s
-    // before.
+    // A daemon heard of two watchers over connections that its peers had opened, while its own
+    // requests got no answer. It did not watch, and refused routes that had been added 20 s before.
     let with_watchers = SuccessionInput {
         before: 2,
         ..without_watchers(77)
