--- a/components/dispatch/src/affinity.rs
+++ b/components/dispatch/src/affinity.rs
@@ -36,10 +36,9 @@
     /// cost of prefilling the shared parts again, and `cross_domain_ms` that of going to
     /// another failure domain.
     ///
-    /// Only one upstream is expected to have the parts cached. Guards against prompts that are
-    /// prefilled at each of their preferred upstreams: with all three expected to have the
-    /// parts, load and locality decided among them at each daemon. With one, a fifth fewer
-    /// shared tokens are prefilled again.
+    /// Only one upstream is expected to have the parts cached. When all three preferred ones were,
+    /// each daemon decided among them by load and locality, and all three prefilled the prompt.
+    /// With one, a fifth fewer shared tokens are prefilled again.
     pub(crate) fn new(
         candidates: &[Candidate<'_>],
         local: &[usize],
@@ -95,7 +94,7 @@
         .collect()
 }
 
-/// Number of tokens in the parts that a prompt shares with others.
+/// Number of tokens in the parts that a prompt shares with other prompts.
 pub(crate) fn shared_tokens(requirements: &Requirements<'_>) -> u32 {
     let shared = requirements.parts.len().saturating_sub(1);
     requirements
--- a/components/dispatch/src/backlog.rs
+++ b/components/dispatch/src/backlog.rs
@@ -1,4 +1,4 @@
-//! Requests sent to an upstream that have not begun to be answered.
+//! Requests sent to an upstream whose answers have not started.
 
 use std::collections::VecDeque;
 
@@ -10,7 +10,7 @@
     expected_ms: f64,
 }
 
-/// Requests that an upstream has not begun to answer, in the order in which they were sent.
+/// Requests that an upstream has not started to answer, in the order in which they were sent.
 #[derive(Debug, Default)]
 pub(crate) struct Backlog {
     waiting: VecDeque<Waiting>,
--- a/components/dispatch/src/budget.rs
+++ b/components/dispatch/src/budget.rs
@@ -1,10 +1,10 @@
 //! Retry budget of a service.
 //!
-//! Retries overload a service that is already failing, so the fleet may send only a share of
-//! the callers' requests again, over a sliding window. A retry here is any request sent once
-//! more, after a failure or to a larger model. Each daemon keeps to that share of its own
-//! requests and its part of a fixed allowance, so the sum over all daemons keeps the bound
-//! without messages, even while some are cut off.
+//! Retries overload a service that is already failing, so over a sliding window the fleet may retry
+//! only a share of the callers' requests. A retry here is any further send of a request, after a
+//! failure or to a larger model. Each daemon keeps to that share of its own requests and its part
+//! of a fixed allowance, so the sum over all daemons keeps the bound without messages, even while
+//! some are cut off.
 
 use std::collections::VecDeque;
 
--- a/components/dispatch/src/choose.rs
+++ b/components/dispatch/src/choose.rs
@@ -1,13 +1,13 @@
 //! Choice of the upstream for a request.
 //!
-//! For engines, the cost of an upstream is the expected time until the first event: the
-//! requests sent there that have not begun to answer, and the part of the prompt that the
-//! engine must prefill. All daemons agree on a preferred engine of each shared prefix by
-//! rendezvous hashing, so a prefix that one daemon had cached there serves the others too; a
-//! preferred engine with a long backlog loses to others. For plain services, the cost follows
-//! from the outstanding requests. A few random candidates are compared as well, so that daemons
-//! do not all act on the same view. Upstreams in the daemon's own failure domain are sampled
-//! more often and cost less.
+//! For engines, the cost of an upstream is the expected time until the first event: the requests
+//! sent there whose answers have not started, and the part of the prompt that the engine must
+//! prefill. All daemons agree on a preferred engine of each shared prefix by rendezvous hashing, so
+//! a prefix cached there for one daemon's request serves its peers' requests too. If the preferred
+//! engine has a long backlog, another one is cheaper and is chosen. For plain services, the cost
+//! follows from the outstanding requests. A few random candidates are compared as well, so that
+//! daemons do not all act on the same view. Upstreams in the daemon's own failure domain are
+//! sampled more often and cost less.
 
 use rand::seq::SliceRandom;
 use rand::{Rng, RngExt};
@@ -28,8 +28,8 @@
 const RANDOM_CANDIDATES_LONG: usize = 12;
 /// Prefill time from which a prompt counts as long, in ms.
 const LONG_PREFILL_MS: f64 = 250.0;
-/// Delay caused by each request that an engine runs, in ms: a batch's step grows by about a
-/// hundredth of a millisecond per request, and an answer has some hundred steps.
+/// Delay caused by each request that an engine is processing, in ms: a batch's step grows by about
+/// a hundredth of a millisecond per request, and an answer has some hundred steps.
 const RUNNING_REQUEST_MS: f64 = 2.0;
 /// Factor by which an upstream that just started is slower.
 const COLD_FACTOR: f64 = 2.0;
@@ -49,9 +49,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("{}", self.reason())]
 pub enum NoUpstream {
-    /// No upstream is listed that the request may run on.
+    /// No upstream is listed that the request may be sent to.
     Unknown,
-    /// All upstreams that the request may run on were tried.
+    /// All upstreams that the request may be sent to were tried.
     Tried,
     /// The rate limits of all remaining upstreams allow no request now.
     Limited {
--- a/components/dispatch/src/evidence.rs
+++ b/components/dispatch/src/evidence.rs
@@ -24,9 +24,9 @@
     pub bad: u32,
     /// Answers that broke off or never came.
     pub broken: u32,
-    /// Answers that began, whether or not they ended.
+    /// Answers that started, whether or not they ended.
     pub begun: u32,
-    /// Those of them that began much later than expected.
+    /// Those of them that started much later than expected.
     pub slow: u32,
     /// Requests outstanding now.
     pub out: u32,
@@ -42,10 +42,10 @@
     /// Records the start of an answer and whether it is slow compared with the time expected by
     /// `load`.
     ///
-    /// Counting starts guards against a slow version whose streams have not ended when it is
-    /// judged: of 68 requests that it got in 16 s, 16 had ended, the fast ones. Expecting the
-    /// whole prompt to be prefilled, wherever it went, guards against a good version that looks
-    /// slow because its upstreams are new and have no prompts cached yet.
+    /// Starts are counted, not ends, since a slow version's streams may not have ended when it is
+    /// judged: of 68 requests that one got in 16 s, 16 had ended, the fast ones. The expected time
+    /// is that of prefilling the whole prompt, wherever it was sent: otherwise a good version would
+    /// look slow because its new upstreams have no prompts cached yet.
     pub fn record_answer_start(&mut self, measured_ms: f64, load: &Load) {
         self.begun += 1;
         let expected_ms = load.wait_ms + load.expected_uncached_ms;
@@ -80,9 +80,8 @@
     }
 }
 
-/// Number of request kinds, each of which is compared only with its own. Some kinds fail far
-/// more often than others whatever the version, and a mix of them would hide a version that
-/// fails.
+/// Number of request kinds, each of which is compared only with its own. Some kinds fail far more
+/// often than the rest whatever the version, and a mix of kinds would hide a version that fails.
 pub const REQUEST_KINDS: usize = 3;
 
 /// Returns the position of a kind of request, below [`REQUEST_KINDS`].
--- a/components/dispatch/src/health.rs
+++ b/components/dispatch/src/health.rs
@@ -32,7 +32,7 @@
     Silent,
     /// The upstream could not be reached.
     Unreachable,
-    /// The upstream said that it did not run the request.
+    /// The upstream reported that it did not process the request.
     Refused,
     /// Another instance now has the upstream's address.
     Replaced,
--- a/components/dispatch/src/lapsed.rs
+++ b/components/dispatch/src/lapsed.rs
@@ -11,10 +11,10 @@
 
 /// Upstreams whose entry disappeared while the store was unreachable or shortly after.
 ///
-/// Guards against an outage that lets the leases of live upstreams expire: all of them would
-/// disappear at once, and every request would be refused though they serve. The grace period is
-/// counted from the store's return, so that an upstream which really left while only this
-/// daemon was cut off gets no requests after it.
+/// An outage lets the leases of live upstreams expire. If all of them were dropped, every request
+/// would be refused though they serve, so they are kept for a grace period. It counts from the
+/// store's return, so that an upstream which really left while only this daemon was cut off gets no
+/// requests after it.
 #[derive(Debug)]
 pub struct LapsedUpstreams {
     relisted_within: Span,
--- a/components/dispatch/src/pins.rs
+++ b/components/dispatch/src/pins.rs
@@ -32,8 +32,9 @@
     /// Records that a session is served by a version and stays on it until `used_until` at
     /// least.
     ///
-    /// Set at a request's start for as long as it may run, and at its end for as long as the
-    /// session may then be idle, which is counted from the end of its last request.
+    /// Called when a request starts, with the latest time at which it may end, and when it ends,
+    /// with the end of the time that the session may be idle, which counts from its last request's
+    /// end.
     pub fn set(&mut self, now: Time, session: u64, version: &Arc<str>, used_until: Time) {
         if self.pins.len() >= MAX_PINS {
             self.pins.retain(|_, pin| now < pin.used_until);
--- a/components/dispatch/src/policy.rs
+++ b/components/dispatch/src/policy.rs
@@ -8,17 +8,16 @@
 
 /// Share of a prompt's prefill time that is charged for each stream running beside it.
 ///
-/// An engine prefills in chunks and makes one token of every stream between two of them. A
-/// chunk of a long prompt takes the largest model 0.4 s, so an event of six tokens takes 2.4 s
-/// where 1.5 s are allowed. The charge collects long prompts where few streams run, and keeps
-/// streams away from where long prompts wait.
+/// An engine prefills in chunks and makes one token of every stream between two of them. A chunk of
+/// a long prompt takes the largest model 0.4 s, so an event of six tokens takes 2.4 s where 1.5 s
+/// are allowed. The charge moves long prompts to engines with few streams, and streams away from
+/// engines where long prompts wait.
 const PREFILL_DELAY_SHARE: f64 = 0.08;
 /// Factor by which the silence of an upstream with outstanding requests counts as cost.
 ///
-/// Guards against an engine that makes no progress: it prefills a long prompt of another
-/// daemon, or its host is unreachable. A request sent there waits as long as its streams do,
-/// and no backlog known to this daemon shows that. The factor is 2 since the upstream may stay
-/// silent for as long again.
+/// A silent engine makes no progress: it prefills a long prompt of another daemon, or its host is
+/// unreachable. A request sent there waits as long as its streams do, and no backlog known to this
+/// daemon shows that. The factor is 2 since the upstream may stay silent for as long again.
 const SILENCE_COST_FACTOR: f64 = 2.0;
 /// Extra cost of an upstream in another failure domain, in ms.
 ///
@@ -37,9 +36,9 @@
 /// Share of the used budget that escalations to a larger model may take; the rest is reserved
 /// for retries after failures.
 ///
-/// Guards against a crash of many engines that leaves no budget for escalations: the retries of
-/// the failed requests count for the whole window. With 0.8 of 0.85, a seventh of all
-/// low-confidence answers were kept for eight seconds after half of 112 engines had crashed.
+/// The rest must be small, since after a crash of many engines the retries of the failed requests
+/// count for the whole window and leave little budget for escalations. With 0.8 of 0.85, a seventh
+/// of all low-confidence answers were kept for eight seconds after half of 112 engines had crashed.
 const ESCALATION_BUDGET_SHARE: f64 = 0.95;
 
 /// Settings of the decisions in this crate.
@@ -79,7 +78,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlacingPolicy {
-    /// Whether prompts are sent where others with the same prefix went (cache affinity).
+    /// Whether prompts are sent where earlier ones with the same prefix went (cache affinity).
     pub uses_homes: bool,
     /// Whether the outstanding requests of other daemons count.
     pub counts_others: bool,
@@ -111,7 +110,7 @@
 pub struct TimingPolicy {
     /// Whether a request leaves a silent upstream for another.
     pub leaves_silent: bool,
-    /// Whether engines are told which requests to run first.
+    /// Whether requests carry a rank by which engines decide which to process first.
     pub ranks: bool,
     /// Whether a request that arrives before the first configuration waits a moment for it.
     pub waits_for_configuration: bool,
--- a/components/dispatch/src/prefill.rs
+++ b/components/dispatch/src/prefill.rs
@@ -10,7 +10,7 @@
 const DEFAULT_TOKEN_MS: f64 = 0.02;
 /// Least weight of a new sample: about the last twenty count.
 const MIN_SAMPLE_WEIGHT: f64 = 0.05;
-/// Cap of a sample as a multiple of the expected time, for a request that waited behind others
+/// Cap of a sample as a multiple of the expected time, for a request that waited behind requests
 /// that this daemon does not see.
 const MAX_SAMPLE_FACTOR: f64 = 3.0;
 
--- a/components/dispatch/src/rate_limits.rs
+++ b/components/dispatch/src/rate_limits.rs
@@ -9,8 +9,8 @@
 use crate::choose::NoUpstream;
 use crate::upstreams::{Entry, UpstreamIndex, Upstreams};
 
-/// Longest time for which an upstream that refused is left alone, whatever it asked for:
-/// others' requests end, and it may have room sooner than it expected.
+/// Longest time for which an upstream that refused is left alone, whatever pause it asked for:
+/// other requests end there, and it may have room sooner than it expected.
 const MAX_BACKOFF: Span = Span::from_secs(5);
 
 impl Upstreams {
@@ -92,8 +92,7 @@
 
     /// Retains the upstreams whose rate limits allow a request now.
     ///
-    /// # Errors
-    /// When none does; says when one will.
+    /// # Errors When none does, with the time at which one will.
     pub(crate) fn retain_admitted(
         &self,
         now: Time,
--- a/components/dispatch/src/requirements.rs
+++ b/components/dispatch/src/requirements.rs
@@ -27,7 +27,7 @@
     pub parts: &'a [PromptPart],
     /// Length of the whole prompt in tokens.
     pub prompt_tokens: u32,
-    /// Versions that the request may run on.
+    /// Versions that the request may be sent to.
     pub permit: &'a Permit,
     /// Upstreams that are not tried again.
     pub exclude: &'a [UpstreamIndex],
--- a/components/dispatch/src/trial.rs
+++ b/components/dispatch/src/trial.rs
@@ -1,11 +1,11 @@
 //! Canary roll-out of a new version of a service, and the judgement of that version.
 //!
-//! A version can be bad from its start, after a while, under load or on one route, and one that
-//! is bad only under more load than there is shows nothing at all. So the operators' bound on
-//! the requests that a bad version may get is enforced by count, whatever the judgement: the
-//! new version has a small canary share until all requests still to come fit into the bound,
-//! and then gets everything, a second or two before the time is up. The judgement compares both
-//! versions over the same time, because upstreams also fail for other reasons ([`judge`]).
+//! A version can be bad from its start, after a while, under load or on one route, and one that is
+//! bad only under more load than there is shows nothing at all. So the operators' bound on the
+//! requests that a bad version may get is enforced by count, whatever the judgement. The new
+//! version has a small canary share until all requests still to come fit into the bound, and then
+//! gets everything, a second or two before the time is up. The judgement compares both versions
+//! over the same time, because upstreams also fail for other reasons ([`judge`]).
 
 mod gate;
 mod judge;
@@ -36,9 +36,9 @@
 const USABLE_EXPOSURE_SHARE: f64 = 0.9;
 /// Window of the current request rate; a shorter one is too noisy.
 const RATE_WINDOW: Span = Span::from_secs(2);
-/// Least time at the full share before completion, once nothing runs on the old version any
-/// more. A version that is bad under load shows it within a second; a completed one cannot be
-/// reverted.
+/// Least time at the full share before completion, once no request is outstanding on the old
+/// version any more. A version that is bad under load shows it within a second; a completed one
+/// cannot be reverted.
 const MIN_FULL_SHARE_TIME: Span = Span::from_millis(1_200);
 /// Time before the end at which the roll-out is decided at the latest.
 ///
@@ -49,7 +49,7 @@
 /// Answers of the new version needed for the full share, unless there is hardly any traffic.
 const MIN_CANARY_ANSWERS: u32 = 40;
 /// Progress from which the full share needs no such answers: there is hardly any traffic then.
-const UNPROVED_FULL_SHARE_FROM: f64 = 0.62;
+const UNTESTED_FULL_SHARE_FROM: f64 = 0.62;
 
 /// Used share of the allowed exposure from which a suspicion suffices to revert: what comes
 /// after cannot be taken back, and reverting a good version costs little in comparison.
@@ -178,8 +178,8 @@
         }
     }
 
-    /// Carries over the barred versions of the roll-out that this order replaces: what that one
-    /// reverted stays barred, unless it is ordered now.
+    /// Carries over the excluded versions of the roll-out that this order replaces: what that one
+    /// reverted stays excluded, unless it is ordered now.
     #[must_use]
     pub fn carry_over_barred(mut self, earlier: &Self) -> Self {
         let is_bad = earlier.verdict.is_bad() || earlier.state == RolloutState::Reverted;
@@ -215,8 +215,8 @@
 
     /// Adopts a peer's elapsed time of this order if it is ahead.
     ///
-    /// Guards against a daemon that restarts in the middle of a roll-out and begins it again:
-    /// it would send sessions back to the old version, up to its end.
+    /// A daemon that restarts in the middle of a roll-out would otherwise start it again and send
+    /// sessions back to the old version until the roll-out ends.
     pub fn adopt_elapsed(&mut self, now: Time, elapsed: Span) {
         let ahead = elapsed - self.elapsed(now);
         self.peers_ahead = self.peers_ahead + ahead;
@@ -304,9 +304,9 @@
         let at_once = if self.has_used_exposure(now, fleet) {
             self.fault_at_level(fleet, Certainty::Suspicion)
         } else if self.progress(now) >= FULL_SHARE_FROM {
-            self.fault_at_level(fleet, Certainty::Proof)
+            self.fault_at_level(fleet, Certainty::Detection)
         } else {
-            fails_more(fleet, Certainty::Proof).then_some(Fault::Failing)
+            fails_more(fleet, Certainty::Detection).then_some(Fault::Failing)
         };
         at_once.or_else(|| self.confirmation.confirmed(now, fleet))
     }
@@ -314,8 +314,8 @@
     /// Returns the new version's fault, by all evidence or by the failures at its current
     /// share.
     ///
-    /// Guards against a version that turns bad late: hundreds of good answers from before make
-    /// a tenth of bad ones look like a twentieth.
+    /// The failures at the current share are judged by themselves because a version may turn bad
+    /// late: hundreds of good answers from before make a tenth of bad ones look like a twentieth.
     fn fault_at_level(&self, fleet: &Evidence, certainty: Certainty) -> Option<Fault> {
         let present = Evidence {
             new: fleet.new.since(&self.share_level.before.new),
@@ -336,10 +336,10 @@
     /// Whether all requests still to come fit into the allowed exposure, at the higher of the
     /// mean and the current rate.
     ///
-    /// Guards against a version that is bad under more load than there is: it answers well and
-    /// is not reverted, and with a share that rose by its good answers it got more than twice
-    /// what the operators allow a bad version. The mean rate alone would underestimate growing
-    /// traffic, which is fastest at the end, when the new version has the full share.
+    /// A version that is bad only under more load than there is answers well and is not reverted.
+    /// When its share rose with its good answers, it got more than twice what the operators allow a
+    /// bad version. The mean rate alone would underestimate growing traffic, which is fastest at
+    /// the end, when the new version has the full share.
     fn rest_fits_exposure(&self, now: Time, fleet: &Evidence) -> bool {
         let new = f64::from(fleet.new.sum().sent);
         let all = f64::from(sent(fleet));
@@ -370,10 +370,10 @@
             return 0.0;
         }
         let progress = self.progress(now);
-        let has_proof =
-            fleet.new.sum().answers() >= MIN_CANARY_ANSWERS || progress >= UNPROVED_FULL_SHARE_FROM;
+        let has_enough_answers =
+            fleet.new.sum().answers() >= MIN_CANARY_ANSWERS || progress >= UNTESTED_FULL_SHARE_FROM;
         let has_full_share = self.share_level.share >= 1.0;
-        let may_serve = has_proof && !is_suspect(fleet);
+        let may_serve = has_enough_answers && !is_suspect(fleet);
         let may_rise =
             progress >= FULL_SHARE_FROM && may_serve && self.rest_fits_exposure(now, fleet);
         let share = match has_full_share || may_rise {
@@ -390,12 +390,12 @@
 }
 
 /// Whether the new version reports more failures than chance explains, though too few for a
-/// proof.
+/// detection.
 ///
-/// Guards against a bad version that is completed because its time is up: a fault of a rare
-/// kind of request shows three or four times at a small share, a completed version cannot be
-/// reverted, and callers run into it until the operators act. A good version that is reverted
-/// on such a suspicion is only late.
+/// Such a version is not completed when its time is up. A fault of a rare kind of request shows
+/// only three or four times at a small share, a completed version cannot be reverted, and callers
+/// meet its failures until the operators act. A good version that is reverted on such a suspicion
+/// is only delayed.
 fn is_suspect(fleet: &Evidence) -> bool {
     fails_more(fleet, Certainty::Suspicion)
 }
--- a/components/dispatch/src/trial/gate.rs
+++ b/components/dispatch/src/trial/gate.rs
@@ -5,7 +5,7 @@
 
 use types::prelude::*;
 
-/// Which versions a request may run on.
+/// Which versions a request may be sent to.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Permit {
     /// Any version.
@@ -39,8 +39,8 @@
     pub to: Arc<str>,
     /// The new version, and those of earlier orders that were reverted.
     ///
-    /// Guards against an order that follows a reverted one: the upstreams of the bad version
-    /// leave seconds later, and the new order alone bars only its own version.
+    /// The upstreams of a reverted version leave only seconds later. If the next order came before
+    /// that and excluded only its own version, sessions would go to the bad one.
     pub barred: Arc<[Arc<str>]>,
     /// The store's revision of the order.
     pub order: u64,
@@ -57,8 +57,8 @@
 }
 
 impl Gate {
-    /// Returns the versions that a session may run on; `session_hash` is its hash, `pinned`
-    /// the version it is on.
+    /// Returns the versions that a session's requests may be sent to; `session_hash` is its hash,
+    /// `pinned` the version it is on.
     #[must_use]
     pub fn permit(&self, session_hash: u64, pinned: Option<&Arc<str>>) -> Permit {
         if self.share >= 1.0 {
@@ -90,8 +90,8 @@
 
     /// Whether an active session is to be noted, so that every daemon keeps it on its version.
     ///
-    /// Guards against a session whose requests come through several daemons: one that never saw
-    /// it takes it for new and moves it to the other version.
+    /// A session's requests may come through several daemons. One that has not seen the session
+    /// would treat it as new and move it to the other version.
     #[must_use]
     pub fn should_note(&self, session_hash: u64) -> bool {
         self.share <= 0.0
--- a/components/dispatch/src/trial/judge.rs
+++ b/components/dispatch/src/trial/judge.rs
@@ -8,26 +8,26 @@
 
 use crate::evidence::{Arm, ArmCounts, Evidence, REQUEST_KINDS};
 
-/// Fewest bad or slow answers for a proof: five by chance at a failure rate of 2% and 40
+/// Fewest bad or slow answers for a detection: five by chance at a failure rate of 2% and 40
 /// answers have a probability under 0.002.
 const MIN_BAD_ANSWERS: u32 = 5;
 /// Least excess of the share of bad answers over the old version's.
 const MIN_FAILURE_EXCESS: f64 = 0.06;
-/// Least excess of the share of slow answers. It is larger than for failures, since prompts
-/// that wait for others make more slow answers by chance.
+/// Least excess of the share of slow answers. It is larger than for failures, since prompts that
+/// wait for other requests make more slow answers by chance.
 const MIN_SLOW_EXCESS: f64 = 0.15;
-/// Standard errors between the versions for a proof: 3.5 give one false alarm in some thousand
+/// Standard errors between the versions for a detection: 3.5 give one false alarm in some thousand
 /// comparisons.
-const PROOF_STD_ERRORS: f64 = 3.5;
-/// The same on a square root scale, on which counts as small as five have the same spread as
-/// larger ones. [`PROOF_STD_ERRORS`] is too low for small counts: five bad answers where one is
-/// expected are 3.8 standard errors apart and occur once in 200 comparisons. On this scale that
-/// is 2.4.
-const PROOF_ROOT_STD_ERRORS: f64 = 2.8;
+const DETECTION_STD_ERRORS: f64 = 3.5;
+/// The same on a square root scale, on which counts as small as five have the same spread as larger
+/// ones. [`DETECTION_STD_ERRORS`] is too low for small counts: five bad answers where one is
+/// expected are 3.8 standard errors apart and occur once in 200 comparisons. On this scale that is
+/// 2.4.
+const DETECTION_ROOT_STD_ERRORS: f64 = 2.8;
 /// Standard errors for a suspicion. With 2.0 and no least excess, three of sixteen good
 /// roll-outs were reverted.
 const SUSPICION_STD_ERRORS: f64 = 2.5;
-/// Share of a proof's least excess that is needed for a suspicion.
+/// Share of a detection's least excess that suffices for a suspicion.
 const SUSPICION_EXCESS_FACTOR: f64 = 0.5;
 /// Fewest bad or slow answers for a suspicion.
 const SUSPICION_MIN_BAD_ANSWERS: f64 = 3.0;
@@ -38,7 +38,7 @@
 const CONFIRMATION_MIN_ANSWERS: u32 = 8;
 /// Fewest bad answers among them.
 const CONFIRMATION_MIN_BAD_ANSWERS: f64 = 2.0;
-/// Standard errors between the versions for a confirmation; together with the proof before it
+/// Standard errors between the versions for a confirmation; together with the detection before it
 /// this gives one false alarm in some ten thousand comparisons.
 const CONFIRMATION_STD_ERRORS: f64 = 2.0;
 
@@ -55,10 +55,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Certainty {
     /// Required while most of the allowed exposure is unused.
-    Proof,
+    Detection,
     /// Sufficient once the exposure is nearly used up.
     Suspicion,
-    /// Required of the answers that come after a proof.
+    /// Required of the answers that come after a detection.
     Confirmation,
 }
 
@@ -93,12 +93,12 @@
         return Some(Fault::Failing);
     }
     let has_old = fleet.old.sum().begun > 0;
-    // A suspicion needs half of a proof's excess. For slow answers the full excess is required,
-    // since prompts that new upstreams have not cached yet cause half of it, and no bad version
-    // is slow on so few.
+    // A suspicion requires half of a detection's excess. For slow answers the full excess is
+    // required, since prompts that new upstreams have not cached yet cause half of it, and no bad
+    // version is slow on so few.
     let min_excess = match certainty {
         Certainty::Suspicion => MIN_SLOW_EXCESS / SUSPICION_EXCESS_FACTOR,
-        Certainty::Proof | Certainty::Confirmation => MIN_SLOW_EXCESS,
+        Certainty::Detection | Certainty::Confirmation => MIN_SLOW_EXCESS,
     };
     let is_slower = has_old && is_worse(fleet, slow, min_excess, certainty);
     is_slower.then_some(Fault::Slow)
@@ -122,20 +122,20 @@
         .any(|excess| excess.exceeds(min_excess, certainty))
 }
 
-/// A fault that was proved and may be over.
+/// A fault that was detected and may be over.
 #[derive(Debug, Clone, Copy)]
 struct PendingFault {
     confirm_from: Time,
-    /// The fleet's evidence when the confirmation began.
+    /// The fleet's evidence when the confirmation started.
     before: Option<Evidence>,
 }
 
 /// Confirmation of faults that may be transient.
 ///
-/// Guards against a good version that is reverted because one of its few upstreams crashed or
-/// prefilled a long prompt: all of its answers of that moment break or are slow, and a test
-/// that takes each for an independent one is certain after six of them. Such a fault must show
-/// again in the answers that come after it.
+/// When one of a version's few upstreams crashes or prefills a long prompt, all of its answers of
+/// that moment break or are slow. A test that treats each as independent detects a fault after six
+/// of them, and a good version would be reverted. Such a fault must therefore show again in the
+/// answers that come after it.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct FaultConfirmation {
     /// Evidence whose faults were found to be transient.
@@ -147,13 +147,13 @@
     /// Returns the new version's fault once it is confirmed.
     pub(super) fn confirmed(&mut self, now: Time, fleet: &Evidence) -> Option<Fault> {
         let Some(pending) = &mut self.pending else {
-            let is_proved = find_fault(
+            let is_detected = find_fault(
                 &fleet.since(&self.dismissed),
                 FailureScope::All,
-                Certainty::Proof,
+                Certainty::Detection,
             )
             .is_some();
-            self.pending = is_proved.then_some(PendingFault {
+            self.pending = is_detected.then_some(PendingFault {
                 confirm_from: now + CONFIRMATION_DELAY,
                 before: None,
             });
@@ -191,8 +191,8 @@
     }
 }
 
-/// Excess of the new version's count over what the old one's answers lead to expect, each kind
-/// of request compared with its own (the Mantel-Haenszel test).
+/// Excess of the new version's count over the one expected from the old version's answers, each
+/// kind of request compared with its own (the Mantel-Haenszel test).
 #[derive(Debug, Clone, Copy, Default)]
 struct Excess {
     observed: f64,
@@ -234,13 +234,13 @@
     fn exceeds(&self, min_excess: f64, certainty: Certainty) -> bool {
         let above = self.observed - self.expected;
         match certainty {
-            Certainty::Proof => {
+            Certainty::Detection => {
                 let is_enough = self.observed >= f64::from(MIN_BAD_ANSWERS)
                     && above > min_excess * self.answers;
                 let roots = 2.0 * (self.observed.sqrt() - self.expected.sqrt());
                 is_enough
-                    && above > PROOF_STD_ERRORS * self.variance.sqrt()
-                    && roots > PROOF_ROOT_STD_ERRORS
+                    && above > DETECTION_STD_ERRORS * self.variance.sqrt()
+                    && roots > DETECTION_ROOT_STD_ERRORS
             }
             Certainty::Suspicion => {
                 let min_excess = SUSPICION_EXCESS_FACTOR * min_excess * self.answers;
--- a/components/dispatch/src/upstreams.rs
+++ b/components/dispatch/src/upstreams.rs
@@ -91,7 +91,7 @@
 pub struct SharedLoad {
     /// Hash of the upstream's id and start, see [`instance_key`].
     pub upstream: u32,
-    /// Expected time of the requests that have not begun to be answered, in ms.
+    /// Expected time of the requests whose answers have not started, in ms.
     pub backlog_ms: u16,
     /// Number of outstanding requests.
     pub in_flight: u16,
@@ -111,7 +111,7 @@
     pub(crate) instance: InstanceKey,
     pub(crate) health: Health,
     pub(crate) in_flight: u32,
-    /// This daemon's requests there that have not begun to be answered.
+    /// This daemon's requests there whose answers have not started.
     pub(crate) backlog: Backlog,
     /// The load by other daemons, as last reported.
     pub(crate) remote: RemoteLoad,
@@ -121,9 +121,9 @@
     busy_since: Time,
     /// Hashes of the model and the prompt prefixes sent there, with the time of sending.
     pub(crate) prefixes: HashMap<u64, Time>,
-    /// It refused a request and asked for none before this.
+    /// It refused a request and asked for no further one before this time.
     pub(crate) backoff_until: Time,
-    /// Gets no new requests: it is draining or not listed, or said itself that it leaves.
+    /// Gets no new requests: it is draining or not listed, or announced itself that it leaves.
     pub(crate) is_leaving: bool,
     /// Another instance has its address, so this one is gone even if it is still listed.
     is_replaced: bool,
@@ -227,7 +227,7 @@
         Some(entry.last_seen(*index))
     }
 
-    /// Whether an upstream gets no new requests: it said that it leaves, or is no longer
+    /// Whether an upstream gets no new requests: it announced that it leaves, or is no longer
     /// listed.
     #[must_use]
     pub fn is_leaving(&self, index: UpstreamIndex) -> bool {
@@ -238,9 +238,9 @@
 
     /// Adds or updates a listed upstream.
     ///
-    /// Guards against an upstream that restarts under its id: the state of the former instance
-    /// (cached prompts, backlog, health, leaving, and kept connections, which are stored by
-    /// index) is not true of the next, which therefore gets an entry of its own.
+    /// An upstream that restarts under its id gets an entry of its own, since the state of the
+    /// former instance does not apply to it: cached prompts, backlog, health, leaving, and pooled
+    /// connections, which are stored by index.
     fn upsert(&mut self, spec: &Arc<Upstream>) {
         let is_draining = spec.state == UpstreamState::Draining;
         let known = self.by_id.get(&spec.id);
--- a/components/dispatch/tests/budget.rs
+++ b/components/dispatch/tests/budget.rs
@@ -26,8 +26,8 @@
 
 #[test]
 fn retries_in_any_window_stay_below_the_bound() {
-    // All answers fail for a minute. If each daemon sent every request once more, the fleet
-    // together would exceed the operators' bound in some window.
+    // All answers fail for a minute. If each daemon retried every request once, the fleet together
+    // would exceed the operators' bound in some window.
     let mut budget = budget(4);
     let mut retries = Vec::new();
     let mut callers = Vec::new();
--- a/components/dispatch/tests/choose.rs
+++ b/components/dispatch/tests/choose.rs
@@ -112,8 +112,8 @@
 
 #[test]
 fn an_upstream_loaded_by_other_daemons_is_avoided() {
-    // Nine daemons send to the same upstreams and each sees only its own ninth. Without the
-    // others' reports, a prompt would go to its preferred upstream behind seconds of their
+    // Nine daemons send to the same upstreams and each sees only its own ninth. Without its peers'
+    // reports, a daemon would send a prompt to its preferred upstream behind seconds of their
     // requests.
     let mut setup = Setup::new(2);
     let home = setup
@@ -238,8 +238,9 @@
 
 #[test]
 fn a_replaced_upstream_is_not_chosen_while_still_listed() {
-    // Another program has the upstream's address and says so. The list lags by seconds; each
-    // update of it would bring the dead entry back, and every request there is wasted.
+    // Another program has the upstream's address and identifies itself. The list lags by seconds.
+    // Each update of it would bring the dead entry back, and every request sent there would be
+    // wasted.
     let mut setup = Setup::new(1);
     let index = setup.pick(at(0), &[], &[], &Permit::Any).expect("one");
     let load = dispatch::Load::default();
@@ -254,7 +255,7 @@
     assert_eq!(pick, Err(NoUpstream::Unknown));
 }
 
-/// The same upstream as listed by a later run under its id.
+/// The same upstream as listed by a later instance under its id.
 fn upstream_instance(id: usize, started_at: u64) -> Arc<Upstream> {
     let spec = upstream(id, "v1", UpstreamState::Ready);
     Arc::new(Upstream {
@@ -265,9 +266,9 @@
 
 #[test]
 fn a_restarted_upstream_does_not_inherit_the_state_of_its_former_instance() {
-    // An engine crashes with a long backlog and restarts under its id, without cached prompts
-    // or requests. Taken for the former run, it would get prompts for their shared parts and be
-    // avoided for everything else until answers came that never will.
+    // An engine crashes with a long backlog and restarts under its id, without cached prompts or
+    // requests. Treated as the former instance, it would get prompts for their shared parts, and
+    // nothing else until the answers to the former requests arrived, which never happens.
     let mut setup = Setup::new(0);
     setup.upstreams.configure(&[upstream_instance(0, 7)]);
     let first = setup
@@ -286,7 +287,7 @@
         "nothing is held any more"
     );
     assert_eq!(next.load.wait_ms, 0.0);
-    // How the former run's request ends says nothing about the present run.
+    // How the former instance's request ends shows nothing about the present instance.
     setup
         .upstreams
         .record_end(at(3), first, ticket, UpstreamOutcome::Unreachable);
--- a/components/dispatch/tests/trial.rs
+++ b/components/dispatch/tests/trial.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// Counts a good answer that began after `ms` where `load` was expected.
+/// Counts a good answer that started after `ms` where `load` was expected.
 fn note_answer(counts: &mut ArmCounts, ms: f64, load: &Load) {
     counts.record_answer_start(ms, load);
     counts.good += 1;
@@ -267,9 +267,9 @@
 
 #[test]
 fn upstreams_without_cached_prompts_do_not_look_slow() {
-    // The new version's upstreams just started and prefill the whole of a prompt of which
-    // others have nine tenths cached, which takes ten times as long. Every second answer of a
-    // good version looked slow.
+    // The new version's upstreams just started and prefill the whole of a prompt of which older
+    // ones have nine tenths cached, which takes ten times as long. Every second answer of a good
+    // version looked slow.
     let mut counts = ArmCounts::default();
     let load = Load {
         expected_ms: 50.0,
@@ -334,8 +334,8 @@
 
 #[test]
 fn good_answers_at_an_earlier_share_do_not_hide_a_version_that_turns_bad() {
-    // A version was good for 450 answers. Once it has the full share, one answer in seven
-    // fails. Over all answers that is 1 in 50, which proved nothing.
+    // A version was good for 450 answers. Once it has the full share, one answer in seven fails.
+    // Over all answers that is 1 in 50, too few to detect.
     let mut trial = trial(Time::ZERO);
     let good = evidence(arm(450, 0, 1.0), arm(9_000, 9, 1.0));
     assert_eq!(trial.step(at(18.2), &good, 1.0).gate.share, 1.0);
@@ -377,9 +377,9 @@
 
 #[test]
 fn a_daemon_that_restarts_in_a_roll_out_adopts_its_peers_elapsed_time() {
-    // A daemon is killed 16 s into a roll-out and restarts at once. Its own clock begins at
-    // zero. If it took the order for new, it would send sessions back to the old version until
-    // that is stopped, and cut their streams.
+    // A daemon is killed 16 s into a roll-out and restarts at once. Its own clock starts at zero.
+    // If it treated the order as new, it would send sessions back to the old version until that is
+    // stopped, which cuts their streams.
     let mut trial = trial(at(0.05));
     trial.adopt_elapsed(at(0.1), Span::from_millis(16_300));
     let good = evidence(arm(40, 1, 1.0), arm(400, 5, 1.0));
@@ -448,9 +448,9 @@
 
 #[test]
 fn a_kind_of_request_that_often_fails_does_not_hide_a_failing_version() {
-    // A third of a service's requests fail in one of seven cases whatever the version. Of the
-    // others the new version fails one in ten and the old one hardly any. Over all kinds
-    // together that is 12% against 5%, which 90 answers do not distinguish from chance.
+    // A third of a service's requests fail in one of seven cases whatever the version. Of the rest
+    // the new version fails one in ten and the old one hardly any. Over all kinds together that is
+    // 12% against 5%, which 90 answers do not distinguish from chance.
     let mut trial = trial(Time::ZERO);
     let mut seen = evidence(arm(54, 6, 1.0), arm(399, 1, 1.0));
     seen.new.kinds[1] = arm(26, 4, 1.0);
@@ -468,8 +468,8 @@
 
 #[test]
 fn a_suspicion_is_enough_once_the_allowed_exposure_is_nearly_used_up() {
-    // On a small service a version fails six in a hundred under load, where the old one fails
-    // one. That is no proof until far more requests have run than the operators allow.
+    // On a small service a version fails six in a hundred under load, where the old one fails one.
+    // That is not detected until far more requests were sent than the operators allow.
     let mut trial = trial(Time::ZERO);
     let early = evidence(arm(77, 5, 1.0), arm(521, 2, 1.0));
     assert_eq!(trial.step(at(15.0), &early, 1.0).verdict, Verdict::Open);
@@ -491,14 +491,13 @@
 
 #[test]
 fn a_suspected_version_is_not_completed_when_time_is_up() {
-    // A new version fails half of the requests of a rare kind. At its small share that is two
-    // to four failures in 46 answers, against none in 900 of the old one: no proof. When its
-    // time was nearly up it got the full share and was completed a quarter of a second later,
-    // which nothing undoes: callers met its failures until the operators ordered another
-    // version.
+    // A new version fails half of the requests of a rare kind. At its small share that is two to
+    // four failures in 46 answers, against none in 900 of the old one: too few to detect. When its
+    // time was nearly up it got the full share and was completed a quarter of a second later, which
+    // nothing undoes: callers met its failures until the operators ordered another version.
     //
-    // In three runs it was completed with 45 good and 3 bad answers; in three others the fifth
-    // failure came in time.
+    // In three of six roll-outs it was completed with 45 good and 3 bad answers; in the other three
+    // the fifth failure came in time.
     let short = RolloutOrder {
         within: Span::from_secs(17),
         ..order()
@@ -547,7 +546,7 @@
 #[test]
 fn a_reverted_version_stays_barred_when_another_is_ordered() {
     // A bad version was reverted; its upstreams leave seconds later. The next order came within
-    // these seconds and barred only its own version, so sessions went to the bad one.
+    // these seconds and excluded only its own version, so sessions went to the bad one.
     let mut first = trial(Time::ZERO);
     first.set_state(RolloutState::Reverted);
     let next = |to: &str| RolloutOrder {
@@ -570,7 +569,7 @@
         allows(&mut third.carry_over_barred(&again), "v3"),
         "v3 was not taken back"
     );
-    // A completed version is not barred.
+    // A completed version is not excluded.
     let mut good = trial(Time::ZERO);
     good.set_state(RolloutState::Completed);
     let mut after = Trial::new(at(5.0), next("v3"), LIMITS).carry_over_barred(&good);
