--- a/components/traffic/src/answer.rs
+++ b/components/traffic/src/answer.rs
@@ -23,20 +23,21 @@
     BodyTooSlow,
     BodyTooLarge,
     HeadTooLarge,
-    /// The request did not run; a retry is worthwhile after this pause.
+    /// The request was not processed; a retry is worthwhile after this pause.
     NotRun {
         retry_after: Span,
     },
-    /// The request did not run, since upstreams crashed under the same content; a retry is
+    /// The request was not processed, since upstreams crashed under the same content; a retry is
     /// worthwhile after this pause.
     Quarantined {
         retry_after: Span,
     },
-    /// The request ran and upstreams crashed under it; a retry is worthwhile after this pause.
+    /// The request was processed and upstreams crashed under it; a retry is worthwhile after this
+    /// pause.
     Crashed {
         retry_after: Span,
     },
-    /// The request was sent, and it is unknown whether it ran.
+    /// The request was sent, and it is unknown whether it was processed.
     OutcomeUnknown,
     /// The deadline passed.
     Timeout,
--- a/components/traffic/src/arm.rs
+++ b/components/traffic/src/arm.rs
@@ -40,7 +40,7 @@
 }
 
 impl Arm {
-    /// Returns the arm of a request that is about to be sent; none where no rollout runs.
+    /// Returns the arm of a request that is about to be sent; none where no rollout is in progress.
     pub(crate) fn for_request<T>(
         shared: &Shared<T>,
         choice: &Choice,
@@ -72,7 +72,7 @@
 }
 
 impl<T> Shared<T> {
-    /// Keeps an answer that broke off at an upstream, for [`Self::count_broken_answers`].
+    /// Records an answer that broke off at an upstream, for [`Self::count_broken_answers`].
     pub(crate) fn note_broken_answer(&self, arm: Arm, index: UpstreamIndex) {
         let upstream = self.upstreams.borrow().last_seen(index);
         let mut broken_answers = self.broken_answers.borrow_mut();
@@ -92,8 +92,8 @@
     /// Counts answers that broke off: at once if the upstream is alive, and if it crashed only when
     /// no quarantined content explains the crash.
     ///
-    /// Guards against reverting a good version because a request that crashes upstreams reached its
-    /// few ones: each crash breaks some dozen answers, and the next follows a moment later.
+    /// A good version must not be reverted because a request that crashes upstreams reached its few
+    /// ones: each such crash breaks some dozen answers, and the next follows a moment later.
     pub(crate) fn count_broken_answers(&self) {
         let now = self.now();
         let mut broken_answers = self.broken_answers.borrow_mut();
--- a/components/traffic/src/attempt.rs
+++ b/components/traffic/src/attempt.rs
@@ -43,15 +43,15 @@
 pub(crate) enum SendResult<T> {
     /// Nothing arrived at the upstream.
     Unreachable,
-    /// The upstream did not run the request and will not.
+    /// The upstream did not process the request and will not.
     NotRun(&'static str),
-    /// The request may have run.
+    /// The upstream may have processed the request.
     MayHaveRun(&'static str),
     /// A whole answer with a status of 500 or above.
     Failed(Whole),
     /// A whole answer with a status below 500.
     Whole(Whole),
-    /// The upstream began a stream.
+    /// The upstream started a stream.
     Stream(Box<Stream<T>>),
 }
 
@@ -75,7 +75,7 @@
 }
 
 impl Failure {
-    /// What this says of the upstream, and of the request.
+    /// What this shows of the upstream, and of the request.
     fn outcome<T>(self) -> (UpstreamOutcome, SendResult<T>) {
         match self {
             Self::Unreachable => (UpstreamOutcome::Unreachable, SendResult::Unreachable),
@@ -89,7 +89,7 @@
     }
 }
 
-/// A stream begun by an upstream.
+/// A stream that an upstream started.
 pub(crate) struct Stream<T> {
     pub(crate) head: Head,
     pub(crate) confidence: Option<u8>,
@@ -224,8 +224,8 @@
     /// broke.
     ///
     /// If the upstream crashed, it refuses the new connection. The send on the pooled connection is
-    /// still reported as broken: if it counted neither as a run nor as a retry, one attempt would
-    /// go on to upstream after upstream.
+    /// still reported as broken: if it counted neither as an attempt nor as a retry, one caller's
+    /// request would go on to upstream after upstream.
     async fn resend(
         &self,
         index: UpstreamIndex,
@@ -244,8 +244,8 @@
     }
 
     /// Takes a pooled connection, unless the request may not be retried: when a pooled connection
-    /// breaks, it cannot be told whether the other end had closed it before, and a new one costs a
-    /// millisecond.
+    /// breaks, the other end may have closed it before or after it got the request, and a new one
+    /// costs only a millisecond.
     fn take_pooled(&self, index: UpstreamIndex) -> Option<Wire> {
         if !self.request.route.retry.is_allowed() {
             return None;
@@ -393,8 +393,8 @@
     }
 
     /// Whether the content was quarantined while the request waits. Otherwise requests that reached
-    /// upstreams before the news of the quarantine would crash them one after another as their turn
-    /// comes.
+    /// upstreams before the update on the quarantine would crash them one after another as their
+    /// turn comes.
     fn is_quarantined(&self) -> bool {
         !self.is_trial
             && self
--- a/components/traffic/src/attempt_guard.rs
+++ b/components/traffic/src/attempt_guard.rs
@@ -29,8 +29,9 @@
     /// Counts a request that is about to be sent; `has_failed` says whether an earlier attempt of
     /// it failed.
     ///
-    /// Guards against judging a version by one request several times: some requests fail wherever
-    /// they run, and each of their attempts would count as an independent failure.
+    /// After a failure, the results of the request's further attempts are no new evidence on a
+    /// version: some requests fail at every upstream, and each of their attempts would count as an
+    /// independent failure.
     pub(crate) fn start(
         shared: &Rc<Shared<T>>,
         choice: &Choice,
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Notes a sign that the upstream runs the request.
+    /// Notes a sign that the upstream is processing the request.
     pub(crate) fn note_running(&self) {
         let now = self.shared.now();
         let mut attempts = self.shared.attempts.borrow_mut();
@@ -170,7 +171,7 @@
     }
 }
 
-/// Translates an outcome into what it says of the attempt at the upstream.
+/// Translates an outcome into how the attempt at the upstream ended.
 fn attempt_end(outcome: UpstreamOutcome) -> AttemptEnd {
     match outcome {
         UpstreamOutcome::Good => AttemptEnd::Answered,
--- a/components/traffic/src/caller.rs
+++ b/components/traffic/src/caller.rs
@@ -19,10 +19,11 @@
 
 /// Time after which a caller that does not close after the last answer is reset.
 const LINGER: Duration = Duration::from_millis(1_500);
-/// Least pause a caller is told while this daemon knows no configuration. The pause grows with the
-/// time the daemon has been without one: a store outage lasts on average as long again as it has
-/// lasted, and a caller has few attempts. With a pause of half a second for all, half of the
-/// callers of a fleet that started while its store was silent were refused a second time and lost.
+/// Least pause before a retry that a caller is sent while this daemon knows no configuration. The
+/// pause grows with the time the daemon has been without one: a store outage lasts on average as
+/// long again as it has lasted, and a caller has few attempts. With a pause of half a second for
+/// all, a fleet that started while its store was silent refused half of the callers a second time,
+/// and their requests were lost.
 const UNREADY_RETRY: Span = Span::from_millis(500);
 /// Time in which a configuration that may be stale is validated, if the store is reachable.
 const STALE_RETRY: Span = Span::from_millis(500);
@@ -36,7 +37,8 @@
 const FLEET_START_TIME: Span = Span::from_secs(1);
 /// Interval at which a first configuration is checked for.
 const TABLE_POLL: Duration = Duration::from_millis(10);
-/// Least pause a caller is told when this daemon is leaving: another one is there.
+/// Least pause before a retry that a caller is sent when this daemon is leaving: another one can
+/// serve it at once.
 const LEAVING_RETRY: Span = Span::from_millis(50);
 /// Bytes of a pipelined request that are kept while another is served.
 const MAX_PIPELINED: usize = 16 * 1024;
@@ -230,8 +232,9 @@
 
 /// Refuses a request for a route or key that the configuration does not hold.
 ///
-/// Calling it unknown is final: the caller does not retry. Where the configuration may lack a
-/// change that is in force elsewhere, the caller is told that nothing ran and to retry.
+/// An answer that it is unknown is final: the caller does not retry. Where the configuration may
+/// lack a change that is in force elsewhere, the answer is that the request was not processed and
+/// may be retried.
 fn refuse_unknown<T>(
     shared: &Shared<T>,
     ask: &Ask,
@@ -249,7 +252,7 @@
     )
 }
 
-/// Least pause for a caller of a daemon that has run for `age` and knows no configuration.
+/// Least pause for a caller of a daemon that started `age` ago and knows no configuration.
 fn unready_retry_after(age: Span, timeout: Option<Span>) -> Span {
     cap_retry_after(UNREADY_RETRY.max(age), timeout)
 }
--- a/components/traffic/src/crashes.rs
+++ b/components/traffic/src/crashes.rs
@@ -1,4 +1,4 @@
-//! How the crash of an upstream is detected, and which requests ran there.
+//! How the crash of an upstream is detected, and which requests were in flight there.
 //!
 //! A broken connection may be a crash, a network partition or one lost connection. So the upstream
 //! is probed at once for whether it still listens: the host of a stopped program refuses
@@ -21,7 +21,7 @@
 /// Number of these checks: together they last as long as both connection attempts of a probe that
 /// isn't refused.
 const MAX_PROBE_POLLS: u32 = 32;
-/// Contents named in one log line: a busy engine runs some dozen.
+/// Contents named in one log line: a busy engine processes some dozen at a time.
 const MAX_LOGGED_CONTENTS: usize = 16;
 
 /// The sign of an upstream's crash.
@@ -185,8 +185,8 @@
         self.probe_earlier(crashed);
     }
 
-    /// Probes upstreams at which the same contents were given up before they were suspected: if
-    /// nothing else ran there, their crash breaks no connection.
+    /// Probes upstreams at which the same contents were given up before they were suspected: if no
+    /// other request was in flight there, their crash breaks no connection.
     fn probe_earlier(&self, crashed: &[CrashedAttempt]) {
         let contents = crashed.iter().map(|crashed| crashed.content).collect();
         let earlier = self.attempts.borrow().given_up(&contents);
@@ -196,7 +196,7 @@
     /// Waits, for a moment at most, until all probes are done.
     ///
     /// The next attempt of a request that crashes upstreams comes within milliseconds. Without this
-    /// wait it would be sent before the last crash is known, and crash one more.
+    /// wait it would be sent before the last crash is known, and crash one more upstream.
     pub(crate) async fn await_probes(&self) {
         for _ in 0..MAX_PROBE_POLLS {
             if self.probing.borrow().is_empty() {
--- a/components/traffic/src/exchange.rs
+++ b/components/traffic/src/exchange.rs
@@ -22,11 +22,11 @@
 use crate::shared::{Shared, Stage};
 use crate::translate::{Ask, Translator};
 
-/// Least pause a caller is told when no upstream could take its request: a busy one has finished
-/// something by then.
+/// Least pause before a retry that a caller is sent when no upstream could take its request: a busy
+/// one has finished something by then.
 const BUSY_RETRY: Span = Span::from_millis(150);
-/// Sends of one request beyond the runs that its route allows. Refusals are cheap, but each takes a
-/// retry from the service's budget.
+/// Sends of one request beyond the attempts that its route allows. Refusals are cheap, but each
+/// takes a retry from the service's budget.
 const MAX_EXTRA_SENDS: u32 = 2;
 /// Upstreams that one request may find unreachable before it fails: the loss of a failure domain
 /// takes away a fourth of them at once.
@@ -49,7 +49,7 @@
 /// What to do after an attempt.
 enum Next {
     Finished(Finish),
-    /// It did not run, or may be retried: try another upstream, at the cost of a retry.
+    /// It was not processed, or may be retried: try another upstream, at the cost of a retry.
     Retry(RetryReason),
     /// Nothing arrived at the upstream: try another, at no cost to the retry budget.
     TryAnother,
@@ -74,9 +74,9 @@
     sends: u32,
     /// Attempts that reached no upstream.
     unreachable: u32,
-    /// Attempts that may have run.
+    /// Attempts that an upstream may have processed; these count towards the route's bound.
     runs: u32,
-    /// Whether one of the runs failed.
+    /// Whether one of these attempts failed.
     has_failed: bool,
     /// Whether this is the half-open trial of its quarantined content; it is sent only once.
     is_trial: bool,
--- a/components/traffic/src/exchange/choose.rs
+++ b/components/traffic/src/exchange/choose.rs
@@ -15,8 +15,8 @@
     /// Until when the request's content is quarantined; none if it isn't. Takes the half-open trial
     /// when the quarantine has expired.
     ///
-    /// Without this check before every send, a request that crashes each upstream running it would
-    /// crash as many as its route allows runs, for each attempt that its caller makes at any
+    /// Without this check before every send, a request that crashes each upstream processing it
+    /// would crash as many as its route allows attempts, each time that its caller sends it to any
     /// daemon.
     pub(super) fn quarantined_until(&mut self) -> Option<Time> {
         if self.is_trial && self.runs == 0 {
@@ -80,15 +80,15 @@
         Some(Span::from_secs_f64(ms / 1_000.0))
     }
 
-    /// Whether to switch away from a silent upstream: only while another run is left for an
-    /// upstream that breaks.
+    /// Whether to switch away from a silent upstream: only while another attempt is left in case an
+    /// upstream breaks.
     pub(super) fn may_switch(&self) -> bool {
         let is_allowed = self.request.route.retry.is_allowed();
         let is_allowed = is_allowed && self.shared.cfg.policy.timing.leaves_silent;
         is_allowed && self.runs + 1 < self.request.route.max_runs
     }
 
-    /// The versions on which the request may run now.
+    /// The versions that the request may be sent to now.
     pub(super) fn permit(&self) -> Permit {
         let now = self.shared.now();
         if let Some(version) = &self.version {
--- a/components/traffic/src/exchange/log.rs
+++ b/components/traffic/src/exchange/log.rs
@@ -16,7 +16,7 @@
         report
     }
 
-    /// Logs where the request is now: once for each stream that begins and each further send.
+    /// Logs where the request is now: once for each stream that starts and each further send.
     ///
     /// When a host is killed or loses power, the line at a request's end never comes; without this
     /// one, on-call could not tell which upstream had the request.
--- a/components/traffic/src/metrics.rs
+++ b/components/traffic/src/metrics.rs
@@ -23,13 +23,13 @@
     Answered,
     /// An upstream's own failure, relayed.
     UpstreamFailure,
-    /// Refused; the request did not run.
+    /// Refused; the request was not processed.
     Refused,
     /// Refused because upstreams crashed under its content.
     Barred,
     /// The request was invalid: unknown route or key, malformed, or too large.
     Rejected,
-    /// It is unknown whether an upstream ran the request.
+    /// It is unknown whether an upstream processed the request.
     Unclear,
     /// The deadline passed.
     Timeout,
@@ -59,7 +59,7 @@
     pub repeats: Counter,
     /// Connections opened to upstreams.
     pub connects: Counter,
-    /// Upstreams that crashed while requests ran there.
+    /// Upstreams that crashed while requests were in flight there.
     pub upstream_ends: Counter,
     /// Upstreams that advertise a rate limit.
     pub limited_upstreams: Gauge,
--- a/components/traffic/src/request.rs
+++ b/components/traffic/src/request.rs
@@ -18,7 +18,8 @@
 const DEFAULT_HEAD_TIMEOUT: Span = Span::from_secs(3);
 /// How long an idle connection is kept before a configuration is known.
 const DEFAULT_IDLE_TIMEOUT: Span = Span::from_secs(15);
-/// Least pause a caller is told when request bodies use up the memory set aside for them.
+/// Least pause before a retry that a caller is sent when request bodies use up the memory set aside
+/// for them.
 const MEMORY_FULL_RETRY: Span = Span::from_millis(500);
 
 /// Why no request was read.
--- a/components/traffic/src/server.rs
+++ b/components/traffic/src/server.rs
@@ -29,11 +29,12 @@
 
 /// Interval at which expired pooled connections and old attempt records are dropped.
 const TIDY_INTERVAL: Duration = Duration::from_secs(1);
-/// Interval at which loads are published to the control thread, which tells the other daemons.
+/// Interval at which loads are published to the control thread, which sends them to the other
+/// daemons.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(100);
 /// How long new requests are accepted after the stop command: load balancers keep sending until two
 /// readiness checks in a row, a second apart, were answered with no. A later request might not
-/// finish within the grace period, so it is refused and runs elsewhere.
+/// finish within the grace period, so it is refused and retried elsewhere.
 const READINESS_NOTICE: Duration = Duration::from_millis(2_800);
 /// Interval at which shutdown progress is checked.
 const EXIT_POLL: Duration = Duration::from_millis(50);
@@ -59,7 +60,7 @@
 /// A command to the event loop.
 #[derive(Debug)]
 pub enum Command {
-    /// Serve by this plan from now on.
+    /// Replace the plan.
     Plan(Arc<Plan>),
     /// Merge the state of other daemons.
     PeerState(PeerState),
@@ -212,7 +213,7 @@
     }
 }
 
-/// Applies commands until the control thread says stop; returns the receiver for later commands.
+/// Applies commands until the stop command; returns the receiver for later commands.
 async fn run_commands<T: Translator>(
     shared: Rc<Shared<T>>,
     commands: flume::Receiver<Command>,
@@ -262,8 +263,8 @@
             _ = stages.wait_for(|stage| *stage == Stage::Closing) => return,
             (stream, _) = callers::accept(&listener) => stream,
         };
-        // A connection beyond the limit is closed unread, which tells the caller that nothing was
-        // run.
+        // A connection beyond the limit is closed unread, which shows the caller that its request
+        // was not processed.
         if shared.caller_connections.get() >= shared.cfg.max_caller_connections {
             tracing::warn!(
                 callers = shared.caller_connections.get(),
--- a/components/traffic/src/shared.rs
+++ b/components/traffic/src/shared.rs
@@ -25,7 +25,7 @@
 pub enum Stage {
     /// Serving and ready.
     Serving,
-    /// Told to stop: reports not ready, and still serves while load balancers notice.
+    /// Got the stop command: reports not ready, and still serves while load balancers notice.
     Leaving,
     /// Accepts no new connections and closes idle ones.
     Closing,
--- a/components/traffic/src/status.rs
+++ b/components/traffic/src/status.rs
@@ -50,23 +50,24 @@
 struct QuarantinedContent {
     content: Content,
     customer: Option<Arc<str>>,
-    /// Seconds since the quarantine began.
+    /// Seconds since the start of the quarantine.
     for_s: f64,
     /// Seconds until the half-open trial.
     tried_in_s: f64,
-    /// Upstreams that crashed under it, each with the milliseconds for which it had run there.
+    /// Upstreams that crashed under it, each with the milliseconds for which it had been processed
+    /// there.
     ended: BTreeMap<String, u64>,
 }
 
 impl QuarantinedContent {
     fn of(now: Time, quarantined: Quarantine) -> Self {
-        let ended = quarantined.crashes.iter();
-        let ended = ended.map(|(upstream, ran)| (upstream.id.to_string(), ran.as_millis()));
+        let crashes = quarantined.crashes.iter();
+        let crashes = crashes.map(|(upstream, ran)| (upstream.id.to_string(), ran.as_millis()));
         Self {
             content: quarantined.content,
             for_s: now.since(quarantined.since).as_secs_f64(),
             tried_in_s: now.until(quarantined.until).as_secs_f64(),
-            ended: ended.collect(),
+            ended: crashes.collect(),
             customer: quarantined.customer,
         }
     }
--- a/components/traffic/src/translate.rs
+++ b/components/traffic/src/translate.rs
@@ -55,7 +55,7 @@
     pub head: &'a Head,
     /// How long the answer is waited for.
     pub timeout: Span,
-    /// The instance of the upstream that is meant.
+    /// The instance of the upstream that is to process it.
     pub upstream: &'a UpstreamId,
     /// Name of the customer.
     pub customer: Option<&'a str>,
@@ -67,14 +67,14 @@
     pub rank: u8,
 }
 
-/// Whether an upstream ran a request.
+/// Whether an upstream processed a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Execution {
-    /// It ran, or may have.
+    /// It did, or may have.
     Ran,
-    /// The upstream promises that it did not run.
+    /// The upstream states that it did not.
     NotRun,
-    /// Another instance of the upstream's program answered; it did not run the request.
+    /// Another instance of the upstream's program answered; it did not process the request.
     OtherInstance,
 }
 
@@ -85,13 +85,13 @@
     pub attempt: Option<Arc<str>>,
     /// Whether the upstream signed the answer as its own.
     pub is_signed: bool,
-    /// Whether the request ran.
+    /// Whether the request was processed.
     pub execution: Execution,
     /// The model's confidence in its answer, 0 to 100.
     pub confidence: Option<u8>,
     /// The rate limit that the upstream advertises.
     pub rate_limit: Advertised,
-    /// When the upstream may be asked again, if the request did not run.
+    /// When a request may be sent to the upstream again, if this one was not processed.
     pub retry_after: Option<Span>,
     /// Whether the body was encoded on the way, so that it isn't the upstream's own.
     pub is_reencoded: bool,
--- a/components/traffic/tests/it/answers.rs
+++ b/components/traffic/tests/it/answers.rs
@@ -69,8 +69,8 @@
 
 #[test]
 fn does_not_retry_a_truncated_answer_to_a_non_idempotent_request() {
-    // The upstream runs a booking and its answer is truncated. A retry would book twice, and so
-    // would the caller if it were told that nothing ran.
+    // The upstream processes a booking and its answer is truncated. A retry would book twice, and
+    // so would the caller if it were answered that the request was not processed.
     let runs = Arc::new(AtomicUsize::new(0));
     let count = Arc::clone(&runs);
     let address = upstream(move |served| {
@@ -237,7 +237,7 @@
 
 #[test]
 fn a_request_that_fails_everywhere_counts_once_against_the_version() {
-    // Some requests fail wherever they run. Counting each attempt as a failure of the new version
+    // Some requests fail at every upstream. Counting each attempt as a failure of the new version
     // would revert it though it is good.
     let failing = || {
         upstream(|served| {
--- a/components/traffic/tests/it/bounds.rs
+++ b/components/traffic/tests/it/bounds.rs
@@ -24,7 +24,8 @@
 
 #[test]
 fn rejects_smuggled_requests() {
-    // A caller hides a second request behind lengths that two parsers read differently.
+    // A caller hides a second request behind length headers that two parsers read differently
+    // (request smuggling).
     let lengths = [
         "Content-Length: 6\r\nTransfer-Encoding: chunked",
         "Transfer-Encoding: chunked\r\nContent-Length: 6",
@@ -107,7 +108,8 @@
 #[test]
 fn a_stale_configuration_refuses_unknown_routes_and_keys_as_retryable() {
     // A new route is in force everywhere except at one daemon, which has been cut off from the
-    // store for seconds and cannot know what it lacks. A 404 would be final for its callers.
+    // store for seconds and cannot know which changes it lacks. A 404 would be final for its
+    // callers.
     let (running, _) = start_counting();
     let answer = |text: &str| {
         let mut caller = running.caller();
--- a/components/traffic/tests/it/crashes.rs
+++ b/components/traffic/tests/it/crashes.rs
@@ -22,8 +22,9 @@
 
 #[test]
 fn counts_an_upstream_crash_during_a_request() {
-    // An upstream's program crashes while it runs a request: the connection breaks and the address
-    // refuses from then on. On-call must see the crash and what ran there.
+    // An upstream's program crashes while it processes a request: the connection breaks and the
+    // address refuses from then on. On-call must see the crash and which requests were in flight
+    // there.
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
     std::thread::spawn(move || {
--- a/components/traffic/tests/it/harness.rs
+++ b/components/traffic/tests/it/harness.rs
@@ -194,7 +194,7 @@
 /// What an upstream does with one connection.
 pub type Script = dyn Fn(&mut Served) + Send + Sync;
 
-/// Starts an upstream that runs a script on each connection.
+/// Starts an upstream that follows a script on each connection.
 pub fn upstream(script: impl Fn(&mut Served) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
@@ -345,12 +345,12 @@
 }
 
 impl TestLoop {
-    /// Tells the event loop when its configuration was last known to be current.
+    /// Informs the event loop when its configuration was last known to be current.
     pub fn validate_current(&self, validated_at: Option<Time>) {
         self.send_peer_state(validated_at.map(|at| validation(0, at)), Vec::new());
     }
 
-    /// Tells the event loop that a configuration newer than its own is current.
+    /// Informs the event loop that a configuration newer than its own is current.
     pub fn prove_newer(&self) {
         self.send_peer_state(Some(validation(1, Time::NEVER)), Vec::new());
     }
--- a/components/traffic/tests/it/quarantine.rs
+++ b/components/traffic/tests/it/quarantine.rs
@@ -1,4 +1,4 @@
-//! Quarantine of requests that crash the upstreams running them.
+//! Quarantine of requests that crash the upstreams processing them.
 
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -12,7 +12,7 @@
 const RESUMABLE: Retry = Retry::Stream { resumable: true };
 /// The request body that crashes engines.
 const POISON: &str = "poison";
-/// Time after which an engine crashes once it runs the poison: the daemon may have closed the
+/// Time after which an engine crashes once it processes the poison: the daemon may have closed the
 /// connection by then.
 const CRASH_DELAY: Duration = Duration::from_millis(40);
 /// Upstreams that one content may crash, and further sends of it that may reach one afterwards.
@@ -27,7 +27,7 @@
     crashed: Arc<AtomicUsize>,
 }
 
-/// A program of an engine that crashes when it runs the poison.
+/// A program of an engine that crashes when it processes the poison.
 #[derive(Clone, Default)]
 struct Engine {
     tally: Tally,
@@ -119,9 +119,9 @@
         }
     }
 
-    /// Closes the port, then all connections. In this order, because a broken connection tells the
-    /// daemon that nobody listens any more: while the port still accepted, the next request could
-    /// be sent to a crashed program.
+    /// Closes the port, then all connections. In this order, because the daemon probes the port
+    /// once a connection breaks: while the port still accepted, the next request could be sent to a
+    /// crashed program.
     fn crash(&self) {
         if !self.has_crashed.swap(true, Ordering::SeqCst) {
             self.tally.crashed.fetch_add(1, Ordering::SeqCst);
@@ -138,10 +138,10 @@
 
 #[test]
 fn quarantines_a_streamed_request_that_crashes_engines() {
-    // One customer's request crashes every engine that begins to run it, even if its draft is
-    // dropped at once. It is retried on another engine, which crashes too, until no run is left;
-    // then the caller sends the same content under a new id. Without a quarantine it takes down
-    // engine after engine, and the drafts of other users fail: 48 engines crashed within 20 s.
+    // One customer's request crashes every engine that starts to process it, even if its draft is
+    // dropped at once. It is retried on another engine, which crashes too, until no attempt is
+    // left; then the caller sends the same content under a new id. Without a quarantine it takes
+    // down engine after engine, and the drafts of other users fail: 48 engines crashed within 20 s.
     let tally = Tally::default();
     let engines = (0..40).map(|_| Engine::start(&tally)).collect::<Vec<_>>();
     let running = serving(RESUMABLE, &engines);
@@ -180,7 +180,7 @@
 
 #[test]
 fn quarantines_a_plain_call_that_crashes_upstreams() {
-    // Nothing shows that a plain upstream runs a call: it crashes before its first byte.
+    // Nothing shows that a plain upstream is processing a call: it crashes before its first byte.
     check_plain_quarantine(Retry::Any);
 }
 
@@ -193,9 +193,9 @@
 #[test]
 fn a_send_that_breaks_a_pooled_connection_counts_as_a_run() {
     // An engine crashes before the first byte of its answer, under a request sent on a pooled
-    // connection. The resend on a new connection is refused. Taken for "nothing arrived", which
-    // costs neither a run nor a retry, that would send one attempt to engine after engine: eight of
-    // them, where the route allows three runs.
+    // connection. The resend on a new connection is refused. If that counted as "nothing arrived",
+    // which costs neither an attempt nor a retry, one caller's request would go to engine after
+    // engine: eight of them, where the route allows three attempts.
     let tally = Tally::default();
     let engines = (0..20).map(|_| Engine::start_crashing_silently(&tally));
     let engines = engines.collect::<Vec<_>>();
@@ -213,7 +213,7 @@
 #[test]
 fn a_version_is_not_judged_by_quarantined_requests() {
     // A request that crashes engines reaches the few upstreams of a new version. Each crash breaks
-    // everything that runs there, three times within a second, and would revert a good version.
+    // all answers in progress there, three times within a second, and would revert a good version.
     let tally = Tally::default();
     let engines = (0..8).map(|_| Engine::start(&tally)).collect::<Vec<_>>();
     let running = serving(RESUMABLE, &engines);
--- a/components/traffic/tests/it/shutdown.rs
+++ b/components/traffic/tests/it/shutdown.rs
@@ -19,7 +19,7 @@
 
 #[test]
 fn a_stopping_daemon_finishes_requests_and_reports_not_ready() {
-    // A daemon is told to stop while it serves. A request it has read must not end without an
+    // A daemon gets the stop command while it serves. A request it has read must not end without an
     // answer, and load balancers must stop sending new ones.
     let running = serving(Retry::Never, &[slow_upstream()]);
     let mut busy = running.caller();
--- a/components/traffic/tests/it/streams.rs
+++ b/components/traffic/tests/it/streams.rs
@@ -51,7 +51,7 @@
 
 #[test]
 fn does_not_join_a_resumed_stream_that_skips_an_event() {
-    // The second engine skips an event, which the caller could not tell.
+    // The second engine skips an event, which the caller could not notice.
     let broken = upstream(|served| serve_stream(served, 0, 3, false));
     let skipping = upstream(|served| {
         while let Some(request) = served.request() {
@@ -153,8 +153,9 @@
 
 #[test]
 fn waits_for_an_engine_that_prefills_a_long_prompt() {
-    // An engine is silent for seconds while it prefills a long prompt. Abandoned too soon, its
-    // prefill is wasted, the next engine begins anew, and after a few no run is left.
+    // An engine is silent for seconds while it prefills a long prompt. If it is abandoned too soon,
+    // its prefill is wasted, the next engine starts from the beginning, and after a few no attempt
+    // is left.
     let runs = Arc::new(AtomicUsize::new(0));
     let count = Arc::clone(&runs);
     let address = upstream(move |served| {
