--- a/components/poison/src/attempts.rs
+++ b/components/poison/src/attempts.rs
@@ -2,7 +2,7 @@
 //!
 //! A crash is noticed late and piecemeal: each connection breaks by itself, the next one is
 //! refused, other daemons report it. An attempt that was given up a moment before a crash may have
-//! caused it as well, since engines start to run a draft before its connection closes. So ended
+//! caused it as well, since engines start to process a draft before its connection closes. So ended
 //! attempts are kept for a while.
 
 use std::collections::{BTreeSet, HashMap};
@@ -16,10 +16,10 @@
 /// Ended attempts are kept this long, since an upstream's entry leaves the list some four seconds
 /// after its crash.
 const ENDED_KEPT: Span = Span::from_secs(10);
-/// Attempts tracked per upstream at most, which is more than one runs side by side.
+/// Attempts tracked per upstream at most, which is more than one processes side by side.
 const MAX_ATTEMPTS: usize = 256;
 /// An attempt that was given up longer than this before its upstream's crash did not cause it: an
-/// upstream stops running it within some hundred ms of the connection's close.
+/// upstream stops processing it within some hundred ms of the connection's close.
 const GIVEN_UP_WINDOW: Span = Span::from_millis(500);
 /// The same bound where the time of the crash is unknown: a crashed upstream's entry leaves the
 /// list within this time.
@@ -37,14 +37,14 @@
 pub enum AttemptEnd {
     /// The upstream answered completely.
     Answered,
-    /// The upstream reported a failure. It may not have run the request at all, so this is no
+    /// The upstream reported a failure. It may not have processed the request at all, so this is no
     /// evidence either way.
     Failed,
     /// The connection to the upstream broke.
     Broken,
     /// This daemon gave it up: a dropped draft, a silent upstream, a caller that left.
     GivenUp,
-    /// The upstream did not start to run it.
+    /// The upstream did not start to process it.
     NotStarted,
 }
 
@@ -55,9 +55,10 @@
     pub content: Content,
     /// The customer that sent the request.
     pub customer: Option<Arc<str>>,
-    /// Whether the upstream had shown that it started to run it: the first part of an answer.
+    /// Whether the upstream had shown that it started to process it, by the first part of an
+    /// answer.
     pub had_started: bool,
-    /// How long it had run, counted from that sign, or from its sending if none came.
+    /// How long it had been processed, counted from that sign, or from its sending if none came.
     pub ran: Span,
 }
 
@@ -68,7 +69,7 @@
     customer: Option<Arc<str>>,
     sent_at: Time,
     had_started: bool,
-    /// When it was sent, or the last sign that the upstream started to run it.
+    /// When it was sent, or the last sign that the upstream started to process it.
     began_at: Time,
     /// How and when it ended, if its connection broke or it was given up.
     ended: Option<(AttemptEnd, Time)>,
@@ -168,7 +169,7 @@
         id
     }
 
-    /// Records a sign that the upstream started to run an attempt.
+    /// Records a sign that the upstream started to process an attempt.
     pub fn attempt_started(&mut self, now: Time, upstream: U, id: AttemptId) {
         self.forget_crash_if_answering(upstream, id);
         if let Some(attempt) = self.attempt_mut(upstream, id) {
--- a/components/poison/src/lib.rs
+++ b/components/poison/src/lib.rs
@@ -1,10 +1,10 @@
 //! Detection and quarantine of request contents that crash upstreams.
 //!
-//! A caller's request may crash each upstream that starts to run it. Retried by this daemon or by
-//! the caller, it crashes the next one as well, and breaks everything else that runs there. An
-//! attempt's id does not identify such a request, but its [`Content`] is the same each time.
-//! [`Attempts`] tracks the attempts in flight at each upstream, so that a crash can be attributed to
-//! contents.
+//! A caller's request may crash each upstream that starts to process it. Retried by this daemon or
+//! by the caller, it crashes the next one as well, and breaks all other requests in flight there.
+//! An attempt's id does not identify such a request, but its [`Content`] is the same each time.
+//! [`Attempts`] tracks the attempts in flight at each upstream, so that a crash can be attributed
+//! to contents.
 //!
 //! [`Suspects`] combines the crash reports of all daemons and decides which contents are
 //! quarantined: those whose crashes chance does not explain. Everything here is a plain value that
--- a/components/poison/src/policy.rs
+++ b/components/poison/src/policy.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use types::prelude::*;
 
-/// Crashed upstreams that it takes to quarantine a content. One may crash by chance, and with two a
+/// Crashed upstreams required to quarantine a content. One may crash by chance, and with two a
 /// request that was retried next to the culprit's own retry is as likely to be quarantined as the
 /// culprit.
 const MIN_CRASHES: u32 = 3;
@@ -21,7 +21,7 @@
 pub struct PoisonPolicy {
     /// Whether contents are quarantined at all.
     pub bars: bool,
-    /// Crashed upstreams that it takes to quarantine a content.
+    /// Crashed upstreams required to quarantine a content.
     pub least_ends: u32,
     /// A content is quarantined when its crashes are at most this likely by chance.
     pub chance: f64,
--- a/components/poison/src/suspects.rs
+++ b/components/poison/src/suspects.rs
@@ -28,8 +28,8 @@
 /// Contents tracked at most. A lost rack makes suspects of hundreds at one moment; those with a
 /// single crash are dropped first.
 const MAX_SUSPECTS: usize = 1_024;
-/// A content that had run for longer did not crash its upstream: one that does, does so when the
-/// upstream starts to run it.
+/// A content that had been processed for longer did not crash its upstream: one that crashes
+/// upstreams does so when they start to process it.
 const MAX_RAN: Span = Span::from_secs(3);
 /// Crashes are kept for this long after they happened, or after their content's quarantine expired.
 const CRASHES_KEPT: Span = Span::from_secs(600);
@@ -70,7 +70,7 @@
     pub since: Time,
     /// When the quarantine expires.
     pub until: Time,
-    /// Upstreams that crashed under it, and how long it had run there.
+    /// Upstreams that crashed under it, and how long it had been processed there.
     pub crashes: Vec<(UpstreamInstance, Span)>,
 }
 
@@ -148,8 +148,8 @@
         Span(draw % (spread + 1))
     }
 
-    /// Whether a content is one crash short of quarantine or closer, so that it should run where
-    /// few others do.
+    /// Whether a content is one crash short of quarantine or closer, so that it should be sent
+    /// where few other requests are in flight.
     #[must_use]
     pub fn is_suspect(&self, content: Content) -> bool {
         let suspect = self.suspects.get(&content);
@@ -197,12 +197,13 @@
         }
     }
 
-    /// Takes over a quarantine from the store: the upstreams that crashed under a content, and how
-    /// long it had run there. The times of the crashes are not stored; they count from now.
+    /// Restores a quarantine from the store: the upstreams that crashed under a content, and how
+    /// long it had been processed there. The times of the crashes are not stored; they count from
+    /// now.
     ///
-    /// A restored quarantine holds without further proof. Otherwise a daemon that just started,
-    /// with too little evidence of its own, would take the quarantine for over, delete it from the
-    /// store and so end it everywhere.
+    /// A restored quarantine holds without further evidence. Otherwise a daemon that just started,
+    /// with too little evidence of its own, would consider the quarantine over, delete it from the
+    /// store and so lift it everywhere.
     pub fn restore(
         &mut self,
         now: Time,
--- a/components/poison/src/suspects/answered.rs
+++ b/components/poison/src/suspects/answered.rs
@@ -6,8 +6,9 @@
 
 use crate::content::Content;
 
-/// A content that was answered this recently does not crash upstreams. Guards against quarantining
-/// a request that many callers send alike: it may run at three upstreams of a rack that is lost.
+/// A content that was answered this recently does not crash upstreams. Without this rule, a request
+/// that many callers send alike would be quarantined if it was in flight at three upstreams of a
+/// lost rack.
 const CLEARED_FOR: Span = Span::from_secs(5);
 /// Answers remembered at most.
 const MAX_ANSWERED: usize = 4_096;
--- a/components/poison/src/suspects/attribution.rs
+++ b/components/poison/src/suspects/attribution.rs
@@ -10,18 +10,18 @@
 use crate::content::Content;
 use crate::updates::UpstreamInstance;
 
-/// Largest chance at which a content is quarantined when several others of its customer are: one in
-/// a thousand of that customer's harmless requests that are in flight at a crash is refused for a
-/// while.
+/// Largest chance at which a content is quarantined when several other contents of its customer
+/// are: one in a thousand of that customer's harmless requests that are in flight at a crash is
+/// refused for a while.
 const MAX_CHANCE_OF_REPEATED: f64 = 1e-3;
 
 impl Suspects {
-    /// Quarantines the contents that explain crashes best, and clears those whose crashes others
-    /// explain.
+    /// Quarantines the contents that explain crashes best, and clears those whose crashes other
+    /// contents explain.
     ///
-    /// Guards against quarantining a harmless request for the culprit's crashes: what runs next to
-    /// the culprit and is retried with it is hit by the same crashes once, twice and now and then
-    /// three times.
+    /// A harmless request must not be quarantined for the culprit's crashes: one that is in flight
+    /// next to the culprit and retried with it is hit by the same crashes once, twice and now and
+    /// then three times.
     pub(super) fn reevaluate(&mut self, now: Time) {
         if !self.policy.bars {
             return;
@@ -73,28 +73,28 @@
         least_likely.map(|(_, content)| content)
     }
 
-    /// The evidence that it takes to quarantine a content when this many others of its customer are
-    /// quarantined.
+    /// The evidence required to quarantine a content when this many other contents of its customer
+    /// are quarantined.
     ///
-    /// Guards against a customer that sends one such request after another, each of which would
-    /// crash as many upstreams as the first. One other is no reason yet: the customer's ordinary
-    /// requests are hit next to it like everybody's.
-    fn threshold(&self, others: usize) -> Threshold {
+    /// Less is required of a customer that sends one such request after another, since each would
+    /// crash as many upstreams as the first. A single other content is not enough: the customer's
+    /// ordinary requests are hit next to it like everybody's.
+    fn threshold(&self, other_culprits: usize) -> Threshold {
         let min_crashes = self.policy.least_ends as usize;
-        match others {
+        match other_culprits {
             0 | 1 => Threshold {
                 crashes: min_crashes,
                 chance: self.policy.chance,
             },
-            others => Threshold {
-                crashes: min_crashes.saturating_sub(others - 1).max(1),
+            other_culprits => Threshold {
+                crashes: min_crashes.saturating_sub(other_culprits - 1).max(1),
                 chance: self.policy.chance.max(MAX_CHANCE_OF_REPEATED),
             },
         }
     }
 }
 
-/// The evidence that it takes to quarantine a content.
+/// The evidence required to quarantine a content.
 struct Threshold {
     crashes: usize,
     chance: f64,
--- a/components/poison/src/suspects/crashes.rs
+++ b/components/poison/src/suspects/crashes.rs
@@ -1,4 +1,4 @@
-//! Crashes of upstreams, whatever ran there, and their rate.
+//! Crashes of upstreams, whatever requests were in flight there, and their rate.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -11,14 +11,14 @@
 /// Longer than the crashes of any content are kept, so that the rate at their time does not change
 /// afterwards.
 const CRASHES_KEPT: Span = Span::from_secs(3_600);
-/// Crashes added to those seen, so that the rate is never taken for 0.
+/// Crashes added to those seen, so that the rate is never 0.
 const UNSEEN_CRASHES: f64 = 0.5;
 /// The least rate is computed for at least this many upstreams, since fewer say too little about
 /// how rare crashes are: with one, the rate assumed without any crash would excuse three in a
 /// second.
 const MIN_UPSTREAMS: usize = 8;
 
-/// Recent crashes of upstreams, whatever ran there.
+/// Recent crashes of upstreams, whatever requests were in flight there.
 #[derive(Debug, Default)]
 pub(crate) struct UpstreamCrashes {
     crashed_at: HashMap<UpstreamInstance, Time>,
@@ -42,8 +42,8 @@
         UNSEEN_CRASHES / (self.upstreams.max(MIN_UPSTREAMS) as f64 * over.as_secs_f64())
     }
 
-    /// Crashes per upstream and second, without those of `excluded`, in the time that starts
-    /// `before` ahead of `from` and ends at `to`.
+    /// Crashes per upstream and second, without those of `excluded`, from `before` ahead of `from`
+    /// until `to`.
     pub(crate) fn rate(
         &self,
         before: Span,
--- a/components/poison/src/suspects/evidence.rs
+++ b/components/poison/src/suspects/evidence.rs
@@ -1,10 +1,10 @@
 //! How likely it is that a content was in flight at its crashes by chance.
 //!
 //! Of two requests that were in flight at the same three crashes, the one that causes them crashes
-//! its upstream shortly after each start; the other was caught in long runs, or at a time when many
-//! upstreams crash. So the crashes are tested against chance: upstreams crash at some rate by
-//! themselves, a content has run for some time in total, and the number of crashes that fall into
-//! that time by chance has a Poisson distribution.
+//! its upstream shortly after each start. The other one had been processed for long, or was hit at
+//! a time when many upstreams crash. So the crashes are tested against chance: upstreams crash at
+//! some rate by themselves, a content has been processed for some time in total, and the number of
+//! crashes that fall into that time by chance has a Poisson distribution.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 
 /// Crashes kept per content; more add no information.
 const MAX_CRASHES_PER_CONTENT: usize = 16;
-/// A run counts for at least this long, since a crash is noticed some ten ms after it.
+/// An attempt counts for at least this long, since a crash is noticed some ten ms after it.
 const MIN_RAN: Span = Span::from_millis(20);
 
 /// The usual crash rate is taken from this long before a content's first crash on, its own crashes
@@ -29,16 +29,16 @@
 /// two rates counts: crashes come in bursts, in which many harmless requests are hit three times by
 /// chance.
 const BURST_WINDOW: Span = Span::from_secs(2);
-/// A harmless request next to a culprit has run for up to this long when the upstream crashes, in
-/// seconds: half the time of an answer.
+/// A harmless request next to a culprit has been processed for up to this long when the upstream
+/// crashes, in seconds: half the time of an answer.
 const BYSTANDER_RAN_S: f64 = 0.5;
 
 /// A crash of an upstream while a content was in flight there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Crash {
-    /// Whether the upstream had shown that it started to run the content.
+    /// Whether the upstream had shown that it started to process the content.
     pub(crate) had_started: bool,
-    /// How long the content had run there.
+    /// How long the content had been processed there.
     pub(crate) ran: Span,
     pub(crate) at: Time,
 }
@@ -58,13 +58,13 @@
     pub(crate) trial_at: Option<Time>,
     /// When this daemon found it quarantined.
     pub(crate) quarantined_since: Option<Time>,
-    /// Whether its quarantine was taken from the store, and holds without proof by local evidence.
+    /// Whether its quarantine was read from the store, and holds without local evidence.
     pub(crate) is_restored: bool,
 }
 
 impl Suspect {
     /// Adds a crash. Returns whether that changed anything. Of two reports on one crash, the one in
-    /// which the run had started counts, and of two such the shorter run.
+    /// which processing had started counts, and of two such the one with the shorter time.
     pub(crate) fn add(&mut self, upstream: UpstreamInstance, crash: Crash) -> bool {
         if let Some(known) = self.crashes.get_mut(&upstream) {
             let is_better = (!crash.had_started, crash.ran) < (!known.had_started, known.ran);
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The crashes that count as evidence. If any upstream showed that it started to run the
+    /// The crashes that count as evidence. If any upstream showed that it started to process the
     /// content, only crashes at such upstreams count: elsewhere it waited next to the culprit. A
     /// content that crashes upstreams before the first sign of an answer never shows a start, so
     /// all its crashes count.
@@ -130,7 +130,7 @@
     /// Probability of its crashes by chance, or nothing if other contents explain all of them.
     ///
     /// A crash that another content explains still counts a little: a harmless request next to the
-    /// culprit is at any point of its run then, and has seldom just started.
+    /// culprit may be at any point of its processing then, and has seldom just started.
     pub(crate) fn chance(
         &self,
         explained: &BTreeSet<UpstreamInstance>,
--- a/components/poison/src/suspects/outbox.rs
+++ b/components/poison/src/suspects/outbox.rs
@@ -1,7 +1,7 @@
 //! Updates that wait to be sent to other daemons.
 //!
-//! An update is sent once. It comes back from other daemons with an age that has shrunk a little
-//! at each hop, and must not be taken for a new one.
+//! An update is sent once. It comes back from other daemons with an age that has shrunk a little at
+//! each hop, and must not be treated as new.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -15,8 +15,8 @@
 const MAX_WAITING: usize = 256;
 /// Updates sent in one message, of some 60 bytes each.
 const MAX_PER_MESSAGE: usize = 64;
-/// A crash or trial is not sent again for this long, which exceeds the time that a message takes
-/// between two daemons.
+/// A crash or trial is not sent a second time for this long, which exceeds the time that a message
+/// takes between two daemons.
 const CRASH_SENT_KEPT: Span = Span::from_secs(10);
 /// The same for answers and lifted quarantines, which recur: a content is answered again and again,
 /// and each answer may clear crashes that came since.
@@ -124,7 +124,8 @@
     /// Takes the updates to send now; `crash_count` gives the number of crashes of a content.
     ///
     /// Trials and clearings go first, then the contents with the most crashes, and what finds no
-    /// room is dropped: a flood of suspects must not delay the report on a proven one.
+    /// room is dropped: a flood of suspects must not delay the update on a content with many
+    /// crashes.
     pub(crate) fn take(
         &mut self,
         now: Time,
--- a/components/poison/src/updates.rs
+++ b/components/poison/src/updates.rs
@@ -1,6 +1,6 @@
 //! Gossip between daemons about contents and upstream crashes.
 //!
-//! Receivers merge updates by content and upstream, so order, repeats and loss do not matter: a
+//! Receivers merge updates by content and upstream, so order, duplicates and loss do not matter: a
 //! crash reported by two daemons, or twice, counts once. Updates carry ages, not times; each is
 //! forwarded with the age that it has by then.
 
@@ -15,8 +15,8 @@
 /// Updates read from one message at most.
 const MAX_UPDATES: usize = 256;
 
-/// One run of an upstream's program. An id may be reused by a later instance with another start
-/// time.
+/// One instance of an upstream's program. An id may be reused by a later instance with another
+/// start time.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct UpstreamInstance {
     /// Id of the upstream.
@@ -34,9 +34,9 @@
         upstream: UpstreamInstance,
         /// The customer that sent the request.
         customer: Option<Arc<str>>,
-        /// Whether the upstream had shown that it started to run the request.
+        /// Whether the upstream had shown that it started to process the request.
         had_started: bool,
-        /// How long the request had run there, in ms.
+        /// How long the request had been processed there, in ms.
         ran_ms: u32,
     },
     /// It was answered completely.
--- a/components/poison/tests/attempts.rs
+++ b/components/poison/tests/attempts.rs
@@ -50,7 +50,8 @@
 #[test]
 fn draft_dropped_just_before_the_crash_is_attributed() {
     // A draft is dropped as a low-confidence answer 20 ms after it started. The engine is still
-    // running it and crashes 60 ms later, when this daemon has no connection left there to see it.
+    // processing it and crashes 60 ms later, when this daemon has no connection left there to
+    // notice it.
     let mut attempts = Attempts::default();
     let id = attempts.sent(at(0), UPSTREAM, content("draft"), None);
     attempts.attempt_started(at(10), UPSTREAM, id);
--- a/components/poison/tests/content.rs
+++ b/components/poison/tests/content.rs
@@ -16,7 +16,7 @@
 #[test]
 fn same_request_of_another_customer_has_another_id() {
     // A customer that knows another's requests could send them itself and crash upstreams with
-    // them. The other customer's requests must not be quarantined for it.
+    // them. The other customer's requests must not be quarantined because of that.
     let mut ids = vec![
         of("alice", "host", "POST", "/a/b", "hello"),
         of("bob", "host", "POST", "/a/b", "hello"),
--- a/components/poison/tests/fleet.rs
+++ b/components/poison/tests/fleet.rs
@@ -89,7 +89,7 @@
 
 #[test]
 fn culprit_is_quarantined_in_a_small_pool_without_start_signs() {
-    // Four upstreams that never show when they start to run a request.
+    // Four upstreams that never show when they start to process a request.
     let scenario = Scenario {
         upstreams: 4,
         shows_start: false,
--- a/components/poison/tests/gossip.rs
+++ b/components/poison/tests/gossip.rs
@@ -73,7 +73,7 @@
         self.sent - before
     }
 
-    /// Crashes an upstream while it runs new requests of one daemon.
+    /// Crashes an upstream while it processes new requests of one daemon.
     fn crash(&mut self, upstream: usize, daemon: usize, requests: usize) {
         let crashed = (0..requests).map(|n| CrashedAttempt {
             content: content(upstream, daemon, n),
--- a/components/poison/tests/support/simulation.rs
+++ b/components/poison/tests/support/simulation.rs
@@ -2,8 +2,8 @@
 //!
 //! Each daemon has the product's tables and knows only what it sees and what it is sent. Requests
 //! are sent to an upstream, wait there, start, and are answered some seconds later. An upstream
-//! that crashes breaks all of them, and they go to others while attempts are left. A culprit
-//! crashes its upstream a moment after it starts.
+//! that crashes breaks all of them, and they go to other upstreams while attempts are left. A
+//! culprit crashes its upstream a moment after it starts.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -40,7 +40,7 @@
     pub of_one: bool,
     /// Upper bound of the wait at an upstream, in ms.
     pub wait_ms: u64,
-    /// Whether an upstream shows when it starts to run a request.
+    /// Whether an upstream shows when it starts to process a request.
     pub shows_start: bool,
     /// Share of the messages between daemons that is lost.
     pub update_loss: f64,
@@ -99,7 +99,7 @@
     Answered(usize, u32),
     /// An upstream crashes without a culprit.
     Crashes(usize),
-    /// A culprit crashes the run of an upstream that it was sent to.
+    /// A culprit crashes the instance of an upstream that it was sent to.
     CrashesUnder(UpstreamStart, usize),
     Restarts(usize),
     SendsUpdates(usize),
@@ -113,12 +113,12 @@
     customer: Option<Arc<str>>,
     culprit: Option<usize>,
     daemon: usize,
-    runs: u32,
+    attempt_number: u32,
     at: Option<(UpstreamStart, poison::AttemptId)>,
     is_retry: bool,
 }
 
-/// An upstream and the number of its program's run.
+/// An upstream and the number of its instance.
 type UpstreamStart = (usize, u64);
 
 struct Daemon {
@@ -133,7 +133,7 @@
     queue: BinaryHeap<Reverse<(Time, u64, Event)>>,
     sequence: u64,
     daemons: Vec<Daemon>,
-    /// Number of each upstream's current run, and whether it is up.
+    /// Number of each upstream's current instance, and whether it is up.
     upstreams: Vec<(u64, bool)>,
     requests: Vec<Request>,
     messages: Vec<ContentUpdates>,
@@ -246,7 +246,7 @@
             customer: Some(Arc::from(format!("c{customer}"))),
             culprit,
             daemon,
-            runs: 0,
+            attempt_number: 0,
             at: None,
             is_retry,
         });
@@ -269,8 +269,8 @@
                 self.send(n);
             }
             Event::Sent(n) => self.send(n),
-            Event::Starts(n, run) => self.start(n, run),
-            Event::Answered(n, run) => self.answer(n, run),
+            Event::Starts(n, attempt_number) => self.start(n, attempt_number),
+            Event::Answered(n, attempt_number) => self.answer(n, attempt_number),
             Event::Crashes(upstream) => self.crash_upstream(upstream),
             Event::CrashesUnder((upstream, start), culprit) => {
                 if self.upstreams[upstream] == (start, true) {
@@ -327,7 +327,7 @@
         }
         let up = (0..self.upstreams.len()).filter(|u| self.upstreams[*u].1);
         let up = up.collect::<Vec<_>>();
-        if up.is_empty() || self.requests[n].runs >= MAX_ATTEMPTS {
+        if up.is_empty() || self.requests[n].attempt_number >= MAX_ATTEMPTS {
             return self.retry_by_caller(n);
         }
         let upstream = up[self.rng.random_range(0..up.len())];
@@ -343,11 +343,11 @@
             .attempts
             .sent(self.now, upstream, content, customer);
         let request = &mut self.requests[n];
-        request.runs += 1;
+        request.attempt_number += 1;
         request.at = Some((upstream, attempt));
-        let runs = request.runs;
+        let attempt_number = request.attempt_number;
         let wait = Span::from_millis(self.rng.random_range(5..self.scenario.wait_ms));
-        self.schedule_after(wait, Event::Starts(n, runs));
+        self.schedule_after(wait, Event::Starts(n, attempt_number));
     }
 
     /// Callers of an ordinary request that failed retry once; a culprit's callers keep sending
@@ -360,13 +360,19 @@
         }
     }
 
-    fn current_attempt(&self, n: usize, run: u32) -> Option<(UpstreamStart, poison::AttemptId)> {
+    fn current_attempt(
+        &self,
+        n: usize,
+        attempt_number: u32,
+    ) -> Option<(UpstreamStart, poison::AttemptId)> {
         let request = &self.requests[n];
-        request.at.filter(|_| request.runs == run)
+        request
+            .at
+            .filter(|_| request.attempt_number == attempt_number)
     }
 
-    fn start(&mut self, n: usize, run: u32) {
-        let Some((upstream, attempt)) = self.current_attempt(n, run) else {
+    fn start(&mut self, n: usize, attempt_number: u32) {
+        let Some((upstream, attempt)) = self.current_attempt(n, attempt_number) else {
             return;
         };
         let daemon = self.requests[n].daemon;
@@ -382,13 +388,13 @@
             }
             None => {
                 let duration = Span::from_millis(self.rng.random_range(100..4_000));
-                self.schedule_after(duration, Event::Answered(n, run));
+                self.schedule_after(duration, Event::Answered(n, attempt_number));
             }
         }
     }
 
-    fn answer(&mut self, n: usize, run: u32) {
-        let Some((upstream, attempt)) = self.current_attempt(n, run) else {
+    fn answer(&mut self, n: usize, attempt_number: u32) {
+        let Some((upstream, attempt)) = self.current_attempt(n, attempt_number) else {
             return;
         };
         self.requests[n].at = None;
@@ -449,7 +455,7 @@
         let message = self.messages.len() - 1;
         let others = (0..self.scenario.daemons).filter(|other| *other != daemon);
         let others = others.collect::<Vec<_>>();
-        // In a small fleet all others; in a large one six, who forward it.
+        // In a small fleet all peers; in a large one six, which forward it.
         let receivers = match others.len() {
             0..16 => others,
             n => (0..6)
--- a/components/poison/tests/suspects.rs
+++ b/components/poison/tests/suspects.rs
@@ -148,7 +148,8 @@
 
 #[test]
 fn waiting_request_is_not_blamed_for_a_crash() {
-    // A content was seen to run once; elsewhere it only waited while others crashed the engine.
+    // A content was once seen being processed; elsewhere it only waited while other contents
+    // crashed the engine.
     let mut suspects = suspects("d1");
     suspects.upstream_crashed(at(0), &upstream(0), &[crashed_under("waits", 90)]);
     for n in 1..4 {
@@ -183,7 +184,8 @@
 
 #[test]
 fn one_daemon_at_a_time_sends_the_trial_after_expiry() {
-    // The first daemon whose delay is over sends the trial and reports it. The others wait for it.
+    // The first daemon whose delay is over sends the trial and reports it. The other daemons wait
+    // for it.
     let mut daemons = ["d1", "d2", "d3"].map(suspects);
     daemons.iter_mut().for_each(|d| quarantine(d, "poison"));
     assert!(is_quarantined(&daemons[0], at(29_000), "poison"));
@@ -295,7 +297,7 @@
     suspects.upstream_crashed(at(1_100), &upstream(50), &lost.collect::<Vec<_>>());
     assert!(suspects.len() <= 1_024);
     assert!(is_quarantined(&suspects, at(1_200), "poison"));
-    // A content that is proven meanwhile is reported before the flood.
+    // A content that is quarantined meanwhile is sent before the flood.
     for n in 60..63 {
         suspects.upstream_crashed(at(1_200), &upstream(n), &[crashed_under("next", 50)]);
     }
