--- a/components/ratelimit/src/advertised.rs
+++ b/components/ratelimit/src/advertised.rs
@@ -3,11 +3,11 @@
 use serde::{Deserialize, Serialize};
 use types::prelude::*;
 
-/// Identifies one run of an upstream's program, by a hash of its id and start.
+/// Identifies one instance of an upstream's program, by a hash of its id and start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct InstanceKey(pub u32);
 
-/// What an answer says about its upstream's rate limit.
+/// What an answer advertises about its upstream's rate limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub enum Advertised {
     /// No limit.
--- a/components/ratelimit/src/fleet.rs
+++ b/components/ratelimit/src/fleet.rs
@@ -5,8 +5,8 @@
 
 use crate::advertised::InstanceKey;
 
-/// How long a daemon that just started sends nothing to limited upstreams: it knows too few
-/// others to determine the senders.
+/// How long a daemon that just started sends nothing to limited upstreams: it knows too few peers
+/// to determine the senders.
 pub const SETTLING_TIME: Span = Span::from_secs(5);
 
 /// The daemons that share the limits.
@@ -17,8 +17,8 @@
 }
 
 impl Fleet {
-    /// Creates a fleet of this daemon and all others that have a share: those present, and
-    /// those that disappeared recently without leaving.
+    /// Creates a fleet of this daemon and all its peers that have a share: those present, and those
+    /// that disappeared recently without announcing that they leave.
     pub fn new<'a>(me: &DaemonId, others: impl Iterator<Item = &'a DaemonId>) -> Self {
         let hash = |id: &DaemonId| xxh3_64(id.as_str().as_bytes());
         Self {
@@ -47,8 +47,8 @@
 
 /// Returns how many daemons send to an upstream with this limit.
 ///
-/// Each may have a burst of one request, so the rate bounds their number; at least two, in case
-/// one is down.
+/// Each may have a burst of one request, so the rate bounds their number; there are at least two,
+/// in case one is down.
 pub(crate) fn senders(rate: Rate, fleet: usize) -> usize {
     let count = (rate.0 as usize).saturating_add(2);
     count.min(fleet.max(1))
--- a/components/ratelimit/src/table.rs
+++ b/components/ratelimit/src/table.rs
@@ -15,7 +15,7 @@
 const LIFTED_RETENTION: Span = Span::from_secs(10);
 /// Most limits in one message.
 const MAX_ADVERTISED: usize = 32;
-/// Number of them that are the most recently changed limits; the others take turns.
+/// Number of them that are the most recently changed limits; the remaining limits take turns.
 const MAX_NEWEST: usize = 16;
 /// Most limits kept; there are fewer upstreams.
 const MAX_LIMITS: usize = 16_384;
--- a/components/ratelimit/tests/it/fleet.rs
+++ b/components/ratelimit/tests/it/fleet.rs
@@ -100,7 +100,7 @@
 
 #[test]
 fn a_limit_is_kept_while_daemons_are_killed_and_restarted() {
-    // A daemon that just started knows no others and would take the whole limit for its share.
+    // A daemon that just started knows no peers and would use the whole limit as its share.
     let change = |scenario: &mut Scenario| scenario.kill_every = Some(Span::from_millis(1_300));
     scenarios(change).for_each(|scenario| check_informed(&scenario));
 }
--- a/components/ratelimit/tests/it/world.rs
+++ b/components/ratelimit/tests/it/world.rs
@@ -1,8 +1,8 @@
 //! Simulates a fleet of daemons that send to upstreams with limits.
 //!
-//! Each daemon has the product's table and knows what its own answers and its peers say.
-//! Daemons learn late of others that come and go, messages are delayed and lost, and answers
-//! begin up to some seconds after their requests were sent, so that they arrive out of order.
+//! Each daemon has the product's table and knows only its own answers and its peers' messages.
+//! Daemons learn late of peers that come and go, messages are delayed and lost, and answers begin
+//! up to some seconds after their requests were sent, so that they arrive out of order.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
@@ -104,10 +104,11 @@
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// An answer's head arrives at the daemon's run that sent the request at `sent_at`.
+    /// An answer's head arrives at the daemon, unless it restarted since it sent the request at
+    /// `sent_at`.
     Answer {
         daemon: usize,
-        run_at: Time,
+        daemon_started_at: Time,
         upstream: usize,
         sent_at: Time,
     },
@@ -211,7 +212,7 @@
         self.learn_all(now, new);
     }
 
-    /// Schedules when a daemon that just started learns of all others.
+    /// Schedules when a daemon that just started learns of all its peers.
     fn learn_all(&mut self, now: Time, daemon: usize) {
         for other in (0..self.daemons.len()).filter(|other| *other != daemon) {
             let at = self.learn_time(now);
@@ -262,10 +263,10 @@
             match event {
                 Event::Answer {
                     daemon,
-                    run_at,
+                    daemon_started_at,
                     upstream,
                     sent_at,
-                } => self.answer(at, daemon, run_at, upstream, sent_at),
+                } => self.answer(at, daemon, daemon_started_at, upstream, sent_at),
                 Event::Message { to, message } => {
                     let ads = std::mem::take(&mut self.messages[message]);
                     let daemon = &mut self.daemons[to];
@@ -295,10 +296,17 @@
         self.scenario.limits[upstream].filter(|_| is_advertised)
     }
 
-    fn answer(&mut self, at: Time, daemon: usize, run_at: Time, upstream: usize, sent_at: Time) {
+    fn answer(
+        &mut self,
+        at: Time,
+        daemon: usize,
+        daemon_started_at: Time,
+        upstream: usize,
+        sent_at: Time,
+    ) {
         let limit = self.advertised_limit(at, upstream);
         let this = &mut self.daemons[daemon];
-        if !this.is_up || this.started_at != run_at {
+        if !this.is_up || this.started_at != daemon_started_at {
             return;
         }
         let answer = match limit {
@@ -369,7 +377,7 @@
             let informed_at = this.informed_at.get(&upstream);
             let is_informed =
                 informed_at.is_some_and(|at| now.since(*at) >= Span::from_millis(500));
-            let run_at = this.started_at;
+            let daemon_started_at = this.started_at;
             self.arrivals[upstream].push((now, is_informed));
             let slow = self.rng.random_bool(0.1);
             let max_ms = if slow { 3_000 } else { 100 };
@@ -378,7 +386,7 @@
                 at,
                 Event::Answer {
                     daemon,
-                    run_at,
+                    daemon_started_at,
                     upstream,
                     sent_at: now,
                 },
