--- a/components/mirror/src/message.rs
+++ b/components/mirror/src/message.rs
@@ -16,12 +16,12 @@
 /// Largest encoded reply, in bytes. Less than the limit on one message between daemons.
 pub const MAX_REPLY_BYTES: usize = 512 * 1024;
 
-/// A page ends once its keys and values reach this many bytes before compression. This is about
-/// 30 KB on the wire, which takes a host's link of 10 Mbit/s a fortieth of a second.
+/// A page is complete once its keys and values reach this many bytes before compression. This is
+/// about 30 KB on the wire, which takes a host's link of 10 Mbit/s a fortieth of a second.
 const PAGE_BYTES: usize = 128 * 1024;
 
-/// Largest decompressed reply, in bytes. Prevents a small message from expanding to more than a
-/// host's memory. The store's values are at most 1 MB each.
+/// Largest decompressed reply, in bytes. Without this bound a small message could expand to more
+/// than a host's memory. The store's values are at most 1 MB each.
 const MAX_DECOMPRESSED_BYTES: u64 = 24 * 1024 * 1024;
 
 /// Asks a peer for the changes after a revision.
@@ -49,8 +49,8 @@
     /// copy page by page.
     Page {
         /// Revision of the replying mirror. The pages together are no snapshot: a change after the
-        /// first page may already be in a later page, and is sent again among the changes after
-        /// the revision of the first page.
+        /// first page may already be in a later page, and is sent a second time among the changes
+        /// after the revision of the first page.
         at: Revision,
         /// Items in order of their keys.
         items: Vec<Change>,
--- a/components/mirror/src/mirror.rs
+++ b/components/mirror/src/mirror.rs
@@ -7,9 +7,9 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// Most changes in the log, which serves peers that lag. An entry holds only key and revision,
-/// and the current value is sent, so many writes of a large configuration take no memory. A
-/// worker causes about four changes during its life, so the log covers the replacement of a few
+/// Most changes in the log, which serves peers that lag. An entry holds only key and revision, and
+/// the current value is sent, so many writes of a large configuration take no memory. A worker
+/// causes about four changes from its start to its exit, so the log covers the replacement of a few
 /// hundred workers; a peer that lags further gets a listing.
 const MAX_LOG_ENTRIES: usize = 1_024;
 
--- a/components/mirror/tests/mirror.rs
+++ b/components/mirror/tests/mirror.rs
@@ -33,8 +33,8 @@
 
 #[test]
 fn a_stale_watch_does_not_revert_changes() {
-    // Guards against serving an old configuration after a new one: a daemon gets version 3 from a
-    // peer, and then its own slow watch delivers version 2 and a key deleted since.
+    // A daemon gets version 3 of a configuration from a peer, and then its own slow watch delivers
+    // version 2 and a key deleted since. The old configuration must not replace the new one.
     let mut mirror = mirror_of(1, vec![put(1, "config", "1")]);
     let newer = vec![
         put(2, "config", "2"),
@@ -85,8 +85,8 @@
     assert_eq!(mirror.at(), Revision(2));
 }
 
-/// Guards against a leaving upstream that becomes ready again: a later page of a listing held a
-/// newer state than the listing's revision, and an older change overwrote it.
+/// A later page of a listing held a newer state of an upstream than the listing's revision. An
+/// older change overwrote it, and the leaving upstream became ready again.
 #[test]
 fn a_later_page_is_not_undone_by_an_older_change() {
     let mut mirror = mirror_of(100, vec![put(115, "upstream", "leaving")]);
@@ -102,8 +102,8 @@
     assert_eq!(change.value.as_deref(), Some(&b"leaving"[..]));
 }
 
-/// Guards against a peer that lacks a configuration permanently, because it took the differences
-/// between a daemon's copy and a listing for all the changes.
+/// A daemon sent a peer the differences between its own copy and a listing as if they were all the
+/// changes. The peer, whose copy was another one, lacked a configuration permanently.
 #[test]
 fn a_listing_is_not_sent_as_changes() {
     // A later page of the first listing already held the configuration of revision 115.
@@ -230,9 +230,9 @@
 
 #[test]
 fn a_storm_of_large_configurations_is_one_value_for_a_peer() {
-    // Operators write forty versions of a configuration of some hundred KB. Guards against a
-    // log of values: every daemon would keep all of them, and a lagging peer would get them in a
-    // message that is too large.
+    // Operators write forty versions of a configuration of some hundred KB. If the log held values,
+    // every daemon would keep all of them, and a lagging peer would get them in a message that is
+    // too large.
     let mut ahead = mirror_of(1, vec![]);
     let route =
         |n: usize| format!("{{\"name\":\"r-{n}\",\"prefix\":\"/{n}/\",\"timeout\":20000}},");
