--- a/components/dispatch/src/affinity.rs
+++ b/components/dispatch/src/affinity.rs
@@ -36,9 +36,9 @@
     /// cost of prefilling the shared parts again, and `cross_domain_ms` that of going to
     /// another failure domain.
     ///
-    /// Only one upstream is expected to have the parts cached. When all three preferred ones were,
-    /// each daemon decided among them by load and locality, and all three prefilled the prompt.
-    /// With one, a fifth fewer shared tokens are prefilled again.
+    /// Only one upstream is expected to have the parts cached. When all three preferred ones were
+    /// expected to have them, each daemon decided among them by load and locality, and all three
+    /// prefilled the prompt. With one, a fifth fewer shared tokens are prefilled again.
     pub(crate) fn new(
         candidates: &[Candidate<'_>],
         local: &[usize],
--- a/components/dispatch/src/backlog.rs
+++ b/components/dispatch/src/backlog.rs
@@ -1,4 +1,4 @@
-//! Requests sent to an upstream whose answers have not started.
+//! Requests that were sent to an upstream and whose answers have not started.
 
 use std::collections::VecDeque;
 
--- a/components/dispatch/src/cascade.rs
+++ b/components/dispatch/src/cascade.rs
@@ -5,17 +5,17 @@
 //! larger model. That costs the larger model's time, and the time until the caller sees
 //! something.
 //!
-//! The confidence also says how far the request exceeds the model. If by little, the next size
-//! answers it, at half of the largest model's price and a quarter of its prefill time; if by
-//! much, only the largest does.
+//! The confidence also shows how far the request exceeds the model. If by little, the next size
+//! suffices, at half of the largest model's price and a quarter of its prefill time; if by much,
+//! only the largest does.
 //!
-//! The bounds follow from how often a request is too hard for the smallest model: at a
-//! confidence between 0 and 20 some 84 in 100, from 30 to 40 77, from 40 to 50 55, from 50 to
-//! 60 34, and above 60 none. The largest model's price is a seventh of an answer's, so
-//! escalating to it pays up to 60 while engines have time and up to 50 when they have none.
-//! With the next size asked from [`CascadePolicy::next_size_from`] on, escalation pays up to 60
-//! at any load. A fleet with little load could escalate to the largest more often, but then
-//! more of the longer streams are in flight when a host is lost.
+//! The bounds follow from how often a request is too hard for the smallest model: at a confidence
+//! between 0 and 20 some 84 in 100, from 30 to 40 77, from 40 to 50 55, from 50 to 60 34, and above
+//! 60 none. The largest model's price is a seventh of an answer's, so escalating to it pays up to a
+//! confidence of 60 while engines have time to spare, and up to 50 when they have none. With the
+//! next size asked from [`CascadePolicy::next_size_from`] on, escalation pays up to 60 at any load.
+//! A fleet with little load could escalate to the largest more often, but then more of the longer
+//! streams are in flight when a host is lost.
 
 use types::prelude::*;
 
--- a/components/dispatch/src/lib.rs
+++ b/components/dispatch/src/lib.rs
@@ -1,10 +1,9 @@
 //! Chooses the upstream, model and version for a request, and decides on retries.
 //!
-//! Everything here is a plain value that is given the time and random numbers and touches no
-//! socket, clock or thread. [`Upstreams`] holds what one daemon knows of the upstreams and
-//! chooses among them; [`RetryBudget`] bounds retries; [`Cascade`] decides when a request is
-//! escalated to a larger model; [`Trial`] moves a service's traffic to a new version and judges
-//! it.
+//! Nothing in this crate uses a socket, clock or thread; the time and random numbers are arguments.
+//! [`Upstreams`] holds what one daemon knows of the upstreams and chooses among them;
+//! [`RetryBudget`] bounds retries; [`Cascade`] decides when a request is escalated to a larger
+//! model; [`Trial`] moves a service's traffic to a new version and judges it.
 
 mod affinity;
 mod aggregation;
--- a/components/dispatch/src/rate_limits.rs
+++ b/components/dispatch/src/rate_limits.rs
@@ -92,7 +92,8 @@
 
     /// Retains the upstreams whose rate limits allow a request now.
     ///
-    /// # Errors When none does, with the time at which one will.
+    /// # Errors
+    /// When none does, with the time at which one will.
     pub(crate) fn retain_admitted(
         &self,
         now: Time,
--- a/components/dispatch/src/trial.rs
+++ b/components/dispatch/src/trial.rs
@@ -69,7 +69,7 @@
 pub enum Verdict {
     /// Not decided yet.
     Open,
-    /// It may serve alone, and does.
+    /// No fault was found: it has served alone for long enough, or its time is up.
     Good,
     /// It fails more often than the old one.
     Failing,
--- a/components/dispatch/src/trial/gate.rs
+++ b/components/dispatch/src/trial/gate.rs
@@ -72,9 +72,9 @@
         let is_on_new = pinned.is_some_and(|version| *version == self.to);
         let is_chosen = position_in_range(session_hash) < self.share;
         match is_on_new || (is_chosen && !(is_on_old && self.keeps_sessions)) {
-            // Spread over all of its upstreams, a part of the requests would not show a version
-            // that is bad under load. Sent to an equal part of the upstreams, it causes the
-            // load to come.
+            // A small share of the requests, spread over all upstreams of the version, would not
+            // show that it is bad under load. Sent to an equal share of its upstreams, the requests
+            // cause the load that is to come.
             true => Permit::Subset(self.to.clone(), Share::clamped(self.share)),
             false => Permit::Except(Arc::clone(&self.barred)),
         }
