--- a/components/traffic/src/attempt.rs
+++ b/components/traffic/src/attempt.rs
@@ -29,7 +29,8 @@
 const MAX_BODY: usize = 8 * 1024 * 1024;
 /// Answers to other requests that are skipped before a connection is abandoned.
 const MAX_STRAY_ANSWERS: u32 = 4;
-/// Share of the route's objective after which a silent plain service is abandoned for another.
+/// Share of the route's objective after which a silent upstream of a plain service is abandoned for
+/// another.
 const SILENT_SHARE: f64 = 0.7;
 /// The rank that upstreams treat as ordinary; lower ranks go first.
 const ORDINARY_RANK: u8 = 5;
--- a/components/traffic/src/attempt_guard.rs
+++ b/components/traffic/src/attempt_guard.rs
@@ -26,8 +26,8 @@
 }
 
 impl<T> AttemptGuard<T> {
-    /// Counts a request that is about to be sent; `has_failed` says whether an earlier attempt of
-    /// it failed.
+    /// Counts a request that is about to be sent; `has_failed` is whether an earlier attempt of it
+    /// failed.
     ///
     /// After a failure, the results of the request's further attempts are no new evidence on a
     /// version: some requests fail at every upstream, and each of their attempts would count as an
--- a/components/traffic/src/exchange/log.rs
+++ b/components/traffic/src/exchange/log.rs
@@ -19,7 +19,7 @@
     /// Logs where the request is now: once for each stream that starts and each further send.
     ///
     /// When a host is killed or loses power, the line at a request's end never comes; without this
-    /// one, on-call could not tell which upstream had the request.
+    /// one, on-call could not find out which upstream had the request.
     pub(super) fn log_progress(&self, what: &'static str, index: UpstreamIndex) {
         let upstreams = self.shared.upstreams.borrow();
         let spec = upstreams.spec(index);
--- a/components/traffic/src/relay.rs
+++ b/components/traffic/src/relay.rs
@@ -142,7 +142,7 @@
     /// Appends events in order; false at the first that does not follow the last one.
     ///
     /// An upstream may resume at the wrong event. The caller would get one twice or miss one, and
-    /// could not tell.
+    /// could not notice.
     fn append(&mut self, out: &mut Vec<u8>, events: Vec<Event>) -> bool {
         for event in events {
             let follows = match (event.id, self.last) {
--- a/components/traffic/src/translate.rs
+++ b/components/traffic/src/translate.rs
@@ -55,7 +55,7 @@
     pub head: &'a Head,
     /// How long the answer is waited for.
     pub timeout: Span,
-    /// The instance of the upstream that is to process it.
+    /// The instance of the upstream that is to process the request.
     pub upstream: &'a UpstreamId,
     /// Name of the customer.
     pub customer: Option<&'a str>,
@@ -70,9 +70,9 @@
 /// Whether an upstream processed a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Execution {
-    /// It did, or may have.
+    /// It processed the request, or may have.
     Ran,
-    /// The upstream states that it did not.
+    /// The upstream states that it did not process the request.
     NotRun,
     /// Another instance of the upstream's program answered; it did not process the request.
     OtherInstance,
