--- a/components/poison/src/lib.rs
+++ b/components/poison/src/lib.rs
@@ -7,8 +7,8 @@
 //! to contents.
 //!
 //! [`Suspects`] combines the crash reports of all daemons and decides which contents are
-//! quarantined: those whose crashes chance does not explain. Everything here is a plain value that
-//! is passed the time and uses no socket, clock or thread.
+//! quarantined: those whose crashes chance does not explain. Nothing in this crate uses a socket,
+//! clock or thread; the time is an argument.
 
 mod attempts;
 mod content;
--- a/components/poison/src/suspects/attribution.rs
+++ b/components/poison/src/suspects/attribution.rs
@@ -76,9 +76,9 @@
     /// The evidence required to quarantine a content when this many other contents of its customer
     /// are quarantined.
     ///
-    /// Less is required of a customer that sends one such request after another, since each would
-    /// crash as many upstreams as the first. A single other content is not enough: the customer's
-    /// ordinary requests are hit next to it like everybody's.
+    /// Less evidence is required once a customer sends one such request after another, since each
+    /// would otherwise crash as many upstreams as the first. A single other content is not enough:
+    /// the customer's ordinary requests are hit next to it like everybody's.
     fn threshold(&self, other_culprits: usize) -> Threshold {
         let min_crashes = self.policy.least_ends as usize;
         match other_culprits {
--- a/components/poison/src/suspects/crashes.rs
+++ b/components/poison/src/suspects/crashes.rs
@@ -42,8 +42,8 @@
         UNSEEN_CRASHES / (self.upstreams.max(MIN_UPSTREAMS) as f64 * over.as_secs_f64())
     }
 
-    /// Crashes per upstream and second, without those of `excluded`, from `before` ahead of `from`
-    /// until `to`.
+    /// Crashes per upstream and second, without those of `excluded`, in the time that starts
+    /// `before` earlier than `from` and lasts until `to`.
     pub(crate) fn rate(
         &self,
         before: Span,
