--- a/components/mirror/tests/mirror.rs
+++ b/components/mirror/tests/mirror.rs
@@ -103,7 +103,7 @@
 }
 
 /// A daemon sent a peer the differences between its own copy and a listing as if they were all the
-/// changes. The peer, whose copy was another one, lacked a configuration permanently.
+/// changes. The peer, whose copy differed from the daemon's, lacked a configuration permanently.
 #[test]
 fn a_listing_is_not_sent_as_changes() {
     // A later page of the first listing already held the configuration of revision 115.
