--- a/bench/src/cmd/claims.rs
+++ b/bench/src/cmd/claims.rs
@@ -11,7 +11,8 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use requests::claim::{
-    Batcher, Claim, ClaimLease, ClaimRecord, ClaimSpec, ClaimStep, Nonce, Recorded, State, Ticket,
+    Batcher, Claim, ClaimLease, ClaimRecord, ClaimSpec, ClaimStep, Nonce, RecordedAnswer, State,
+    Ticket,
 };
 use types::prelude::*;
 
@@ -178,7 +179,7 @@
         });
         mine += u64::from(matches!(
             claim.on_outcome(outcome, Time::ZERO),
-            ClaimStep::Mine(_)
+            ClaimStep::Acquired(_)
         ));
     }
     report.violations += ROUNDS - mine;
@@ -194,7 +195,7 @@
     };
     let headers = vec![("content-type".to_owned(), "application/json".to_owned())];
     let body = Bytes::from(vec![b'a'; BODY_BYTES]);
-    let done = State::Done(Recorded::new(200, headers, body));
+    let done = State::Done(RecordedAnswer::new(200, headers, body));
     let key = spec(1).key.len();
     let sizes = [
         ("open_bytes", State::Open),
--- a/components/node/src/claims.rs
+++ b/components/node/src/claims.rs
@@ -12,9 +12,10 @@
 
 use keyvalue::{CallError, LeaseId, Outcome, Request};
 use requests::claim::{
-    Claim, ClaimLease, ClaimSpec, ClaimStep, Held, Nonce, Recorded, Settle, Windows, claim_key,
+    Claim, ClaimLease, ClaimSpec, ClaimStep, HeldClaim, Nonce, RecordedAnswer, Settlement, Windows,
+    claim_key,
 };
-use requests::life::Facts;
+use requests::life::RequestSpec;
 use store::Store;
 use types::prelude::*;
 
@@ -29,7 +30,7 @@
     /// A call of the store, and where its outcome is awaited.
     Call(Request, flume::Sender<Outcome>),
     /// A claim to settle, starting with this call.
-    Settle(Settle, Request),
+    Settle(Settlement, Request),
     /// The store may no longer have this lease.
     Forget(LeaseId),
     /// Settle what is left, then end the thread.
@@ -94,13 +95,13 @@
     }
 
     /// Claims a request, and waits until the claim is made or refused.
-    pub(crate) async fn claim(&self, facts: &Facts, fingerprint: u64) -> ClaimStep {
+    pub(crate) async fn claim(&self, spec: &RequestSpec, fingerprint: u64) -> ClaimStep {
         let now = self.clock.now();
         let lease = lock(&self.lease).filter(|lease| now < lease.use_until);
         let Some(lease) = lease else {
             return ClaimStep::Unavailable(None);
         };
-        let (mut claim, mut call) = Claim::start(self.spec(facts, fingerprint, lease));
+        let (mut claim, mut call) = Claim::start(self.spec(spec, fingerprint, lease));
         loop {
             let outcome = self.call(call).await;
             if matches!(outcome, Err(CallError::Refused(_))) {
@@ -114,13 +115,13 @@
     }
 
     /// Records the answer of a claimed request for replays, in the background.
-    pub(crate) fn record(&self, held: Held, recorded: Recorded) {
-        self.settle(Settle::record(held, recorded));
+    pub(crate) fn record(&self, held: HeldClaim, recorded: RecordedAnswer) {
+        self.settle(Settlement::record(held, recorded));
     }
 
     /// Releases the claim of a request that certainly did not run, in the background.
-    pub(crate) fn release(&self, held: Held) {
-        self.settle(Settle::release(held));
+    pub(crate) fn release(&self, held: HeldClaim) {
+        self.settle(Settlement::release(held));
     }
 
     /// Queue lengths, their bounds and the lease's remaining time, for the dump.
@@ -141,9 +142,9 @@
         let _ = self.jobs.send(Job::Stop);
     }
 
-    fn spec(&self, facts: &Facts, fingerprint: u64, lease: ClaimLease) -> ClaimSpec {
+    fn spec(&self, spec: &RequestSpec, fingerprint: u64, lease: ClaimLease) -> ClaimSpec {
         ClaimSpec {
-            key: claim_key(&self.cfg.prefix, &facts.customer, &facts.id),
+            key: claim_key(&self.cfg.prefix, &spec.customer, &spec.id),
             nonce: Nonce {
                 daemon: self.cfg.daemon.clone(),
                 incarnation: self.cfg.incarnation,
@@ -151,7 +152,7 @@
             },
             fingerprint,
             lease,
-            deadline: facts.deadline,
+            deadline: spec.deadline,
         }
     }
 
@@ -166,7 +167,7 @@
 
     /// A settlement that finds the queue full is dropped. Its claim stays open, and retries are
     /// told "outcome unknown", which is safe.
-    fn settle(&self, (settle, call): (Settle, Request)) {
+    fn settle(&self, (settle, call): (Settlement, Request)) {
         if self.jobs.try_send(Job::Settle(settle, call)).is_err() {
             tracing::warn!("claims: the queue of settlements is full, one is left open");
         }
--- a/components/node/src/claims/worker.rs
+++ b/components/node/src/claims/worker.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use keyvalue::{CallError, Outcome, Request};
-use requests::claim::{Batcher, ClaimLease, LeaseSlots, Settle, SettleStep, Ticket, Windows};
+use requests::claim::{Batcher, ClaimLease, LeaseSlots, SettleStep, Settlement, Ticket, Windows};
 use store::Store;
 use types::prelude::*;
 
@@ -28,7 +28,7 @@
 
 enum Waiter {
     Traffic(flume::Sender<Outcome>),
-    Settle(Settle),
+    Settle(Settlement),
 }
 
 pub(super) struct Worker {
@@ -39,7 +39,7 @@
     batcher: Batcher,
     waiting: BTreeMap<Ticket, Waiter>,
     next_ticket: u64,
-    deferred: VecDeque<Settle>,
+    deferred: VecDeque<Settlement>,
     deferred_count: Arc<AtomicUsize>,
     retry_at: Time,
     is_stopping: bool,
@@ -142,7 +142,7 @@
         };
         match settle.on_outcome(outcome) {
             SettleStep::Call(next) => self.push(next, Waiter::Settle(settle)),
-            SettleStep::Later => self.defer(settle),
+            SettleStep::RetryLater => self.defer(settle),
             SettleStep::Done => {}
             SettleStep::Superseded => {
                 tracing::warn!("claims: a claim lapsed before its outcome was recorded");
@@ -150,7 +150,7 @@
         }
     }
 
-    fn defer(&mut self, settle: Settle) {
+    fn defer(&mut self, settle: Settlement) {
         if self.deferred.len() >= MAX_DEFERRED {
             self.deferred.pop_front();
             tracing::warn!("claims: too many outcomes wait for the store, one is left open");
@@ -164,7 +164,7 @@
             return;
         }
         for mut settle in std::mem::take(&mut self.deferred) {
-            let call = settle.again();
+            let call = settle.restart();
             self.push(call, Waiter::Settle(settle));
         }
     }
--- a/components/node/src/measured.rs
+++ b/components/node/src/measured.rs
@@ -21,13 +21,13 @@
 /// The outcome label of an attempt.
 pub(crate) fn attempt_label(end: &AttemptEnd) -> AttemptOutcome {
     match end {
-        AttemptEnd::Whole { .. } => AttemptOutcome::Answered,
+        AttemptEnd::Complete { .. } => AttemptOutcome::Answered,
         AttemptEnd::NotSent | AttemptEnd::RefusedNotRun { .. } => AttemptOutcome::NotRun,
-        AttemptEnd::Unknown(requests::attempt::Doubt::TimedOut) => AttemptOutcome::TimedOut,
+        AttemptEnd::Unknown(requests::attempt::UnknownCause::TimedOut) => AttemptOutcome::TimedOut,
         AttemptEnd::CallerGone => AttemptOutcome::Cancelled,
         AttemptEnd::Unknown(_)
         | AttemptEnd::Truncated { .. }
-        | AttemptEnd::Crossed
+        | AttemptEnd::AnswerOfOtherAttempt
         | AttemptEnd::UpstreamError(_) => AttemptOutcome::Failed,
     }
 }
--- a/components/node/src/quarantine.rs
+++ b/components/node/src/quarantine.rs
@@ -9,7 +9,7 @@
     Admission, AttemptEnd as PoisonAttemptEnd, AttemptId, Attempts, Content, CrashedAttempt,
     PoisonPolicy, SharedSuspects, Suspects, UpstreamInstance,
 };
-use requests::attempt::{AttemptEnd, Doubt};
+use requests::attempt::{AttemptEnd, UnknownCause};
 use routing::UpstreamIndex;
 use serde_json::json;
 use types::prelude::*;
@@ -163,12 +163,14 @@
 /// What an attempt's end says about its upstream.
 fn run_end(end: &AttemptEnd) -> PoisonAttemptEnd {
     match end {
-        AttemptEnd::Whole { .. } => PoisonAttemptEnd::Answered,
-        AttemptEnd::Unknown(Doubt::Reset) | AttemptEnd::Truncated { .. } => {
+        AttemptEnd::Complete { .. } => PoisonAttemptEnd::Answered,
+        AttemptEnd::Unknown(UnknownCause::Reset) | AttemptEnd::Truncated { .. } => {
             PoisonAttemptEnd::Broken
         }
-        AttemptEnd::Unknown(Doubt::TimedOut) | AttemptEnd::CallerGone => PoisonAttemptEnd::GivenUp,
-        AttemptEnd::UpstreamError(_) | AttemptEnd::Crossed => PoisonAttemptEnd::Failed,
+        AttemptEnd::Unknown(UnknownCause::TimedOut) | AttemptEnd::CallerGone => {
+            PoisonAttemptEnd::GivenUp
+        }
+        AttemptEnd::UpstreamError(_) | AttemptEnd::AnswerOfOtherAttempt => PoisonAttemptEnd::Failed,
         AttemptEnd::NotSent | AttemptEnd::RefusedNotRun { .. } => PoisonAttemptEnd::NotStarted,
     }
 }
--- a/components/node/src/traffic/billing.rs
+++ b/components/node/src/traffic/billing.rs
@@ -2,7 +2,7 @@
 
 use flume::bounded;
 use ledger::{Bill, BillId, Item};
-use requests::life::BillFacts;
+use requests::life::BillDetails;
 use types::prelude::*;
 
 use crate::event::Event;
@@ -27,26 +27,26 @@
 /// Creates the bill of an answer that ends now.
 pub(crate) fn bill_of(
     shared: &Shared,
-    facts: BillFacts,
+    details: BillDetails,
     version: Option<&VersionId>,
     cost: Cost,
     attempts: usize,
 ) -> Bill {
     let item = match version.cloned() {
         Some(version) => Item::Version {
-            offer: facts.entry,
+            offer: details.entry,
             version,
         },
-        None => Item::Service(facts.entry),
+        None => Item::Service(details.entry),
     };
     Bill {
         id: BillId {
-            customer: facts.customer,
-            request: facts.request,
+            customer: details.customer,
+            request: details.request,
         },
         item,
-        input: facts.usage.input,
-        output: facts.usage.output,
+        input: details.usage.input,
+        output: details.usage.output,
         cost,
         at: shared.clock.wall(),
         attempts: u16::try_from(attempts).unwrap_or(u16::MAX),
--- a/components/node/src/traffic/chat.rs
+++ b/components/node/src/traffic/chat.rs
@@ -8,7 +8,7 @@
 mod version;
 
 use callers::Request;
-use requests::life::{Arrived, Facts};
+use requests::life::{Arrived, RequestSpec};
 use types::prelude::*;
 
 use super::Context;
@@ -79,7 +79,7 @@
 impl Job {
     /// Starts the request's life cycle; nothing has been sent to an upstream yet.
     fn admit(&self) -> requests::life::Request<requests::life::Admitted> {
-        Arrived::new().admit(Facts {
+        Arrived::new().admit(RequestSpec {
             customer: self.cx.customer.clone(),
             id: self.head.request.clone(),
             entry: self.resolved.name.clone(),
--- a/components/node/src/traffic/chat/answer.rs
+++ b/components/node/src/traffic/chat/answer.rs
@@ -9,7 +9,7 @@
 use externals::Sample;
 use quality::Confidence;
 use requests::attempt::{AttemptEnd, Usage};
-use requests::claim::Recorded;
+use requests::claim::RecordedAnswer;
 use requests::life::{Attempted, Request};
 use routing::{LoadReport, Outcome, UpstreamIndex};
 use serde_json::{Value, json};
@@ -181,13 +181,13 @@
             deadline,
             stall,
             stream,
-            may_repeat: request.facts().idempotent,
+            may_repeat: request.spec().idempotent,
         };
         let client = self.client.clone();
         let answered = tokio::select! {
             biased;
             answered = client.chat(address, &call) => answered,
-            () = cancellation(self.responder, request.facts()) => return AttemptEnd::CallerGone,
+            () = cancellation(self.responder, request.spec()) => return AttemptEnd::CallerGone,
         };
         match answered {
             Ok(ChatAnswer::Whole(answer)) => self.take_whole(answer, &name),
@@ -234,7 +234,7 @@
         };
         self.chosen = self.trying;
         self.held = Some(Answer { body, ..answer });
-        AttemptEnd::Whole {
+        AttemptEnd::Complete {
             usage,
             adequate: self.trying.accepts(self.confidence),
         }
@@ -313,7 +313,7 @@
     }
 
     /// Sends the end of the answer, and returns the answer as recorded for replays.
-    pub(crate) async fn finish(mut self, usage: Usage, attempts: usize) -> Recorded {
+    pub(crate) async fn finish(mut self, usage: Usage, attempts: usize) -> RecordedAnswer {
         self.times.ended(telemetry::labels::Outcome::Answered);
         let cost = self.cost(usage);
         if let Some(answer) = self.held.take() {
@@ -322,7 +322,7 @@
             let headers = header_list(&head.headers);
             // Fails only if the caller is gone; the answer is billed and recorded all the same.
             let _ = self.responder.answer(head, answer.body.clone()).await;
-            return Recorded::new(StatusCode::OK.as_u16(), headers, answer.body);
+            return RecordedAnswer::new(StatusCode::OK.as_u16(), headers, answer.body);
         }
         if self.finish_stream(usage, attempts, cost).await.is_err() {
             tracing::debug!("traffic: the caller of {} left", self.job.head.request);
--- a/components/node/src/traffic/chat/run.rs
+++ b/components/node/src/traffic/chat/run.rs
@@ -132,7 +132,7 @@
                     tried.clear();
                     request
                 }
-                Next::Open(_) => return,
+                Next::HedgeInFlight(_) => return,
             };
         }
     }
@@ -174,7 +174,7 @@
         if relay.holds_answer() {
             return self.send_answer(ready.answer(relay.usage()), relay).await;
         }
-        let refused = ready.refuse(Code::Barred);
+        let refused = ready.refuse(Code::Quarantined);
         let refusal = claim::release_refused(self.shared(), refused);
         relay
             .refuse(&refusal.with_retry_after(Some(retry_after)))
@@ -300,14 +300,14 @@
     async fn send_answer(&self, request: Request<Answered>, relay: Relay<'_>) {
         let usage: Usage = request.usage();
         let attempts = request.progress().attempts();
-        let (billed, facts) = request.bill();
+        let (billed, details) = request.bill();
         tracing::debug!(
             "traffic: {} is answered after {attempts} attempts",
-            facts.request
+            details.request
         );
         let (version, cost) = (&relay.chosen().version, relay.cost(usage));
         self.record_latency(version);
-        let bill = billing::bill_of(self.shared(), facts, Some(version), cost, attempts);
+        let bill = billing::bill_of(self.shared(), details, Some(version), cost, attempts);
         if billing::bill(self.shared(), bill).await.is_err() {
             let cut = requests::refusal::Refusal::ran(Code::ShuttingDown);
             return relay.refuse(&cut).await;
@@ -324,7 +324,7 @@
 /// The outcome for routing of an attempt that ended.
 pub(crate) fn outcome_of(end: &AttemptEnd, first_token: Span, per_token: Span) -> Outcome {
     match end {
-        AttemptEnd::Whole { .. } => Outcome::Answered {
+        AttemptEnd::Complete { .. } => Outcome::Answered {
             first_token,
             per_token,
         },
@@ -333,7 +333,7 @@
         AttemptEnd::CallerGone => Outcome::Cancelled,
         AttemptEnd::Unknown(_)
         | AttemptEnd::Truncated { .. }
-        | AttemptEnd::Crossed
+        | AttemptEnd::AnswerOfOtherAttempt
         | AttemptEnd::UpstreamError(_) => Outcome::Failed,
     }
 }
--- a/components/node/src/traffic/chat/stream.rs
+++ b/components/node/src/traffic/chat/stream.rs
@@ -31,7 +31,7 @@
             let next = tokio::select! {
                 biased;
                 next = stream.next_event() => next,
-                () = cancellation(self.responder, request.facts()) => return AttemptEnd::CallerGone,
+                () = cancellation(self.responder, request.spec()) => return AttemptEnd::CallerGone,
             };
             let forwarded = match next {
                 Ok(Event::Delta { data, text }) => {
@@ -68,7 +68,7 @@
     /// Registers batch work that may be resumed as preemptible, once its first token has come.
     fn register_preemptible(&self, request: &Request<Attempted>) -> Option<Preemptible<'a>> {
         let job = self.job;
-        let may_resume = job.priority == Priority::Batch && request.facts().idempotent;
+        let may_resume = job.priority == Priority::Batch && request.spec().idempotent;
         let has_begun = self.first_token.is_some();
         let index = self.upstream.filter(|_| may_resume && has_begun)?;
         Some(Preemptible::register(&job.cx.shared, index))
@@ -93,7 +93,7 @@
                 output: Tokens(self.delivered_chunks),
             };
         }
-        AttemptEnd::Whole {
+        AttemptEnd::Complete {
             usage: self.usage,
             adequate: true,
         }
@@ -136,7 +136,7 @@
             self.responder.send(frame).await
         };
         self.caller_left = sent.is_err();
-        match on_caller_gone(request.facts()) {
+        match on_caller_gone(request.spec()) {
             OnCallerGone::Finish => Ok(()),
             OnCallerGone::Cancel => sent,
         }
--- a/components/node/src/traffic/chat/transcript.rs
+++ b/components/node/src/traffic/chat/transcript.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Bytes, BytesMut};
 use callers::StatusCode;
-use requests::claim::{MAX_BODY, Recorded};
+use requests::claim::{MAX_BODY, RecordedAnswer};
 
 /// The events sent so far; `None` once they are too long, or if nothing is to be recorded.
 pub(crate) struct Transcript(Option<BytesMut>);
@@ -23,10 +23,10 @@
     }
 
     /// The recorded form of the answer, without a body if the transcript was not kept.
-    pub(crate) fn into_recorded(self, headers: Vec<(String, String)>) -> Recorded {
+    pub(crate) fn into_recorded(self, headers: Vec<(String, String)>) -> RecordedAnswer {
         match self.0 {
-            Some(body) => Recorded::new(StatusCode::OK.as_u16(), headers, body.freeze()),
-            None => Recorded {
+            Some(body) => RecordedAnswer::new(StatusCode::OK.as_u16(), headers, body.freeze()),
+            None => RecordedAnswer {
                 status: StatusCode::OK.as_u16(),
                 headers: Vec::new(),
                 body: None,
--- a/components/node/src/traffic/claim.rs
+++ b/components/node/src/traffic/claim.rs
@@ -1,7 +1,7 @@
 //! Claims requests that may run only once, and replays recorded answers.
 
 use callers::{Head, HeaderMap, Responder, StatusCode};
-use requests::claim::{ClaimStep, Recorded, Standing};
+use requests::claim::{ClaimStep, ExistingClaim, RecordedAnswer};
 use requests::life::{Admitted, Billed, Refused, Request, Waiting};
 use requests::refusal::{Code, Refusal};
 
@@ -15,7 +15,7 @@
     /// It may: it is claimed, or needs no claim.
     Ready(Request<Waiting>),
     /// It ran before; this answer was recorded then.
-    Replay(Recorded),
+    Replay(RecordedAnswer),
     /// It may not.
     Refused(Refusal),
 }
@@ -30,20 +30,20 @@
         Ok(ready) => return Claimed::Ready(ready),
         Err(request) => request,
     };
-    match shared.claims.claim(request.facts(), fingerprint).await {
-        ClaimStep::Mine(held) => Claimed::Ready(request.claim(held).ready()),
-        ClaimStep::Duplicate(Standing::Recorded(recorded)) if recorded.body.is_some() => {
+    match shared.claims.claim(request.spec(), fingerprint).await {
+        ClaimStep::Acquired(held) => Claimed::Ready(request.claim(held).ready()),
+        ClaimStep::Duplicate(ExistingClaim::Recorded(recorded)) if recorded.body.is_some() => {
             Claimed::Replay(recorded)
         }
-        ClaimStep::Duplicate(Standing::Recorded(_)) => {
+        ClaimStep::Duplicate(ExistingClaim::Recorded(_)) => {
             Claimed::Refused(Refusal::ran(Code::AnswerNotKept))
         }
         // A retry may reuse the id with another wording of the same work. Told "not run", its
         // caller would send the work again under a new id.
-        ClaimStep::Duplicate(Standing::Reused) => {
-            Claimed::Refused(Refusal::unknown(Code::IdReused))
+        ClaimStep::Duplicate(ExistingClaim::KeyReused) => {
+            Claimed::Refused(Refusal::unknown(Code::IdempotencyKeyReused))
         }
-        ClaimStep::Duplicate(Standing::Open) => {
+        ClaimStep::Duplicate(ExistingClaim::Open) => {
             Claimed::Refused(Refusal::unknown(Code::OutcomeUnknown))
         }
         ClaimStep::Unavailable(doubtful) => {
@@ -67,14 +67,14 @@
 }
 
 /// Records the answer of a claimed request for replays; does nothing for other requests.
-pub(crate) fn record_answer(shared: &Shared, request: Request<Billed>, recorded: Recorded) {
+pub(crate) fn record_answer(shared: &Shared, request: Request<Billed>, recorded: RecordedAnswer) {
     if let Some(held) = request.into_claim() {
         shared.claims.record(held, recorded);
     }
 }
 
 /// Answers a retry with the recorded answer of the first run.
-pub(crate) async fn replay(responder: &Responder, recorded: Recorded) {
+pub(crate) async fn replay(responder: &Responder, recorded: RecordedAnswer) {
     let mut headers = HeaderMap::new();
     let marker = (REPLAYED.to_owned(), "true".to_owned());
     for (name, value) in recorded.headers.into_iter().chain([marker]) {
--- a/components/node/src/traffic/plain.rs
+++ b/components/node/src/traffic/plain.rs
@@ -5,8 +5,8 @@
 use engine::{PlainAnswer, PlainRequest};
 use limits::Ask;
 use requests::attempt::{AttemptEnd, Usage};
-use requests::claim::Recorded;
-use requests::life::{Answered, Arrived, Facts, Next, Refused, Waiting};
+use requests::claim::RecordedAnswer;
+use requests::life::{Answered, Arrived, Next, Refused, RequestSpec, Waiting};
 use requests::refusal::Code;
 use routing::{Outcome, RouteRequest, Target, UpstreamIndex};
 use types::prelude::*;
@@ -108,7 +108,7 @@
 }
 
 async fn run(job: &Job, responder: &Responder) {
-    let admitted = Arrived::new().admit(Facts {
+    let admitted = Arrived::new().admit(RequestSpec {
         customer: job.cx.customer.clone(),
         id: job.head.request.clone(),
         entry: job.service.clone(),
@@ -166,7 +166,7 @@
     let mut tried = Vec::new();
     loop {
         if let Some(retry_after) = job.cx.shared.quarantine.quarantined_for(&job.content) {
-            let refusal = claim::release_refused(&job.cx.shared, ready.refuse(Code::Barred));
+            let refusal = claim::release_refused(&job.cx.shared, ready.refuse(Code::Quarantined));
             let refusal = refusal.with_retry_after(Some(retry_after));
             return refuse(job, responder, &refusal).await;
         }
@@ -180,7 +180,7 @@
         let (end, answer) = tokio::select! {
             biased;
             attempted = attempt(job, &picked, time_left) => attempted,
-            () = cancellation(responder, request.facts()) => {
+            () = cancellation(responder, request.spec()) => {
                 record_outcome(&job.cx.shared, &picked, &AttemptEnd::CallerGone, Time::ZERO);
                 (AttemptEnd::CallerGone, None)
             }
@@ -235,7 +235,7 @@
             (AttemptEnd::UpstreamError(answer.status), None)
         }
         Ok(answer) => (
-            AttemptEnd::Whole {
+            AttemptEnd::Complete {
                 usage: Usage::default(),
                 adequate: true,
             },
@@ -258,7 +258,7 @@
 fn record_outcome(shared: &Shared, picked: &PickedUpstream, end: &AttemptEnd, began: Time) {
     let now = shared.now();
     let outcome = match end {
-        AttemptEnd::Whole { .. } => Outcome::Answered {
+        AttemptEnd::Complete { .. } => Outcome::Answered {
             first_token: now.since(began),
             per_token: Span::ZERO,
         },
@@ -294,9 +294,9 @@
     request: requests::life::Request<Answered>,
 ) {
     let attempts = request.progress().attempts();
-    let (billed, facts) = request.bill();
+    let (billed, details) = request.bill();
     let shared = &job.cx.shared;
-    let bill = billing::bill_of(shared, facts, None, Cost(0), attempts);
+    let bill = billing::bill_of(shared, details, None, Cost(0), attempts);
     if billing::bill(shared, bill).await.is_err() {
         let cut = requests::refusal::Refusal::ran(Code::ShuttingDown);
         return refuse(job, responder, &cut).await;
@@ -307,7 +307,7 @@
     set(&mut headers, "x-served-by", upstream.as_str());
     set(&mut headers, "x-attempts", &attempts.to_string());
     let body: Bytes = answer.body;
-    let recorded = Recorded::new(answer.status, header_list(&headers), body.clone());
+    let recorded = RecordedAnswer::new(answer.status, header_list(&headers), body.clone());
     let offer = shared.metrics.offer(job.service.as_str());
     offer.ended(telemetry::labels::Outcome::Answered);
     // Fails only if the caller is gone; the answer is billed and recorded all the same.
--- a/components/node/src/traffic/refusal.rs
+++ b/components/node/src/traffic/refusal.rs
@@ -256,7 +256,7 @@
             "answer_not_kept",
             "it ran before; its answer was too long to keep",
         ),
-        Code::IdReused => (409, INVALID, "id_reused", "the id names another request"),
+        Code::IdempotencyKeyReused => (409, INVALID, "id_reused", "the id names another request"),
         Code::CallerGone => (499, INVALID, "caller_gone", "the caller left"),
         other => server_error_texts(other),
     }
@@ -268,7 +268,7 @@
         Code::Overloaded => (503, "overloaded", "too much work waits"),
         Code::Stale => (503, "stale_catalogue", "the catalogue may be out of date"),
         Code::NoUpstream => (503, "no_upstream", "no upstream can take the work now"),
-        Code::Barred => (503, "barred", "upstreams ended under this request"),
+        Code::Quarantined => (503, "barred", "upstreams ended under this request"),
         Code::ClaimUnavailable => (503, "claim_unavailable", "no claim can be made now"),
         Code::LedgerFull => (503, "ledger_full", "too many bills wait for the store"),
         Code::ShuttingDown => (503, "shutting_down", "this daemon is leaving"),
@@ -278,7 +278,7 @@
             "outcome_unknown",
             "it may have run; it is not run again",
         ),
-        Code::StreamCut => (502, "stream_cut", "the answer broke off"),
+        Code::AnswerTruncated => (502, "stream_cut", "the answer broke off"),
         Code::AttemptsFailed => (502, "upstream_failed", "the upstreams tried failed"),
         _ => (502, "upstream_failed", "the upstream failed"),
     };
--- a/components/node/src/traffic/upstream.rs
+++ b/components/node/src/traffic/upstream.rs
@@ -5,7 +5,7 @@
 use callers::Responder;
 use engine::{AttemptError, Doubt};
 use requests::attempt::{self, AttemptEnd};
-use requests::life::Facts;
+use requests::life::RequestSpec;
 use requests::step::{OnCallerGone, on_caller_gone};
 use routing::{RouteRequest, Router, TargetIndex, UpstreamIndex};
 use types::prelude::*;
@@ -40,8 +40,8 @@
 ///
 /// Before anything of the answer is written, only the connection shows that the caller left.
 /// Without this check the upstream would go on working for nobody.
-pub(crate) async fn cancellation(responder: &Responder, facts: &Facts) {
-    match on_caller_gone(facts) {
+pub(crate) async fn cancellation(responder: &Responder, spec: &RequestSpec) {
+    match on_caller_gone(spec) {
         OnCallerGone::Cancel => responder.gone().await,
         OnCallerGone::Finish => std::future::pending().await,
     }
@@ -55,10 +55,12 @@
             retry_after: *retry_after,
         },
         AttemptError::NotLoaded => AttemptEnd::RefusedNotRun { retry_after: None },
-        AttemptError::Unknown(Doubt::TimedOut) => AttemptEnd::Unknown(attempt::Doubt::TimedOut),
-        AttemptError::Unknown(_) => AttemptEnd::Unknown(attempt::Doubt::Reset),
+        AttemptError::Unknown(Doubt::TimedOut) => {
+            AttemptEnd::Unknown(attempt::UnknownCause::TimedOut)
+        }
+        AttemptError::Unknown(_) => AttemptEnd::Unknown(attempt::UnknownCause::Reset),
         AttemptError::Truncated { .. } => AttemptEnd::Truncated { received, shown },
-        AttemptError::Crossed { .. } => AttemptEnd::Crossed,
+        AttemptError::Crossed { .. } => AttemptEnd::AnswerOfOtherAttempt,
         AttemptError::Status { status, .. } => AttemptEnd::UpstreamError(*status),
     }
 }
--- a/components/requests/src/attempt.rs
+++ b/components/requests/src/attempt.rs
@@ -14,7 +14,7 @@
         retry_after: Option<Span>,
     },
     /// At least one byte was written and no answer came.
-    Unknown(Doubt),
+    Unknown(UnknownCause),
     /// The answer began and stopped before its end.
     Truncated {
         /// Tokens received over all attempts, including those that this one resumed from.
@@ -23,11 +23,11 @@
         shown: bool,
     },
     /// The answer received belongs to another attempt.
-    Crossed,
+    AnswerOfOtherAttempt,
     /// An error status that does not say whether the work was begun.
     UpstreamError(u16),
     /// The complete answer was received.
-    Whole {
+    Complete {
         /// Tokens used.
         usage: Usage,
         /// Whether the answer is good enough; if not, a stronger version may be asked.
@@ -39,7 +39,7 @@
 
 /// Why the outcome of an attempt is unknown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Doubt {
+pub enum UnknownCause {
     /// The connection was reset or closed.
     Reset,
     /// No answer came before the timeout.
@@ -66,10 +66,11 @@
     pub fn run(&self) -> RunState {
         match self {
             Self::NotSent | Self::RefusedNotRun { .. } => RunState::No,
-            Self::Unknown(_) | Self::Crossed | Self::UpstreamError(_) | Self::CallerGone => {
-                RunState::Unknown
-            }
-            Self::Truncated { .. } | Self::Whole { .. } => RunState::Yes,
+            Self::Unknown(_)
+            | Self::AnswerOfOtherAttempt
+            | Self::UpstreamError(_)
+            | Self::CallerGone => RunState::Unknown,
+            Self::Truncated { .. } | Self::Complete { .. } => RunState::Yes,
         }
     }
 }
--- a/components/requests/src/claim.rs
+++ b/components/requests/src/claim.rs
@@ -8,7 +8,7 @@
 //! "outcome unknown".
 //!
 //! The types here are state machines without I/O: they return [`keyvalue::Request`]s and take
-//! [`keyvalue::Outcome`]s. [`Claim`] makes a claim, [`Settle`] records its outcome or releases
+//! [`keyvalue::Outcome`]s. [`Claim`] makes a claim, [`Settlement`] records its outcome or releases
 //! it, [`LeaseSlots`] obtains the lease that claims are written with, and [`Batcher`] packs many
 //! of their calls into one.
 
@@ -19,8 +19,8 @@
 
 pub use batch::{Batcher, MAX_BATCH, MAX_WAITING, PushError, Ticket};
 pub use lease::{ClaimLease, LeaseSlots, MAX_WINDOW, MIN_WINDOW, Windows};
-pub use record::{ClaimRecord, MAX_BODY, MAX_HEADER_BYTES, Nonce, Recorded, State};
-pub use settle::{Settle, SettleStep};
+pub use record::{ClaimRecord, MAX_BODY, MAX_HEADER_BYTES, Nonce, RecordedAnswer, State};
+pub use settle::{SettleStep, Settlement};
 
 use bytes::Bytes;
 use keyvalue::{
@@ -77,7 +77,7 @@
 /// A claim that this daemon holds, or may hold after an unanswered write. Not `Clone`, so
 /// that it is settled only once.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct HeldClaim {
     pub(crate) key: String,
     pub(crate) nonce: Nonce,
     pub(crate) fingerprint: u64,
@@ -87,13 +87,13 @@
 
 /// What an existing claim, made when the request was sent before, says about it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Standing {
+pub enum ExistingClaim {
     /// The request ran; its recorded answer is to be sent again.
-    Recorded(Recorded),
+    Recorded(RecordedAnswer),
     /// The request may be running or have run.
     Open,
     /// The same id was used for a request with other content.
-    Reused,
+    KeyReused,
 }
 
 /// What follows a store call of a [`Claim`].
@@ -102,13 +102,13 @@
     /// Make this store call.
     Call(keyvalue::Request),
     /// This daemon has the claim: run the request.
-    Mine(Held),
+    Acquired(HeldClaim),
     /// The request was claimed before, here or by another daemon: do not run it.
-    Duplicate(Standing),
+    Duplicate(ExistingClaim),
     /// The claim could not be made: refuse the request as not run. A write that may still take
     /// effect is given, to be released: if it took effect later, the caller's repeat would be
     /// told "outcome unknown".
-    Unavailable(Option<Held>),
+    Unavailable(Option<HeldClaim>),
 }
 
 impl Claim {
@@ -184,7 +184,7 @@
             return self.call_again(Phase::Writing, now);
         };
         let Some(record) = ClaimRecord::decode(&found.value) else {
-            return ClaimStep::Duplicate(Standing::Open);
+            return ClaimStep::Duplicate(ExistingClaim::Open);
         };
         if record.nonce == self.spec.nonce {
             return self.acquired(found.mod_revision, now);
@@ -195,10 +195,10 @@
                 self.call_again(Phase::Writing, now)
             }
             _ if record.fingerprint != self.spec.fingerprint => {
-                ClaimStep::Duplicate(Standing::Reused)
+                ClaimStep::Duplicate(ExistingClaim::KeyReused)
             }
-            State::Open => ClaimStep::Duplicate(Standing::Open),
-            State::Done(recorded) => ClaimStep::Duplicate(Standing::Recorded(recorded)),
+            State::Open => ClaimStep::Duplicate(ExistingClaim::Open),
+            State::Done(recorded) => ClaimStep::Duplicate(ExistingClaim::Recorded(recorded)),
         }
     }
 
@@ -211,7 +211,7 @@
         if now.has_reached(self.spec.lease.use_until) || now.has_reached(self.spec.deadline) {
             return ClaimStep::Unavailable(Some(held));
         }
-        ClaimStep::Mine(held)
+        ClaimStep::Acquired(held)
     }
 
     fn call_again(&mut self, phase: Phase, now: Time) -> ClaimStep {
@@ -230,8 +230,8 @@
         ClaimStep::Unavailable(self.may_be_written.then(|| self.to_held(None)))
     }
 
-    fn to_held(&self, revision: Option<ModRevision>) -> Held {
-        Held {
+    fn to_held(&self, revision: Option<ModRevision>) -> HeldClaim {
+        HeldClaim {
             key: self.spec.key.clone(),
             nonce: self.spec.nonce.clone(),
             fingerprint: self.spec.fingerprint,
--- a/components/requests/src/claim/record.rs
+++ b/components/requests/src/claim/record.rs
@@ -39,12 +39,12 @@
     /// The request certainly did not run: it may be claimed again.
     Released,
     /// The request ran.
-    Done(Recorded),
+    Done(RecordedAnswer),
 }
 
 /// Recorded answer to a request that ran.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Recorded {
+pub struct RecordedAnswer {
     /// HTTP status code.
     pub status: u16,
     /// Names and values of the headers.
@@ -74,7 +74,7 @@
     Done,
 }
 
-impl Recorded {
+impl RecordedAnswer {
     /// Creates a record of an answer; headers and body are both left out if either is too large.
     #[must_use]
     pub fn new(status: u16, headers: Vec<(String, String)>, body: Bytes) -> Self {
@@ -123,7 +123,7 @@
         let state = match metadata.state {
             StateTag::Open => State::Open,
             StateTag::Released => State::Released,
-            StateTag::Done => State::Done(Recorded {
+            StateTag::Done => State::Done(RecordedAnswer {
                 status: metadata.status?,
                 headers: metadata.headers,
                 body: match metadata.body_bytes {
--- a/components/requests/src/claim/settle.rs
+++ b/components/requests/src/claim/settle.rs
@@ -8,11 +8,11 @@
 use bytes::Bytes;
 use keyvalue::{CallError, KeyValue, LeaseId, ModRevision, OpReply, Outcome, Range, Reply};
 
-use super::{ClaimRecord, Held, MAX_CALLS, Nonce, Recorded, State, put_if_revision};
+use super::{ClaimRecord, HeldClaim, MAX_CALLS, Nonce, RecordedAnswer, State, put_if_revision};
 
 /// State machine that settles a claim.
 #[derive(Debug, Clone)]
-pub struct Settle {
+pub struct Settlement {
     key: String,
     nonce: Nonce,
     lease: LeaseId,
@@ -22,7 +22,7 @@
     calls: u32,
 }
 
-/// What follows a store call of a [`Settle`].
+/// What follows a store call of a [`Settlement`].
 #[derive(Debug)]
 pub enum SettleStep {
     /// Make this store call.
@@ -31,24 +31,24 @@
     Done,
     /// The key holds another claim: this one had expired or been released.
     Superseded,
-    /// The store does not answer: start again later with [`Settle::again`].
-    Later,
+    /// The store does not answer: start again later with [`Settlement::restart`].
+    RetryLater,
 }
 
-impl Settle {
+impl Settlement {
     /// Records the outcome of a request that ran.
     #[must_use]
-    pub fn record(held: Held, recorded: Recorded) -> (Self, keyvalue::Request) {
+    pub fn record(held: HeldClaim, recorded: RecordedAnswer) -> (Self, keyvalue::Request) {
         Self::start(held, State::Done(recorded))
     }
 
     /// Releases the claim of a request that certainly did not run.
     #[must_use]
-    pub fn release(held: Held) -> (Self, keyvalue::Request) {
+    pub fn release(held: HeldClaim) -> (Self, keyvalue::Request) {
         Self::start(held, State::Released)
     }
 
-    fn start(held: Held, state: State) -> (Self, keyvalue::Request) {
+    fn start(held: HeldClaim, state: State) -> (Self, keyvalue::Request) {
         let is_release = state == State::Released;
         let record = ClaimRecord {
             nonce: held.nonce.clone(),
@@ -64,13 +64,13 @@
             expected_revision: held.revision,
             calls: 0,
         };
-        let call = settle.again();
+        let call = settle.restart();
         (settle, call)
     }
 
-    /// Starts again after [`SettleStep::Later`] and returns the first store call.
+    /// Starts again after [`SettleStep::RetryLater`] and returns the first store call.
     #[must_use]
-    pub fn again(&mut self) -> keyvalue::Request {
+    pub fn restart(&mut self) -> keyvalue::Request {
         self.calls = 1;
         self.next_call()
     }
@@ -127,7 +127,7 @@
 
     fn call_again(&mut self) -> SettleStep {
         if self.calls >= MAX_CALLS {
-            return SettleStep::Later;
+            return SettleStep::RetryLater;
         }
         self.calls += 1;
         SettleStep::Call(self.next_call())
--- a/components/requests/src/life.rs
+++ b/components/requests/src/life.rs
@@ -8,13 +8,13 @@
 
 use crate::attempt::{AttemptEnd, Usage};
 use crate::budget::RetryBudget;
-use crate::claim::Held;
+use crate::claim::HeldClaim;
 use crate::refusal::{Code, NotRunProof, Refusal};
 use crate::step::{self, Progress, Retry, Step};
 
 /// Properties of a request, fixed at its admission.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Facts {
+pub struct RequestSpec {
     /// Customer that sent the request.
     pub customer: CustomerId,
     /// Request id, unique for the customer within the retry window.
@@ -39,9 +39,9 @@
 /// Data that a request keeps in all of its states.
 #[derive(Debug)]
 struct Core {
-    facts: Facts,
+    spec: RequestSpec,
     progress: Progress,
-    claim: Option<Held>,
+    claim: Option<HeldClaim>,
 }
 
 /// State of a request that was read but not yet checked; nothing was sent upstream.
@@ -86,7 +86,7 @@
 
 /// Content of a bill. Each customer and request has one bill, whichever daemon makes it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct BillFacts {
+pub struct BillDetails {
     /// Customer that pays.
     pub customer: CustomerId,
     /// Request that is billed.
@@ -118,9 +118,9 @@
 
     /// Admits the request.
     #[must_use]
-    pub fn admit(self, facts: Facts) -> Request<Admitted> {
+    pub fn admit(self, spec: RequestSpec) -> Request<Admitted> {
         let core = Box::new(Core {
-            facts,
+            spec,
             progress: Progress::default(),
             claim: None,
         });
@@ -134,8 +134,8 @@
 impl<S> Request<S> {
     /// Properties of the request.
     #[must_use]
-    pub fn facts(&self) -> &Facts {
-        &self.core.facts
+    pub fn spec(&self) -> &RequestSpec {
+        &self.core.spec
     }
 
     /// Combined result of the attempts so far.
@@ -147,7 +147,7 @@
     /// Time left until the deadline, to be sent with an attempt.
     #[must_use]
     pub fn time_left(&self, now: Time) -> Span {
-        now.until(self.core.facts.deadline)
+        now.until(self.core.spec.deadline)
     }
 
     fn transition<T>(self, state: T) -> Request<T> {
@@ -166,7 +166,7 @@
 impl Request<Admitted> {
     /// Attaches the claim that was made for the request.
     #[must_use]
-    pub fn claim(mut self, claim: Held) -> Request<Claimed> {
+    pub fn claim(mut self, claim: HeldClaim) -> Request<Claimed> {
         self.core.claim = Some(claim);
         self.transition(Claimed(()))
     }
@@ -176,7 +176,7 @@
     /// # Errors
     /// Returns the request unchanged if it is not idempotent: it needs a claim first.
     pub fn ready(self) -> Result<Request<Waiting>, Self> {
-        if self.core.facts.idempotent {
+        if self.core.spec.idempotent {
             Ok(self.transition(Waiting(())))
         } else {
             Err(self)
@@ -229,7 +229,7 @@
 #[derive(Debug)]
 pub enum Next {
     /// The other attempt of a hedged pair is still in flight.
-    Open(Request<Attempted>),
+    HedgeInFlight(Request<Attempted>),
     /// Begin another attempt.
     Retry(Request<Waiting>, Retry),
     /// Begin an attempt at a stronger version.
@@ -253,7 +253,7 @@
         now: Time,
         budget: &mut RetryBudget,
     ) -> Result<Self, Self> {
-        if !step::may_hedge(&self.core.facts, &self.core.progress, now, budget) {
+        if !step::may_hedge(&self.core.spec, &self.core.progress, now, budget) {
             return Err(self);
         }
         self.core.progress.begin(upstream);
@@ -275,7 +275,7 @@
         upstream: &UpstreamId,
         received: Tokens,
     ) -> Result<Request<Waiting>, Self> {
-        if !self.core.facts.idempotent || !self.core.facts.resumable {
+        if !self.core.spec.idempotent || !self.core.spec.resumable {
             return Err(self);
         }
         let shown = self.core.progress.shown;
@@ -294,14 +294,14 @@
         budget: &mut RetryBudget,
     ) -> Next {
         self.core.progress.end(upstream, end);
-        let is_whole = matches!(end, AttemptEnd::Whole { .. });
+        let is_whole = matches!(end, AttemptEnd::Complete { .. });
         if is_whole {
             budget.record_success();
         }
         if !self.core.progress.open.is_empty() && !is_whole {
-            return Next::Open(self);
+            return Next::HedgeInFlight(self);
         }
-        match step::next_step(&self.core.facts, &self.core.progress, end, now, budget) {
+        match step::next_step(&self.core.spec, &self.core.progress, end, now, budget) {
             Step::Retry(retry) => Next::Retry(self.transition(Waiting(())), retry),
             Step::Escalate => Next::Escalate(self.transition(Waiting(()))),
             Step::Answer(usage) => Next::Answered(self.transition(Answered { usage })),
@@ -320,11 +320,11 @@
 
     /// Makes the request's only bill; the outcome must then be recorded in its claim.
     #[must_use]
-    pub fn bill(self) -> (Request<Billed>, BillFacts) {
-        let bill = BillFacts {
-            customer: self.core.facts.customer.clone(),
-            request: self.core.facts.id.clone(),
-            entry: self.core.facts.entry.clone(),
+    pub fn bill(self) -> (Request<Billed>, BillDetails) {
+        let bill = BillDetails {
+            customer: self.core.spec.customer.clone(),
+            request: self.core.spec.id.clone(),
+            entry: self.core.spec.entry.clone(),
             usage: self.state.usage,
         };
         (self.transition(Billed(())), bill)
@@ -334,7 +334,7 @@
 impl Request<Billed> {
     /// Returns the claim, if there is one, for recording the outcome in it.
     #[must_use]
-    pub fn into_claim(self) -> Option<Held> {
+    pub fn into_claim(self) -> Option<HeldClaim> {
         self.core.claim
     }
 }
@@ -349,7 +349,7 @@
     /// Returns the claim to be released, if the work certainly did not run. The claim of work that
     /// may have run stays until its lease expires.
     #[must_use]
-    pub fn into_claim_to_release(self) -> Option<Held> {
+    pub fn into_claim_to_release(self) -> Option<HeldClaim> {
         let is_not_run = self.core.progress.run() == RunState::No;
         self.core.claim.filter(|_| is_not_run)
     }
--- a/components/requests/src/refusal.rs
+++ b/components/requests/src/refusal.rs
@@ -38,7 +38,7 @@
     /// No upstream can take the request.
     NoUpstream,
     /// The same request crashed upstreams and is quarantined.
-    Barred,
+    Quarantined,
     /// The request cannot be completed before its deadline.
     DeadlinePassed,
     /// The claim that the request needs cannot be made.
@@ -50,13 +50,13 @@
     /// An upstream answered with this HTTP error status.
     UpstreamStatus(u16),
     /// The answer was truncated after a part of it was sent to the caller.
-    StreamCut,
+    AnswerTruncated,
     /// The request may have run and must not be run again.
     OutcomeUnknown,
     /// The request ran earlier under the same id, and its answer was too large to record.
     AnswerNotKept,
     /// The same id was used for a different request.
-    IdReused,
+    IdempotencyKeyReused,
     /// The caller disconnected.
     CallerGone,
     /// The daemon is shutting down.
@@ -74,16 +74,16 @@
             Self::Overloaded => "overloaded",
             Self::Stale => "stale_catalogue",
             Self::NoUpstream => "no_upstream",
-            Self::Barred => "barred",
+            Self::Quarantined => "barred",
             Self::DeadlinePassed => "deadline_passed",
             Self::ClaimUnavailable => "claim_unavailable",
             Self::LedgerFull => "ledger_full",
             Self::AttemptsFailed => "attempts_failed",
             Self::UpstreamStatus(status) => return write!(f, "upstream_status_{status}"),
-            Self::StreamCut => "stream_cut",
+            Self::AnswerTruncated => "stream_cut",
             Self::OutcomeUnknown => "outcome_unknown",
             Self::AnswerNotKept => "answer_not_kept",
-            Self::IdReused => "id_reused",
+            Self::IdempotencyKeyReused => "id_reused",
             Self::CallerGone => "caller_gone",
             Self::ShuttingDown => "shutting_down",
         })
--- a/components/requests/src/step.rs
+++ b/components/requests/src/step.rs
@@ -8,7 +8,7 @@
 
 use crate::attempt::{AttemptEnd, Usage, combine_run_states};
 use crate::budget::RetryBudget;
-use crate::life::Facts;
+use crate::life::RequestSpec;
 use crate::refusal::{Code, NotRunProof, Refusal};
 
 /// Most attempts at one request, including resumptions and escalations.
@@ -90,7 +90,7 @@
             self.shown |= shown;
         }
         match end {
-            AttemptEnd::Whole { usage, .. } => self.answer_usage = Some(*usage),
+            AttemptEnd::Complete { usage, .. } => self.answer_usage = Some(*usage),
             _ => self.failed.push(upstream.clone()),
         }
     }
@@ -124,21 +124,21 @@
 /// Decides what follows an attempt whose end is already recorded in `progress`.
 #[must_use]
 pub fn next_step(
-    facts: &Facts,
+    spec: &RequestSpec,
     progress: &Progress,
     end: &AttemptEnd,
     now: Time,
     budget: &mut RetryBudget,
 ) -> Step {
     let step = match end {
-        AttemptEnd::Whole { usage, adequate } => {
-            after_complete_answer(facts, progress, *usage, *adequate, now)
+        AttemptEnd::Complete { usage, adequate } => {
+            after_complete_answer(spec, progress, *usage, *adequate, now)
         }
         AttemptEnd::CallerGone => return Step::Refuse(progress.refusal(Code::CallerGone)),
         AttemptEnd::UpstreamError(status) if is_permanent(*status) => {
             Step::Refuse(progress.refusal(Code::UpstreamStatus(*status)))
         }
-        _ => after_failure(facts, progress, end, now, budget),
+        _ => after_failure(spec, progress, end, now, budget),
     };
     // After a failed escalation the weaker version's answer is still complete and usable.
     match (step, progress.answer_usage) {
@@ -153,14 +153,13 @@
 }
 
 fn after_complete_answer(
-    facts: &Facts,
+    spec: &RequestSpec,
     progress: &Progress,
     usage: Usage,
     adequate: bool,
     now: Time,
 ) -> Step {
-    let may_escalate =
-        facts.idempotent && !progress.shown && may_begin_attempt(facts, progress, now);
+    let may_escalate = spec.idempotent && !progress.shown && may_begin_attempt(spec, progress, now);
     if adequate || !may_escalate {
         Step::Answer(usage)
     } else {
@@ -169,7 +168,7 @@
 }
 
 fn after_failure(
-    facts: &Facts,
+    spec: &RequestSpec,
     progress: &Progress,
     end: &AttemptEnd,
     now: Time,
@@ -177,15 +176,15 @@
 ) -> Step {
     // Guards against a booking made twice: after a reset the first upstream may have run the
     // request, and a second attempt would run it again. Only proof of "not run" allows one.
-    if !facts.idempotent && progress.run() != RunState::No {
+    if !spec.idempotent && progress.run() != RunState::No {
         return Step::Unknown;
     }
-    let resume = facts.resumable && (progress.shown || progress.received > Tokens(0));
+    let resume = spec.resumable && (progress.shown || progress.received > Tokens(0));
     // Guards against a mixed answer: bytes of a second answer sent after those of the first.
     if progress.shown && !resume {
-        return Step::Refuse(progress.refusal(Code::StreamCut));
+        return Step::Refuse(progress.refusal(Code::AnswerTruncated));
     }
-    if now.until(facts.deadline) < MIN_ATTEMPT_TIME {
+    if now.until(spec.deadline) < MIN_ATTEMPT_TIME {
         return Step::Refuse(progress.refusal(Code::DeadlinePassed));
     }
     if progress.attempts() >= MAX_ATTEMPTS || !budget_allows_retry(end, now, budget) {
@@ -212,19 +211,24 @@
     }
 }
 
-fn may_begin_attempt(facts: &Facts, progress: &Progress, now: Time) -> bool {
-    progress.attempts() < MAX_ATTEMPTS && now.until(facts.deadline) >= MIN_ATTEMPT_TIME
+fn may_begin_attempt(spec: &RequestSpec, progress: &Progress, now: Time) -> bool {
+    progress.attempts() < MAX_ATTEMPTS && now.until(spec.deadline) >= MIN_ATTEMPT_TIME
 }
 
 /// Whether a second attempt may run beside the first: only for idempotent work, before any of
 /// the answer was sent to the caller, once per request, and if the retry budget allows it.
 #[must_use]
-pub fn may_hedge(facts: &Facts, progress: &Progress, now: Time, budget: &mut RetryBudget) -> bool {
-    facts.idempotent
+pub fn may_hedge(
+    spec: &RequestSpec,
+    progress: &Progress,
+    now: Time,
+    budget: &mut RetryBudget,
+) -> bool {
+    spec.idempotent
         && !progress.shown
         && progress.open.len() == 1
         && progress.attempts() == 1
-        && may_begin_attempt(facts, progress, now)
+        && may_begin_attempt(spec, progress, now)
         && budget.take(now)
 }
 
@@ -239,8 +243,8 @@
 
 /// Decides what to do when the caller disconnects: work that may run at most once is finished.
 #[must_use]
-pub fn on_caller_gone(facts: &Facts) -> OnCallerGone {
-    if facts.idempotent {
+pub fn on_caller_gone(spec: &RequestSpec) -> OnCallerGone {
+    if spec.idempotent {
         OnCallerGone::Cancel
     } else {
         OnCallerGone::Finish
--- a/components/requests/tests/claims.rs
+++ b/components/requests/tests/claims.rs
@@ -60,14 +60,14 @@
     run_calls(store, &mut claim, call)
 }
 
-fn expect_held(step: ClaimStep) -> Held {
+fn expect_held(step: ClaimStep) -> HeldClaim {
     match step {
-        ClaimStep::Mine(held) => held,
+        ClaimStep::Acquired(held) => held,
         other => panic!("claim not acquired: {other:?}"),
     }
 }
 
-fn settle(store: &mut Store, start: (Settle, Request)) -> SettleStep {
+fn settle(store: &mut Store, start: (Settlement, Request)) -> SettleStep {
     let (mut settle, mut call) = start;
     loop {
         match settle.on_outcome(store.call(&call)) {
@@ -77,8 +77,8 @@
     }
 }
 
-fn recorded() -> Recorded {
-    Recorded::new(200, vec![("a".to_owned(), "b".to_owned())], "yes\n".into())
+fn recorded() -> RecordedAnswer {
+    RecordedAnswer::new(200, vec![("a".to_owned(), "b".to_owned())], "yes\n".into())
 }
 
 #[test]
@@ -86,17 +86,21 @@
     let mut store = store();
     let mine = expect_held(claim(&mut store, spec("d1", 1)));
     let open = claim(&mut store, spec("d2", 1));
-    assert!(matches!(open, ClaimStep::Duplicate(Standing::Open)));
-    let step = settle(&mut store, Settle::record(mine, recorded()));
+    assert!(matches!(open, ClaimStep::Duplicate(ExistingClaim::Open)));
+    let step = settle(&mut store, Settlement::record(mine, recorded()));
     assert!(matches!(step, SettleStep::Done));
-    let ClaimStep::Duplicate(Standing::Recorded(again)) = claim(&mut store, spec("d2", 2)) else {
+    let ClaimStep::Duplicate(ExistingClaim::Recorded(again)) = claim(&mut store, spec("d2", 2))
+    else {
         panic!("no recorded answer");
     };
     assert_eq!(again, recorded());
     let mut other = spec("d2", 3);
     other.fingerprint = 10;
     let reused = claim(&mut store, other);
-    assert!(matches!(reused, ClaimStep::Duplicate(Standing::Reused)));
+    assert!(matches!(
+        reused,
+        ClaimStep::Duplicate(ExistingClaim::KeyReused)
+    ));
 }
 
 // Guards against refusing a request that never ran: the claim's write takes effect but its
@@ -110,7 +114,7 @@
         panic!("not read back");
     };
     let mine = expect_held(run_calls(&mut store, &mut claim, read));
-    let step = settle(&mut store, Settle::record(mine, recorded()));
+    let step = settle(&mut store, Settlement::record(mine, recorded()));
     assert!(matches!(step, SettleStep::Done));
 }
 
@@ -131,7 +135,7 @@
     expect_held(claim(&mut store, spec("d2", 1)));
     let _ = store.call(&delayed);
     let step = run_calls(&mut store, &mut slow, write);
-    assert!(matches!(step, ClaimStep::Duplicate(Standing::Open)));
+    assert!(matches!(step, ClaimStep::Duplicate(ExistingClaim::Open)));
 }
 
 // Guards against a claim that blocks repeats for the whole retry window: a caller is told "not
@@ -144,7 +148,7 @@
         let mut store = store();
         if taken_over {
             let mine = expect_held(claim(&mut store, spec("d0", 1)));
-            settle(&mut store, Settle::release(mine));
+            settle(&mut store, Settlement::release(mine));
         }
         let (mut slow, mut call) = Claim::start(spec("d1", 1));
         if taken_over {
@@ -161,7 +165,7 @@
         let ClaimStep::Unavailable(Some(possibly_written)) = step else {
             panic!("given up without a claim to release: {step:?}");
         };
-        settle(&mut store, Settle::release(possibly_written));
+        settle(&mut store, Settlement::release(possibly_written));
         let _ = store.call(&delayed);
         expect_held(claim(&mut store, spec("d2", 1)));
     }
@@ -274,7 +278,7 @@
     let second = batcher.next_call(NOW).unwrap();
     let (ticket, outcome) = batcher.on_outcome(store.call(&second)).remove(0);
     let step = claims[ticket.0 as usize].on_outcome(outcome, NOW);
-    assert!(matches!(step, ClaimStep::Duplicate(Standing::Open)));
+    assert!(matches!(step, ClaimStep::Duplicate(ExistingClaim::Open)));
 }
 
 #[test]
--- a/components/requests/tests/fuzz/daemon.rs
+++ b/components/requests/tests/fuzz/daemon.rs
@@ -6,8 +6,8 @@
 use ledger::{CallId, Config, Ledger, Message, Peer, Receipt};
 use requests::attempt::AttemptEnd;
 use requests::budget::RetryBudget;
-use requests::claim::{Claim, LeaseSlots, Settle, Windows};
-use requests::life::{Admitted, Arrived, Attempted, Billed, Facts, Request};
+use requests::claim::{Claim, LeaseSlots, Settlement, Windows};
+use requests::life::{Admitted, Arrived, Attempted, Billed, Request, RequestSpec};
 use requests::refusal::Code;
 use requests::step::{OnCallerGone, on_caller_gone};
 use types::prelude::*;
@@ -71,7 +71,7 @@
     ledger: Ledger,
     budget: RetryBudget,
     served: BTreeMap<usize, ServedCall>,
-    settling: BTreeMap<usize, (u8, Settle)>,
+    settling: BTreeMap<usize, (u8, Settlement)>,
     retry_later: Vec<usize>,
     counter: u64,
 }
@@ -160,7 +160,7 @@
             oracle.call_ended(call, CallEnd::Refusal(refusal));
             return Vec::new();
         }
-        let req = arrived.admit(Facts {
+        let req = arrived.admit(RequestSpec {
             customer: customer(request),
             id: format!("request-{request}").parse().unwrap(),
             entry: "brief-writer".parse().unwrap(),
@@ -192,7 +192,7 @@
             id,
             request,
             resume_from: tokens.len(),
-            deadline: req.facts().deadline,
+            deadline: req.spec().deadline,
         };
         let open = OpenAttempt {
             req,
@@ -262,12 +262,12 @@
                 out.push(Effect::Store(
                     self.run,
                     StoreCallOwner::Settle(id),
-                    settle.again(),
+                    settle.restart(),
                 ));
             }
         }
         let is_past_deadline = |served: &ServedCall| match &served.stage {
-            Stage::Attempting(open) => now.has_reached(open.req.facts().deadline),
+            Stage::Attempting(open) => now.has_reached(open.req.spec().deadline),
             _ => false,
         };
         let past_deadline = self
@@ -294,7 +294,7 @@
         };
         served.has_caller = false;
         match served.stage {
-            Stage::Attempting(open) if on_caller_gone(open.req.facts()) == OnCallerGone::Cancel => {
+            Stage::Attempting(open) if on_caller_gone(open.req.spec()) == OnCallerGone::Cancel => {
                 let end = AttemptEnd::CallerGone;
                 let _ = open.req.end(&upstream(0), &end, now, &mut self.budget);
             }
--- a/components/requests/tests/fuzz/daemon/answers.rs
+++ b/components/requests/tests/fuzz/daemon/answers.rs
@@ -2,8 +2,8 @@
 
 use bytes::Bytes;
 use ledger::{Bill, BillId, Item, Receipt};
-use requests::attempt::{AttemptEnd, Doubt, Usage};
-use requests::claim::{Recorded, Settle};
+use requests::attempt::{AttemptEnd, UnknownCause, Usage};
+use requests::claim::{RecordedAnswer, Settlement};
 use requests::life::Next;
 use types::prelude::*;
 
@@ -89,12 +89,14 @@
             }
             Next::Refused(req) => (req.refusal(), req.into_claim_to_release()),
             Next::Unknown(req) => (req.refusal(), None),
-            Next::Open(_) | Next::Escalate(_) => unreachable!("neither hedged nor escalated"),
+            Next::HedgeInFlight(_) | Next::Escalate(_) => {
+                unreachable!("neither hedged nor escalated")
+            }
         };
         if has_caller {
             oracle.call_ended(call, CallEnd::Refusal(refusal));
         }
-        let release = claim.map(|held| self.settle(request, Settle::release(held)));
+        let release = claim.map(|held| self.settle(request, Settlement::release(held)));
         release.into_iter().collect()
     }
 
@@ -143,10 +145,10 @@
             if served.has_caller {
                 oracle.call_ended(call, CallEnd::Answer(tokens));
             }
-            let recorded = Recorded::new(200, Vec::new(), body);
+            let recorded = RecordedAnswer::new(200, Vec::new(), body);
             let held = req.into_claim();
             out.extend(
-                held.map(|held| self.settle(served.request, Settle::record(held, recorded))),
+                held.map(|held| self.settle(served.request, Settlement::record(held, recorded))),
             );
         }
         out
@@ -159,8 +161,8 @@
         let (echo, tokens, has_end) = match reply {
             EngineReply::NotSent => return AttemptEnd::NotSent,
             EngineReply::RefusedNotRun => return AttemptEnd::RefusedNotRun { retry_after: None },
-            EngineReply::Reset => return AttemptEnd::Unknown(Doubt::Reset),
-            EngineReply::TimedOut => return AttemptEnd::Unknown(Doubt::TimedOut),
+            EngineReply::Reset => return AttemptEnd::Unknown(UnknownCause::Reset),
+            EngineReply::TimedOut => return AttemptEnd::Unknown(UnknownCause::TimedOut),
             EngineReply::Error(status) => return AttemptEnd::UpstreamError(status),
             EngineReply::Tokens {
                 echo,
@@ -169,7 +171,7 @@
             } => (echo, tokens, has_end),
         };
         if echo != self.attempt {
-            return AttemptEnd::Crossed;
+            return AttemptEnd::AnswerOfOtherAttempt;
         }
         self.tokens.extend(tokens);
         if !has_end {
@@ -178,7 +180,7 @@
                 shown: is_streamed(request) && !self.tokens.is_empty(),
             };
         }
-        AttemptEnd::Whole {
+        AttemptEnd::Complete {
             usage: Usage {
                 input: Tokens(1),
                 output: Tokens(self.tokens.len() as u64),
--- a/components/requests/tests/fuzz/daemon/claims.rs
+++ b/components/requests/tests/fuzz/daemon/claims.rs
@@ -2,7 +2,7 @@
 
 use keyvalue::{CallError, Outcome, Request as StoreRequest};
 use requests::claim::{
-    Claim, ClaimSpec, ClaimStep, Nonce, Settle, SettleStep, Standing, claim_key,
+    Claim, ClaimSpec, ClaimStep, ExistingClaim, Nonce, SettleStep, Settlement, claim_key,
 };
 use requests::life::{Admitted, Request};
 use requests::refusal::{Code, Refusal};
@@ -26,9 +26,9 @@
             oracle.call_ended(call, CallEnd::Refusal(refusal));
             return Vec::new();
         };
-        let facts = req.facts();
+        let spec = req.spec();
         let spec = ClaimSpec {
-            key: claim_key("claims/", &facts.customer, &facts.id),
+            key: claim_key("claims/", &spec.customer, &spec.id),
             nonce: Nonce {
                 daemon: self.id(),
                 incarnation: Incarnation(self.run.1),
@@ -36,7 +36,7 @@
             },
             fingerprint: request.into(),
             lease,
-            deadline: facts.deadline,
+            deadline: spec.deadline,
         };
         let (claim, first) = Claim::start(spec);
         self.served.insert(
@@ -73,7 +73,7 @@
                 self.served.insert(call, served);
                 vec![Effect::Store(self.run, StoreCallOwner::Claim(call), next)]
             }
-            ClaimStep::Mine(held) => {
+            ClaimStep::Acquired(held) => {
                 let req = req.claim(held).ready().attempt(upstream(0));
                 self.attempt(call, served.request, req, Vec::new(), served.has_caller)
             }
@@ -88,8 +88,8 @@
                 if served.has_caller {
                     oracle.call_ended(call, CallEnd::Refusal(refusal));
                 }
-                let release =
-                    possibly_written.map(|held| self.settle(served.request, Settle::release(held)));
+                let release = possibly_written
+                    .map(|held| self.settle(served.request, Settlement::release(held)));
                 release.into_iter().collect()
             }
         }
@@ -98,7 +98,7 @@
     pub(super) fn settle(
         &mut self,
         request: u8,
-        (settle, first): (Settle, StoreRequest),
+        (settle, first): (Settlement, StoreRequest),
     ) -> Effect {
         let id = self.next_id() as usize;
         self.settling.insert(id, (request, settle));
@@ -113,7 +113,7 @@
             SettleStep::Call(next) => {
                 vec![Effect::Store(self.run, StoreCallOwner::Settle(id), next)]
             }
-            SettleStep::Later => {
+            SettleStep::RetryLater => {
                 self.retry_later.push(id);
                 Vec::new()
             }
@@ -126,14 +126,14 @@
 }
 
 /// What the caller of a repeat is told.
-fn end_of_repeat(standing: Standing) -> CallEnd {
+fn end_of_repeat(standing: ExistingClaim) -> CallEnd {
     match standing {
-        Standing::Recorded(recorded) => {
+        ExistingClaim::Recorded(recorded) => {
             let body = recorded.body.unwrap_or_default();
             let text = String::from_utf8(body.to_vec()).unwrap();
             CallEnd::Answer(text.split(' ').map(str::to_owned).collect())
         }
-        Standing::Open => CallEnd::Refusal(Refusal::unknown(Code::OutcomeUnknown)),
-        Standing::Reused => CallEnd::Refusal(Refusal::unknown(Code::IdReused)),
+        ExistingClaim::Open => CallEnd::Refusal(Refusal::unknown(Code::OutcomeUnknown)),
+        ExistingClaim::KeyReused => CallEnd::Refusal(Refusal::unknown(Code::IdempotencyKeyReused)),
     }
 }
--- a/components/requests/tests/life.rs
+++ b/components/requests/tests/life.rs
@@ -1,14 +1,14 @@
 //! Life cycle of requests, retry rules and correctness of "not run".
 
-use requests::attempt::{AttemptEnd, Doubt, Usage};
+use requests::attempt::{AttemptEnd, UnknownCause, Usage};
 use requests::budget::{MAX_SAVED_RETRIES, RetryBudget};
-use requests::life::{Arrived, Attempted, Facts, Next, Request, Waiting};
+use requests::life::{Arrived, Attempted, Next, Request, RequestSpec, Waiting};
 use requests::refusal::Code;
 use requests::step::MAX_ATTEMPTS;
 use types::prelude::*;
 
 const NOW: Time = Time(1_000);
-const WHOLE: AttemptEnd = AttemptEnd::Whole {
+const WHOLE: AttemptEnd = AttemptEnd::Complete {
     usage: Usage {
         input: Tokens(3),
         output: Tokens(5),
@@ -16,8 +16,8 @@
     adequate: true,
 };
 
-fn facts(idempotent: bool, resumable: bool) -> Facts {
-    Facts {
+fn spec(idempotent: bool, resumable: bool) -> RequestSpec {
+    RequestSpec {
         customer: "kochi".parse().unwrap(),
         id: "r1".parse().unwrap(),
         entry: "brief-writer".parse().unwrap(),
@@ -31,8 +31,8 @@
     format!("u{n}").parse().unwrap()
 }
 
-fn first_attempt(facts: Facts) -> Request<Attempted> {
-    let ready = Arrived::new().admit(facts).ready().unwrap();
+fn first_attempt(spec: RequestSpec) -> Request<Attempted> {
+    let ready = Arrived::new().admit(spec).ready().unwrap();
     ready.attempt(upstream(1))
 }
 
@@ -56,7 +56,7 @@
 
 #[test]
 fn can_answer_and_bill_once() {
-    let Next::Answered(req) = end(first_attempt(facts(true, true)), &WHOLE) else {
+    let Next::Answered(req) = end(first_attempt(spec(true, true)), &WHOLE) else {
         panic!("not answered");
     };
     let (_, bill) = req.bill();
@@ -69,21 +69,21 @@
 #[test]
 fn errors_say_not_run_only_with_proof() {
     let may_have_run = [
-        AttemptEnd::Unknown(Doubt::Reset),
-        AttemptEnd::Unknown(Doubt::TimedOut),
-        AttemptEnd::Crossed,
+        AttemptEnd::Unknown(UnknownCause::Reset),
+        AttemptEnd::Unknown(UnknownCause::TimedOut),
+        AttemptEnd::AnswerOfOtherAttempt,
         AttemptEnd::UpstreamError(503),
         truncated(2, false),
     ];
     for attempt_end in may_have_run {
-        let (req, _) = expect_retry(end(first_attempt(facts(true, false)), &attempt_end));
+        let (req, _) = expect_retry(end(first_attempt(spec(true, false)), &attempt_end));
         assert_ne!(req.refuse(Code::NoUpstream).refusal().run(), RunState::No);
     }
     for attempt_end in [
         AttemptEnd::NotSent,
         AttemptEnd::RefusedNotRun { retry_after: None },
     ] {
-        let (req, _) = expect_retry(end(first_attempt(facts(true, false)), &attempt_end));
+        let (req, _) = expect_retry(end(first_attempt(spec(true, false)), &attempt_end));
         assert_eq!(req.refuse(Code::NoUpstream).refusal().run(), RunState::No);
     }
 }
@@ -93,8 +93,8 @@
 #[test]
 fn errors_of_earlier_attempts_are_remembered() {
     let (req, _) = expect_retry(end(
-        first_attempt(facts(true, false)),
-        &AttemptEnd::Unknown(Doubt::Reset),
+        first_attempt(spec(true, false)),
+        &AttemptEnd::Unknown(UnknownCause::Reset),
     ));
     let (req, _) = expect_retry(end(req.attempt(upstream(1)), &AttemptEnd::NotSent));
     let refusal = req.refuse(Code::NoUpstream).refusal();
@@ -106,14 +106,14 @@
 // beginning.
 #[test]
 fn errors_of_shown_streams_are_resumed_or_refused() {
-    let (_, resume) = expect_retry(end(first_attempt(facts(true, true)), &truncated(7, true)));
+    let (_, resume) = expect_retry(end(first_attempt(spec(true, true)), &truncated(7, true)));
     assert_eq!(resume, Some(Tokens(7)));
-    let (_, restart) = expect_retry(end(first_attempt(facts(true, false)), &truncated(7, false)));
+    let (_, restart) = expect_retry(end(first_attempt(spec(true, false)), &truncated(7, false)));
     assert_eq!(restart, None);
-    let Next::Refused(req) = end(first_attempt(facts(true, false)), &truncated(7, true)) else {
+    let Next::Refused(req) = end(first_attempt(spec(true, false)), &truncated(7, true)) else {
         panic!("not refused");
     };
-    assert_eq!(req.refusal().code(), Code::StreamCut);
+    assert_eq!(req.refusal().code(), Code::AnswerTruncated);
     assert_eq!(req.refusal().run(), RunState::Yes);
 }
 
@@ -121,14 +121,14 @@
 // upstream, and the tokens already sent to the caller must still count.
 #[test]
 fn can_resume_after_a_failed_resumption() {
-    let (req, _) = expect_retry(end(first_attempt(facts(true, true)), &truncated(7, true)));
+    let (req, _) = expect_retry(end(first_attempt(spec(true, true)), &truncated(7, true)));
     let (_, resume) = expect_retry(end(req.attempt(upstream(1)), &AttemptEnd::NotSent));
     assert_eq!(resume, Some(Tokens(7)));
 }
 
 #[test]
 fn errors_without_a_claim_do_not_send_non_idempotent_work() {
-    let req = Arrived::new().admit(facts(false, false));
+    let req = Arrived::new().admit(spec(false, false));
     let req = req.ready().unwrap_err();
     assert_eq!(
         req.refuse(Code::ClaimUnavailable).refusal().run(),
@@ -138,11 +138,11 @@
 
 #[test]
 fn can_keep_the_weaker_answer_when_escalation_fails() {
-    let weak = AttemptEnd::Whole {
+    let weak = AttemptEnd::Complete {
         usage: Usage::default(),
         adequate: false,
     };
-    let Next::Escalate(req) = end(first_attempt(facts(true, true)), &weak) else {
+    let Next::Escalate(req) = end(first_attempt(spec(true, true)), &weak) else {
         panic!("not escalated");
     };
     let next = end(req.attempt(upstream(1)), &AttemptEnd::UpstreamError(400));
@@ -154,9 +154,9 @@
 #[test]
 fn errors_of_a_pool_do_not_multiply_its_traffic() {
     let mut budget = RetryBudget::new(NOW);
-    let reset = AttemptEnd::Unknown(Doubt::Reset);
+    let reset = AttemptEnd::Unknown(UnknownCause::Reset);
     let retries = (0..1_000)
-        .map(|_| first_attempt(facts(true, false)).end(&upstream(1), &reset, NOW, &mut budget))
+        .map(|_| first_attempt(spec(true, false)).end(&upstream(1), &reset, NOW, &mut budget))
         .filter(|next| matches!(next, Next::Retry(..)))
         .count();
     assert_eq!(retries, MAX_SAVED_RETRIES as usize);
@@ -164,7 +164,7 @@
 
 #[test]
 fn errors_stop_retries_at_max_attempts_or_the_deadline() {
-    let mut req = first_attempt(facts(true, false));
+    let mut req = first_attempt(spec(true, false));
     for _ in 1..MAX_ATTEMPTS {
         req = expect_retry(end(req, &AttemptEnd::NotSent))
             .0
@@ -173,22 +173,18 @@
     assert!(matches!(end(req, &AttemptEnd::NotSent), Next::Refused(_)));
     let late = NOW + Span::from_secs(10);
     let mut budget = RetryBudget::new(NOW);
-    let next = first_attempt(facts(true, false)).end(
-        &upstream(1),
-        &AttemptEnd::NotSent,
-        late,
-        &mut budget,
-    );
+    let next =
+        first_attempt(spec(true, false)).end(&upstream(1), &AttemptEnd::NotSent, late, &mut budget);
     assert!(matches!(next, Next::Refused(_)));
 }
 
 #[test]
 fn can_hedge_idempotent_work_once() {
     let mut budget = RetryBudget::new(NOW);
-    let req = first_attempt(facts(true, false));
+    let req = first_attempt(spec(true, false));
     let req = req.hedge(upstream(2), NOW, &mut budget).unwrap();
     let req = req.hedge(upstream(3), NOW, &mut budget).unwrap_err();
-    let Next::Open(req) = end(req, &AttemptEnd::NotSent) else {
+    let Next::HedgeInFlight(req) = end(req, &AttemptEnd::NotSent) else {
         panic!("the second attempt is not open");
     };
     assert_eq!(req.progress().run(), RunState::Unknown);
