--- a/bench/src/cmd/burst/admitter.rs
+++ b/bench/src/cmd/burst/admitter.rs
@@ -3,7 +3,9 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use limits::bucket::Bucket;
-use limits::{Admission, Ask, Bounds, Config, DemandFact, Grant, Limiter, Reach, Ticket, Verdict};
+use limits::{
+    Admission, AdmissionRequest, Config, DemandFact, Grant, Limiter, Limits, Reach, Ticket, Verdict,
+};
 use rand::rngs::SmallRng;
 use types::prelude::*;
 
@@ -83,9 +85,9 @@
             Kind::Ours { .. } => {
                 let mut limiter = Limiter::new(daemon_id(daemon), Config::default());
                 for (customer, limit) in limits {
-                    let bounds = Bounds {
+                    let bounds = Limits {
                         requests: Some(*limit),
-                        ..Bounds::default()
+                        ..Limits::default()
                     };
                     limiter.set_customer(Time::ZERO, customer, bounds, 1);
                 }
@@ -94,7 +96,7 @@
                     reached: daemons,
                     known: daemons,
                 };
-                limiter.fleet(Time::ZERO, &live, reach);
+                limiter.update_fleet(Time::ZERO, &live, reach);
                 limiter.set_slots(Time::ZERO, pool, slots);
                 Self::Ours(Box::new(limiter))
             }
@@ -113,7 +115,13 @@
     }
 
     /// Decides on a request.
-    pub fn admit(&mut self, now: Time, id: u64, ask: Ask, rng: &mut SmallRng) -> Answer {
+    pub fn admit(
+        &mut self,
+        now: Time,
+        id: u64,
+        ask: AdmissionRequest,
+        rng: &mut SmallRng,
+    ) -> Answer {
         match self {
             Self::Ours(limiter) => match limiter.admit(now, ask, rng) {
                 Admission::Start(grant) => Answer::Start(Some(grant)),
@@ -137,7 +145,7 @@
     /// A running request gives way; it waits by the ticket.
     pub fn give_way(&mut self, grant: Option<Grant>) -> Option<Ticket> {
         match (self, grant) {
-            (Self::Ours(limiter), Some(grant)) => Some(limiter.give_way(grant)),
+            (Self::Ours(limiter), Some(grant)) => Some(limiter.requeue_preempted(grant)),
             _ => None,
         }
     }
@@ -146,7 +154,7 @@
     pub fn pump(&mut self, now: Time, rng: &mut SmallRng) -> Vec<Ended> {
         match self {
             Self::Ours(limiter) => {
-                let ended = limiter.pump(now, rng).into_iter();
+                let ended = limiter.process_queues(now, rng).into_iter();
                 ended
                     .map(|(ticket, verdict)| Ended::Ours(ticket, verdict))
                     .collect()
@@ -167,13 +175,13 @@
     /// Takes another daemon's demand.
     pub fn hear(&mut self, daemon: usize, fact: &DemandFact) {
         if let Self::Ours(limiter) = self {
-            limiter.peer_fact(&daemon_id(daemon), fact.clone());
+            limiter.update_peer(&daemon_id(daemon), fact.clone());
         }
     }
 }
 
 impl Split {
-    fn admit(&mut self, now: Time, id: u64, ask: &Ask) -> Answer {
+    fn admit(&mut self, now: Time, id: u64, ask: &AdmissionRequest) -> Answer {
         if let Some(bucket) = self.buckets.get_mut(&ask.customer) {
             if !bucket.is_open(now, 1.0) {
                 return Answer::Refuse(FIXED_RETRY);
--- a/bench/src/cmd/burst/world.rs
+++ b/bench/src/cmd/burst/world.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use limits::{Ask, DemandFact, Grant, Ticket, Verdict};
+use limits::{AdmissionRequest, DemandFact, Grant, Ticket, Verdict};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use routing::{Outcome, RouteRequest, Router, TargetIndex, UpstreamIndex};
@@ -199,7 +199,7 @@
             Priority::Interactive => INTERACTIVE_DEADLINE,
             Priority::Batch => BATCH_DEADLINE,
         };
-        let ask = Ask {
+        let ask = AdmissionRequest {
             customer: customer.id.clone(),
             offer: self.pool.clone(),
             pool: self.pool.clone(),
--- a/bench/src/cmd/decide.rs
+++ b/bench/src/cmd/decide.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use hdrhistogram::Histogram;
-use limits::{Admission, Ask, Bounds, Config, DemandFact, KeyId, Limiter, Reach};
+use limits::{Admission, AdmissionRequest, Config, DemandFact, KeyId, Limiter, Limits, Reach};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use routing::{
@@ -184,7 +184,7 @@
     let mut grants = Vec::new();
     for number in 0..CHOICES {
         let now = Time(number as u64 * 15_000);
-        let ask = Ask {
+        let ask = AdmissionRequest {
             customer: customer(rng.random_range(0..CUSTOMERS)),
             offer: pool.clone(),
             pool: pool.clone(),
@@ -205,7 +205,7 @@
         if number % 7 == 0 {
             limiter.tick(now);
         }
-        limiter.pump(now, rng);
+        limiter.process_queues(now, rng);
     }
     times
 }
@@ -218,19 +218,19 @@
         reached: DAEMONS,
         known: DAEMONS,
     };
-    limiter.fleet(Time::ZERO, &live, reach);
+    limiter.update_fleet(Time::ZERO, &live, reach);
     limiter.set_slots(Time::ZERO, pool, UPSTREAMS as u32 * SLOTS);
     let keys: Vec<_> = (0..CUSTOMERS).map(customer).collect();
     for id in &keys {
-        let bounds = Bounds {
+        let bounds = Limits {
             requests: Some(Rate(400.0)),
-            ..Bounds::default()
+            ..Limits::default()
         };
         limiter.set_customer(Time::ZERO, id, bounds, 1);
     }
     for number in 1..DAEMONS {
         let demands = keys.iter().map(|id| (KeyId::customer(id), 1.0));
-        limiter.peer_fact(&daemon(number), DemandFact::new(demands));
+        limiter.update_peer(&daemon(number), DemandFact::new(demands));
     }
     limiter
 }
--- a/bench/src/cmd/membership.rs
+++ b/bench/src/cmd/membership.rs
@@ -134,7 +134,7 @@
 
 fn gather_ages(fleet: &Fleet, ages: &mut Vec<u64>) {
     for node in fleet.nodes.values() {
-        let me = &node.membership.me().id;
+        let me = &node.membership.local().id;
         let facts = node.membership.facts(Topic::Demand);
         for fact in facts.filter(|fact| fact.origin != *me) {
             let said = fact.value.first_chunk::<8>();
--- a/components/fleet/src/peering.rs
+++ b/components/fleet/src/peering.rs
@@ -86,7 +86,7 @@
 #[must_use]
 pub fn shares_rate_limits(now: Time, member: &Member) -> bool {
     match member.record.state {
-        State::Down => now.since(member.since) < MAX_PARTITION,
+        State::Down => now.since(member.state_since) < MAX_PARTITION,
         state => state.is_present(),
     }
 }
@@ -124,7 +124,7 @@
 
     /// This daemon's rank by name among those present; lower ranks act first.
     pub(crate) fn rank(&self) -> u64 {
-        let me = &self.members.me().id;
+        let me = &self.members.local().id;
         let present = self
             .members
             .members()
@@ -230,7 +230,7 @@
         let others = self.members.members();
         let others = others.filter(|member| shares_rate_limits(now, member));
         let others = others.map(|member| &member.record.id);
-        Fleet::new(&self.members.me().id, others)
+        Fleet::new(&self.members.local().id, others)
     }
 
     fn apply_outcome(&mut self, outcome: Outcome) {
@@ -280,7 +280,7 @@
     }
 
     fn recipients(&mut self, now: Time, kind: GossipKind) -> Vec<SocketAddr> {
-        let here = &self.members.me().failure_domain;
+        let here = &self.members.local().failure_domain;
         let members = self.members.members().map(|member| &member.record);
         let present = members.filter(|record| record.state.is_present());
         let peers = present.map(|record| Peer {
@@ -308,7 +308,7 @@
     pub(crate) fn watch_rank(&self) -> usize {
         let members = self.members.members();
         let present = members.filter(|member| member.record.state.is_present());
-        watch_rank(&self.members.me().id, present.map(|m| &m.record.id))
+        watch_rank(&self.members.local().id, present.map(|m| &m.record.id))
     }
 
     /// Number of daemons ahead of this one in the watch order whose watch works, by reports that
@@ -316,7 +316,7 @@
     pub(crate) fn watchers_ahead(&mut self, now: Time) -> usize {
         let report_ttl = self.report_ttl();
         self.peer_states.expire(now, report_ttl);
-        self.peer_states.watchers_ahead(&self.members.me().id)
+        self.peer_states.watchers_ahead(&self.members.local().id)
     }
 
     /// Whether a heartbeat of any other daemon is still valid.
@@ -355,7 +355,7 @@
 
     /// Records this daemon's evidence on a roll-out and returns the fleet's.
     pub(crate) fn aggregate(&mut self, own: &Evidence) -> RolloutSummary {
-        let me = self.members.me().id.clone();
+        let me = self.members.local().id.clone();
         self.aggregator.fleet(&me, own)
     }
 
@@ -373,7 +373,7 @@
     /// Reports this daemon's evidence on a roll-out to the collectors and gossips the sessions that
     /// stay on their version.
     pub(crate) fn report(&mut self, now: Time, own: &Evidence, staying: &BTreeSet<u32>) {
-        let me = self.members.me().id.clone();
+        let me = self.members.local().id.clone();
         let order = own.order;
         let sessions = staying.iter().copied().collect();
         let sessions = RolloutMessage::Staying { order, sessions };
@@ -429,7 +429,7 @@
 
     fn choose_peer(&self, candidates: &[&MemberRecord]) -> Option<SocketAddr> {
         let rng = &mut rand::rng();
-        let here = &self.members.me().failure_domain;
+        let here = &self.members.local().failure_domain;
         let local = candidates.iter().filter(|r| r.failure_domain == *here);
         let local = local
             .choose(rng)
--- a/components/fleet/src/peering/heartbeat.rs
+++ b/components/fleet/src/peering/heartbeat.rs
@@ -50,7 +50,7 @@
             false if self.is_small() => GossipKind::LocalHeartbeat,
             false => return,
         };
-        let me = &self.members.me().id;
+        let me = &self.members.local().id;
         let mut watchers = self.peer_states.watcher_reports(now);
         watchers.retain(|report| report.daemon != *me);
         if own_watch_works {
@@ -94,7 +94,7 @@
 
     fn sent_at(&self, now: Time) -> SentAt {
         SentAt {
-            run: self.members.me().stamp.incarnation,
+            run: self.members.local().stamp.incarnation,
             clock_ms: now.since(Time::ZERO).as_millis(),
         }
     }
@@ -104,7 +104,7 @@
         let validated_ms = mirror.validated_at.map(|at| now.since(at).as_millis());
         let SentAt { run, clock_ms } = self.sent_at(now);
         StoreReport {
-            daemon: self.members.me().id.clone(),
+            daemon: self.members.local().id.clone(),
             age_ms: 0,
             run,
             clock_ms,
--- a/components/fleet/src/start.rs
+++ b/components/fleet/src/start.rs
@@ -182,7 +182,7 @@
         },
     )?;
     let members = Membership::new(Config {
-        me: settings.me.clone(),
+        local_id: settings.me.clone(),
         incarnation,
         address: handle.address(),
         failure_domain: settings.failure_domain.clone(),
--- a/components/fleet/tests/it/rate_limits.rs
+++ b/components/fleet/tests/it/rate_limits.rs
@@ -2,16 +2,16 @@
 
 use dispatch::Advertisement;
 use fleet::{Freshness, Heartbeat, SentAt, WireClaim, shares_rate_limits};
-use membership::{Member, MemberRecord, Stamp, State};
+use membership::{Member, MemberRecord, ReportVersion, State};
 use mirror::Revision;
 use ratelimit::InstanceKey;
 use types::prelude::*;
 
-fn member(state: State, since: Time) -> Member {
+fn member(state: State, state_since: Time) -> Member {
     Member {
         record: MemberRecord {
             id: DaemonId::new("d1").expect("a name"),
-            stamp: Stamp {
+            stamp: ReportVersion {
                 incarnation: Incarnation(1),
                 refutation: 0,
             },
@@ -21,9 +21,9 @@
             region: Region::new("here").expect("a name"),
         },
         heard_at: None,
-        since,
+        state_since,
         deadline: Time::NEVER,
-        knock_at: Time::NEVER,
+        direct_probe_at: Time::NEVER,
     }
 }
 
--- a/components/limits/src/account.rs
+++ b/components/limits/src/account.rs
@@ -2,10 +2,10 @@
 
 use types::prelude::*;
 
-use crate::ask::Bounds;
+use crate::ask::Limits;
 use crate::bucket::{Bucket, Meter};
 use crate::demand::KeyId;
-use crate::shares::Shares;
+use crate::shares::QuotaShares;
 
 /// Use and limits of a customer or an offer.
 #[derive(Debug, Clone)]
@@ -14,7 +14,7 @@
     pub(crate) weight: f64,
     pub(crate) demand: Meter,
     pub(crate) in_flight: u32,
-    bounds: Bounds,
+    bounds: Limits,
     requests: Option<Bucket>,
     tokens: Option<Bucket>,
     concurrent: Option<u32>,
@@ -27,20 +27,20 @@
             weight: 1.0,
             demand: Meter::default(),
             in_flight: 0,
-            bounds: Bounds::default(),
+            bounds: Limits::default(),
             requests: None,
             tokens: None,
             concurrent: None,
         }
     }
 
-    pub(crate) fn configure(&mut self, bounds: Bounds, weight: u32) {
+    pub(crate) fn configure(&mut self, bounds: Limits, weight: u32) {
         self.bounds = bounds;
         self.weight = f64::from(weight.max(1));
     }
 
     /// Applies this daemon's share of the limits.
-    pub(crate) fn apply_shares(&mut self, now: Time, shares: &Shares) {
+    pub(crate) fn apply_shares(&mut self, now: Time, shares: &QuotaShares) {
         let share = shares.share(now, self.key);
         let concurrent = self.bounds.concurrent.map(f64::from);
         self.concurrent = concurrent.map(|limit| shares.share_units(now, self.key, limit));
@@ -92,7 +92,7 @@
     }
 
     pub(crate) fn has_limits(&self) -> bool {
-        self.bounds != Bounds::default()
+        self.bounds != Limits::default()
     }
 
     pub(crate) fn is_idle(&self, now: Time) -> bool {
--- a/components/limits/src/admission.rs
+++ b/components/limits/src/admission.rs
@@ -4,7 +4,7 @@
 use types::prelude::*;
 
 use crate::account::Account;
-use crate::ask::{Admission, Ask, Code, Grant, Refusal, Ticket, Verdict};
+use crate::ask::{Admission, AdmissionRequest, Code, Grant, Refusal, Ticket, Verdict};
 use crate::limiter::{Limiter, QueuePosition, customer_account, offer_account, pool_entry};
 use crate::pool::{Lane, Pool};
 use crate::queue::QueuedRequest;
@@ -19,7 +19,7 @@
 impl Limiter {
     /// Decides whether a request starts, waits or is refused. A refusal is returned at once:
     /// nothing of the request was run.
-    pub fn admit(&mut self, now: Time, ask: Ask, rng: &mut impl Rng) -> Admission {
+    pub fn admit(&mut self, now: Time, ask: AdmissionRequest, rng: &mut impl Rng) -> Admission {
         let customer = customer_account(&mut self.customers, &ask.customer);
         let offer = offer_account(&mut self.offers, &ask.offer);
         let pool = pool_entry(&mut self.pools, &ask.pool);
@@ -53,9 +53,9 @@
     }
 
     /// Turns a running request that was preempted by interactive work back into a waiting one. It
-    /// starts before the customer's other requests, or is refused by [`Limiter::pump`] if its
-    /// deadline passes first.
-    pub fn give_way(&mut self, grant: Grant) -> Ticket {
+    /// starts before the customer's other requests, or is refused by [`Limiter::process_queues`] if
+    /// its deadline passes first.
+    pub fn requeue_preempted(&mut self, grant: Grant) -> Ticket {
         self.last_ticket += 1;
         let ticket = Ticket(self.last_ticket);
         let mut weight = 1.0;
@@ -81,7 +81,13 @@
         ticket
     }
 
-    fn enqueue(&mut self, now: Time, ask: Ask, weight: f64, rng: &mut impl Rng) -> Ticket {
+    fn enqueue(
+        &mut self,
+        now: Time,
+        ask: AdmissionRequest,
+        weight: f64,
+        rng: &mut impl Rng,
+    ) -> Ticket {
         self.last_ticket += 1;
         let ticket = Ticket(self.last_ticket);
         let position = QueuePosition {
@@ -108,7 +114,7 @@
 
     /// Starts waiting requests for which there is room, and refuses those whose deadline has
     /// passed. Must be called after each release and each tick.
-    pub fn pump(&mut self, now: Time, rng: &mut impl Rng) -> Vec<(Ticket, Verdict)> {
+    pub fn process_queues(&mut self, now: Time, rng: &mut impl Rng) -> Vec<(Ticket, Verdict)> {
         let names: Vec<_> = self.pools.keys().cloned().collect();
         for name in names {
             self.refuse_expired(now, &name, rng);
@@ -171,7 +177,7 @@
 /// back by limits of its own, or there would be no room.
 fn may_start_now(
     now: Time,
-    ask: &Ask,
+    ask: &AdmissionRequest,
     customer: &mut Account,
     offer: &mut Account,
     pool: &mut Pool,
@@ -184,7 +190,7 @@
 
 fn start(
     now: Time,
-    ask: Ask,
+    ask: AdmissionRequest,
     customer: &mut Account,
     offer: &mut Account,
     pool: &mut Pool,
@@ -206,7 +212,7 @@
 /// Reason why a request should not even wait, with the time that the reason is expected to last.
 fn refusal_reason(
     now: Time,
-    ask: &Ask,
+    ask: &AdmissionRequest,
     customer: &Account,
     offer: &Account,
     lane: &Lane,
--- a/components/limits/src/ask.rs
+++ b/components/limits/src/ask.rs
@@ -6,7 +6,7 @@
 
 /// Upper limits for the whole fleet; none means unlimited.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Bounds {
+pub struct Limits {
     /// Requests started per second.
     pub requests: Option<Rate>,
     /// Input and output tokens per second.
@@ -17,7 +17,7 @@
 
 /// A request that asks to be admitted.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask {
+pub struct AdmissionRequest {
     /// Customer that sends the request.
     pub customer: CustomerId,
     /// Requested offer or plain service.
@@ -59,8 +59,8 @@
 }
 
 impl Grant {
-    pub(crate) fn into_ask(self) -> Ask {
-        Ask {
+    pub(crate) fn into_ask(self) -> AdmissionRequest {
+        AdmissionRequest {
             customer: self.customer,
             offer: self.offer,
             pool: self.pool,
@@ -118,12 +118,12 @@
     pub retry_after: Span,
 }
 
-/// Answer to an [`Ask`].
+/// Answer to an [`AdmissionRequest`].
 #[derive(Debug, PartialEq, Eq)]
 pub enum Admission {
     /// The request may start now.
     Start(Grant),
-    /// The request waits for a [`Verdict`] from [`crate::Limiter::pump`].
+    /// The request waits for a [`Verdict`] from [`crate::Limiter::process_queues`].
     Wait(Ticket),
     /// The request is refused and was not run.
     Refuse(Refusal),
--- a/components/limits/src/limiter.rs
+++ b/components/limits/src/limiter.rs
@@ -5,10 +5,10 @@
 use types::prelude::*;
 
 use crate::account::Account;
-use crate::ask::{Bounds, Grant, Ticket, Verdict};
+use crate::ask::{Grant, Limits, Ticket, Verdict};
 use crate::demand::{DemandFact, KeyId};
 use crate::pool::Pool;
-use crate::shares::{Reach, Shares};
+use crate::shares::{QuotaShares, Reach};
 
 /// Maximum number of customers, and of offers.
 pub(crate) const MAX_ACCOUNTS: usize = 4_096;
@@ -69,7 +69,7 @@
 #[derive(Debug)]
 pub struct Limiter {
     pub(crate) config: Config,
-    pub(crate) shares: Shares,
+    pub(crate) shares: QuotaShares,
     pub(crate) customers: BTreeMap<CustomerId, Account>,
     pub(crate) offers: BTreeMap<EntryName, Account>,
     pub(crate) pools: BTreeMap<EntryName, Pool>,
@@ -84,7 +84,7 @@
     pub fn new(me: DaemonId, config: Config) -> Self {
         Self {
             config,
-            shares: Shares::new(me),
+            shares: QuotaShares::new(me),
             customers: BTreeMap::new(),
             offers: BTreeMap::new(),
             pools: BTreeMap::new(),
@@ -95,7 +95,7 @@
     }
 
     /// Sets the limits and weight of a customer.
-    pub fn set_customer(&mut self, now: Time, id: &CustomerId, bounds: Bounds, weight: u32) {
+    pub fn set_customer(&mut self, now: Time, id: &CustomerId, bounds: Limits, weight: u32) {
         if let Some(account) = customer_account(&mut self.customers, id) {
             account.configure(bounds, weight);
             account.apply_shares(now, &self.shares);
@@ -103,7 +103,7 @@
     }
 
     /// Sets the limits of an offer or plain service.
-    pub fn set_offer(&mut self, now: Time, name: &EntryName, bounds: Bounds) {
+    pub fn set_offer(&mut self, now: Time, name: &EntryName, bounds: Limits) {
         if let Some(account) = offer_account(&mut self.offers, name) {
             account.configure(bounds, 1);
             account.apply_shares(now, &self.shares);
@@ -111,12 +111,12 @@
     }
 
     /// Removes all limits; the caller then sets those in force.
-    pub fn clear_bounds(&mut self) {
+    pub fn clear_limits(&mut self) {
         for account in self.customers.values_mut() {
-            account.configure(Bounds::default(), 1);
+            account.configure(Limits::default(), 1);
         }
         for account in self.offers.values_mut() {
-            account.configure(Bounds::default(), 1);
+            account.configure(Limits::default(), 1);
         }
     }
 
@@ -130,12 +130,12 @@
     }
 
     /// Updates which daemons are live and how much of the fleet is reachable.
-    pub fn fleet(&mut self, now: Time, live: &BTreeSet<DaemonId>, reach: Reach) {
+    pub fn update_fleet(&mut self, now: Time, live: &BTreeSet<DaemonId>, reach: Reach) {
         self.shares.update_fleet(now, live, reach);
     }
 
     /// Updates the demand of another daemon.
-    pub fn peer_fact(&mut self, daemon: &DaemonId, fact: DemandFact) {
+    pub fn update_peer(&mut self, daemon: &DaemonId, fact: DemandFact) {
         self.shares.update_peer(daemon, fact);
     }
 
@@ -194,7 +194,7 @@
 
     /// This daemon's shares of the limits.
     #[must_use]
-    pub fn shares(&self) -> &Shares {
+    pub fn shares(&self) -> &QuotaShares {
         &self.shares
     }
 
--- a/components/limits/src/pool.rs
+++ b/components/limits/src/pool.rs
@@ -6,7 +6,7 @@
 use crate::demand::KeyId;
 use crate::limiter::Config;
 use crate::queue::FairQueue;
-use crate::shares::Shares;
+use crate::shares::QuotaShares;
 
 /// Weight of the newest request in the moving average of the hold time.
 const HOLD_TIME_WEIGHT: f64 = 0.05;
@@ -133,7 +133,7 @@
     /// Interactive work may use all slots that interactive work of other daemons leaves free. Only
     /// if all interactive work together does not fit, each daemon is limited to its share. Batch
     /// work gets a share of what interactive work leaves free, less the reserve.
-    pub(crate) fn apply_shares(&mut self, now: Time, shares: &Shares, config: &Config) {
+    pub(crate) fn apply_shares(&mut self, now: Time, shares: &QuotaShares, config: &Config) {
         for lane in [&mut self.interactive, &mut self.batch] {
             let wanted = lane.wanted_slots();
             lane.demand.follow(now, wanted);
--- a/components/limits/src/queue.rs
+++ b/components/limits/src/queue.rs
@@ -9,7 +9,7 @@
 
 use types::prelude::*;
 
-use crate::ask::{Ask, Ticket};
+use crate::ask::{AdmissionRequest, Ticket};
 
 /// Maximum number of waiting requests per customer.
 pub(crate) const MAX_FLOW_LEN: usize = 256;
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct QueuedRequest {
     pub(crate) ticket: Ticket,
-    pub(crate) ask: Ask,
+    pub(crate) ask: AdmissionRequest,
 }
 
 #[derive(Debug, Clone, Default)]
@@ -106,7 +106,10 @@
     }
 
     /// Removes the request next in fair order among those that may start.
-    pub(crate) fn pop(&mut self, mut may_start: impl FnMut(&Ask) -> bool) -> Option<QueuedRequest> {
+    pub(crate) fn pop(
+        &mut self,
+        mut may_start: impl FnMut(&AdmissionRequest) -> bool,
+    ) -> Option<QueuedRequest> {
         let mut best: Option<(f64, CustomerId)> = None;
         for (id, flow) in &self.flows {
             let Some(head) = flow.requests.front() else {
@@ -159,7 +162,7 @@
     /// Removes all requests whose deadline has passed.
     pub(crate) fn remove_expired(
         &mut self,
-        is_expired: impl Fn(&Ask) -> bool,
+        is_expired: impl Fn(&AdmissionRequest) -> bool,
     ) -> Vec<QueuedRequest> {
         let mut expired = Vec::new();
         for flow in self.flows.values_mut() {
--- a/components/limits/src/shares.rs
+++ b/components/limits/src/shares.rs
@@ -48,7 +48,7 @@
 
 /// This daemon's share of each limit of the fleet.
 #[derive(Debug, Clone)]
-pub struct Shares {
+pub struct QuotaShares {
     me: DaemonId,
     published: DemandFact,
     previous: DemandFact,
@@ -69,7 +69,7 @@
     pub known: usize,
 }
 
-impl Shares {
+impl QuotaShares {
     /// Creates the shares of a daemon that knows no other daemon.
     #[must_use]
     pub fn new(me: DaemonId) -> Self {
--- a/components/limits/tests/fuzz.rs
+++ b/components/limits/tests/fuzz.rs
@@ -94,7 +94,7 @@
                 self.limiter.set_slots(self.now, &pool(), self.slots);
             }
             Step::SetBounds(who, limit) => {
-                let bounds = Bounds {
+                let bounds = Limits {
                     requests: (limit > 0).then_some(Rate(f64::from(limit))),
                     tokens: (limit > 10).then_some(Rate(f64::from(limit) * 100.0)),
                     concurrent: (limit > 5).then_some(u32::from(limit)),
@@ -106,7 +106,7 @@
                 let id = format!("peer{number}").parse().unwrap();
                 let key = KeyId::interactive(&pool());
                 let fact = DemandFact::new([(key, f64::from(demand))]);
-                self.limiter.peer_fact(&id, fact);
+                self.limiter.update_peer(&id, fact);
             }
             Step::Advance(millis) => {
                 self.now = self.now + Span::from_millis(u64::from(millis));
@@ -118,7 +118,7 @@
     }
 
     fn admit(&mut self, who: u8, is_batch: bool, tokens: u16, millis: u16) {
-        let ask = Ask {
+        let ask = AdmissionRequest {
             customer: customer(who),
             offer: "offer".parse().unwrap(),
             pool: pool(),
@@ -146,7 +146,7 @@
     }
 
     fn pump(&mut self) {
-        for (ticket, verdict) in self.limiter.pump(self.now, &mut self.rng) {
+        for (ticket, verdict) in self.limiter.process_queues(self.now, &mut self.rng) {
             assert!(
                 self.waiting.remove(&ticket),
                 "a second answer to {ticket:?}"
--- a/components/limits/tests/limits.rs
+++ b/components/limits/tests/limits.rs
@@ -24,8 +24,8 @@
         Self { limiter, rng, now }
     }
 
-    fn ask(&self, customer: &str, priority: Priority) -> Ask {
-        Ask {
+    fn ask(&self, customer: &str, priority: Priority) -> AdmissionRequest {
+        AdmissionRequest {
             customer: customer.parse().unwrap(),
             offer: "offer".parse().unwrap(),
             pool: pool(),
@@ -35,7 +35,7 @@
         }
     }
 
-    fn admit(&mut self, ask: Ask) -> Admission {
+    fn admit(&mut self, ask: AdmissionRequest) -> Admission {
         self.limiter.admit(self.now, ask, &mut self.rng)
     }
 
@@ -53,7 +53,7 @@
         }
     }
 
-    fn refused(&mut self, ask: Ask) -> Refusal {
+    fn refused(&mut self, ask: AdmissionRequest) -> Refusal {
         match self.admit(ask) {
             Admission::Refuse(refusal) => refusal,
             other => panic!("{other:?}"),
@@ -61,7 +61,7 @@
     }
 
     fn pump(&mut self) -> Vec<(Ticket, Verdict)> {
-        self.limiter.pump(self.now, &mut self.rng)
+        self.limiter.process_queues(self.now, &mut self.rng)
     }
 
     /// Releases a grant and returns the verdicts on requests that start in its place.
@@ -84,10 +84,10 @@
     format!("d{number}").parse().unwrap()
 }
 
-fn bounds(requests: f64) -> Bounds {
-    Bounds {
+fn bounds(requests: f64) -> Limits {
+    Limits {
         requests: Some(Rate(requests)),
-        ..Bounds::default()
+        ..Limits::default()
     }
 }
 
@@ -132,7 +132,7 @@
 fn can_share_by_weight_between_customers() {
     let mut f = Fixture::new(10);
     f.limiter
-        .set_customer(f.now, &"big".parse().unwrap(), Bounds::default(), 3);
+        .set_customer(f.now, &"big".parse().unwrap(), Limits::default(), 3);
     let mut held: Vec<_> = (0..10).map(|_| f.start("x", Interactive)).collect();
     let big: BTreeSet<_> = (0..40).map(|_| f.wait("big", Interactive)).collect();
     let small: BTreeSet<_> = (0..40).map(|_| f.wait("small", Interactive)).collect();
@@ -239,7 +239,7 @@
     let grant = f.start("b", Batch);
     let later = f.wait("b", Batch);
     let interactive = f.start("a", Interactive);
-    let ticket = f.limiter.give_way(grant);
+    let ticket = f.limiter.requeue_preempted(grant);
     assert!(f.pump().is_empty());
     f.advance(Span::from_secs(20));
     let started = f.release(interactive, 100);
@@ -268,9 +268,9 @@
 #[test]
 fn can_charge_tokens_used_beyond_the_estimate() {
     let mut f = Fixture::new(10);
-    let tokens = Bounds {
+    let tokens = Limits {
         tokens: Some(Rate(1000.0)),
-        ..Bounds::default()
+        ..Limits::default()
     };
     f.limiter
         .set_customer(f.now, &"x".parse().unwrap(), tokens, 1);
@@ -284,7 +284,7 @@
 
 /// Daemons that receive each other's facts almost a second late.
 struct Fleet {
-    shares: Vec<Shares>,
+    shares: Vec<QuotaShares>,
     in_flight: Vec<(Time, usize, DemandFact)>,
     now: Time,
 }
@@ -295,7 +295,7 @@
 
 impl Fleet {
     fn new(size: usize) -> Self {
-        let shares = (0..size).map(|number| Shares::new(daemon(number)));
+        let shares = (0..size).map(|number| QuotaShares::new(daemon(number)));
         let mut fleet = Self {
             shares: shares.collect(),
             in_flight: Vec::new(),
--- a/components/membership/src/config.rs
+++ b/components/membership/src/config.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone)]
 pub struct Config {
     /// This daemon's name.
-    pub me: DaemonId,
+    pub local_id: DaemonId,
     /// Incarnation number; increases with each restart.
     pub incarnation: Incarnation,
     /// Address at which other daemons reach this one.
--- a/components/membership/src/lib.rs
+++ b/components/membership/src/lib.rs
@@ -27,7 +27,7 @@
 
 pub use config::{Budget, Config, Timing};
 pub use fact::{Fact, MAX_KEY_BYTES, MAX_VALUE_BYTES, PublishError, Topic};
-pub use member::{Member, Stamp, State};
+pub use member::{Member, ReportVersion, State};
 pub use membership::{Counters, Event, Fill, Membership, Outcome};
 pub use message::{
     Digest, DigestEntry, Envelope, FactGroup, Gossip, MAX_ATTACHMENT_BYTES, MemberRecord,
--- a/components/membership/src/member.rs
+++ b/components/membership/src/member.rs
@@ -21,7 +21,7 @@
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Stamp {
+pub struct ReportVersion {
     /// Increased by a restart.
     pub incarnation: Incarnation,
     /// Increased by the member itself when it learns that it is reported suspect or down.
@@ -58,11 +58,11 @@
     /// Time of the last message received directly from the member.
     pub heard_at: Option<Time>,
     /// Time of the last state change, or at which a suspicion was restarted.
-    pub since: Time,
+    pub state_since: Time,
     /// Time at which a suspect is declared down, or at which a member that is gone is forgotten.
     pub deadline: Time,
     /// Time at which this daemon probes a suspect directly.
-    pub knock_at: Time,
+    pub direct_probe_at: Time,
 }
 
 impl Member {
@@ -77,7 +77,7 @@
 }
 
 /// Precedence of a report; of two reports the one with the higher value holds.
-fn precedence(stamp: Stamp, state: State) -> (Incarnation, bool, u32, State) {
+fn precedence(stamp: ReportVersion, state: State) -> (Incarnation, bool, u32, State) {
     let left = state == State::Left;
     (stamp.incarnation, left, stamp.refutation, state)
 }
@@ -147,9 +147,9 @@
     /// Starts or restarts the suspicion of a member.
     pub(crate) fn start_suspicion(&mut self, now: Time, id: &DaemonId, span: Span) {
         if let Some(member) = self.members.get_mut(id) {
-            member.since = now;
+            member.state_since = now;
             member.deadline = now + span;
-            member.knock_at = member.deadline - DIRECT_PROBE_WINDOW;
+            member.direct_probe_at = member.deadline - DIRECT_PROBE_WINDOW;
         }
     }
 
@@ -157,10 +157,10 @@
     /// later.
     pub(crate) fn due_direct_probes(&mut self, now: Time) -> Vec<DaemonId> {
         let members = self.members.values_mut();
-        let due =
-            members.filter(|m| m.record.state == State::Suspect && now.has_reached(m.knock_at));
+        let due = members
+            .filter(|m| m.record.state == State::Suspect && now.has_reached(m.direct_probe_at));
         let due = due.map(|member| {
-            member.knock_at = now + DIRECT_PROBE_INTERVAL;
+            member.direct_probe_at = now + DIRECT_PROBE_INTERVAL;
             member.record.id.clone()
         });
         due.collect()
@@ -171,7 +171,7 @@
         let suspects = self.members.values_mut();
         for member in suspects.filter(|member| member.record.state == State::Suspect) {
             member.deadline = member.deadline + by;
-            member.knock_at = member.knock_at + by;
+            member.direct_probe_at = member.direct_probe_at + by;
         }
     }
 
@@ -196,9 +196,9 @@
             State::Down | State::Left => Change::Gone,
         };
         stored.record = record.clone();
-        stored.since = now;
+        stored.state_since = now;
         stored.deadline = Time::NEVER;
-        stored.knock_at = Time::NEVER;
+        stored.direct_probe_at = Time::NEVER;
         self.present -= usize::from(was_present);
         self.present += usize::from(record.state.is_present());
         change
@@ -215,9 +215,9 @@
         let member = Member {
             record: record.clone(),
             heard_at: None,
-            since: now,
+            state_since: now,
             deadline: Time::NEVER,
-            knock_at: Time::NEVER,
+            direct_probe_at: Time::NEVER,
         };
         self.members.insert(record.id.clone(), member);
         self.present += 1;
@@ -227,7 +227,7 @@
     /// Evicts the member that has been gone longest; returns false if no member is gone.
     fn evict(&mut self) -> bool {
         let gone = self.iter().filter(|m| !m.record.state.is_present());
-        let oldest = gone.min_by_key(|member| member.since);
+        let oldest = gone.min_by_key(|member| member.state_since);
         let Some(id) = oldest.map(|member| member.record.id.clone()) else {
             return false;
         };
--- a/components/membership/src/membership.rs
+++ b/components/membership/src/membership.rs
@@ -9,7 +9,7 @@
 
 use crate::config::{Config, TokenBucket};
 use crate::fact::{Fact, PublishError, Topic};
-use crate::member::{Member, MemberTable, Stamp, State};
+use crate::member::{Member, MemberTable, ReportVersion, State};
 use crate::message::{Envelope, MAX_ATTACHMENT_BYTES, MemberRecord};
 use crate::origin::{OriginId, OriginTable};
 use crate::probe::Prober;
@@ -137,7 +137,7 @@
 #[derive(Debug)]
 pub struct Membership {
     cfg: Config,
-    me: MemberRecord,
+    local: MemberRecord,
     members: MemberTable,
     pub(crate) origins: OriginTable,
     rumors: Rumors,
@@ -157,9 +157,9 @@
     /// Creates a membership that knows no other daemon yet.
     #[must_use]
     pub fn new(cfg: Config) -> Self {
-        let me = MemberRecord {
-            id: cfg.me.clone(),
-            stamp: Stamp {
+        let local = MemberRecord {
+            id: cfg.local_id.clone(),
+            stamp: ReportVersion {
                 incarnation: cfg.incarnation,
                 refutation: 0,
             },
@@ -173,7 +173,7 @@
             gossip_budget: TokenBucket::new(budget.rate as f64, budget.burst as f64),
             repair_budget: TokenBucket::new(budget.repair_rate as f64, budget.repair_burst as f64),
             join_budget: TokenBucket::new(budget.repair_rate as f64, budget.join_burst as f64),
-            me,
+            local,
             cfg,
             members: MemberTable::default(),
             origins: OriginTable::default(),
@@ -192,8 +192,8 @@
 
     /// This daemon's own record.
     #[must_use]
-    pub fn me(&self) -> &MemberRecord {
-        &self.me
+    pub fn local(&self) -> &MemberRecord {
+        &self.local
     }
 
     /// All other known daemons, including those that are gone.
@@ -275,10 +275,10 @@
 
     /// Announces that this daemon leaves, so that others need not suspect it first.
     pub fn leave(&mut self, now: Time, rng: &mut impl Rng) -> Outcome {
-        self.me.state = State::Left;
+        self.local.state = State::Left;
         let mut outcome = Outcome::default();
         self.rumors.add(
-            Subject::Member(self.me.id.clone()),
+            Subject::Member(self.local.id.clone()),
             Urgency::Urgent,
             URGENT_TRANSMISSIONS,
         );
@@ -288,15 +288,15 @@
 
     pub(crate) fn own_origin(&self) -> OriginId {
         OriginId {
-            daemon: self.me.id.clone(),
-            incarnation: self.me.stamp.incarnation,
+            daemon: self.local.id.clone(),
+            incarnation: self.local.stamp.incarnation,
         }
     }
 
     /// Record of an origin if it is the current run of its daemon.
     pub(crate) fn current_record(&self, id: &OriginId) -> Option<&MemberRecord> {
-        let record = if id.daemon == self.me.id {
-            &self.me
+        let record = if id.daemon == self.local.id {
+            &self.local
         } else {
             &self.members.get(&id.daemon)?.record
         };
@@ -312,7 +312,7 @@
     pub fn by_failure_domain(&self) -> BTreeMap<FailureDomain, Vec<DaemonId>> {
         let mut domains = BTreeMap::<_, Vec<_>>::new();
         let others = self.members.iter().map(|member| &member.record);
-        let all = others.chain([&self.me]);
+        let all = others.chain([&self.local]);
         for record in all.filter(|record| record.state.is_present()) {
             let domain = domains.entry(record.failure_domain.clone()).or_default();
             domain.push(record.id.clone());
--- a/components/membership/src/membership/gossip.rs
+++ b/components/membership/src/membership/gossip.rs
@@ -118,8 +118,8 @@
         subject: &Subject,
         id: &DaemonId,
     ) {
-        let record = if *id == self.me.id {
-            Some(&self.me)
+        let record = if *id == self.local.id {
+            Some(&self.local)
         } else {
             self.members.get(id).map(|member| &member.record)
         };
--- a/components/membership/src/membership/receive.rs
+++ b/components/membership/src/membership/receive.rs
@@ -49,9 +49,9 @@
             self.counters.malformed += 1;
             return false;
         }
-        if from.id == self.me.id {
+        if from.id == self.local.id {
             let address = from.address;
-            if address != self.me.address {
+            if address != self.local.address {
                 outcome.events.push(Event::DuplicateName { address });
             }
             return false;
@@ -213,7 +213,7 @@
         if self.join_budget.available() == 0 {
             return;
         }
-        let mut members = vec![self.me.clone()];
+        let mut members = vec![self.local.clone()];
         members.extend(self.successor_of(from));
         members.extend(self.random_peers(SHORT_PAGE_MEMBERS, Some(&from.id), rng));
         let next = None;
@@ -229,7 +229,7 @@
         }
         let mut members = Vec::new();
         if after.is_none() {
-            members.push(self.me.clone());
+            members.push(self.local.clone());
             members.extend(self.successor_of(from));
         }
         let mut remaining = self.cfg.budget.message;
--- a/components/membership/src/membership/report.rs
+++ b/components/membership/src/membership/report.rs
@@ -65,7 +65,7 @@
         rng: &mut impl Rng,
         outcome: &mut Outcome,
     ) {
-        if record.id == self.me.id {
+        if record.id == self.local.id {
             self.apply_own_report(record, outcome);
             return;
         }
@@ -181,7 +181,7 @@
     /// sent more often than newly joined members, whose records are long and also spread by the
     /// digest.
     pub(super) fn queue_member(&mut self, id: DaemonId) {
-        let known = self.members.get(&id).map_or(&self.me, |m| &m.record);
+        let known = self.members.get(&id).map_or(&self.local, |m| &m.record);
         let is_new = known.state == State::Alive && known.stamp.refutation == 0;
         let more = if is_new { 0 } else { self.fleet_size().ilog2() };
         let times = u8::try_from(MEMBER_TRANSMISSIONS + more).unwrap_or(u8::MAX);
@@ -190,17 +190,17 @@
 
     /// Applies a report about this daemon itself, and refutes it if it is wrong.
     fn apply_own_report(&mut self, record: &MemberRecord, outcome: &mut Outcome) {
-        let mine = self.me.stamp;
+        let mine = self.local.stamp;
         if record.stamp.incarnation > mine.incarnation {
             self.handle_later_incarnation(record, outcome);
             return;
         }
         let same_run = record.stamp.incarnation == mine.incarnation;
-        let is_wrong = record.state != State::Alive && self.me.state == State::Alive;
+        let is_wrong = record.state != State::Alive && self.local.state == State::Alive;
         if same_run && is_wrong && record.stamp.refutation >= mine.refutation {
-            self.me.stamp.refutation = record.stamp.refutation + 1;
+            self.local.stamp.refutation = record.stamp.refutation + 1;
             self.counters.refutations += 1;
-            self.queue_member(self.me.id.clone());
+            self.queue_member(self.local.id.clone());
             self.queue_all_facts();
         }
     }
@@ -212,7 +212,7 @@
     /// both raised their incarnation, each would raise it above the other's without end.
     fn handle_later_incarnation(&mut self, record: &MemberRecord, outcome: &mut Outcome) {
         let address = record.address;
-        if address == self.me.address || !record.state.is_present() {
+        if address == self.local.address || !record.state.is_present() {
             self.raise_incarnation(record.stamp.incarnation.next(), outcome);
         } else {
             outcome.events.push(Event::DuplicateName { address });
@@ -226,15 +226,15 @@
     fn raise_incarnation(&mut self, incarnation: Incarnation, outcome: &mut Outcome) {
         let old = self.own_origin();
         let own = self.origins.export(&old);
-        self.me.stamp.incarnation = incarnation;
-        self.me.stamp.refutation = 0;
+        self.local.stamp.incarnation = incarnation;
+        self.local.stamp.refutation = 0;
         let new = self.own_origin();
         self.origins.add(new.clone());
         for fact in own.into_iter().flat_map(|own| own.facts) {
             self.origins.merge(Time::ZERO, &new, &fact);
         }
         self.origins.remove(&old);
-        self.queue_member(self.me.id.clone());
+        self.queue_member(self.local.id.clone());
         self.queue_all_facts();
         let raised = Event::IncarnationRaised(incarnation);
         outcome.events.push(raised);
--- a/components/membership/src/membership/tick.rs
+++ b/components/membership/src/membership/tick.rs
@@ -67,7 +67,7 @@
     fn expire_suspects(&mut self, now: Time, rng: &mut impl Rng, outcome: &mut Outcome) {
         let overdue = self.members.overdue_suspects(now).into_iter();
         let overdue = overdue.map(|member| {
-            let heard_since = member.heard_at.is_some_and(|at| at > member.since);
+            let heard_since = member.heard_at.is_some_and(|at| at > member.state_since);
             (member.record.clone(), heard_since)
         });
         for (mut record, heard_since) in overdue.collect::<Vec<_>>() {
@@ -222,7 +222,7 @@
                 self.send_probe(id, seq, outcome);
             }
             None => {
-                let join = Message::Join(self.me.clone());
+                let join = Message::Join(self.local.clone());
                 self.send(seeds[chosen - down.len()], join, outcome);
             }
         }
@@ -230,7 +230,7 @@
 
     fn seeds_without_member(&self) -> Vec<std::net::SocketAddr> {
         let seeds = self.cfg.seeds.iter().copied();
-        let others = seeds.filter(|seed| *seed != self.me.address);
+        let others = seeds.filter(|seed| *seed != self.local.address);
         others
             .filter(|seed| !self.members.has_present_at(*seed))
             .collect()
@@ -254,7 +254,7 @@
         let seeds = self.seeds_without_member();
         if !seeds.is_empty() {
             let seed = seeds[rng.random_range(0..seeds.len())];
-            let join = Message::Join(self.me.clone());
+            let join = Message::Join(self.local.clone());
             self.send(seed, join, outcome);
         }
     }
@@ -266,7 +266,7 @@
         self.schedule.cleanup_at = now + CLEANUP_INTERVAL;
         self.members.remove_expired(now);
         let members = &self.members;
-        let me = &self.me.id;
+        let me = &self.local.id;
         self.origins.remove_expired(now, |id| {
             let known = members.get(&id.daemon).map(|m| m.record.stamp.incarnation);
             id.daemon == *me || known == Some(id.incarnation)
--- a/components/membership/src/message.rs
+++ b/components/membership/src/message.rs
@@ -10,7 +10,7 @@
 use types::prelude::*;
 
 use crate::fact::{Topic, check_sizes};
-use crate::member::{Stamp, State};
+use crate::member::{ReportVersion, State};
 use crate::origin::{OriginId, OriginTag};
 
 /// Maximum length of an attachment, in bytes.
@@ -119,7 +119,7 @@
     /// Name of the member.
     pub id: DaemonId,
     /// Version of this record.
-    pub stamp: Stamp,
+    pub stamp: ReportVersion,
     /// Reported state.
     pub state: State,
     /// Address at which the member is reached.
--- a/components/membership/tests/facts.rs
+++ b/components/membership/tests/facts.rs
@@ -26,7 +26,7 @@
 }
 
 fn values(membership: &Membership, topic: Topic, origin: usize) -> Vec<Bytes> {
-    let origin = config(origin, 1).me;
+    let origin = config(origin, 1).local_id;
     let facts = membership.facts(topic).filter(|fact| fact.origin == origin);
     facts.map(|fact| fact.value).collect()
 }
@@ -39,9 +39,9 @@
 
 /// Whether no other daemon has any fact of an origin on a topic.
 fn none_hold(fleet: &Fleet, origin: usize, topic: Topic) -> bool {
-    let me = config(origin, 1).me;
+    let me = config(origin, 1).local_id;
     let mut others = fleet.nodes.values().map(|node| &node.membership);
-    others.all(|other| other.me().id == me || values(other, topic, origin).is_empty())
+    others.all(|other| other.local().id == me || values(other, topic, origin).is_empty())
 }
 
 fn encoded(message: &Message) -> usize {
@@ -127,7 +127,7 @@
     fleet.run_for(secs(10));
     fleet.node(3).partition = 1;
     fleet.run_for(secs(15));
-    let third = config(3, 1).me;
+    let third = config(3, 1).local_id;
     let seen = fleet.node(0).membership.member(&third).unwrap();
     assert_eq!(seen.record.state, State::Down);
     assert!(all_hold(&fleet, Topic::Demand, 3, &["much"]));
@@ -165,7 +165,7 @@
     fleet.run_for(secs(10));
     let early = config(3, 1);
     let from = Sender {
-        id: early.me,
+        id: early.local_id,
         incarnation: early.incarnation,
         address: early.address,
     };
@@ -186,7 +186,7 @@
 fn can_merge_facts_in_any_order() {
     let mut fleet = Fleet::new(2, 5);
     fleet.run_for(secs(5));
-    let me = fleet.node(1).membership.me().clone();
+    let me = fleet.node(1).membership.local().clone();
     let from = Sender {
         id: me.id.clone(),
         incarnation: me.stamp.incarnation,
@@ -243,7 +243,7 @@
     };
     let me = config(1, 1);
     let from = Sender {
-        id: me.me,
+        id: me.local_id,
         incarnation: me.incarnation,
         address: address(1),
     };
--- a/components/membership/tests/membership.rs
+++ b/components/membership/tests/membership.rs
@@ -88,12 +88,12 @@
     let third = config(3, 1);
     let other_down_events = fleet.count(
         paused,
-        |event| matches!(event, Event::MemberDown { id, .. } if *id != third.me),
+        |event| matches!(event, Event::MemberDown { id, .. } if *id != third.local_id),
     );
     assert_eq!(other_down_events, 0);
     let back = fleet.count(resumed, |event| {
         matches!(event, Event::MemberUp { id, incarnation }
-            if *id == third.me && *incarnation == third.incarnation)
+            if *id == third.local_id && *incarnation == third.incarnation)
     });
     assert_eq!(back, 15);
 }
@@ -221,7 +221,7 @@
 fn can_limit_the_member_table() {
     let mut fleet = Fleet::new(2, 9);
     fleet.run_for(secs(5));
-    let sender = fleet.node(1).membership.me().clone();
+    let sender = fleet.node(1).membership.local().clone();
     let mut rng = StdRng::seed_from_u64(9);
     let now = fleet.now;
     let from = membership::Sender {
@@ -232,7 +232,9 @@
     for page in 0..100 {
         let members = (0..64).map(|i| {
             let index = 1_000 + page * 64 + i;
-            membership::Membership::new(config(index, 1)).me().clone()
+            membership::Membership::new(config(index, 1))
+                .local()
+                .clone()
         });
         let page = membership::Message::Page {
             members: members.collect(),
@@ -243,7 +245,11 @@
     let fill = fleet.node(0).membership.fill();
     assert_eq!(fill.members, 2_048);
     assert!(fleet.node(0).membership.counters().members_refused > 0);
-    let alive = fleet.node(0).membership.member(&config(1, 1).me).unwrap();
+    let alive = fleet
+        .node(0)
+        .membership
+        .member(&config(1, 1).local_id)
+        .unwrap();
     assert_eq!(alive.record.state, State::Alive);
 }
 
--- a/components/membership/tests/support/fleet.rs
+++ b/components/membership/tests/support/fleet.rs
@@ -48,7 +48,7 @@
 
 pub fn config(index: usize, incarnation: u64) -> Config {
     Config {
-        me: DaemonId::new(&format!("daemon-{index:03}")).unwrap(),
+        local_id: DaemonId::new(&format!("daemon-{index:03}")).unwrap(),
         incarnation: Incarnation(1_790_000_000 + incarnation),
         address: address(index),
         failure_domain: FailureDomain::new(&format!("domain-{}", index % 16)).unwrap(),
@@ -175,7 +175,7 @@
         };
         node.events
             .extend(outcome.events.into_iter().map(|event| (now, event)));
-        let me = node.membership.me();
+        let me = node.membership.local();
         let from = Sender {
             id: me.id.clone(),
             incarnation: me.stamp.incarnation,
@@ -212,11 +212,11 @@
         }
         running().all(|node| {
             let expected = running().filter(|other| other.partition == node.partition);
-            let expected = expected.map(|other| &other.membership.me().id);
+            let expected = expected.map(|other| &other.membership.local().id);
             let present = node.membership.members();
             let present = present.filter(|m| m.record.state.is_present());
             let mut seen = present.map(|m| &m.record.id).collect::<BTreeSet<_>>();
-            seen.insert(&node.membership.me().id);
+            seen.insert(&node.membership.local().id);
             expected.collect::<BTreeSet<_>>() == seen
         })
     }
--- a/components/node/src/admission.rs
+++ b/components/node/src/admission.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-use limits::{Admission, Ask, Code, Config, Grant, Limiter, Refusal, Ticket, Verdict};
+use limits::{Admission, AdmissionRequest, Code, Config, Grant, Limiter, Refusal, Ticket, Verdict};
 use routing::UpstreamIndex;
 use types::prelude::*;
 
@@ -72,7 +72,7 @@
 
     /// Delivers the limiter's verdicts on waiting requests.
     pub(crate) fn deliver_verdicts(&mut self, now: Time) {
-        for (ticket, verdict) in self.limiter.pump(now, &mut rand::rng()) {
+        for (ticket, verdict) in self.limiter.process_queues(now, &mut rand::rng()) {
             let waiter = self.waiters.remove(&ticket);
             let undelivered = match waiter {
                 Some(waiter) => waiter.send(verdict).err().map(|unsent| unsent.0),
@@ -120,7 +120,7 @@
     fn requeue(&self, grant: Grant) -> (Ticket, flume::Receiver<Verdict>) {
         let now = self.shared.now();
         let mut table = self.shared.admissions.table();
-        let ticket = table.limiter.give_way(grant);
+        let ticket = table.limiter.requeue_preempted(grant);
         let (tx, rx) = flume::bounded(1);
         table.waiters.insert(ticket, tx);
         table.deliver_verdicts(now);
@@ -143,7 +143,10 @@
 ///
 /// # Errors
 /// When it is refused for a limit or for overload; nothing was sent to an upstream.
-pub(crate) async fn acquire(shared: &Shared, ask: Ask) -> Result<GrantGuard<'_>, Refusal> {
+pub(crate) async fn acquire(
+    shared: &Shared,
+    ask: AdmissionRequest,
+) -> Result<GrantGuard<'_>, Refusal> {
     let deadline = ask.deadline;
     let grant = match admit(shared, ask)? {
         FirstVerdict::Start(grant) => grant,
@@ -158,7 +161,7 @@
     Wait(Ticket, flume::Receiver<Verdict>),
 }
 
-fn admit(shared: &Shared, ask: Ask) -> Result<FirstVerdict, Refusal> {
+fn admit(shared: &Shared, ask: AdmissionRequest) -> Result<FirstVerdict, Refusal> {
     let now = shared.now();
     let mut table = shared.admissions.table();
     match table.limiter.admit(now, ask, &mut rand::rng()) {
--- a/components/node/src/control/commands.rs
+++ b/components/node/src/control/commands.rs
@@ -128,7 +128,7 @@
     fn member_statuses(&self, now: Time) -> Vec<MemberStatus> {
         let others = self.members.membership().members();
         let others = others.map(|member| (&member.record, member.heard_at));
-        let me = (self.members.membership().me(), Some(now));
+        let me = (self.members.membership().local(), Some(now));
         let mut members: Vec<_> = std::iter::once(me).chain(others).collect();
         members.sort_by(|(a, _), (b, _)| a.id.cmp(&b.id));
         let revision = self.catalogue.catalogue().revision();
--- a/components/node/src/control/loads.rs
+++ b/components/node/src/control/loads.rs
@@ -50,7 +50,7 @@
             known: reach.fleet,
         };
         let mut table = self.shared.admissions.table();
-        table.limiter.fleet(now, &live, reach);
+        table.limiter.update_fleet(now, &live, reach);
         let fact = table.limiter.tick(now);
         table.deliver_verdicts(now);
         drop(table);
@@ -70,7 +70,7 @@
         match DemandFact::from_bytes(&fact.value) {
             Ok(demand) => {
                 let mut table = self.shared.admissions.table();
-                table.limiter.peer_fact(origin, demand);
+                table.limiter.update_peer(origin, demand);
             }
             Err(error) => tracing::warn!("limits: ignored a demand fact of {origin}: {error}"),
         }
--- a/components/node/src/systems/limits.rs
+++ b/components/node/src/systems/limits.rs
@@ -1,8 +1,8 @@
 //! Configures the limiter with the catalogue's limits, and counts the slots of services.
 
-use catalogue::entry::{Limits, Protocol};
+use catalogue::entry::{Limits as CatalogueLimits, Protocol};
 use catalogue::view::View;
-use limits::{Bounds, Limiter};
+use limits::{Limiter, Limits};
 use routing::Router;
 use types::prelude::*;
 
@@ -11,7 +11,7 @@
 
 /// Sets the limits of customers, offers and plain services from the catalogue.
 pub fn configure(limiter: &mut Limiter, now: Time, view: &View) {
-    limiter.clear_bounds();
+    limiter.clear_limits();
     for (id, customer) in &view.customers {
         limiter.set_customer(now, id, bounds(&customer.limits), customer.weight);
     }
@@ -32,8 +32,8 @@
     account.unwrap_or_else(|_| name.clone())
 }
 
-fn bounds(limits: &Limits) -> Bounds {
-    Bounds {
+fn bounds(limits: &CatalogueLimits) -> Limits {
+    Limits {
         requests: limits.requests,
         tokens: limits.tokens,
         concurrent: limits.concurrent,
--- a/components/node/src/systems/membership.rs
+++ b/components/node/src/systems/membership.rs
@@ -57,7 +57,7 @@
     #[must_use]
     pub fn new(settings: &Settings, incarnation: Incarnation, peers: Handle, seed: u64) -> Self {
         let membership = Membership::new(Config {
-            me: settings.daemon.clone(),
+            local_id: settings.daemon.clone(),
             incarnation,
             address: peers.address(),
             failure_domain: settings.failure_domain.clone(),
@@ -132,7 +132,7 @@
     pub fn live(&self) -> Vec<Member> {
         let others = self.membership.members().map(|member| &member.record);
         let present = others.filter(|record| record.state.is_present());
-        let all = present.chain([self.membership.me()]);
+        let all = present.chain([self.membership.local()]);
         let members = all.map(|record| Member {
             id: record.id.clone(),
             failure_domain: record.failure_domain.clone(),
@@ -159,7 +159,7 @@
         let others = self.membership.members().map(|member| &member.record);
         let present = others.filter(|record| record.state.is_present());
         let homes = present
-            .chain([self.membership.me()])
+            .chain([self.membership.local()])
             .map(|record| LiveDaemon {
                 member: sessions::homes::Member {
                     id: record.id.clone(),
--- a/components/node/src/traffic/chat/run.rs
+++ b/components/node/src/traffic/chat/run.rs
@@ -2,7 +2,7 @@
 
 use callers::Responder;
 use catalogue::view::{SERVICES, short_name};
-use limits::Ask;
+use limits::AdmissionRequest;
 use requests::attempt::{AttemptEnd, Usage};
 use requests::life::{Answered, Attempted, Next, Refused, Request, Waiting};
 use requests::refusal::Code;
@@ -182,13 +182,13 @@
     }
 
     /// What the limiter is asked for. The tokens used are settled when the request ends.
-    fn admission_ask(&self, version: &VersionId) -> Ask {
+    fn admission_ask(&self, version: &VersionId) -> AdmissionRequest {
         let job = self.job;
         let view = &job.cx.snapshot.view;
         let model = view.models.get(&version.model);
         let pool = model.and_then(|model| short_name(&model.service, SERVICES));
         let output = job.params.max_output.unwrap_or(EXPECTED_OUTPUT);
-        Ask {
+        AdmissionRequest {
             customer: job.cx.customer.clone(),
             offer: job.resolved.name.clone(),
             pool: pool.unwrap_or_else(|| job.resolved.name.clone()),
--- a/components/node/src/traffic/plain.rs
+++ b/components/node/src/traffic/plain.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use callers::{Head, Method, Request, Responder, StatusCode};
 use engine::{PlainAnswer, PlainRequest};
-use limits::Ask;
+use limits::AdmissionRequest;
 use requests::attempt::{AttemptEnd, Usage};
 use requests::claim::RecordedAnswer;
 use requests::life::{Answered, Arrived, Next, Refused, RequestSpec, Waiting};
@@ -125,8 +125,8 @@
 
 impl Job {
     /// What the limiter is asked for.
-    fn admission_ask(&self) -> Ask {
-        Ask {
+    fn admission_ask(&self) -> AdmissionRequest {
+        AdmissionRequest {
             customer: self.cx.customer.clone(),
             offer: account_of_service(&self.service),
             pool: self.service.clone(),
