--- a/bench/src/cmd/claims/sessions.rs
+++ b/bench/src/cmd/claims/sessions.rs
@@ -82,7 +82,7 @@
             version: "brief-large@2026-11".parse()?,
             revision: Revision(27_000),
             age: Span::ZERO,
-            over: None,
+            replaces: None,
         })
     });
     for pin in pins {
--- a/components/engine/src/call.rs
+++ b/components/engine/src/call.rs
@@ -14,7 +14,7 @@
 use tokio::time::{Instant, timeout_at};
 use types::prelude::*;
 
-use crate::error::{AttemptError, Doubt};
+use crate::error::{AttemptError, FailureCause};
 
 /// Longest head of a response, in bytes.
 const MAX_HEAD_BYTES: usize = 16 << 10;
@@ -88,7 +88,7 @@
             match self.send_on(wire, &bytes, call).await {
                 // The upstream may have closed the idle connection while the request was on its
                 // way. It is healthy and the work may run again, so use a new connection.
-                Err(AttemptError::Unknown(Doubt::Closed)) => {}
+                Err(AttemptError::Unknown(FailureCause::Closed)) => {}
                 done => return done,
             }
         }
@@ -129,7 +129,7 @@
         };
         let until = call.expires_at.min(Instant::now() + call.read_timeout);
         let exchanged = timeout_at(until, exchange).await;
-        let exchanged = exchanged.map_err(|_| AttemptError::Unknown(Doubt::TimedOut))?;
+        let exchanged = exchanged.map_err(|_| AttemptError::Unknown(FailureCause::TimedOut))?;
         let (head, framing) = exchanged.map_err(|e| AttemptError::Unknown(classify(&e)))?;
         let is_head_only = call.method == Method::HEAD;
         let framing = if is_head_only {
@@ -222,19 +222,19 @@
 
 impl Response {
     /// Waits for the next bytes of the body; `None` at its end.
-    pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, Doubt> {
+    pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, FailureCause> {
         loop {
             let progress = self.reader.read(&mut self.wire.buf());
-            let progress = progress.map_err(|e| Doubt::Malformed(e.to_string()))?;
+            let progress = progress.map_err(|e| FailureCause::Malformed(e.to_string()))?;
             match progress {
                 Progress::Done => return Ok(None),
                 Progress::Data(data) => return Ok(Some(data)),
                 Progress::NeedMore => {
                     let until = self.expires_at.min(Instant::now() + self.read_timeout);
                     let filled = timeout_at(until, self.wire.fill()).await;
-                    match filled.map_err(|_| Doubt::TimedOut)? {
+                    match filled.map_err(|_| FailureCause::TimedOut)? {
                         Ok(0) if self.reader.ends_with_connection() => return Ok(None),
-                        Ok(0) | Err(_) => return Err(Doubt::Closed),
+                        Ok(0) | Err(_) => return Err(FailureCause::Closed),
                         Ok(_) => {}
                     }
                 }
@@ -243,12 +243,12 @@
     }
 
     /// Reads the rest of the body, at most `max` bytes.
-    pub(crate) async fn read_body(&mut self, max: ByteSize) -> Result<Bytes, Doubt> {
+    pub(crate) async fn read_body(&mut self, max: ByteSize) -> Result<Bytes, FailureCause> {
         let mut body = bytes::BytesMut::new();
         while let Some(data) = self.next().await? {
             body.extend_from_slice(&data);
             if body.len() as u64 > max.0 {
-                return Err(Doubt::TooLarge(max));
+                return Err(FailureCause::TooLarge(max));
             }
         }
         Ok(body.freeze())
@@ -262,10 +262,10 @@
     }
 }
 
-fn classify(error: &ResponseError) -> Doubt {
+fn classify(error: &ResponseError) -> FailureCause {
     match error {
-        ResponseError::Io(_) | ResponseError::Closed => Doubt::Closed,
-        other => Doubt::Malformed(other.to_string()),
+        ResponseError::Io(_) | ResponseError::Closed => FailureCause::Closed,
+        other => FailureCause::Malformed(other.to_string()),
     }
 }
 
--- a/components/engine/src/chat.rs
+++ b/components/engine/src/chat.rs
@@ -9,7 +9,7 @@
 
 use crate::call::{Call, Client, EngineLoad, Response, Reuse, instant_after, retry_after};
 use crate::chunk::{Completion, ErrorBody, Usage};
-use crate::error::{AttemptError, Doubt};
+use crate::error::{AttemptError, FailureCause};
 use crate::stream::Stream;
 
 const PATH: &str = "/v1/chat/completions";
@@ -27,14 +27,14 @@
     /// Body in OpenAI's JSON format, with the additional fields for engines.
     pub body: Bytes,
     /// Time left until the answer must be complete; also sent to the engine.
-    pub deadline: Span,
-    /// Longest wait for the head and between tokens of a stream. Without a stream, the deadline
+    pub timeout: Span,
+    /// Longest wait for the head and between tokens of a stream. Without a stream, the timeout
     /// applies instead.
-    pub stall: Span,
+    pub read_timeout: Span,
     /// Whether the body asks for a stream.
     pub stream: bool,
     /// Whether the work may run more than once.
-    pub may_repeat: bool,
+    pub is_idempotent: bool,
 }
 
 /// An answer that is not streamed.
@@ -109,14 +109,15 @@
             .map_err(truncated)?;
         self.recycle(response);
         let completion = serde_json::from_slice::<Completion>(&body);
-        let completion = completion.map_err(|e| truncated(Doubt::Malformed(e.to_string())))?;
+        let completion =
+            completion.map_err(|e| truncated(FailureCause::Malformed(e.to_string())))?;
         check_echo(&completion.id, attempt)?;
         let choice = completion.choices.into_iter().next();
-        let choice = choice.ok_or_else(|| truncated(Doubt::NoEnd))?;
+        let choice = choice.ok_or_else(|| truncated(FailureCause::NoEnd))?;
         let confidence = choice.confidence();
         let finish = choice
             .finish_reason
-            .ok_or_else(|| truncated(Doubt::NoEnd))?;
+            .ok_or_else(|| truncated(FailureCause::NoEnd))?;
         Ok(Answer {
             confidence,
             body,
@@ -133,18 +134,22 @@
     let attempt = HeaderValue::from_str(req.attempt);
     let attempt = attempt.map_err(|e| AttemptError::NotSent(e.to_string()))?;
     headers.insert(REQUEST_ID, attempt);
-    headers.insert("x-deadline-ms", HeaderValue::from(req.deadline.as_millis()));
+    headers.insert("x-deadline-ms", HeaderValue::from(req.timeout.as_millis()));
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    let stall = if req.stream { req.stall } else { req.deadline };
+    let read_timeout = if req.stream {
+        req.read_timeout
+    } else {
+        req.timeout
+    };
     Ok(Call {
         upstream,
         method: Method::POST,
         path: PATH,
         headers,
         body: req.body.clone(),
-        read_timeout: stall.to_duration(),
-        expires_at: instant_after(req.deadline),
-        reuse: match req.may_repeat {
+        read_timeout: read_timeout.to_duration(),
+        expires_at: instant_after(req.timeout),
+        reuse: match req.is_idempotent {
             true => Reuse::Allowed,
             false => Reuse::Never,
         },
@@ -161,7 +166,7 @@
     if got == attempt {
         return Ok(());
     }
-    Err(AttemptError::Crossed {
+    Err(AttemptError::WrongAttempt {
         got: got.to_owned(),
         delivered: 0,
     })
@@ -195,11 +200,11 @@
 pub(crate) async fn read_json<T: serde::de::DeserializeOwned>(
     client: &Client,
     mut response: Response,
-) -> Result<(u16, T), Doubt> {
+) -> Result<(u16, T), FailureCause> {
     let body = response.read_body(MAX_JSON_BODY).await?;
     let status = response.status;
     client.recycle(response);
     let value = serde_json::from_slice(&body);
-    let value = value.map_err(|e| Doubt::Malformed(e.to_string()))?;
+    let value = value.map_err(|e| FailureCause::Malformed(e.to_string()))?;
     Ok((status, value))
 }
--- a/components/engine/src/error.rs
+++ b/components/engine/src/error.rs
@@ -21,18 +21,18 @@
     NotLoaded,
     /// The request was sent and it is unknown whether it ran.
     #[error("no answer from the upstream: {0}")]
-    Unknown(Doubt),
+    Unknown(FailureCause),
     /// The answer began but is incomplete.
     #[error("the answer was cut short after {delivered} pieces of text: {cause}")]
     Truncated {
         /// Number of pieces of text that were passed on.
         delivered: u32,
         /// How the answer ended.
-        cause: Doubt,
+        cause: FailureCause,
     },
     /// The answer belongs to another attempt; no part of it was passed on.
     #[error("the upstream answered for {got:?}")]
-    Crossed {
+    WrongAttempt {
         /// The id received in place of this attempt's.
         got: String,
         /// Number of pieces of this attempt's own text that were passed on before.
@@ -52,7 +52,7 @@
 
 /// How the exchange with the upstream failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Doubt {
+pub enum FailureCause {
     /// The connection broke or closed.
     #[error("the connection closed")]
     Closed,
@@ -79,13 +79,13 @@
     pub fn run(&self) -> RunState {
         match self {
             Self::NotSent(_) | Self::NotRun { .. } | Self::NotLoaded => RunState::No,
-            Self::Truncated { delivered, .. } | Self::Crossed { delivered, .. }
+            Self::Truncated { delivered, .. } | Self::WrongAttempt { delivered, .. }
                 if *delivered > 0 =>
             {
                 RunState::Yes
             }
             Self::Truncated { .. }
-            | Self::Crossed { .. }
+            | Self::WrongAttempt { .. }
             | Self::Unknown(_)
             | Self::Status { .. } => RunState::Unknown,
         }
--- a/components/engine/src/lib.rs
+++ b/components/engine/src/lib.rs
@@ -18,7 +18,7 @@
 pub use call::{Client, ClientConfig, EngineLoad};
 pub use chat::{Answer, ChatAnswer, ChatRequest};
 pub use chunk::{Usage, rewrite_id};
-pub use error::{AttemptError, Doubt, OrderError};
+pub use error::{AttemptError, FailureCause, OrderError};
 pub use orders::{CacheEvent, CacheEventKind, CacheEvents, LoadReport, Role};
 pub use plain::{PlainAnswer, PlainRequest};
 pub use stream::{Event, Stream};
--- a/components/engine/src/orders.rs
+++ b/components/engine/src/orders.rs
@@ -11,7 +11,7 @@
 
 use crate::call::{Call, Client, Reuse, instant_after};
 use crate::chat::read_json;
-use crate::error::{AttemptError, Doubt, OrderError};
+use crate::error::{AttemptError, FailureCause, OrderError};
 
 /// An engine's report on its load.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
@@ -182,7 +182,7 @@
         let answer = read_json::<Value>(self, response).await;
         match answer.map_err(AttemptError::Unknown)? {
             (200, value) => serde_json::from_value(value)
-                .map_err(|e| AttemptError::Unknown(Doubt::Malformed(e.to_string()))),
+                .map_err(|e| AttemptError::Unknown(FailureCause::Malformed(e.to_string()))),
             (status, value) => Err(AttemptError::Status {
                 status,
                 message: value.to_string(),
--- a/components/engine/src/stream.rs
+++ b/components/engine/src/stream.rs
@@ -5,7 +5,7 @@
 
 use crate::call::{Client, EngineLoad, Response};
 use crate::chunk::{Chunk, Usage};
-use crate::error::{AttemptError, Doubt};
+use crate::error::{AttemptError, FailureCause};
 
 /// Data of the event that ends a stream.
 const END_MARKER: &[u8] = b"[DONE]";
@@ -88,7 +88,7 @@
     ///
     /// # Errors
     /// [`AttemptError::Truncated`] if the answer ends early, stalls or exceeds its deadline;
-    /// [`AttemptError::Crossed`] if a chunk belongs to another attempt.
+    /// [`AttemptError::WrongAttempt`] if a chunk belongs to another attempt.
     pub async fn next_event(&mut self) -> Result<Event, AttemptError> {
         let data = self
             .next_data()
@@ -100,19 +100,19 @@
         self.read_chunk(data)
     }
 
-    async fn next_data(&mut self) -> Result<Bytes, Doubt> {
+    async fn next_data(&mut self) -> Result<Bytes, FailureCause> {
         loop {
             let max = self.client.cfg.max_event;
             let event = self.events.next_event();
-            if let Some(event) = event.map_err(|_| Doubt::TooLarge(max))? {
+            if let Some(event) = event.map_err(|_| FailureCause::TooLarge(max))? {
                 match event.data() {
                     Some(data) => return Ok(data),
                     None => continue,
                 }
             }
-            let response = self.response.as_mut().ok_or(Doubt::NoEnd)?;
+            let response = self.response.as_mut().ok_or(FailureCause::NoEnd)?;
             // An event without its closing blank line is incomplete and is discarded.
-            let bytes = response.next().await?.ok_or(Doubt::NoEnd)?;
+            let bytes = response.next().await?.ok_or(FailureCause::NoEnd)?;
             self.events.push(&bytes);
         }
     }
@@ -121,7 +121,7 @@
     /// even if the stream was closed properly, so the answer counts as truncated.
     fn finish(&mut self) -> Result<Event, AttemptError> {
         if !self.has_finished {
-            return Err(self.truncated(Doubt::NoEnd));
+            return Err(self.truncated(FailureCause::NoEnd));
         }
         if let Some(mut response) = self.response.take() {
             response.consume_end();
@@ -132,14 +132,14 @@
 
     fn read_chunk(&mut self, data: Bytes) -> Result<Event, AttemptError> {
         let parsed = serde_json::from_slice::<Chunk<'_>>(&data);
-        let chunk = parsed.map_err(|e| self.truncated(Doubt::Malformed(e.to_string())))?;
+        let chunk = parsed.map_err(|e| self.truncated(FailureCause::Malformed(e.to_string())))?;
         if let Some(error) = &chunk.error {
-            return Err(self.truncated(Doubt::Reported(error.to_string())));
+            return Err(self.truncated(FailureCause::Reported(error.to_string())));
         }
         // A chunk of another request, sent by mistake on this connection, must not reach the
         // caller. The attempt's id, echoed by the engine, tells them apart.
         if chunk.id != self.attempt {
-            return Err(AttemptError::Crossed {
+            return Err(AttemptError::WrongAttempt {
                 got: chunk.id.into_owned(),
                 delivered: self.delivered,
             });
@@ -162,7 +162,7 @@
         })
     }
 
-    fn truncated(&self, cause: Doubt) -> AttemptError {
+    fn truncated(&self, cause: FailureCause) -> AttemptError {
         AttemptError::Truncated {
             delivered: self.delivered,
             cause,
--- a/components/engine/tests/it/attempts.rs
+++ b/components/engine/tests/it/attempts.rs
@@ -8,7 +8,8 @@
 
 use bytes::Bytes;
 use engine::{
-    AttemptError, ChatAnswer, ChatRequest, Client, ClientConfig, Doubt, Event, Stream, rewrite_id,
+    AttemptError, ChatAnswer, ChatRequest, Client, ClientConfig, Event, FailureCause, Stream,
+    rewrite_id,
 };
 use serde_json::json;
 use standins::engine::text::{self, Message};
@@ -55,10 +56,10 @@
     ChatRequest {
         attempt: ATTEMPT,
         body,
-        deadline: Span::from_secs(20),
-        stall: Span::from_secs(20),
+        timeout: Span::from_secs(20),
+        read_timeout: Span::from_secs(20),
         stream,
-        may_repeat: true,
+        is_idempotent: true,
     }
 }
 
@@ -171,7 +172,7 @@
     let engine = start();
     for fault in [EngineFault::ResetBefore, EngineFault::ResetAfter] {
         let error = ask_with_fault(&engine, fault);
-        assert_eq!(error, AttemptError::Unknown(Doubt::Closed));
+        assert_eq!(error, AttemptError::Unknown(FailureCause::Closed));
         assert_eq!(error.run(), RunState::Unknown);
     }
     assert_eq!(engine.counters().runs, 1);
@@ -182,11 +183,14 @@
     let engine = start();
     engine.fail_next(EngineFault::Late(Span::from_secs(60)));
     let req = ChatRequest {
-        deadline: Span::from_millis(100),
+        timeout: Span::from_millis(100),
         ..request(body(false), false)
     };
     let error = block_on(Client::default().chat(engine.address(), &req));
-    assert_eq!(error.unwrap_err(), AttemptError::Unknown(Doubt::TimedOut));
+    assert_eq!(
+        error.unwrap_err(),
+        AttemptError::Unknown(FailureCause::TimedOut)
+    );
 }
 
 #[test]
@@ -195,8 +199,8 @@
     // Only the end marker completes it, however it stops.
     let engine = start();
     let cuts = [
-        (EngineFault::Truncate(3), Doubt::NoEnd),
-        (EngineFault::Break(3), Doubt::Closed),
+        (EngineFault::Truncate(3), FailureCause::NoEnd),
+        (EngineFault::Break(3), FailureCause::Closed),
     ];
     for (fault, cause) in cuts {
         let (text, error) = ask_stream_with_fault(&engine, fault);
@@ -213,7 +217,7 @@
     // its end, and only the missing finish reason shows that.
     let engine = start();
     let (_, error) = ask_stream_with_fault(&engine, EngineFault::NoFinish);
-    let cause = Doubt::NoEnd;
+    let cause = FailureCause::NoEnd;
     assert!(matches!(error, AttemptError::Truncated { cause: c, .. } if c == cause));
 }
 
@@ -222,7 +226,7 @@
     let engine = start();
     engine.fail_next(EngineFault::Stall(2));
     let req = ChatRequest {
-        stall: Span::from_millis(100),
+        read_timeout: Span::from_millis(100),
         ..request(body(true), true)
     };
     let answer = block_on(Client::default().chat(engine.address(), &req)).unwrap();
@@ -231,7 +235,7 @@
     };
     let (_, end) = drain(*stream);
     let delivered = 2;
-    let cause = Doubt::TimedOut;
+    let cause = FailureCause::TimedOut;
     assert_eq!(end, Err(AttemptError::Truncated { delivered, cause }));
 }
 
@@ -241,7 +245,7 @@
     // end a body of known length without an error if the connection closes early.
     let engine = start();
     let error = ask_with_fault(&engine, EngineFault::Break(2));
-    let cause = Doubt::Closed;
+    let cause = FailureCause::Closed;
     assert_eq!(
         error,
         AttemptError::Truncated {
@@ -263,13 +267,22 @@
     ];
     for fault in crossed {
         let error = ask_with_fault(&engine, fault);
-        assert!(matches!(error, AttemptError::Crossed { delivered: 0, .. }));
+        assert!(matches!(
+            error,
+            AttemptError::WrongAttempt { delivered: 0, .. }
+        ));
     }
     engine.fail_next(EngineFault::Crossed);
     let error = ask_stream(engine.address()).unwrap_err();
-    assert!(matches!(error, AttemptError::Crossed { delivered: 0, .. }));
+    assert!(matches!(
+        error,
+        AttemptError::WrongAttempt { delivered: 0, .. }
+    ));
     let (text, error) = ask_stream_with_fault(&engine, EngineFault::CrossedAfter(2));
-    assert!(matches!(error, AttemptError::Crossed { delivered: 2, .. }));
+    assert!(matches!(
+        error,
+        AttemptError::WrongAttempt { delivered: 2, .. }
+    ));
     assert!(expected().starts_with(&text));
 }
 
@@ -305,7 +318,7 @@
             Ok(ChatAnswer::Whole(_)) => panic!("the answer is larger than the bound"),
             Err(error) => error,
         };
-        let cause = Doubt::TooLarge(ByteSize(64));
+        let cause = FailureCause::TooLarge(ByteSize(64));
         assert_eq!(
             error,
             AttemptError::Truncated {
@@ -331,7 +344,7 @@
         AttemptError::Truncated { delivered: 2, .. }
     ));
     let error = ask_whole(engine.address()).unwrap_err();
-    assert_eq!(error, AttemptError::Unknown(Doubt::Closed));
+    assert_eq!(error, AttemptError::Unknown(FailureCause::Closed));
 }
 
 #[test]
@@ -376,7 +389,7 @@
     let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
     let address = listener.local_addr().unwrap();
     let request = ChatRequest {
-        deadline: Span::from_millis(200),
+        timeout: Span::from_millis(200),
         ..request(vec![b' '; 32 << 20].into(), false)
     };
     let error = block_on(Client::default().chat(address, &request)).unwrap_err();
@@ -442,7 +455,7 @@
     let client = Client::default();
     block_on(client.chat(address, &request(body(false), false))).unwrap();
     let not_idempotent = ChatRequest {
-        may_repeat: false,
+        is_idempotent: false,
         ..request(body(false), false)
     };
     block_on(client.chat(address, &not_idempotent)).unwrap();
--- a/components/engine/tests/it/calls.rs
+++ b/components/engine/tests/it/calls.rs
@@ -2,7 +2,8 @@
 
 use bytes::Bytes;
 use engine::{
-    AttemptError, Client, Doubt, HeaderMap, HeaderValue, Method, OrderError, PlainRequest, Role,
+    AttemptError, Client, FailureCause, HeaderMap, HeaderValue, Method, OrderError, PlainRequest,
+    Role,
 };
 use standins::engine::{Engine, EngineConfig};
 use standins::plain::{PlainConfig, PlainFault, PlainService};
@@ -91,7 +92,10 @@
     for fault in [PlainFault::ResetBefore, PlainFault::ResetAfter] {
         service.fail_next(fault);
         let error = block_on(client.plain(service.address(), &booking(Method::POST, "/bookings")));
-        assert_eq!(error.unwrap_err(), AttemptError::Unknown(Doubt::Closed));
+        assert_eq!(
+            error.unwrap_err(),
+            AttemptError::Unknown(FailureCause::Closed)
+        );
     }
     assert_eq!(service.effects()["booking-1"], 1);
 }
--- a/components/node/src/sessions.rs
+++ b/components/node/src/sessions.rs
@@ -136,7 +136,7 @@
             return pin;
         }
         // A pin that replaces another must reach every home, or the old one would come back.
-        let homes = match &pin.over {
+        let homes = match &pin.replaces {
             Some(_) => self.homes(&pin.key),
             None => found.missing_at,
         };
@@ -156,7 +156,7 @@
         let answer = self.ask(home, &Message::Pin(pin.clone()));
         match read_reply(answer).await {
             Some(Reply::Found(in_force)) if in_force.key == pin.key => Pin {
-                over: pin.over,
+                replaces: pin.replaces,
                 ..in_force
             },
             _ => pin,
--- a/components/node/src/traffic/chat/answer.rs
+++ b/components/node/src/traffic/chat/answer.rs
@@ -167,21 +167,21 @@
             "{}.{}.{}",
             self.job.head.request, shared.incarnation, self.attempts
         );
-        let deadline = request.time_left(shared.now());
-        let stall = if self.job.params.stream {
+        let timeout = request.time_left(shared.now());
+        let read_timeout = if self.job.params.stream {
             STALL_TIMEOUT
         } else {
-            deadline
+            timeout
         };
         let body = self.body();
         let stream = self.job.params.stream;
         let call = ChatRequest {
             attempt: &name,
             body,
-            deadline,
-            stall,
+            timeout,
+            read_timeout,
             stream,
-            may_repeat: request.spec().idempotent,
+            is_idempotent: request.spec().idempotent,
         };
         let client = self.client.clone();
         let answered = tokio::select! {
--- a/components/node/src/traffic/chat/version.rs
+++ b/components/node/src/traffic/chat/version.rs
@@ -5,7 +5,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use sessions::SessionKey;
-use sessions::choice::Pinning;
+use sessions::choice::PinDecision;
 use sessions::pins::Pin;
 use sessions::token::{Pinned, Sent, read_header};
 use types::prelude::*;
@@ -66,10 +66,10 @@
     let found = find_pin(job, &sent).await;
     let pin = found.pin.as_ref().map(|pin| (&pin.version, pin.revision));
     let revision = job.cx.snapshot.view.revision;
-    let pin = match Pinning::of(pin, &job.resolved.versions, revision) {
-        Pinning::New => None,
-        Pinning::Kept(version) | Pinning::Moved(version) => Some(version),
-        Pinning::Behind => return Err(NoVersion::CatalogueBehind),
+    let pin = match PinDecision::decide(pin, &job.resolved.versions, revision) {
+        PinDecision::New => None,
+        PinDecision::Kept(version) | PinDecision::Moved(version) => Some(version),
+        PinDecision::CatalogueBehind => return Err(NoVersion::CatalogueBehind),
     };
     let candidates = candidates(job);
     let terms = offer_terms(&job.resolved.name, &job.resolved.offer);
@@ -120,7 +120,7 @@
             version: pinned.version.clone(),
             revision: pinned.revision,
             age: Span::ZERO,
-            over: None,
+            replaces: None,
         }),
         Sent::Name(name) => {
             let shared = &job.cx.shared;
@@ -144,7 +144,7 @@
         version: version.clone(),
         revision: job.cx.snapshot.view.revision,
         age: Span::ZERO,
-        over: before.filter(|before| *before != version),
+        replaces: before.filter(|before| *before != version),
     };
     let shared = &job.cx.shared;
     let stored = shared.sessions.store_pin(pin, found, shared.now()).await;
--- a/components/node/src/traffic/upstream.rs
+++ b/components/node/src/traffic/upstream.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use callers::Responder;
-use engine::{AttemptError, Doubt};
+use engine::{AttemptError, FailureCause};
 use requests::attempt::{self, AttemptEnd};
 use requests::life::RequestSpec;
 use requests::step::{OnCallerGone, on_caller_gone};
@@ -55,12 +55,12 @@
             retry_after: *retry_after,
         },
         AttemptError::NotLoaded => AttemptEnd::RefusedNotRun { retry_after: None },
-        AttemptError::Unknown(Doubt::TimedOut) => {
+        AttemptError::Unknown(FailureCause::TimedOut) => {
             AttemptEnd::Unknown(attempt::UnknownCause::TimedOut)
         }
         AttemptError::Unknown(_) => AttemptEnd::Unknown(attempt::UnknownCause::Reset),
         AttemptError::Truncated { .. } => AttemptEnd::Truncated { received, shown },
-        AttemptError::Crossed { .. } => AttemptEnd::AnswerOfOtherAttempt,
+        AttemptError::WrongAttempt { .. } => AttemptEnd::AnswerOfOtherAttempt,
         AttemptError::Status { status, .. } => AttemptEnd::UpstreamError(*status),
     }
 }
--- a/components/sessions/src/choice.rs
+++ b/components/sessions/src/choice.rs
@@ -10,7 +10,7 @@
 
 /// Decision on a session's pin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Pinning<'a> {
+pub enum PinDecision<'a> {
     /// There is no pin: the session is new.
     New,
     /// The session keeps this version.
@@ -19,10 +19,10 @@
     Moved(&'a VersionId),
     /// This daemon's catalogue is older than the pin and does not contain its version yet:
     /// refuse the request as not run, or wait for the catalogue.
-    Behind,
+    CatalogueBehind,
 }
 
-impl<'a> Pinning<'a> {
+impl<'a> PinDecision<'a> {
     /// Decides by the versions that may serve the session (withdrawn ones excluded) and the
     /// catalogue revision that they are from.
     ///
@@ -30,7 +30,7 @@
     /// version that was just added is unknown there, and looks as if it were withdrawn. The
     /// pin's catalogue revision tells the two cases apart.
     #[must_use]
-    pub fn of(
+    pub fn decide(
         pin: Option<(&'a VersionId, Revision)>,
         permitted: &BTreeSet<VersionId>,
         revision: Revision,
@@ -38,7 +38,7 @@
         match pin {
             None => Self::New,
             Some((version, _)) if permitted.contains(version) => Self::Kept(version),
-            Some((_, pin_revision)) if pin_revision > revision => Self::Behind,
+            Some((_, pin_revision)) if pin_revision > revision => Self::CatalogueBehind,
             Some((version, _)) => Self::Moved(version),
         }
     }
--- a/components/sessions/src/lookup.rs
+++ b/components/sessions/src/lookup.rs
@@ -67,20 +67,20 @@
     }
 
     /// Creates the message that pins a new session, or one whose version may no longer serve it
-    /// (`over`), under a catalogue revision.
+    /// (`replaces`), under a catalogue revision.
     #[must_use]
     pub fn pin(
         &self,
         version: VersionId,
         catalogue_revision: Revision,
-        over: Option<VersionId>,
+        replaces: Option<VersionId>,
     ) -> Message {
         Message::Pin(Pin {
             key: self.key.clone(),
             version,
             revision: catalogue_revision,
             age: Span::ZERO,
-            over,
+            replaces,
         })
     }
 }
--- a/components/sessions/src/pins.rs
+++ b/components/sessions/src/pins.rs
@@ -29,7 +29,8 @@
     /// Time since the session was pinned to the version; of two pins the older one wins.
     pub age: Span,
     /// Version that this pin replaces because it may no longer serve the session.
-    pub over: Option<VersionId>,
+    #[serde(rename = "over")]
+    pub replaces: Option<VersionId>,
 }
 
 /// Message between daemons about pins.
@@ -129,9 +130,9 @@
     pub fn pin(&mut self, pin: Pin, now: Time) -> Pin {
         let since = now - pin.age;
         let is_winner = self.by_session.get(&pin.key).is_none_or(|held| {
-            let replaces = pin.over.as_ref() == Some(&held.version);
+            let replaces = pin.replaces.as_ref() == Some(&held.version);
             let is_older = (since, &pin.version) < (held.since, &held.version);
-            held.version != pin.version && (replaces || (is_older && pin.over.is_none()))
+            held.version != pin.version && (replaces || (is_older && pin.replaces.is_none()))
         });
         if is_winner {
             self.insert(&pin, since, now);
@@ -249,6 +250,6 @@
         version: held.version.clone(),
         revision: held.revision,
         age: now.since(held.since),
-        over: None,
+        replaces: None,
     }
 }
--- a/components/sessions/tests/sessions.rs
+++ b/components/sessions/tests/sessions.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use sessions::SessionKey;
-use sessions::choice::Pinning;
+use sessions::choice::PinDecision;
 use sessions::homes::{HOMES_PER_SESSION, Member, homes};
 use sessions::lookup::{Lookup, LookupStep};
 use sessions::pins::{MAX_PINS, Message, Pin, Pins, Reply};
@@ -33,13 +33,13 @@
     (0..count).map(member).collect()
 }
 
-fn pin(name: &str, to: &str, age: u64, over: Option<&str>) -> Pin {
+fn pin(name: &str, to: &str, age: u64, replaces: Option<&str>) -> Pin {
     Pin {
         key: key(name),
         version: version(to),
         revision: Revision(1),
         age: Span::from_secs(age),
-        over: over.map(version),
+        replaces: replaces.map(version),
     }
 }
 
@@ -65,10 +65,13 @@
 fn can_keep_a_pin_while_its_version_may_run() {
     let permitted = BTreeSet::from([version("a"), version("b")]);
     let [kept, not_permitted] = ["a", "c"].map(version);
-    let pin = |name| Pinning::of(Some((name, Revision(1))), &permitted, Revision(7));
-    assert_eq!(pin(&kept), Pinning::Kept(&kept));
-    assert_eq!(pin(&not_permitted), Pinning::Moved(&not_permitted));
-    assert_eq!(Pinning::of(None, &permitted, Revision(7)), Pinning::New);
+    let pin = |name| PinDecision::decide(Some((name, Revision(1))), &permitted, Revision(7));
+    assert_eq!(pin(&kept), PinDecision::Kept(&kept));
+    assert_eq!(pin(&not_permitted), PinDecision::Moved(&not_permitted));
+    assert_eq!(
+        PinDecision::decide(None, &permitted, Revision(7)),
+        PinDecision::New
+    );
 }
 
 // Guards against a session that changes its version at one daemon and changes back at the next:
@@ -78,9 +81,9 @@
 fn errors_of_a_lagging_catalogue_do_not_move_sessions() {
     let permitted = BTreeSet::from([version("a")]);
     let unknown = version("c");
-    let at = |revision| Pinning::of(Some((&unknown, Revision(8))), &permitted, revision);
-    assert_eq!(at(Revision(7)), Pinning::Behind);
-    assert_eq!(at(Revision(8)), Pinning::Moved(&unknown));
+    let at = |revision| PinDecision::decide(Some((&unknown, Revision(8))), &permitted, revision);
+    assert_eq!(at(Revision(7)), PinDecision::CatalogueBehind);
+    assert_eq!(at(Revision(8)), PinDecision::Moved(&unknown));
 }
 
 #[test]
