--- a/bench/src/cmd/ledger/world.rs
+++ b/bench/src/cmd/ledger/world.rs
@@ -134,7 +134,7 @@
             region: "here".parse().expect("a name"),
         };
         let mut cfg = Config::new(peer.clone(), PREFIX);
-        cfg.hold_interval = self.arm.hold.unwrap_or(cfg.hold_interval);
+        cfg.replication_interval = self.arm.hold.unwrap_or(cfg.replication_interval);
         let ledger = Ledger::new(cfg);
         self.members.push(peer.clone());
         self.daemons.push(Daemon {
--- a/components/callers/src/answer.rs
+++ b/components/callers/src/answer.rs
@@ -35,7 +35,7 @@
 /// The caller has disconnected, or read too slowly and was dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the caller is gone")]
-pub struct Gone;
+pub struct CallerDisconnected;
 
 /// Progress of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -76,7 +76,7 @@
     wire: Rc<Wire>,
     options: ResponseOptions,
     stage: Rc<Cell<Stage>>,
-    is_gone: watch::Sender<bool>,
+    is_disconnected: watch::Sender<bool>,
 }
 
 impl Responder {
@@ -85,7 +85,7 @@
             wire,
             options,
             stage: Rc::new(Cell::new(Stage::NotStarted)),
-            is_gone: watch::Sender::new(false),
+            is_disconnected: watch::Sender::new(false),
         }
     }
 
@@ -94,14 +94,14 @@
     }
 
     pub(crate) fn mark_gone(&self) {
-        self.is_gone.send_replace(true);
+        self.is_disconnected.send_replace(true);
     }
 
     /// Sends a frame; waits while the caller reads slowly (backpressure).
     ///
     /// # Errors
     /// If the caller has disconnected, or did not read for `write_timeout`.
-    pub async fn send(&self, frame: Frame) -> Result<(), Gone> {
+    pub async fn send(&self, frame: Frame) -> Result<(), CallerDisconnected> {
         let mut out = Vec::new();
         match &frame {
             Frame::Head(head) => self.push_stream_head(&mut out, head),
@@ -128,7 +128,7 @@
     ///
     /// # Errors
     /// If the caller has disconnected, or did not read for `write_timeout`.
-    pub async fn answer(&self, head: Head, body: Bytes) -> Result<(), Gone> {
+    pub async fn answer(&self, head: Head, body: Bytes) -> Result<(), CallerDisconnected> {
         let mut out = Vec::with_capacity(512 + body.len());
         self.push_head(&mut out, &head);
         push_length(&mut out, body.len());
@@ -141,15 +141,17 @@
 
     /// Whether the caller has disconnected or was dropped.
     #[must_use]
-    pub fn is_gone(&self) -> bool {
-        *self.is_gone.borrow()
+    pub fn is_disconnected(&self) -> bool {
+        *self.is_disconnected.borrow()
     }
 
     /// Waits until the caller has disconnected or was dropped.
-    pub async fn gone(&self) {
-        let mut is_gone = self.is_gone.subscribe();
+    pub async fn disconnected(&self) {
+        let mut is_disconnected = self.is_disconnected.subscribe();
         // This responder holds the sender, so the channel cannot close during the wait.
-        let _ = is_gone.wait_for(|is_gone| *is_gone).await;
+        let _ = is_disconnected
+            .wait_for(|is_disconnected| *is_disconnected)
+            .await;
     }
 
     fn body_encoding(&self) -> BodyEncoding {
@@ -180,9 +182,9 @@
         out.extend_from_slice(b"\r\n");
     }
 
-    async fn write(&self, bytes: &[u8], stage: Stage) -> Result<(), Gone> {
-        if self.is_gone() {
-            return Err(Gone);
+    async fn write(&self, bytes: &[u8], stage: Stage) -> Result<(), CallerDisconnected> {
+        if self.is_disconnected() {
+            return Err(CallerDisconnected);
         }
         if self.stage.get() == Stage::NotStarted {
             self.stage.set(Stage::Started);
@@ -191,7 +193,7 @@
         let written = tokio::time::timeout(self.options.write_timeout, written).await;
         if !matches!(written, Ok(Ok(()))) {
             self.mark_gone();
-            return Err(Gone);
+            return Err(CallerDisconnected);
         }
         self.stage.set(stage);
         Ok(())
--- a/components/callers/src/connection.rs
+++ b/components/callers/src/connection.rs
@@ -12,7 +12,7 @@
 use types::prelude::*;
 
 use crate::answer::{Head, Responder, ResponseOptions, Stage};
-use crate::reading::{Bounds, Unread, read_body, read_head};
+use crate::reading::{Bounds, ReadError, read_body, read_head};
 use crate::server::ShutdownSignal;
 use crate::{Request, Serve};
 
@@ -73,19 +73,19 @@
     let bounds = shared.limits.bounds();
     let head = match read_head(wire, &bounds, shared.shutdown.requested()).await {
         Ok(head) => head,
-        Err(unread) => return refuse(wire, &unread).await,
+        Err(error) => return refuse(wire, &error).await,
     };
     let framing = match Framing::of(&head) {
         Ok(framing) => framing,
-        Err(_) => return refuse(wire, &Unread::Body).await,
+        Err(_) => return refuse(wire, &ReadError::Body).await,
     };
     let until = Instant::now() + shared.limits.body_timeout.to_duration();
     let body = match read_body(wire, &head, framing, bounds.body, until).await {
         Ok(body) => body,
-        Err(unread) => return refuse(wire, &unread).await,
+        Err(error) => return refuse(wire, &error).await,
     };
     let Some(line) = RequestLine::parse(&head) else {
-        return refuse(wire, &Unread::Body).await;
+        return refuse(wire, &ReadError::Body).await;
     };
     let keeps_alive = head.keeps_alive() && head.is_http11 && !shared.shutdown.is_requested();
     let responder = Responder::new(
@@ -108,7 +108,7 @@
     };
     serve_watched(wire, &shared.serve, req, &responder).await;
     match responder.stage() {
-        Stage::Complete => keeps_alive && !responder.is_gone(),
+        Stage::Complete => keeps_alive && !responder.is_disconnected(),
         Stage::Started => false,
         Stage::NotStarted => {
             // The request was dropped without an answer. It may have been sent to an upstream
@@ -164,13 +164,13 @@
 }
 
 /// Answers a request that could not be read. Returns false, as the connection ends.
-async fn refuse(wire: &Rc<Wire>, unread: &Unread) -> bool {
-    let status = match unread {
-        Unread::Closed => return false,
-        Unread::Head(HeadError::Malformed(_)) | Unread::Body => StatusCode::BAD_REQUEST,
-        Unread::Head(_) => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
-        Unread::HeadTooSlow | Unread::BodyTooSlow => StatusCode::REQUEST_TIMEOUT,
-        Unread::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+async fn refuse(wire: &Rc<Wire>, error: &ReadError) -> bool {
+    let status = match error {
+        ReadError::Closed => return false,
+        ReadError::Head(HeadError::Malformed(_)) | ReadError::Body => StatusCode::BAD_REQUEST,
+        ReadError::Head(_) => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
+        ReadError::HeadTooSlow | ReadError::BodyTooSlow => StatusCode::REQUEST_TIMEOUT,
+        ReadError::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
     };
     let options = ResponseOptions {
         keeps_alive: false,
@@ -179,7 +179,7 @@
         write_timeout: CLOSE_TIMEOUT,
     };
     let responder = Responder::new(Rc::clone(wire), options);
-    send_error(&responder, status, &unread.to_string(), RunState::No).await;
+    send_error(&responder, status, &error.to_string(), RunState::No).await;
     false
 }
 
--- a/components/callers/src/lib.rs
+++ b/components/callers/src/lib.rs
@@ -22,11 +22,11 @@
 mod reading;
 mod server;
 
-pub use answer::{Frame, Gone, Head, Responder};
+pub use answer::{CallerDisconnected, Frame, Head, Responder};
 pub use connection::Limits;
 pub use http::{HeaderMap, Method, StatusCode, header};
 pub use listen::{accept, listen};
-pub use reading::{Bounds, Unread, read_body, read_head};
+pub use reading::{Bounds, ReadError, read_body, read_head};
 pub use server::{Callers, CallersError, Counts};
 
 use bytes::Bytes;
@@ -54,6 +54,6 @@
 /// Handles requests on the event loop of their connection; must not block.
 pub trait Serve: 'static {
     /// Handles a request and writes the answer to its [`Responder`]. Runs to completion even if
-    /// the caller disconnects, which [`Responder::gone`] reports.
+    /// the caller disconnects, which [`Responder::disconnected`] reports.
     fn serve(&self, req: Request) -> impl Future<Output = ()>;
 }
--- a/components/callers/src/reading.rs
+++ b/components/callers/src/reading.rs
@@ -22,7 +22,7 @@
 
 /// Why no request was read.
 #[derive(Debug, thiserror::Error)]
-pub enum Unread {
+pub enum ReadError {
     /// The caller closed the connection or was idle for too long, so it expects no answer.
     #[error("the caller closed the connection or was idle for too long")]
     Closed,
@@ -43,15 +43,15 @@
     BodyTooLarge,
 }
 
-impl From<io::Error> for Unread {
+impl From<io::Error> for ReadError {
     fn from(_: io::Error) -> Self {
         // After a connection error nobody is left to answer, so it counts as a close.
         Self::Closed
     }
 }
 
-/// Waits for a request head. Returns [`Unread::Closed`] if `shutdown` completes before the first
-/// byte.
+/// Waits for a request head. Returns [`ReadError::Closed`] if `shutdown` completes before the
+/// first byte.
 ///
 /// # Errors
 /// States why no head was read.
@@ -59,13 +59,13 @@
     wire: &Wire,
     bounds: &Bounds,
     shutdown: impl Future<Output = ()>,
-) -> Result<Head, Unread> {
+) -> Result<Head, ReadError> {
     if wire.buf().is_empty() {
         tokio::select! {
             biased;
-            read = wire.fill() => if read? == 0 { return Err(Unread::Closed) },
-            () = tokio::time::sleep(bounds.idle) => return Err(Unread::Closed),
-            () = shutdown => return Err(Unread::Closed),
+            read = wire.fill() => if read? == 0 { return Err(ReadError::Closed) },
+            () = tokio::time::sleep(bounds.idle) => return Err(ReadError::Closed),
+            () = shutdown => return Err(ReadError::Closed),
         }
     }
     let read = async {
@@ -75,12 +75,12 @@
                 return Ok(head);
             }
             if wire.fill().await? == 0 {
-                return Err(Unread::Closed);
+                return Err(ReadError::Closed);
             }
         }
     };
     let done = tokio::time::timeout(bounds.head_within, read).await;
-    done.unwrap_or(Err(Unread::HeadTooSlow))
+    done.unwrap_or(Err(ReadError::HeadTooSlow))
 }
 
 /// Reads the body after a head, of at most `max` bytes, until the deadline `until`.
@@ -93,33 +93,33 @@
     framing: Framing,
     max: u64,
     until: Instant,
-) -> Result<Bytes, Unread> {
+) -> Result<Bytes, ReadError> {
     if matches!(framing, Framing::Length(length) if length > max) {
-        return Err(Unread::BodyTooLarge);
+        return Err(ReadError::BodyTooLarge);
     }
     if head.has_token("expect", "100-continue") && framing != Framing::Empty {
         wire.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
     }
     let done = tokio::time::timeout_at(until, read_to_end(wire, framing, max)).await;
-    done.unwrap_or(Err(Unread::BodyTooSlow))
+    done.unwrap_or(Err(ReadError::BodyTooSlow))
 }
 
-async fn read_to_end(wire: &Wire, framing: Framing, max: u64) -> Result<Bytes, Unread> {
+async fn read_to_end(wire: &Wire, framing: Framing, max: u64) -> Result<Bytes, ReadError> {
     let mut reader = BodyReader::new(framing);
     let mut body = BytesMut::new();
     loop {
         let progress = reader.read(&mut wire.buf());
-        match progress.map_err(|_| Unread::Body)? {
+        match progress.map_err(|_| ReadError::Body)? {
             Progress::Done => return Ok(body.freeze()),
             Progress::Data(data) => {
                 if (body.len() + data.len()) as u64 > max {
-                    return Err(Unread::BodyTooLarge);
+                    return Err(ReadError::BodyTooLarge);
                 }
                 body.extend_from_slice(&data);
             }
             Progress::NeedMore => {
                 if wire.fill().await? == 0 {
-                    return Err(Unread::Closed);
+                    return Err(ReadError::Closed);
                 }
             }
         }
--- a/components/callers/tests/bounds.rs
+++ b/components/callers/tests/bounds.rs
@@ -34,7 +34,7 @@
                 let _ = responder.send(Frame::Data(part)).await;
             }
             "/waits" => {
-                responder.gone().await;
+                responder.disconnected().await;
                 let _ = self.disconnected.send(());
             }
             _ => {
--- a/components/engine/src/call.rs
+++ b/components/engine/src/call.rs
@@ -159,10 +159,10 @@
         let mut idle = self.idle.borrow_mut();
         if now.since(idle.purged_at) > PURGE_INTERVAL {
             idle.purged_at = now;
-            idle.pool.tidy(now, |_| true);
+            idle.pool.purge(now, |_| true);
         }
         idle.pool
-            .keep(now, response.upstream, response.wire, &response.head);
+            .put(now, response.upstream, response.wire, &response.head);
     }
 }
 
--- a/components/fleet/src/freshness.rs
+++ b/components/fleet/src/freshness.rs
@@ -6,7 +6,7 @@
 //! ahead of its own. A claim therefore gets older on slow links and with each hop, and never newer.
 
 use mirror::Revision;
-use peers::ClockBound;
+use peers::ClockOffsetBound;
 use serde::{Deserialize, Serialize};
 use types::prelude::*;
 
@@ -95,7 +95,7 @@
 
     /// The newest claims dated by a peer's clock, given the bound on its offset.
     #[must_use]
-    pub fn for_peer(&self, clock: &ClockBound) -> Option<Freshness> {
+    pub fn for_peer(&self, clock: &ClockOffsetBound) -> Option<Freshness> {
         let readings = self.0.iter().take(MAX_SENT);
         let readings = readings.filter_map(|claim| Some((claim.held, clock.reading_at(claim.at)?)));
         let readings = readings.collect::<Vec<_>>();
--- a/components/fleet/tests/it/claims.rs
+++ b/components/fleet/tests/it/claims.rs
@@ -2,7 +2,7 @@
 
 use fleet::{Claim, Claims, Freshness};
 use mirror::Revision;
-use peers::{Clocks, Reading};
+use peers::{ClockReading, PeerClocks};
 use proptest::prelude::*;
 use types::prelude::*;
 
@@ -70,7 +70,7 @@
         from: usize,
         run: u64,
         to: usize,
-        reading: Reading,
+        reading: ClockReading,
         asked_at: Time,
     },
     Claims {
@@ -83,7 +83,7 @@
     clock: DaemonClock,
     run: u64,
     claims: Claims,
-    clocks: Clocks,
+    clocks: PeerClocks,
 }
 
 struct World {
@@ -104,7 +104,7 @@
             clock,
             run: 1,
             claims: Claims::default(),
-            clocks: Clocks::default(),
+            clocks: PeerClocks::default(),
         };
         Self {
             now_ms: 100_000,
@@ -143,7 +143,7 @@
                 back_ms,
             } => {
                 let read_at = self.daemons[to].clock.reads(now_ms + there_ms);
-                let reading = Reading {
+                let reading = ClockReading {
                     run: Incarnation(self.daemons[to].run),
                     clock_ms: read_at.since(Time::ZERO).as_millis(),
                 };
@@ -170,7 +170,7 @@
                 daemon.clock.began_ms = now_ms;
                 daemon.run += 1;
                 daemon.claims = Claims::default();
-                daemon.clocks = Clocks::default();
+                daemon.clocks = PeerClocks::default();
             }
         }
     }
--- a/components/http1/src/pool.rs
+++ b/components/http1/src/pool.rs
@@ -45,7 +45,7 @@
     pub fn take(&mut self, now: Time, upstream: K) -> Option<Wire> {
         let connections = self.idle.get_mut(&upstream)?;
         while let Some(newest) = connections.pop() {
-            if now < newest.expires_at && newest.wire.is_quiet() {
+            if now < newest.expires_at && newest.wire.is_idle() {
                 return Some(newest.wire);
             }
         }
@@ -53,8 +53,8 @@
     }
 
     /// Adds a connection after a complete response with this head, unless it must be closed.
-    pub fn keep(&mut self, now: Time, upstream: K, wire: Wire, head: &Head) {
-        if !head.keeps_alive() || !wire.is_quiet() {
+    pub fn put(&mut self, now: Time, upstream: K, wire: Wire, head: &Head) {
+        if !head.keeps_alive() || !wire.is_idle() {
             return;
         }
         let span = advertised_keep_alive(head).map_or(DEFAULT_KEEP_ALIVE, |advertised| {
@@ -70,7 +70,7 @@
     }
 
     /// Closes connections that have expired or whose upstream is not `known`.
-    pub fn tidy(&mut self, now: Time, known: impl Fn(K) -> bool) {
+    pub fn purge(&mut self, now: Time, known: impl Fn(K) -> bool) {
         self.idle.retain(|upstream, connections| {
             connections.retain(|connection| now < connection.expires_at);
             !connections.is_empty() && known(*upstream)
--- a/components/http1/src/wire.rs
+++ b/components/http1/src/wire.rs
@@ -116,7 +116,7 @@
 
     /// Whether the connection is open and there are no bytes to read.
     #[must_use]
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         let waiting = self.try_fill();
         let would_block = matches!(&waiting, Err(e) if e.kind() == io::ErrorKind::WouldBlock);
         would_block && self.buf.borrow().is_empty()
--- a/components/ledger/src/ledger.rs
+++ b/components/ledger/src/ledger.rs
@@ -45,7 +45,7 @@
     /// Maximum number of unsealed charges held for other daemons.
     pub custody_capacity: usize,
     /// Time during which charges are collected before they are sent to the second holder.
-    pub hold_interval: Span,
+    pub replication_interval: Span,
     /// Timeout of an acknowledgement from the second holder.
     pub ack_timeout: Span,
     /// Time for which a holder that failed or was full is not chosen again.
@@ -80,7 +80,7 @@
             prefix: prefix.to_owned(),
             capacity: 300_000,
             custody_capacity: 450_000,
-            hold_interval: Span::from_millis(5),
+            replication_interval: Span::from_millis(5),
             ack_timeout: Span::from_millis(100),
             holder_avoidance: Span::from_secs(5),
             refresh_interval: Span::from_secs(2),
@@ -126,7 +126,7 @@
         /// Receipt of the last answer that may end.
         upto: Receipt,
         /// Whether only this daemon holds the bills.
-        alone: bool,
+        is_unreplicated: bool,
     },
 }
 
@@ -294,7 +294,7 @@
     }
 
     /// Makes all charges due for sealing at once, for a shutdown.
-    pub fn hurry(&mut self, now: Time) {
+    pub fn seal_all_now(&mut self, now: Time) {
         for journal in self.journals.values_mut() {
             journal.seal.due = journal.seal.due.min(now);
         }
--- a/components/ledger/src/ledger/hold.rs
+++ b/components/ledger/src/ledger/hold.rs
@@ -108,13 +108,16 @@
         overdue.next().map_or(Receipt(0), |(receipt, _)| *receipt)
     }
 
-    fn release_upto(&mut self, upto: Receipt, alone: bool) -> Option<Effect> {
+    fn release_upto(&mut self, upto: Receipt, is_unreplicated: bool) -> Option<Effect> {
         let mut released = None;
         while let Some((receipt, _)) = self.waiting.pop_front_if(|(first, _)| *first <= upto) {
             released = Some(receipt);
-            self.counters.released_alone += u64::from(alone);
+            self.counters.released_alone += u64::from(is_unreplicated);
         }
-        released.map(|upto| Effect::Released { upto, alone })
+        released.map(|upto| Effect::Released {
+            upto,
+            is_unreplicated,
+        })
     }
 
     /// Stores a peer's charges and acknowledges them.
--- a/components/ledger/src/replication.rs
+++ b/components/ledger/src/replication.rs
@@ -120,7 +120,7 @@
         replica.deadline = replica.deadline.min(now + cfg.ack_timeout);
     }
     if !out.is_empty() {
-        replica.next_send = now + cfg.hold_interval;
+        replica.next_send = now + cfg.replication_interval;
     }
     if out.is_empty() && is_refresh_due(&replica, journal, now) {
         out.push(page(origin, journal, &mut replica, cfg.me.incarnation));
--- a/components/ledger/tests/support/fleet.rs
+++ b/components/ledger/tests/support/fleet.rs
@@ -152,18 +152,21 @@
                 Effect::Store { id, request } => {
                     self.pending.push(Pending::Call { from, id, request });
                 }
-                Effect::Released { upto, alone } => self.release(from, upto, alone),
+                Effect::Released {
+                    upto,
+                    is_unreplicated,
+                } => self.release(from, upto, is_unreplicated),
             }
         }
     }
 
-    fn release(&mut self, index: usize, upto: Receipt, alone: bool) {
+    fn release(&mut self, index: usize, upto: Receipt, is_unreplicated: bool) {
         let waiting = &mut self.daemons[index].waiting;
         let later = waiting.split_off(&Receipt(upto.0 + 1));
         let released = std::mem::replace(waiting, later);
         for number in released.into_values() {
             self.answered.insert(number);
-            if alone {
+            if is_unreplicated {
                 self.unreplicated.insert(number);
             }
         }
--- a/components/node/src/systems/ledger.rs
+++ b/components/node/src/systems/ledger.rs
@@ -132,7 +132,7 @@
     /// Hastens the sealing of all bills, and returns whether none is left to seal.
     #[must_use]
     pub fn seal_all(&mut self, now: Time) -> bool {
-        self.ledger.hurry(now);
+        self.ledger.seal_all_now(now);
         let fill = self.ledger.fill();
         fill.own == 0 && fill.adopted == 0
     }
@@ -149,19 +149,22 @@
             match effect {
                 Effect::Send { to, message } => actions.push(Action::Send(to, message)),
                 Effect::Store { id, request } => actions.push(Action::Store(id, request)),
-                Effect::Released { upto, alone } => self.release(now, upto, alone),
+                Effect::Released {
+                    upto,
+                    is_unreplicated,
+                } => self.release(now, upto, is_unreplicated),
             }
         }
         actions
     }
 
-    fn release(&mut self, now: Time, upto: Receipt, alone: bool) {
+    fn release(&mut self, now: Time, upto: Receipt, is_unreplicated: bool) {
         let later = self.held_ends.split_off(&Receipt(upto.0 + 1));
         for end in std::mem::replace(&mut self.held_ends, later).into_values() {
             // Fails only if the request's task has ended; the bill stands all the same.
             let _ = end.try_send(());
         }
-        if alone && now.has_reached(self.log_alone_at) {
+        if is_unreplicated && now.has_reached(self.log_alone_at) {
             self.log_alone_at = now + SOLE_HOLDER_LOG_INTERVAL;
             tracing::warn!(
                 "ledger: no other daemon is in reach: bills of the last seconds would be lost \
--- a/components/node/src/traffic/chat/answer.rs
+++ b/components/node/src/traffic/chat/answer.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use callers::{Frame, Gone, Head, HeaderMap, Responder, StatusCode, header};
+use callers::{CallerDisconnected, Frame, Head, HeaderMap, Responder, StatusCode, header};
 use catalogue::entry::Price;
 use engine::{Answer, AttemptError, ChatAnswer, ChatRequest, Client, EngineLoad};
 use externals::Sample;
@@ -336,7 +336,7 @@
         usage: Usage,
         attempts: usize,
         cost: Cost,
-    ) -> Result<(), Gone> {
+    ) -> Result<(), CallerDisconnected> {
         let last = event(&self.usage_chunk(usage, attempts, cost));
         let end = Bytes::from_static(b"data: [DONE]\n\n");
         self.transcript.push(&last);
--- a/components/node/src/traffic/chat/stream.rs
+++ b/components/node/src/traffic/chat/stream.rs
@@ -1,7 +1,7 @@
 //! Relays an engine's stream to the caller, event by event.
 
 use bytes::{Bytes, BytesMut};
-use callers::{Frame, Gone};
+use callers::{CallerDisconnected, Frame};
 use engine::{Event, Stream};
 use requests::attempt::{AttemptEnd, Usage};
 use requests::life::{Attempted, Request};
@@ -104,7 +104,7 @@
         data: &Bytes,
         text: &str,
         request: &mut Request<Attempted>,
-    ) -> Result<(), Gone> {
+    ) -> Result<(), CallerDisconnected> {
         if !self.has_begun {
             let head = Frame::Head(self.head("text/event-stream"));
             self.send_frame(head, request).await?;
@@ -129,9 +129,13 @@
 
     /// Sends a frame. Work that runs only once goes on when its caller has left, so that the
     /// caller's retry finds its outcome; other work is cancelled.
-    async fn send_frame(&mut self, frame: Frame, request: &Request<Attempted>) -> Result<(), Gone> {
+    async fn send_frame(
+        &mut self,
+        frame: Frame,
+        request: &Request<Attempted>,
+    ) -> Result<(), CallerDisconnected> {
         let sent = if self.caller_left {
-            Err(Gone)
+            Err(CallerDisconnected)
         } else {
             self.responder.send(frame).await
         };
--- a/components/node/src/traffic/refusal.rs
+++ b/components/node/src/traffic/refusal.rs
@@ -1,7 +1,7 @@
 //! Refusals and errors, in the error format that OpenAI publishes, with our `run` field added.
 
 use bytes::Bytes;
-use callers::{Frame, Gone, Head, HeaderMap, Responder, StatusCode, header};
+use callers::{CallerDisconnected, Frame, Head, HeaderMap, Responder, StatusCode, header};
 use serde::Serialize;
 use types::prelude::*;
 
@@ -157,7 +157,7 @@
     ///
     /// # Errors
     /// When the caller is gone.
-    pub async fn end_stream(&self, responder: &Responder) -> Result<(), Gone> {
+    pub async fn end_stream(&self, responder: &Responder) -> Result<(), CallerDisconnected> {
         let mut event = Vec::from(&b"data: "[..]);
         event.extend_from_slice(&self.body());
         event.extend_from_slice(b"\n\n");
--- a/components/node/src/traffic/upstream.rs
+++ b/components/node/src/traffic/upstream.rs
@@ -42,7 +42,7 @@
 /// Without this check the upstream would go on working for nobody.
 pub(crate) async fn cancellation(responder: &Responder, spec: &RequestSpec) {
     match on_caller_gone(spec) {
-        OnCallerGone::Cancel => responder.gone().await,
+        OnCallerGone::Cancel => responder.disconnected().await,
         OnCallerGone::Finish => std::future::pending().await,
     }
 }
--- a/components/peers/src/client.rs
+++ b/components/peers/src/client.rs
@@ -21,7 +21,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until, timeout};
 
-use crate::clocks::Reading;
+use crate::clocks::ClockReading;
 use crate::counted::frames;
 use crate::handle::{AskError, Command, Shared};
 use crate::payload::{Part, Payload};
@@ -351,7 +351,7 @@
             let answered_at = shared.clock.now();
             match read_reply(&shared, &endpoints, number, reply) {
                 Ok(Payload::Part { body, .. }) => {
-                    if let Ok(reading) = Reading::decode(&body) {
+                    if let Ok(reading) = ClockReading::decode(&body) {
                         shared.clocks().note(to, reading, asked_at, answered_at);
                         answer.is_known.store(true, Ordering::Relaxed);
                     }
--- a/components/peers/src/clocks.rs
+++ b/components/peers/src/clocks.rs
@@ -22,14 +22,14 @@
 
 /// A daemon's reading of its own clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Reading {
+pub struct ClockReading {
     /// The incarnation of the daemon at whose start the clock began at zero.
     pub run: Incarnation,
     /// Milliseconds since that start.
     pub clock_ms: u64,
 }
 
-impl Reading {
+impl ClockReading {
     pub(crate) fn encode(self) -> Result<Bytes, bincode::Error> {
         let bytes = bincode::DefaultOptions::new().serialize(&self)?;
         Ok(bytes.into())
@@ -42,17 +42,17 @@
 
 /// A lower bound on the offset of a peer's clock from the local one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ClockBound {
+pub struct ClockOffsetBound {
     run: Incarnation,
     min_offset_ms: i64,
     measured_at: Time,
 }
 
-impl ClockBound {
+impl ClockOffsetBound {
     /// Derives a bound from a peer's reading and the local times of the query and its reply. Also
     /// returns the upper bound on the offset, in ms.
     #[must_use]
-    pub fn measured(reading: Reading, asked_at: Time, answered_at: Time) -> (Self, i64) {
+    pub fn measured(reading: ClockReading, asked_at: Time, answered_at: Time) -> (Self, i64) {
         let read_ms = i64::try_from(reading.clock_ms).unwrap_or(i64::MAX);
         let offset = |local_ms: u64| read_ms - local_ms as i64;
         let bound = Self {
@@ -66,11 +66,11 @@
     /// Returns the earliest reading that the peer's clock can have shown at a local time, or `None` if
     /// that is before the peer's start.
     #[must_use]
-    pub fn reading_at(&self, at: Time) -> Option<Reading> {
+    pub fn reading_at(&self, at: Time) -> Option<ClockReading> {
         let min_offset_ms = self.min_offset_at(at);
         let clock_ms = min_offset_ms.saturating_add(millis(at) as i64);
         let clock_ms = u64::try_from(clock_ms).ok()?;
-        Some(Reading {
+        Some(ClockReading {
             run: self.run,
             clock_ms,
         })
@@ -88,13 +88,19 @@
 
 /// Clock offset bounds by peer address.
 #[derive(Debug, Default)]
-pub struct Clocks(HashMap<SocketAddr, ClockBound>);
+pub struct PeerClocks(HashMap<SocketAddr, ClockOffsetBound>);
 
-impl Clocks {
+impl PeerClocks {
     /// Records a peer's reading and keeps the tighter bound. The known bound is discarded if it exceeds
     /// the measured upper bound: the peer's clock then paused or is a different one.
-    pub fn note(&mut self, peer: SocketAddr, reading: Reading, asked_at: Time, answered_at: Time) {
-        let (mut bound, max_offset_ms) = ClockBound::measured(reading, asked_at, answered_at);
+    pub fn note(
+        &mut self,
+        peer: SocketAddr,
+        reading: ClockReading,
+        asked_at: Time,
+        answered_at: Time,
+    ) {
+        let (mut bound, max_offset_ms) = ClockOffsetBound::measured(reading, asked_at, answered_at);
         let known = self.0.get(&peer).filter(|known| known.run == reading.run);
         let known_offset = known.map(|known| known.min_offset_at(answered_at));
         if let Some(min_offset_ms) = known_offset.filter(|offset| *offset <= max_offset_ms) {
@@ -110,7 +116,7 @@
 
     /// Returns the offset bound of a peer's clock, if it was measured.
     #[must_use]
-    pub fn get(&self, peer: SocketAddr) -> Option<ClockBound> {
+    pub fn get(&self, peer: SocketAddr) -> Option<ClockOffsetBound> {
         self.0.get(&peer).copied()
     }
 
--- a/components/peers/src/handle.rs
+++ b/components/peers/src/handle.rs
@@ -10,7 +10,7 @@
 use types::prelude::*;
 
 use crate::client::{self, Job};
-use crate::clocks::{ClockBound, Clocks, Reading};
+use crate::clocks::{ClockOffsetBound, ClockReading, PeerClocks};
 use crate::config::{Config, Keys};
 use crate::payload::Payload;
 use crate::seal::Refusal;
@@ -119,7 +119,7 @@
     /// Limits the rate of log lines about unresponsive peers.
     pub(crate) log_limiter: Mutex<LogLimiter>,
     /// Offset bounds of the peers' clocks.
-    pub(crate) clocks: Mutex<Clocks>,
+    pub(crate) clocks: Mutex<PeerClocks>,
     pub(crate) clock: Clock,
     /// The incarnation at whose start the local clock began at zero.
     run: Incarnation,
@@ -129,13 +129,13 @@
 }
 
 impl Shared {
-    pub(crate) fn clocks(&self) -> MutexGuard<'_, Clocks> {
+    pub(crate) fn clocks(&self) -> MutexGuard<'_, PeerClocks> {
         self.clocks.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Reads the local clock.
-    pub(crate) fn reading(&self) -> Reading {
-        Reading {
+    pub(crate) fn reading(&self) -> ClockReading {
+        ClockReading {
             run: self.run,
             clock_ms: self.clock.now().since(Time::ZERO).as_millis(),
         }
@@ -305,7 +305,7 @@
 
     /// Returns the offset bound of a peer's clock, if it was measured.
     #[must_use]
-    pub fn clock_of(&self, peer: SocketAddr) -> Option<ClockBound> {
+    pub fn clock_of(&self, peer: SocketAddr) -> Option<ClockOffsetBound> {
         self.shared.clocks().get(peer)
     }
 
--- a/components/peers/src/lib.rs
+++ b/components/peers/src/lib.rs
@@ -23,7 +23,7 @@
 mod silence;
 mod stats;
 
-pub use clocks::{ClockBound, Clocks, Reading};
+pub use clocks::{ClockOffsetBound, ClockReading, PeerClocks};
 pub use config::{Config, Key, KeyError, Keys, MIN_SECRET_BYTES};
 pub use handle::{AskError, Handle, Inbound, Peers, PeersError, Reply};
 pub use payload::{MAX_BODY_BYTES, Part, Payload, PayloadError};
--- a/components/requests/tests/fuzz/daemon/answers.rs
+++ b/components/requests/tests/fuzz/daemon/answers.rs
@@ -116,15 +116,23 @@
                 ledger::Effect::Store { id, request } => {
                     out.push(Effect::Store(self.run, StoreCallOwner::Ledger(id), request));
                 }
-                ledger::Effect::Released { upto, alone } => {
-                    out.extend(self.release(oracle, upto, alone));
+                ledger::Effect::Released {
+                    upto,
+                    is_unreplicated,
+                } => {
+                    out.extend(self.release(oracle, upto, is_unreplicated));
                 }
             }
         }
         out
     }
 
-    fn release(&mut self, oracle: &mut Oracle, upto: Receipt, alone: bool) -> Vec<Effect> {
+    fn release(
+        &mut self,
+        oracle: &mut Oracle,
+        upto: Receipt,
+        is_unreplicated: bool,
+    ) -> Vec<Effect> {
         let is_released = |_: &usize, served: &mut ServedCall| match &served.stage {
             Stage::Billing { receipt, .. } => *receipt <= upto,
             _ => false,
@@ -136,7 +144,7 @@
                 continue;
             };
             let body = Bytes::from(tokens.join(" "));
-            let holder = self.ledger.fill().holder.filter(|_| !alone);
+            let holder = self.ledger.fill().holder.filter(|_| !is_unreplicated);
             oracle.held_bills.push(HeldBill {
                 request: served.request,
                 origin: self.id(),
--- a/components/traffic/src/attempt.rs
+++ b/components/traffic/src/attempt.rs
@@ -131,7 +131,7 @@
         if outcome == UpstreamOutcome::Good && !self.reader.ends_with_connection() {
             let now = self.shared.now();
             let mut pool = self.shared.pool.borrow_mut();
-            pool.keep(now, self.index, self.wire, &self.head);
+            pool.put(now, self.index, self.wire, &self.head);
         }
     }
 }
@@ -465,7 +465,7 @@
         });
         if !reader.ends_with_connection() {
             let mut pool = self.shared.pool.borrow_mut();
-            pool.keep(self.shared.now(), index, wire, &head);
+            pool.put(self.shared.now(), index, wire, &head);
         }
         let whole = Whole {
             head,
--- a/components/traffic/src/request.rs
+++ b/components/traffic/src/request.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use callers::{Bounds, Unread};
+use callers::{Bounds, ReadError};
 use http1::{Framing, Head, HeadError, Wire};
 use types::prelude::*;
 
@@ -30,15 +30,15 @@
     Answer(LocalReply),
 }
 
-impl From<Unread> for NoRequest {
-    fn from(unread: Unread) -> Self {
-        Self::Answer(match unread {
-            Unread::Closed => return Self::Closed,
-            Unread::Head(HeadError::Malformed(_)) | Unread::Body => LocalReply::Malformed,
-            Unread::Head(_) => LocalReply::HeadTooLarge,
-            Unread::HeadTooSlow => LocalReply::HeadTooSlow,
-            Unread::BodyTooSlow => LocalReply::BodyTooSlow,
-            Unread::BodyTooLarge => LocalReply::BodyTooLarge,
+impl From<ReadError> for NoRequest {
+    fn from(error: ReadError) -> Self {
+        Self::Answer(match error {
+            ReadError::Closed => return Self::Closed,
+            ReadError::Head(HeadError::Malformed(_)) | ReadError::Body => LocalReply::Malformed,
+            ReadError::Head(_) => LocalReply::HeadTooLarge,
+            ReadError::HeadTooSlow => LocalReply::HeadTooSlow,
+            ReadError::BodyTooSlow => LocalReply::BodyTooSlow,
+            ReadError::BodyTooLarge => LocalReply::BodyTooLarge,
         })
     }
 }
--- a/components/traffic/src/server.rs
+++ b/components/traffic/src/server.rs
@@ -302,7 +302,7 @@
         let now = shared.now();
         let upstreams = shared.upstreams.borrow();
         let mut pool = shared.pool.borrow_mut();
-        pool.tidy(now, |index| upstreams.spec(index).is_some());
+        pool.purge(now, |index| upstreams.spec(index).is_some());
         shared.attempts.borrow_mut().expire(now);
         shared.tidy_quarantine(now);
     }
