--- a/bench/src/cmd/spread.rs
+++ b/bench/src/cmd/spread.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 use catalogue::head::{Change, Head, Keys};
-use catalogue::record::{Held, Record};
+use catalogue::record::{EncodedRecord, Record};
 use catalogue::sync::{Config, Effect, Member, Message, Sync};
 use catalogue::{entry::Entry, file};
 use keyvalue::{Request, Txn};
@@ -313,7 +313,7 @@
             entry: Some(self.entry.clone()),
             history: Vec::new(),
         };
-        let held = Held::new(Arc::new(record));
+        let held = EncodedRecord::new(Arc::new(record));
         self.head = self.head.after(Change {
             revision,
             name: name.clone(),
@@ -330,7 +330,7 @@
         };
         self.table.call(self.now, &Request::Txn(txn))?;
         self.accepted.insert(revision, self.now);
-        let effects = self.daemons[place].learn(vec![(name, held)], &mut self.rng);
+        let effects = self.daemons[place].apply_records(vec![(name, held)], &mut self.rng);
         self.perform(place, effects)?;
         for to in 0..self.daemons.len() {
             if self.daemons[to].is_watching() {
--- a/bench/src/cmd/spread/large.rs
+++ b/bench/src/cmd/spread/large.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use catalogue::entry::{Body, Entry, Upstream};
-use catalogue::record::{Catalogue, Held, Record};
+use catalogue::record::{Catalogue, EncodedRecord, Record};
 use catalogue::view::View;
 use types::prelude::*;
 
@@ -47,7 +47,7 @@
     Ok(())
 }
 
-fn record(entry: &Entry, number: u64, revision: u64) -> eyre::Result<(EntryName, Held)> {
+fn record(entry: &Entry, number: u64, revision: u64) -> eyre::Result<(EntryName, EncodedRecord)> {
     let mut entry = entry.clone();
     if let Body::Service(service) = &mut entry.body {
         let first = service.upstreams.first().cloned();
@@ -64,7 +64,7 @@
         history: Vec::new(),
     };
     let name = EntryName::new(&format!("services/pool-{number}"))?;
-    Ok((name, Held::new(Arc::new(record))))
+    Ok((name, EncodedRecord::new(Arc::new(record))))
 }
 
 fn upstream(first: &Upstream, number: u64, place: u64) -> eyre::Result<Upstream> {
--- a/components/catalogue/src/edit/attempt.rs
+++ b/components/catalogue/src/edit/attempt.rs
@@ -11,7 +11,7 @@
 use crate::edit::snapshot::Snapshot;
 use crate::edit::{EditContext, Proposal, Step, Verdict, judge};
 use crate::head::{Change, Keys, void_name};
-use crate::record::{Catalogue, Held, Record};
+use crate::record::{Catalogue, EncodedRecord, Record};
 
 /// First pause between attempts; doubles up to [`MAX_PAUSE`].
 const FIRST_PAUSE: Span = Span::from_millis(20);
@@ -38,7 +38,7 @@
     lost_races: u32,
     /// Why the last attempt did not end the edit, for the verdict at the deadline.
     reason: String,
-    records_read: Vec<(EntryName, Held)>,
+    records_read: Vec<(EntryName, EncodedRecord)>,
 }
 
 /// Purpose of the call in flight.
@@ -56,7 +56,7 @@
 struct SentWrite {
     head_mod_revision: ModRevision,
     revision: Revision,
-    held: Held,
+    held: EncodedRecord,
 }
 
 impl Edit {
@@ -84,7 +84,7 @@
     }
 
     /// Takes the records read or written so far, for the catalogue.
-    pub fn take_learned(&mut self) -> Vec<(EntryName, Held)> {
+    pub fn take_learned(&mut self) -> Vec<(EntryName, EncodedRecord)> {
         std::mem::take(&mut self.records_read)
     }
 
@@ -254,7 +254,7 @@
         let name = &self.proposal.name;
         let head = &snapshot.head;
         let record = Arc::new(self.record(snapshot));
-        let held = Held::new(record.clone());
+        let held = EncodedRecord::new(record.clone());
         let size = held.json.len();
         if size > MAX_ENTRY_SIZE.as_usize() {
             let reason = format!("{size} bytes with its history; at most {MAX_ENTRY_SIZE}");
--- a/components/catalogue/src/edit/editor.rs
+++ b/components/catalogue/src/edit/editor.rs
@@ -9,7 +9,7 @@
 use types::prelude::*;
 
 use crate::edit::{Edit, EditContext, Query, Step, Verdict};
-use crate::record::Held;
+use crate::record::EncodedRecord;
 
 /// Largest number of queued tasks, the one in progress included; further ones are refused.
 pub const MAX_WAITING: usize = 256;
@@ -44,7 +44,7 @@
     due: Option<Time>,
     /// Whether a call of the first task is in flight.
     in_flight: bool,
-    records_read: Vec<(EntryName, Held)>,
+    records_read: Vec<(EntryName, EncodedRecord)>,
 }
 
 impl Editor {
@@ -71,7 +71,7 @@
     }
 
     /// Takes the records that edits have read or written, for the catalogue.
-    pub fn take_learned(&mut self) -> Vec<(EntryName, Held)> {
+    pub fn take_learned(&mut self) -> Vec<(EntryName, EncodedRecord)> {
         std::mem::take(&mut self.records_read)
     }
 
--- a/components/catalogue/src/edit/snapshot.rs
+++ b/components/catalogue/src/edit/snapshot.rs
@@ -6,14 +6,14 @@
 use types::prelude::*;
 
 use crate::head::{Change, HeadError, Keys, ReadHead};
-use crate::record::{Held, RecordError, WireRecord};
+use crate::record::{EncodedRecord, RecordError, WireRecord};
 
 /// The head and entries as of one revision of the store.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(crate) struct Snapshot {
     pub(crate) head: ReadHead,
     /// Requested entries that exist, with their mod revisions.
-    pub(crate) entries: BTreeMap<EntryName, (keyvalue::ModRevision, Held)>,
+    pub(crate) entries: BTreeMap<EntryName, (keyvalue::ModRevision, EncodedRecord)>,
 }
 
 /// Why a reply contains no valid snapshot.
@@ -59,7 +59,7 @@
         Ok(())
     }
 
-    pub(crate) fn held(&self, name: &EntryName) -> Option<&Held> {
+    pub(crate) fn held(&self, name: &EntryName) -> Option<&EncodedRecord> {
         self.entries.get(name).map(|(_, held)| held)
     }
 
--- a/components/catalogue/src/record.rs
+++ b/components/catalogue/src/record.rs
@@ -120,7 +120,7 @@
 
 /// A record with the bytes that it was read from or is written as.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Held {
+pub struct EncodedRecord {
     /// The record, without its entry if that cannot be read.
     pub record: Arc<Record>,
     /// The record as JSON.
@@ -129,7 +129,7 @@
     pub unreadable: Option<String>,
 }
 
-impl Held {
+impl EncodedRecord {
     /// Encodes a record made by this daemon.
     #[must_use]
     pub fn new(record: Arc<Record>) -> Self {
@@ -172,7 +172,7 @@
     ///
     /// # Errors
     /// When the revision cannot be read either, or the record exceeds [`MAX_ENTRY_SIZE`].
-    pub fn parse(&self) -> Result<Held, RecordError> {
+    pub fn parse(&self) -> Result<EncodedRecord, RecordError> {
         let size = self.json.len();
         if size > MAX_ENTRY_SIZE.as_usize() {
             let name = self.name.clone();
@@ -184,7 +184,7 @@
         }
     }
 
-    fn parse_envelope(&self, message: &str) -> Result<Held, RecordError> {
+    fn parse_envelope(&self, message: &str) -> Result<EncodedRecord, RecordError> {
         let envelope: Envelope =
             serde_json::from_slice(&self.json).map_err(|_| RecordError::Malformed {
                 name: self.name.clone(),
@@ -201,9 +201,9 @@
         Ok(self.held(record, Some(message.to_owned())))
     }
 
-    fn held(&self, mut record: Record, unreadable: Option<String>) -> Held {
+    fn held(&self, mut record: Record, unreadable: Option<String>) -> EncodedRecord {
         record.history.truncate(HISTORY_LENGTH);
-        Held {
+        EncodedRecord {
             record: Arc::new(record),
             json: self.json.clone(),
             unreadable,
--- a/components/catalogue/src/sync.rs
+++ b/components/catalogue/src/sync.rs
@@ -24,7 +24,7 @@
 use types::prelude::*;
 
 use crate::head::Keys;
-use crate::record::{Catalogue, Held};
+use crate::record::{Catalogue, EncodedRecord};
 use crate::sync::contact::Contact;
 use crate::sync::freshness::FleetSize;
 use crate::sync::source::Source;
@@ -245,7 +245,11 @@
     }
 
     /// Applies records from outside replication, such as those that an edit read or wrote.
-    pub fn learn(&mut self, records: Vec<(EntryName, Held)>, rng: &mut impl Rng) -> Vec<Effect> {
+    pub fn apply_records(
+        &mut self,
+        records: Vec<(EntryName, EncodedRecord)>,
+        rng: &mut impl Rng,
+    ) -> Vec<Effect> {
         let mut effects = Vec::new();
         self.apply(records, None, rng, &mut effects);
         effects
@@ -254,7 +258,7 @@
     /// Applies records and announces a new revision.
     fn apply(
         &mut self,
-        records: Vec<(EntryName, Held)>,
+        records: Vec<(EntryName, EncodedRecord)>,
         complete_to: Option<Revision>,
         rng: &mut impl Rng,
         effects: &mut Vec<Effect>,
--- a/components/catalogue/src/sync/contact.rs
+++ b/components/catalogue/src/sync/contact.rs
@@ -109,7 +109,7 @@
 
     /// Returns the state by which edits and queries of this daemon are decided now.
     #[must_use]
-    pub fn known(&self, now: Time) -> EditContext<'_> {
+    pub fn edit_context(&self, now: Time) -> EditContext<'_> {
         let others = self.members.len().saturating_sub(1);
         let is_in_contact = self.contact.is_in_contact(now, others);
         EditContext {
--- a/components/catalogue/src/sync/freshness.rs
+++ b/components/catalogue/src/sync/freshness.rs
@@ -38,7 +38,8 @@
     /// Daemons that the membership considers live, this one included.
     pub reached: usize,
     /// Whether the store answered any of them recently.
-    pub touches_store: bool,
+    #[serde(rename = "touches_store")]
+    pub reaches_store: bool,
     /// Whether the store answered one of them well after this daemon's catalogue was last
     /// validated: others may hold newer edits that this daemon did not receive.
     pub store_leads: bool,
@@ -64,7 +65,8 @@
         until: Time,
     },
     /// The freshness limit has passed; the entry is served as last known.
-    ServeKnown {
+    #[serde(rename = "serve-known")]
+    ServeStale {
         /// When the decision must be made again, by this daemon's clock.
         until: Time,
         /// Why the entry may still be served.
@@ -95,7 +97,7 @@
         PastLimit::Serve => {
             let reason = format!("{state}; its owner has it served all the same");
             let until = Time::NEVER;
-            Decision::ServeKnown { until, reason }
+            Decision::ServeStale { until, reason }
         }
         PastLimit::Refuse => refuse(format!("{state}; its owner has it refused then")),
         // This daemon may be partitioned from the rest while edits continue elsewhere.
@@ -113,7 +115,7 @@
         PastLimit::ServeWithMajority => {
             let reason = format!("{state}; {members_in_reach} and none has the store");
             let until = reach.at + REACH_LIFETIME;
-            Decision::ServeKnown { until, reason }
+            Decision::ServeStale { until, reason }
         }
     }
 }
@@ -125,7 +127,7 @@
 impl Sync {
     /// Returns the latest time as of which the catalogue is known to have been current.
     #[must_use]
-    pub fn confirmed(&self) -> Option<Time> {
+    pub fn validated_at(&self) -> Option<Time> {
         self.validated_at
     }
 
--- a/components/catalogue/src/sync/repair.rs
+++ b/components/catalogue/src/sync/repair.rs
@@ -12,7 +12,7 @@
 use types::prelude::*;
 
 use crate::head::{Change, Head, Keys, RECENT_LENGTH, ReadHead};
-use crate::record::{Catalogue, Held, Record};
+use crate::record::{Catalogue, EncodedRecord, Record};
 use crate::sync::source::{Call, parse_records};
 use crate::sync::{Effect, Sync};
 
@@ -38,7 +38,7 @@
     stage: Stage,
     head: ReadHead,
     /// Entries found in the store with their mod revisions.
-    found: BTreeMap<EntryName, (ModRevision, Held)>,
+    found: BTreeMap<EntryName, (ModRevision, EncodedRecord)>,
     writes: VecDeque<Write>,
     new_head: Head,
 }
@@ -56,7 +56,7 @@
 struct Write {
     name: EntryName,
     expected: ModRevision,
-    held: Held,
+    held: EncodedRecord,
 }
 
 impl Sync {
@@ -213,7 +213,7 @@
         self.writes.push_back(Write {
             name: name.clone(),
             expected,
-            held: Held::new(record.into()),
+            held: EncodedRecord::new(record.into()),
         });
         head.after(change)
     }
--- a/components/catalogue/src/sync/report.rs
+++ b/components/catalogue/src/sync/report.rs
@@ -133,7 +133,7 @@
         Reach {
             fleet: self.fleet.size,
             reached: self.members.len(),
-            touches_store: self
+            reaches_store: self
                 .store_answered_at
                 .is_some_and(|at| now.since(at) <= window),
             store_leads: self.store_leads(now),
--- a/components/catalogue/src/sync/source.rs
+++ b/components/catalogue/src/sync/source.rs
@@ -10,7 +10,7 @@
 
 use crate::edit::Snapshot;
 use crate::head::{Head, Keys, ReadHead};
-use crate::record::{Held, WireRecord};
+use crate::record::{EncodedRecord, WireRecord};
 use crate::sync::repair::Repair;
 use crate::sync::{Effect, Sync};
 
@@ -318,7 +318,7 @@
 }
 
 /// Parses the records among keys; logs and leaves out any that cannot be read.
-pub(super) fn parse_records(keys: &Keys, found: &[KeyValue]) -> Vec<(EntryName, Held)> {
+pub(super) fn parse_records(keys: &Keys, found: &[KeyValue]) -> Vec<(EntryName, EncodedRecord)> {
     let named = found.iter().filter_map(|pair| {
         let name = keys.name_of(&pair.key)?;
         let json = pair.value.clone();
--- a/components/catalogue/src/sync/transfer.rs
+++ b/components/catalogue/src/sync/transfer.rs
@@ -10,7 +10,7 @@
 use rand::Rng;
 use types::prelude::*;
 
-use crate::record::{Held, RecordError};
+use crate::record::{EncodedRecord, RecordError};
 use crate::sync::message::{Page, Summary};
 use crate::sync::{Effect, MAX_PAGE_RECORDS, Message, Sync, send};
 
@@ -184,7 +184,7 @@
         &mut self,
         now: Time,
         transfer: &Transfer,
-        records: Vec<(EntryName, Held)>,
+        records: Vec<(EntryName, EncodedRecord)>,
         complete_to: Revision,
         rng: &mut impl Rng,
         effects: &mut Vec<Effect>,
@@ -220,7 +220,7 @@
     }
 }
 
-fn parse_page(page: &Page) -> Result<Vec<(EntryName, Held)>, RecordError> {
+fn parse_page(page: &Page) -> Result<Vec<(EntryName, EncodedRecord)>, RecordError> {
     let records = page.records.iter();
     records
         .map(|record| Ok((record.name.clone(), record.parse()?)))
--- a/components/catalogue/src/table.rs
+++ b/components/catalogue/src/table.rs
@@ -14,7 +14,7 @@
 
 use crate::entry::Entry;
 use crate::head::Change;
-use crate::record::{Held, Record, WireRecord};
+use crate::record::{EncodedRecord, Record, WireRecord};
 
 /// Number of edits whose ids are remembered, for queries about the outcome of an edit.
 pub const LOG_LENGTH: usize = 4096;
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Catalogue {
     revision: Revision,
-    latest: BTreeMap<EntryName, Held>,
+    latest: BTreeMap<EntryName, EncodedRecord>,
     /// Latest edits by revision, those past the complete revision included.
     log: BTreeMap<Revision, Change>,
     /// Revision up to which tombstones may have been dropped.
@@ -37,13 +37,13 @@
     in_force: BTreeMap<EntryName, InForce>,
     rejected: BTreeMap<EntryName, Rejected>,
     /// Older records of entries of which none is in force, kept until the rules are next applied.
-    fallbacks: BTreeMap<EntryName, Held>,
+    fallbacks: BTreeMap<EntryName, EncodedRecord>,
 }
 
 /// An entry in force and its record.
 #[derive(Debug, Clone, PartialEq)]
 struct InForce {
-    held: Held,
+    held: EncodedRecord,
     entry: Arc<Entry>,
 }
 
@@ -88,7 +88,7 @@
 
     /// Applies a record unless one at least as new is held; returns whether it was applied.
     pub fn apply(&mut self, name: EntryName, record: Arc<Record>) -> bool {
-        let applied = self.insert_if_newer(name, Held::new(record));
+        let applied = self.insert_if_newer(name, EncodedRecord::new(record));
         self.advance_revision();
         self.apply_rules();
         applied
@@ -98,7 +98,7 @@
     /// edit up to that revision is missing afterwards.
     pub fn apply_all(
         &mut self,
-        records: impl IntoIterator<Item = (EntryName, Held)>,
+        records: impl IntoIterator<Item = (EntryName, EncodedRecord)>,
         complete_to: Option<Revision>,
     ) -> bool {
         let before = self.revision;
@@ -118,7 +118,7 @@
     }
 
     /// Stores records of a transfer without putting them in force; more are to follow.
-    pub fn apply_partial(&mut self, records: impl IntoIterator<Item = (EntryName, Held)>) {
+    pub fn apply_partial(&mut self, records: impl IntoIterator<Item = (EntryName, EncodedRecord)>) {
         for (name, held) in records {
             self.insert_if_newer(name, held);
         }
@@ -146,7 +146,7 @@
     /// peer, a lagging replica or a restored store is dropped because its revision is lower.
     /// If no record is held at all, one at or below the complete revision belongs to an entry
     /// whose tombstone has been dropped, and is dropped too.
-    fn insert_if_newer(&mut self, name: EntryName, new: Held) -> bool {
+    fn insert_if_newer(&mut self, name: EntryName, new: EncodedRecord) -> bool {
         let rank = new.record.rank();
         let is_outranked = match self.latest.get(&name) {
             Some(held) => held.record.rank() >= rank,
@@ -168,7 +168,7 @@
 
     /// Keeps an older record of an entry whose latest record was rejected while none is in force.
     /// This happens when the daemon started after the bad record was written.
-    fn keep_fallback(&mut self, name: EntryName, old: Held) -> bool {
+    fn keep_fallback(&mut self, name: EntryName, old: EncodedRecord) -> bool {
         let has_none_in_force = self
             .rejected
             .get(&name)
@@ -255,7 +255,7 @@
     }
 
     /// Iterates over the latest records with their bytes.
-    pub(crate) fn latest(&self) -> impl Iterator<Item = (&EntryName, &Held)> {
+    pub(crate) fn latest(&self) -> impl Iterator<Item = (&EntryName, &EncodedRecord)> {
         self.latest.iter()
     }
 
@@ -308,7 +308,7 @@
     }
 }
 
-fn wire_record(name: &EntryName, held: &Held) -> WireRecord {
+fn wire_record(name: &EntryName, held: &EncodedRecord) -> WireRecord {
     WireRecord {
         name: name.clone(),
         json: held.json.clone(),
--- a/components/catalogue/src/table/rules.rs
+++ b/components/catalogue/src/table/rules.rs
@@ -9,7 +9,7 @@
 use types::prelude::*;
 
 use crate::check::{self, Entries, Problem};
-use crate::record::Held;
+use crate::record::EncodedRecord;
 use crate::table::{Catalogue, InForce, Rejected};
 
 /// The record selected for each entry.
@@ -59,7 +59,7 @@
         selection
     }
 
-    fn validate(&self, name: &EntryName, held: &Held) -> Result<InForce, Vec<String>> {
+    fn validate(&self, name: &EntryName, held: &EncodedRecord) -> Result<InForce, Vec<String>> {
         let Some(entry) = &held.record.entry else {
             let message = held.unreadable.clone().unwrap_or_default();
             return Err(vec![format!("cannot be read: {message}")]);
--- a/components/catalogue/tests/fleet/spread.rs
+++ b/components/catalogue/tests/fleet/spread.rs
@@ -303,12 +303,12 @@
         let mut fleet = converged_fleet(8);
         fleet.store_up = false;
         fleet.run(STEP.times(steps));
-        let before = fleet.daemon(1).sync.confirmed();
+        let before = fleet.daemon(1).sync.validated_at();
         fleet.pause(1, true);
         fleet.run(Span::from_secs(30));
         fleet.pause(1, false);
         fleet.run(STEP);
-        let after = fleet.daemon(1).sync.confirmed();
+        let after = fleet.daemon(1).sync.validated_at();
         assert!(
             after <= before.map(|at| at + Span::from_secs(2)),
             "{before:?} {after:?}"
--- a/components/catalogue/tests/fleet/world.rs
+++ b/components/catalogue/tests/fleet/world.rs
@@ -352,10 +352,10 @@
             let outcome = self.call(id, &req, fault.unwrap_or(WriteFault::NoFault));
             let daemon = self.daemons.get_mut(id).unwrap();
             let now = self.now;
-            let known = daemon.sync.known(now);
+            let known = daemon.sync.edit_context(now);
             let more = daemon.editor.on_outcome(now, outcome, known, &mut self.rng);
             let learned = daemon.editor.take_learned();
-            let effects = daemon.sync.learn(learned, &mut self.rng);
+            let effects = daemon.sync.apply_records(learned, &mut self.rng);
             outputs.extend(more);
             self.perform(id, effects);
         }
--- a/components/catalogue/tests/rules.rs
+++ b/components/catalogue/tests/rules.rs
@@ -7,7 +7,7 @@
 use catalogue::edit::change::{self, ChangeError, RolloutChange};
 use catalogue::entry::{Body, Entry, Gate, KeyHash, Permit, Protocol, RolloutState, VersionState};
 use catalogue::file;
-use catalogue::record::{Catalogue, Held, Record};
+use catalogue::record::{Catalogue, EncodedRecord, Record};
 use catalogue::table::TOMBSTONE_REVISIONS;
 use types::prelude::*;
 
@@ -236,8 +236,8 @@
     assert_eq!(unknown, Err(ChangeError::NoVersion(version("2030"))));
 }
 
-fn held(revision: u64, entry: Option<Arc<Entry>>) -> Held {
-    Held::new(Arc::new(Record {
+fn held(revision: u64, entry: Option<Arc<Entry>>) -> EncodedRecord {
+    EncodedRecord::new(Arc::new(Record {
         revision: Revision(revision),
         edit_id: EditId(u128::from(revision)),
         author: OperatorName::new("op").unwrap(),
--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -208,7 +208,7 @@
             readiness: self.readiness(self.view.revision),
             is_ledger_full: self.ledger.is_full(),
             view: self.view.clone(),
-            confirmed: self.catalogue.sync().confirmed(),
+            confirmed: self.catalogue.sync().validated_at(),
             reach: self.reach(now),
         };
         self.shared.snapshot.store(Arc::new(snapshot));
--- a/components/node/src/control/commands.rs
+++ b/components/node/src/control/commands.rs
@@ -32,7 +32,7 @@
                 reply.send(record.map(|record| HistoryReply::from_record(&name, record)));
             }
             Command::Edit(edit, reply) => self.edit(now, edit, reply),
-            Command::Lift(version, reply) => reply.send(self.lift(now, &version)),
+            Command::LiftSuspension(version, reply) => reply.send(self.lift(now, &version)),
             Command::EditState(id, reply) => self.catalogue.edit_state(now, id, reply),
             Command::Rollouts(reply) => {
                 let catalogue = self.catalogue.catalogue();
@@ -107,7 +107,7 @@
         let settings = &self.shared.settings;
         let sync = self.catalogue.sync();
         let revision = sync.catalogue().revision();
-        let confirmed = sync.confirmed();
+        let confirmed = sync.validated_at();
         let members = self.member_statuses(now);
         let live = members.iter().filter(|member| member.state.is_live());
         StatusReply {
@@ -116,7 +116,7 @@
             revision,
             in_force_everywhere: live.map(|m| m.revision).min().unwrap_or(revision),
             freshness_age: confirmed.map_or(now.since(Time::ZERO), |at| now.since(at)),
-            store_reachable: sync.reach(now).touches_store,
+            store_reachable: sync.reach(now).reaches_store,
             members,
             suspended: self.suspended(),
             in_flight: self.shared.in_flight.count() as u64,
--- a/components/node/src/control/upkeep.rs
+++ b/components/node/src/control/upkeep.rs
@@ -28,7 +28,7 @@
         let metrics = &self.shared.metrics;
         let revision = i64::try_from(self.view.revision.0).unwrap_or(i64::MAX);
         metrics.catalogue_revision.set(revision);
-        let confirmed = self.catalogue.sync().confirmed();
+        let confirmed = self.catalogue.sync().validated_at();
         let age = confirmed.map_or(now.since(Time::ZERO), |at| now.since(at));
         metrics.freshness_age.set(age.as_secs_f64());
         let fill = self.ledger.fill();
--- a/components/node/src/snapshot.rs
+++ b/components/node/src/snapshot.rs
@@ -44,7 +44,7 @@
     pub fn stale(&self, now: Time, rule: &Freshness) -> Option<String> {
         match decide(now, rule, self.confirmed, self.reach) {
             Decision::Refuse { reason } => Some(reason),
-            Decision::InForce { .. } | Decision::ServeKnown { .. } => None,
+            Decision::InForce { .. } | Decision::ServeStale { .. } => None,
         }
     }
 }
--- a/components/node/src/systems/catalogue.rs
+++ b/components/node/src/systems/catalogue.rs
@@ -157,10 +157,10 @@
 
     /// Handles the outcome of a step of an edit.
     pub fn on_edit_step(&mut self, now: Time, outcome: Outcome) -> Vec<Action> {
-        let known = self.sync.known(now);
+        let known = self.sync.edit_context(now);
         let outputs = self.editor.on_outcome(now, outcome, known, &mut self.rng);
         let learned = self.editor.take_learned();
-        let mut actions = actions_of(self.sync.learn(learned, &mut self.rng));
+        let mut actions = actions_of(self.sync.apply_records(learned, &mut self.rng));
         self.handle_outputs(outputs, &mut actions);
         actions
     }
@@ -257,7 +257,7 @@
     #[must_use]
     pub fn dump(&self, now: Time) -> serde_json::Value {
         let catalogue = self.catalogue();
-        let confirmed = self.sync.confirmed().map(|at| now.since(at).to_string());
+        let confirmed = self.sync.validated_at().map(|at| now.since(at).to_string());
         serde_json::json!({
             "revision": catalogue.revision(),
             "fleet_revision": self.sync.fleet_revision(),
--- a/components/operators/src/command.rs
+++ b/components/operators/src/command.rs
@@ -48,7 +48,7 @@
     Edit(Edit, ReplyTo<EditOutcome>),
     /// Lifts a version's suspensions; the answer is the number of classes in which it had one. This
     /// is no edit: daemons tell each other, so that it works while the store is down.
-    Lift(VersionId, ReplyTo<usize>),
+    LiftSuspension(VersionId, ReplyTo<usize>),
     /// Reads the outcome of an edit; the answer is `None` if this daemon does not know the edit.
     EditState(EditId, ReplyTo<Option<EditReply>>),
     /// Lists all roll-outs.
--- a/components/operators/src/routes/rollouts.rs
+++ b/components/operators/src/routes/rollouts.rs
@@ -52,7 +52,7 @@
         version: &str,
     ) -> Answer {
         if let Ok(id) = version.parse() {
-            self.ask(|reply| Command::Lift(id, reply))?;
+            self.ask(|reply| Command::LiftSuspension(id, reply))?;
         }
         self.set_version_state(req, operator, version, VersionState::Offered)
     }
--- a/components/operators/tests/api.rs
+++ b/components/operators/tests/api.rs
@@ -46,7 +46,7 @@
             }
             Command::Edit(edit, tx) => tx.send(self.edit(edit)),
             Command::EditState(id, tx) => tx.send(self.edits.get(&id).cloned()),
-            Command::Lift(_, tx) => tx.send(0),
+            Command::LiftSuspension(_, tx) => tx.send(0),
             Command::Rollouts(tx) => tx.send(Default::default()),
             Command::Status(_) | Command::Dump(_) => {}
             Command::Bills(_, tx) => tx.send(Err("the store does not answer".to_owned())),
