--- a/daemon/tests/apart.rs
+++ b/daemon/tests/apart.rs
@@ -16,7 +16,7 @@
     // ms after that.
     run_and_check(&Options {
         seed: 940,
-        faults_for: Duration::from_secs(14),
+        faults_duration: Duration::from_secs(14),
         daemons: 24,
         faults: Faults::Muted,
         ..options()
@@ -28,7 +28,7 @@
 fn a_daemon_with_delayed_messages_does_not_count_as_current() {
     run_and_check(&Options {
         seed: 4401,
-        faults_for: Duration::from_secs(8),
+        faults_duration: Duration::from_secs(8),
         daemons: 12,
         faults: Faults::Slow,
         ..options()
@@ -38,12 +38,12 @@
 fn options() -> Options {
     Options {
         seed: 1,
-        faults_for: Duration::from_secs(10),
+        faults_duration: Duration::from_secs(10),
         daemons: 3,
         workers: 3,
         callers: 2,
         faults: Faults::Any,
-        has_poison: false,
+        sends_poison: false,
         limited: 0,
         program: PathBuf::from(env!("CARGO_BIN_EXE_buckthorncrossd")),
         other: None,
@@ -53,6 +53,6 @@
 
 fn run_and_check(options: &Options) {
     let outcome = soak::run(options).expect("the fleet starts");
-    assert!(outcome.broken.is_empty(), "{outcome}");
+    assert!(outcome.violations.is_empty(), "{outcome}");
     assert!(outcome.tally.served > 0, "{outcome}");
 }
--- a/daemon/tests/poison.rs
+++ b/daemon/tests/poison.rs
@@ -6,22 +6,22 @@
 use soak::{Faults, Options};
 
 /// Runs a seed with a crashing request among its faults and checks all invariants.
-fn run_seed(seed: u64, faults_for: u64, faults: Faults) {
+fn run_seed(seed: u64, faults_duration: u64, faults: Faults) {
     let outcome = soak::run(&Options {
         seed,
-        faults_for: Duration::from_secs(faults_for),
+        faults_duration: Duration::from_secs(faults_duration),
         daemons: 4,
         workers: 8,
         callers: 4,
         faults,
-        has_poison: true,
+        sends_poison: true,
         limited: 0,
         program: PathBuf::from(env!("CARGO_BIN_EXE_buckthorncrossd")),
         other: None,
         logs: None,
     });
     let outcome = outcome.expect("the fleet starts");
-    assert!(outcome.broken.is_empty(), "seed {seed}: {outcome}");
+    assert!(outcome.violations.is_empty(), "seed {seed}: {outcome}");
     assert!(outcome.tally.served > 0, "seed {seed}: {outcome}");
 }
 
--- a/daemon/tests/ratelimit.rs
+++ b/daemon/tests/ratelimit.rs
@@ -9,11 +9,11 @@
 fn run_seed(seed: u64, daemons: usize, limited: usize, faults: Faults) -> Outcome {
     let outcome = soak::run(&Options {
         seed,
-        faults_for: Duration::from_secs(8),
+        faults_duration: Duration::from_secs(8),
         daemons,
         workers: 6,
         callers: 12,
-        has_poison: false,
+        sends_poison: false,
         limited,
         faults,
         program: PathBuf::from(env!("CARGO_BIN_EXE_buckthorncrossd")),
@@ -21,7 +21,7 @@
         logs: None,
     });
     let outcome = outcome.expect("the fleet starts");
-    assert!(outcome.broken.is_empty(), "seed {seed}: {outcome}");
+    assert!(outcome.violations.is_empty(), "seed {seed}: {outcome}");
     assert!(outcome.tally.served > 0, "seed {seed}: {outcome}");
     outcome
 }
--- a/daemon/tests/soak.rs
+++ b/daemon/tests/soak.rs
@@ -16,19 +16,19 @@
     for seed in SEEDS {
         let outcome = soak::run(&Options {
             seed,
-            faults_for: Duration::from_secs(6),
+            faults_duration: Duration::from_secs(6),
             daemons: 3,
             workers: 3,
             callers: 6,
             faults: Faults::Any,
-            has_poison: false,
+            sends_poison: false,
             limited: 0,
             program: PathBuf::from(env!("CARGO_BIN_EXE_buckthorncrossd")),
             other: None,
             logs: None,
         });
         let outcome = outcome.expect("the fleet starts");
-        assert!(outcome.broken.is_empty(), "seed {seed}: {outcome}");
+        assert!(outcome.violations.is_empty(), "seed {seed}: {outcome}");
         assert!(outcome.tally.served > 0, "seed {seed}: {outcome}");
     }
 }
