--- a/bench/src/cmd/rollout/world.rs
+++ b/bench/src/cmd/rollout/world.rs
@@ -200,7 +200,7 @@
                     *end = now + *ttl;
                     *ttl
                 });
-                Reply::LeaseKept(kept)
+                Reply::LeaseRenewed(kept)
             }
             Request::LeaseRevoke(lease) => {
                 self.leases.remove(&lease);
--- a/components/dispatch/src/choose.rs
+++ b/components/dispatch/src/choose.rs
@@ -227,7 +227,7 @@
 ) -> f64 {
     let is_cross_domain = entry.spec.failure_domain != *requirements.local_domain;
     let cross_domain = if is_cross_domain { policy.far_ms } else { 0.0 };
-    let cold_factor = match entry.spec.cold_for > Span::ZERO {
+    let cold_factor = match entry.spec.warm_up_remaining > Span::ZERO {
         true => COLD_FACTOR,
         false => 1.0,
     };
--- a/components/dispatch/src/trial.rs
+++ b/components/dispatch/src/trial.rs
@@ -270,13 +270,13 @@
     }
 
     fn progress(&self, now: Time) -> f64 {
-        let within = self.order.within.as_secs_f64().max(1.0);
+        let within = self.order.decision_timeout.as_secs_f64().max(1.0);
         self.elapsed(now).as_secs_f64() / within
     }
 
     /// Time left until the end of the roll-out.
     fn left(&self, now: Time) -> Span {
-        self.order.within - self.elapsed(now)
+        self.order.decision_timeout - self.elapsed(now)
     }
 
     fn judge(&mut self, now: Time, fleet: &Evidence) -> Verdict {
--- a/components/dispatch/tests/choose.rs
+++ b/components/dispatch/tests/choose.rs
@@ -21,7 +21,7 @@
         version: Arc::from(version),
         slots: 8,
         state,
-        cold_for: Span::ZERO,
+        warm_up_remaining: Span::ZERO,
     })
 }
 
--- a/components/dispatch/tests/lapsed.rs
+++ b/components/dispatch/tests/lapsed.rs
@@ -16,7 +16,7 @@
         version: Arc::from("v1"),
         slots: 1,
         state: UpstreamState::Ready,
-        cold_for: Span::ZERO,
+        warm_up_remaining: Span::ZERO,
     })
 }
 
--- a/components/dispatch/tests/limits.rs
+++ b/components/dispatch/tests/limits.rs
@@ -27,7 +27,7 @@
         version: Arc::from("v1"),
         slots: 8,
         state: UpstreamState::Ready,
-        cold_for: Span::ZERO,
+        warm_up_remaining: Span::ZERO,
     })
 }
 
--- a/components/dispatch/tests/trial.rs
+++ b/components/dispatch/tests/trial.rs
@@ -10,7 +10,7 @@
     RolloutOrder {
         service: Arc::from("model"),
         to: Arc::from("v2"),
-        within: Span::from_secs(20),
+        decision_timeout: Span::from_secs(20),
         revision: 7,
     }
 }
@@ -98,7 +98,7 @@
             allowance: 30.0,
         };
         let order = RolloutOrder {
-            within: Span::from_secs(secs),
+            decision_timeout: Span::from_secs(secs),
             ..order()
         };
         let mut trial = Trial::new(Time::ZERO, order, limits);
@@ -132,7 +132,7 @@
 /// one causes `sends` requests to the version once it has the full share.
 fn requests_and_bound(secs: u32, rate: impl Fn(u32) -> f64, sends: f64) -> (f64, f64) {
     let order = RolloutOrder {
-        within: Span::from_secs(u64::from(secs)),
+        decision_timeout: Span::from_secs(u64::from(secs)),
         ..order()
     };
     let mut trial = Trial::new(Time::ZERO, order, LIMITS);
@@ -500,7 +500,7 @@
     // In three runs it was completed with 45 good and 3 bad answers; in three others the fifth
     // failure came in time.
     let short = RolloutOrder {
-        within: Span::from_secs(17),
+        decision_timeout: Span::from_secs(17),
         ..order()
     };
     for bad in [3, 4] {
--- a/components/fleet/src/presence.rs
+++ b/components/fleet/src/presence.rs
@@ -106,8 +106,10 @@
                 State::Leased(lease) => (State::Entered(lease), now + RENEW_INTERVAL),
                 other => (other, now + RENEW_INTERVAL),
             },
-            (Purpose::Renew, Ok(Reply::LeaseKept(Some(_)))) => (self.state, now + RENEW_INTERVAL),
-            (Purpose::Renew, Ok(Reply::LeaseKept(None))) => (State::NoLease, now),
+            (Purpose::Renew, Ok(Reply::LeaseRenewed(Some(_)))) => {
+                (self.state, now + RENEW_INTERVAL)
+            }
+            (Purpose::Renew, Ok(Reply::LeaseRenewed(None))) => (State::NoLease, now),
             (_, Ok(_)) => (State::NoLease, now + RETRY),
             (_, Err(e)) => {
                 tracing::info!("presence: {purpose:?} failed; retrying in {RETRY}: {e}");
--- a/components/fleet/src/rollouts.rs
+++ b/components/fleet/src/rollouts.rs
@@ -98,7 +98,7 @@
         if held.is_some_and(|held| held.trial.order().revision >= order.revision) {
             return;
         }
-        tracing::info!(service = &*order.service, to = &*order.to, within = %order.within,
+        tracing::info!(service = &*order.service, to = &*order.to, within = %order.decision_timeout,
             "rollouts: ordered");
         let service = order.service.clone();
         let trial = Trial::new(now, order, self.limits);
--- a/components/fleet/tests/it/harness.rs
+++ b/components/fleet/tests/it/harness.rs
@@ -93,7 +93,7 @@
             version: Arc::from(version),
             slots: 1,
             state: UpstreamState::Ready,
-            cold_for: Span::ZERO,
+            warm_up_remaining: Span::ZERO,
         })
     }
 
@@ -101,7 +101,7 @@
         Ok(RolloutOrder {
             service: Arc::from(key.trim_start_matches("order/")),
             to: Arc::from(&*String::from_utf8_lossy(value)),
-            within: Span::from_secs(60),
+            decision_timeout: Span::from_secs(60),
             revision,
         })
     }
--- a/components/fleet/tests/it/memory.rs
+++ b/components/fleet/tests/it/memory.rs
@@ -164,7 +164,7 @@
                 })
             }
             Request::LeaseGrant { .. } => Reply::LeaseGranted(LeaseId(1)),
-            Request::LeaseKeepAlive(_) => Reply::LeaseKept(Some(Span::from_secs(1))),
+            Request::LeaseKeepAlive(_) => Reply::LeaseRenewed(Some(Span::from_secs(1))),
             Request::LeaseRevoke(_) => Reply::LeaseRevoked,
         };
         Ok(Answer {
@@ -191,7 +191,7 @@
             let batch = WatchBatch {
                 revision: ModRevision(keys.revision),
                 events: events.cloned().collect(),
-                current_at: Instant::now() - self.answer_delay(),
+                validated_at: Instant::now() - self.answer_delay(),
             };
             from = ModRevision(keys.revision + 1);
             drop(keys);
--- a/components/keyvalue/src/lib.rs
+++ b/components/keyvalue/src/lib.rs
@@ -166,7 +166,7 @@
     LeaseGranted(LeaseId),
     /// The remaining time of the lease after [`Request::LeaseKeepAlive`]; `None` if the lease has
     /// ended.
-    LeaseKept(Option<Span>),
+    LeaseRenewed(Option<Span>),
     /// The lease was revoked.
     LeaseRevoked,
 }
--- a/components/rollout/src/lease.rs
+++ b/components/rollout/src/lease.rs
@@ -304,7 +304,7 @@
     fn on_renewed(&mut self, now: Time, held: HeldLease, since: Time, outcome: &Outcome) {
         let still_held = match outcome {
             Ok(Answer {
-                reply: Reply::LeaseKept(left),
+                reply: Reply::LeaseRenewed(left),
                 ..
             }) => Some(left.is_some()),
             _ => None,
--- a/components/rollout/tests/support/simulation.rs
+++ b/components/rollout/tests/support/simulation.rs
@@ -71,9 +71,9 @@
             Request::LeaseKeepAlive(lease) => match &mut self.key {
                 Some((kv, end)) if kv.lease == Some(*lease) => {
                     *end = now + TTL;
-                    Reply::LeaseKept(Some(TTL))
+                    Reply::LeaseRenewed(Some(TTL))
                 }
-                _ => Reply::LeaseKept(None),
+                _ => Reply::LeaseRenewed(None),
             },
             Request::LeaseRevoke(lease) => {
                 self.key.take_if(|(kv, _)| kv.lease == Some(*lease));
--- a/components/routes/src/rollout.rs
+++ b/components/routes/src/rollout.rs
@@ -13,7 +13,7 @@
     /// Version to move to.
     pub to: Arc<str>,
     /// Time from the order within which the roll-out must be decided.
-    pub within: Span,
+    pub decision_timeout: Span,
     /// The store's revision of the order, which distinguishes it from an earlier order for the
     /// same version.
     pub revision: u64,
--- a/components/routes/src/table.rs
+++ b/components/routes/src/table.rs
@@ -80,9 +80,9 @@
     /// Services that the requests go to; at least one.
     pub targets: Vec<Target>,
     /// Most upstreams that one attempt of a caller may run on.
-    pub max_runs: u32,
+    pub max_attempts: u32,
     /// Whether requests are served without an API key.
-    pub is_open: bool,
+    pub allows_anonymous: bool,
 }
 
 impl Route {
--- a/components/routes/src/upstream.rs
+++ b/components/routes/src/upstream.rs
@@ -34,7 +34,7 @@
     /// Whether it takes new work.
     pub state: UpstreamState,
     /// Remaining time of the slow phase after its start, as of its last report.
-    pub cold_for: Span,
+    pub warm_up_remaining: Span,
 }
 
 /// Properties shared by all engines of a service.
--- a/components/standins/src/store/table/call.rs
+++ b/components/standins/src/store/table/call.rs
@@ -30,7 +30,7 @@
                 Reply::Txn(txn_reply(succeeded, replies))
             }
             Request::LeaseGrant { ttl } => Reply::LeaseGranted(LeaseId(self.grant(now, *ttl, 0))),
-            Request::LeaseKeepAlive(id) => Reply::LeaseKept(self.keep_alive(now, id.0)),
+            Request::LeaseKeepAlive(id) => Reply::LeaseRenewed(self.keep_alive(now, id.0)),
             Request::LeaseRevoke(id) => {
                 self.revoke(id.0);
                 Reply::LeaseRevoked
--- a/components/store/src/etcd/decode.rs
+++ b/components/store/src/etcd/decode.rs
@@ -59,7 +59,7 @@
     Ok(WatchBatch {
         revision,
         events: events.collect::<Result<_, _>>()?,
-        current_at: Instant::now(),
+        validated_at: Instant::now(),
     })
 }
 
@@ -88,7 +88,7 @@
     if is_keepalive && error.code == NOT_FOUND_CODE {
         return Ok(Answer {
             revision: ModRevision(0),
-            reply: Reply::LeaseKept(None),
+            reply: Reply::LeaseRenewed(None),
         });
     }
     if status == TOO_MANY_REQUESTS || REFUSAL_CODES.contains(&error.code) {
@@ -162,7 +162,7 @@
         .filter(|ttl_left| *ttl_left > 0);
     Ok(Answer {
         revision: ModRevision(reply.header.revision.0),
-        reply: Reply::LeaseKept(ttl_left.map(Span::from_secs)),
+        reply: Reply::LeaseRenewed(ttl_left.map(Span::from_secs)),
     })
 }
 
--- a/components/store/src/lib.rs
+++ b/components/store/src/lib.rs
@@ -61,7 +61,7 @@
     pub events: Vec<WatchEvent>,
     /// Time as of which no change is missing. If the service is polled, this is when the poll was sent,
     /// since its reply may have been delayed; if it streams, when the changes were read.
-    pub current_at: Instant,
+    pub validated_at: Instant,
 }
 
 /// Why a watch ended. Unless it was stopped, the caller restarts it after its last revision.
--- a/components/store/tests/client.rs
+++ b/components/store/tests/client.rs
@@ -201,9 +201,9 @@
     let granted = reply(Request::LeaseGrant { ttl });
     assert_eq!(granted, Reply::LeaseGranted(LeaseId(12)));
     let kept = reply(Request::LeaseKeepAlive(LeaseId(12)));
-    assert_eq!(kept, Reply::LeaseKept(Some(Span::from_secs(5))));
+    assert_eq!(kept, Reply::LeaseRenewed(Some(Span::from_secs(5))));
     let gone = reply(Request::LeaseKeepAlive(LeaseId(12)));
-    assert_eq!(gone, Reply::LeaseKept(None));
+    assert_eq!(gone, Reply::LeaseRenewed(None));
     let sent = gateway.requests.recv().unwrap();
     assert_eq!(sent["key"], b64("p/1\0"));
     assert_eq!(sent["range_end"], b64("p0"));
--- a/components/traffic/src/caller.rs
+++ b/components/traffic/src/caller.rs
@@ -213,7 +213,7 @@
         return Err(refuse_unknown(shared, ask, LocalReply::UnknownRoute, why));
     };
     let customer = ask.key.as_ref().and_then(|key| table.customer(key));
-    if table.has_customers && !route.is_open && customer.is_none() {
+    if table.has_customers && !route.allows_anonymous && customer.is_none() {
         return Err(refuse_unknown(
             shared,
             ask,
--- a/components/traffic/src/exchange.rs
+++ b/components/traffic/src/exchange.rs
@@ -301,7 +301,8 @@
         let keeps_alive = self.keeps_alive();
         let leaves_silent = self.shared.cfg.policy.timing.leaves_silent;
         let is_allowed = self.request.route.retry.is_allowed();
-        stream.may_switch = leaves_silent && is_allowed && self.runs < self.request.route.max_runs;
+        stream.may_switch =
+            leaves_silent && is_allowed && self.runs < self.request.route.max_attempts;
         let end = self
             .relay
             .run(
--- a/components/traffic/src/exchange/choose.rs
+++ b/components/traffic/src/exchange/choose.rs
@@ -85,7 +85,7 @@
     pub(super) fn may_switch(&self) -> bool {
         let is_allowed = self.request.route.retry.is_allowed();
         let is_allowed = is_allowed && self.shared.cfg.policy.timing.leaves_silent;
-        is_allowed && self.runs + 1 < self.request.route.max_runs
+        is_allowed && self.runs + 1 < self.request.route.max_attempts
     }
 
     /// The versions on which the request may run now.
@@ -118,12 +118,12 @@
 
     pub(super) fn larger_model(&self, confidence: Option<u8>) -> Option<usize> {
         // A half-open trial is sent once, so its draft is kept.
-        if self.is_trial || self.relay.has_begun() || self.runs >= self.request.route.max_runs {
+        if self.is_trial || self.relay.has_begun() || self.runs >= self.request.route.max_attempts {
             return None;
         }
         let draft = Draft {
             model_index: self.model_index?,
-            attempts_left: self.request.route.max_runs - self.runs,
+            attempts_left: self.request.route.max_attempts - self.runs,
             confidence: confidence?,
             arrived_at: self.request.arrived_at,
             objective: self.request.route.objective,
@@ -140,8 +140,8 @@
     }
 
     pub(super) fn may_retry(&self, reason: RetryReason) -> bool {
-        let max_runs = self.request.route.max_runs;
-        let has_room = self.runs < max_runs && self.sends < max_runs + MAX_EXTRA_SENDS;
+        let max_attempts = self.request.route.max_attempts;
+        let has_room = self.runs < max_attempts && self.sends < max_attempts + MAX_EXTRA_SENDS;
         // The escalation took its retry when the smaller model's answer was dropped.
         has_room
             && (reason == RetryReason::LargerModel || self.shared.take_retry(&self.service, reason))
--- a/components/traffic/tests/it/harness.rs
+++ b/components/traffic/tests/it/harness.rs
@@ -272,8 +272,8 @@
             service: Arc::from("service"),
             weight: 1,
         }],
-        max_runs: 3,
-        is_open: false,
+        max_attempts: 3,
+        allows_anonymous: false,
     }
 }
 
@@ -326,7 +326,7 @@
         version: Arc::from("v1"),
         slots: 4,
         state: UpstreamState::Ready,
-        cold_for: Span::ZERO,
+        warm_up_remaining: Span::ZERO,
     })
 }
 
