--- a/bench/src/cmd/burst/admitter.rs
+++ b/bench/src/cmd/burst/admitter.rs
@@ -3,7 +3,9 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use limits::bucket::Bucket;
-use limits::{Admission, Ask, Bounds, Config, DemandFact, Grant, Limiter, Reach, Ticket, Verdict};
+use limits::{
+    Admission, AdmissionRequest, Config, DemandFact, Grant, Limiter, Limits, Reach, Ticket, Verdict,
+};
 use rand::rngs::SmallRng;
 use types::prelude::*;
 
@@ -83,9 +85,9 @@
             Kind::Ours { .. } => {
                 let mut limiter = Limiter::new(daemon_id(daemon), Config::default());
                 for (customer, limit) in limits {
-                    let bounds = Bounds {
+                    let bounds = Limits {
                         requests: Some(*limit),
-                        ..Bounds::default()
+                        ..Limits::default()
                     };
                     limiter.set_customer(Time::ZERO, customer, bounds, 1);
                 }
@@ -94,7 +96,7 @@
                     reached: daemons,
                     known: daemons,
                 };
-                limiter.fleet(Time::ZERO, &live, reach);
+                limiter.update_fleet(Time::ZERO, &live, reach);
                 limiter.set_slots(Time::ZERO, pool, slots);
                 Self::Ours(Box::new(limiter))
             }
@@ -139,7 +141,7 @@
     /// Returns a preempted request to the queue; the ticket identifies it.
     pub fn give_way(&mut self, grant: Option<Grant>) -> Option<Ticket> {
         match (self, grant) {
-            (Self::Ours(limiter), Some(grant)) => Some(limiter.give_way(grant)),
+            (Self::Ours(limiter), Some(grant)) => Some(limiter.requeue_preempted(grant)),
             _ => None,
         }
     }
@@ -148,7 +150,7 @@
     pub fn pump(&mut self, now: Time, rng: &mut SmallRng) -> Vec<Resumed> {
         match self {
             Self::Ours(limiter) => {
-                let ended = limiter.pump(now, rng).into_iter();
+                let ended = limiter.process_queues(now, rng).into_iter();
                 ended
                     .map(|(ticket, verdict)| Resumed::Ours(ticket, verdict))
                     .collect()
@@ -169,7 +171,7 @@
     /// Records another daemon's demand.
     pub fn record_peer_demand(&mut self, daemon: usize, fact: &DemandFact) {
         if let Self::Ours(limiter) = self {
-            limiter.peer_fact(&daemon_id(daemon), fact.clone());
+            limiter.update_peer(&daemon_id(daemon), fact.clone());
         }
     }
 }
--- a/bench/src/cmd/membership.rs
+++ b/bench/src/cmd/membership.rs
@@ -150,7 +150,7 @@
 
 fn collect_fact_ages(fleet: &Fleet, ages: &mut Vec<u64>) {
     for node in fleet.nodes.values() {
-        let me = &node.membership.me().id;
+        let me = &node.membership.local().id;
         let facts = node.membership.facts(Topic::Demand);
         for fact in facts.filter(|fact| fact.origin != *me) {
             let published_at = fact.value.first_chunk::<8>();
--- a/bench/src/cmd/spread.rs
+++ b/bench/src/cmd/spread.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 use catalogue::head::{Change, Head, Keys};
-use catalogue::record::{Held, Record};
+use catalogue::record::{EncodedRecord, Record};
 use catalogue::sync::{Config, Effect, Member, Message, Sync};
 use catalogue::{entry::Entry, file};
 use keyvalue::{Request, Txn};
@@ -323,7 +323,7 @@
             entry: Some(self.entry.clone()),
             history: Vec::new(),
         };
-        let held = Held::new(Arc::new(record));
+        let held = EncodedRecord::new(Arc::new(record));
         self.head = self.head.after(Change {
             revision,
             name: name.clone(),
--- a/components/node/src/traffic/chat/answer.rs
+++ b/components/node/src/traffic/chat/answer.rs
@@ -3,13 +3,13 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use callers::{Frame, Gone, Head, HeaderMap, Responder, StatusCode, header};
+use callers::{CallerDisconnected, Frame, Head, HeaderMap, Responder, StatusCode, header};
 use catalogue::entry::Price;
 use engine::{Answer, AttemptError, ChatAnswer, ChatRequest, Client, EngineLoad};
 use externals::Sample;
 use quality::Confidence;
 use requests::attempt::{AttemptEnd, Usage};
-use requests::claim::Recorded;
+use requests::claim::RecordedAnswer;
 use requests::life::{Attempted, Request};
 use routing::{LoadReport, Outcome, UpstreamIndex};
 use serde_json::{Value, json};
@@ -167,27 +167,27 @@
             "{}.{}.{}",
             self.job.head.request, shared.incarnation, self.attempts
         );
-        let deadline = request.time_left(shared.now());
-        let stall = if self.job.params.stream {
+        let timeout = request.time_left(shared.now());
+        let read_timeout = if self.job.params.stream {
             STALL_TIMEOUT
         } else {
-            deadline
+            timeout
         };
         let body = self.body();
         let stream = self.job.params.stream;
         let call = ChatRequest {
             attempt: &name,
             body,
-            deadline,
-            stall,
+            timeout,
+            read_timeout,
             stream,
-            may_repeat: request.facts().idempotent,
+            is_idempotent: request.spec().idempotent,
         };
         let client = self.client.clone();
         let answered = tokio::select! {
             biased;
             answered = client.chat(address, &call) => answered,
-            () = cancellation(self.responder, request.facts()) => return AttemptEnd::CallerGone,
+            () = cancellation(self.responder, request.spec()) => return AttemptEnd::CallerGone,
         };
         match answered {
             Ok(ChatAnswer::Whole(answer)) => self.take_whole(answer, &name),
@@ -234,7 +234,7 @@
         };
         self.chosen = self.trying;
         self.held = Some(Answer { body, ..answer });
-        AttemptEnd::Whole {
+        AttemptEnd::Complete {
             usage,
             adequate: self.trying.accepts(self.confidence),
         }
@@ -313,7 +313,7 @@
     }
 
     /// Sends the end of the answer, and returns the answer as recorded for replays.
-    pub(crate) async fn finish(mut self, usage: Usage, attempts: usize) -> Recorded {
+    pub(crate) async fn finish(mut self, usage: Usage, attempts: usize) -> RecordedAnswer {
         self.times.ended(telemetry::labels::Outcome::Answered);
         let cost = self.cost(usage);
         if let Some(answer) = self.held.take() {
@@ -322,7 +322,7 @@
             let headers = header_list(&head.headers);
             // Fails only if the caller is gone; the answer is billed and recorded all the same.
             let _ = self.responder.answer(head, answer.body.clone()).await;
-            return Recorded::new(StatusCode::OK.as_u16(), headers, answer.body);
+            return RecordedAnswer::new(StatusCode::OK.as_u16(), headers, answer.body);
         }
         if self.finish_stream(usage, attempts, cost).await.is_err() {
             tracing::debug!("traffic: the caller of {} left", self.job.head.request);
@@ -336,7 +336,7 @@
         usage: Usage,
         attempts: usize,
         cost: Cost,
-    ) -> Result<(), Gone> {
+    ) -> Result<(), CallerDisconnected> {
         let last = event(&self.usage_chunk(usage, attempts, cost));
         let end = Bytes::from_static(b"data: [DONE]\n\n");
         self.transcript.push(&last);
--- a/components/node/src/traffic/chat/stream.rs
+++ b/components/node/src/traffic/chat/stream.rs
@@ -1,7 +1,7 @@
 //! Relays an engine's stream to the caller, event by event.
 
 use bytes::{Bytes, BytesMut};
-use callers::{Frame, Gone};
+use callers::{CallerDisconnected, Frame};
 use engine::{Event, Stream};
 use requests::attempt::{AttemptEnd, Usage};
 use requests::life::{Attempted, Request};
@@ -31,7 +31,7 @@
             let next = tokio::select! {
                 biased;
                 next = stream.next_event() => next,
-                () = cancellation(self.responder, request.facts()) => return AttemptEnd::CallerGone,
+                () = cancellation(self.responder, request.spec()) => return AttemptEnd::CallerGone,
             };
             let forwarded = match next {
                 Ok(Event::Delta { data, text }) => {
@@ -68,7 +68,7 @@
     /// Registers batch work that may be resumed as preemptible, once its first token has come.
     fn register_preemptible(&self, request: &Request<Attempted>) -> Option<Preemptible<'a>> {
         let job = self.job;
-        let may_resume = job.priority == Priority::Batch && request.facts().idempotent;
+        let may_resume = job.priority == Priority::Batch && request.spec().idempotent;
         let has_begun = self.first_token.is_some();
         let index = self.upstream.filter(|_| may_resume && has_begun)?;
         Some(Preemptible::register(&job.cx.shared, index))
@@ -93,7 +93,7 @@
                 output: Tokens(self.delivered_chunks),
             };
         }
-        AttemptEnd::Whole {
+        AttemptEnd::Complete {
             usage: self.usage,
             adequate: true,
         }
@@ -104,7 +104,7 @@
         data: &Bytes,
         text: &str,
         request: &mut Request<Attempted>,
-    ) -> Result<(), Gone> {
+    ) -> Result<(), CallerDisconnected> {
         if !self.has_begun {
             let head = Frame::Head(self.head("text/event-stream"));
             self.send_frame(head, request).await?;
@@ -129,14 +129,18 @@
 
     /// Sends a frame. Work that runs only once goes on when its caller has left, so that the
     /// caller's retry finds its outcome; other work is cancelled.
-    async fn send_frame(&mut self, frame: Frame, request: &Request<Attempted>) -> Result<(), Gone> {
+    async fn send_frame(
+        &mut self,
+        frame: Frame,
+        request: &Request<Attempted>,
+    ) -> Result<(), CallerDisconnected> {
         let sent = if self.caller_left {
-            Err(Gone)
+            Err(CallerDisconnected)
         } else {
             self.responder.send(frame).await
         };
         self.caller_left = sent.is_err();
-        match on_caller_gone(request.facts()) {
+        match on_caller_gone(request.spec()) {
             OnCallerGone::Finish => Ok(()),
             OnCallerGone::Cancel => sent,
         }
--- a/components/node/src/traffic/upstream.rs
+++ b/components/node/src/traffic/upstream.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 
 use callers::Responder;
-use engine::{AttemptError, Doubt};
+use engine::{AttemptError, FailureCause};
 use requests::attempt::{self, AttemptEnd};
-use requests::life::Facts;
+use requests::life::RequestSpec;
 use requests::step::{OnCallerGone, on_caller_gone};
 use routing::{RouteRequest, Router, TargetIndex, UpstreamIndex};
 use types::prelude::*;
@@ -55,10 +55,12 @@
             retry_after: *retry_after,
         },
         AttemptError::NotLoaded => AttemptEnd::RefusedNotRun { retry_after: None },
-        AttemptError::Unknown(Doubt::TimedOut) => AttemptEnd::Unknown(attempt::Doubt::TimedOut),
-        AttemptError::Unknown(_) => AttemptEnd::Unknown(attempt::Doubt::Reset),
+        AttemptError::Unknown(FailureCause::TimedOut) => {
+            AttemptEnd::Unknown(attempt::UnknownCause::TimedOut)
+        }
+        AttemptError::Unknown(_) => AttemptEnd::Unknown(attempt::UnknownCause::Reset),
         AttemptError::Truncated { .. } => AttemptEnd::Truncated { received, shown },
-        AttemptError::Crossed { .. } => AttemptEnd::Crossed,
+        AttemptError::WrongAttempt { .. } => AttemptEnd::AnswerOfOtherAttempt,
         AttemptError::Status { status, .. } => AttemptEnd::UpstreamError(*status),
     }
 }
