--- a/bench/src/cmd/burst/admitter.rs
+++ b/bench/src/cmd/burst/admitter.rs
@@ -117,7 +117,13 @@
     }
 
     /// Decides whether a request starts, waits or is refused.
-    pub fn admit(&mut self, now: Time, id: u64, ask: Ask, rng: &mut SmallRng) -> Decision {
+    pub fn admit(
+        &mut self,
+        now: Time,
+        id: u64,
+        ask: AdmissionRequest,
+        rng: &mut SmallRng,
+    ) -> Decision {
         match self {
             Self::Ours(limiter) => match limiter.admit(now, ask, rng) {
                 Admission::Start(grant) => Decision::Start(Some(grant)),
@@ -177,7 +183,7 @@
 }
 
 impl Split {
-    fn admit(&mut self, now: Time, id: u64, ask: &Ask) -> Decision {
+    fn admit(&mut self, now: Time, id: u64, ask: &AdmissionRequest) -> Decision {
         if let Some(bucket) = self.buckets.get_mut(&ask.customer) {
             if !bucket.is_open(now, 1.0) {
                 return Decision::Refuse(RETRY_AFTER);
--- a/bench/src/cmd/rollout/environment.rs
+++ b/bench/src/cmd/rollout/environment.rs
@@ -201,7 +201,7 @@
                     *end = now + *ttl;
                     *ttl
                 });
-                Reply::LeaseKept(renewed_ttl)
+                Reply::LeaseRenewed(renewed_ttl)
             }
             Request::LeaseRevoke(lease) => {
                 self.leases.remove(&lease);
--- a/bench/src/cmd/spread.rs
+++ b/bench/src/cmd/spread.rs
@@ -340,7 +340,7 @@
         };
         self.table.call(self.now, &Request::Txn(txn))?;
         self.accepted_at.insert(revision, self.now);
-        let effects = self.daemons[index].learn(vec![(name, held)], &mut self.rng);
+        let effects = self.daemons[index].apply_records(vec![(name, held)], &mut self.rng);
         self.apply_effects(index, effects)?;
         for to in 0..self.daemons.len() {
             if self.daemons[to].is_watching() {
--- a/components/fleet/src/peering.rs
+++ b/components/fleet/src/peering.rs
@@ -230,7 +230,7 @@
         let peers = self.members.members();
         let peers = peers.filter(|member| shares_rate_limits(now, member));
         let peers = peers.map(|member| &member.record.id);
-        Fleet::new(&self.members.me().id, peers)
+        Fleet::new(&self.members.local().id, peers)
     }
 
     fn apply_outcome(&mut self, outcome: Outcome) {
--- a/components/fleet/src/watcher.rs
+++ b/components/fleet/src/watcher.rs
@@ -305,7 +305,7 @@
                 return false;
             }
             // A batch without changes shows that the copy is current.
-            let current_at = self.clock.now() - Span::from(batch.current_at.elapsed());
+            let current_at = self.clock.now() - Span::from(batch.validated_at.elapsed());
             let event = Event::Changed {
                 after,
                 at,
--- a/components/node/src/claims.rs
+++ b/components/node/src/claims.rs
@@ -167,7 +167,7 @@
 
     /// A settlement that finds the queue full is dropped. Its claim stays open, and retries get
     /// "outcome unknown", which is safe.
-    fn settle(&self, (settle, call): (Settle, Request)) {
+    fn settle(&self, (settle, call): (Settlement, Request)) {
         if self.jobs.try_send(Job::Settle(settle, call)).is_err() {
             tracing::warn!("claims: the queue of settlements is full, one is left open");
         }
--- a/components/node/src/traffic/chat/run.rs
+++ b/components/node/src/traffic/chat/run.rs
@@ -182,7 +182,7 @@
     }
 
     /// Admission request to the limiter. The tokens used are settled when the request ends.
-    fn admission_ask(&self, version: &VersionId) -> Ask {
+    fn admission_ask(&self, version: &VersionId) -> AdmissionRequest {
         let job = self.job;
         let view = &job.cx.snapshot.view;
         let model = view.models.get(&version.model);
--- a/components/node/src/traffic/claim.rs
+++ b/components/node/src/traffic/claim.rs
@@ -40,8 +40,8 @@
         }
         // A retry may reuse the id with another wording of the same work. If it were refused as
         // "not run", its caller would send the work again under a new id.
-        ClaimStep::Duplicate(Standing::Reused) => {
-            Claimed::Refused(Refusal::unknown(Code::IdReused))
+        ClaimStep::Duplicate(ExistingClaim::KeyReused) => {
+            Claimed::Refused(Refusal::unknown(Code::IdempotencyKeyReused))
         }
         ClaimStep::Duplicate(ExistingClaim::Open) => {
             Claimed::Refused(Refusal::unknown(Code::OutcomeUnknown))
--- a/components/node/src/traffic/plain.rs
+++ b/components/node/src/traffic/plain.rs
@@ -125,8 +125,8 @@
 
 impl Job {
     /// Admission request to the limiter.
-    fn admission_ask(&self) -> Ask {
-        Ask {
+    fn admission_ask(&self) -> AdmissionRequest {
+        AdmissionRequest {
             customer: self.cx.customer.clone(),
             offer: account_of_service(&self.service),
             pool: self.service.clone(),
--- a/components/node/src/traffic/upstream.rs
+++ b/components/node/src/traffic/upstream.rs
@@ -40,9 +40,9 @@
 ///
 /// Before anything of the answer is written, only the connection shows that the caller left.
 /// Without this check the upstream would continue work that nobody waits for.
-pub(crate) async fn cancellation(responder: &Responder, facts: &Facts) {
-    match on_caller_gone(facts) {
-        OnCallerGone::Cancel => responder.gone().await,
+pub(crate) async fn cancellation(responder: &Responder, spec: &RequestSpec) {
+    match on_caller_gone(spec) {
+        OnCallerGone::Cancel => responder.disconnected().await,
         OnCallerGone::Finish => std::future::pending().await,
     }
 }
--- a/components/requests/src/attempt.rs
+++ b/components/requests/src/attempt.rs
@@ -15,7 +15,7 @@
         retry_after: Option<Span>,
     },
     /// At least one byte was written and no answer came.
-    Unknown(Doubt),
+    Unknown(UnknownCause),
     /// The answer began but was cut off.
     Truncated {
         /// Tokens received over all attempts, including those that this one resumed from.
--- a/components/requests/src/claim.rs
+++ b/components/requests/src/claim.rs
@@ -86,9 +86,9 @@
 
 /// What an existing claim, made when the request was sent before, says about it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Standing {
+pub enum ExistingClaim {
     /// The request ran; return its recorded answer.
-    Recorded(Recorded),
+    Recorded(RecordedAnswer),
     /// The request may be running or have run.
     Open,
     /// The same id was used for a request with other content.
@@ -107,7 +107,7 @@
     /// The claim could not be made: refuse the request as not run. A write that may still take
     /// effect is given, to be released: if it took effect later, the caller's retry would be
     /// refused with "outcome unknown".
-    Unavailable(Option<Held>),
+    Unavailable(Option<HeldClaim>),
 }
 
 impl Claim {
--- a/components/requests/src/step.rs
+++ b/components/requests/src/step.rs
@@ -176,10 +176,10 @@
 ) -> Step {
     // After a reset the first upstream may have run the request, and a second attempt would, for
     // example, make a booking twice. Only proof of "not run" allows one.
-    if !facts.idempotent && progress.run() != RunState::No {
+    if !spec.idempotent && progress.run() != RunState::No {
         return Step::Unknown;
     }
-    let resume = facts.resumable && (progress.shown || progress.received > Tokens(0));
+    let resume = spec.resumable && (progress.shown || progress.received > Tokens(0));
     // Bytes of a second answer must not follow those of the first.
     if progress.shown && !resume {
         return Step::Refuse(progress.refusal(Code::AnswerTruncated));
--- a/components/requests/tests/fuzz/daemon/claims.rs
+++ b/components/requests/tests/fuzz/daemon/claims.rs
@@ -126,8 +126,8 @@
 }
 
 /// Returns what the caller of a retried request gets.
-fn end_of_repeat(standing: Standing) -> CallEnd {
-    match standing {
+fn end_of_repeat(existing: ExistingClaim) -> CallEnd {
+    match existing {
         ExistingClaim::Recorded(recorded) => {
             let body = recorded.body.unwrap_or_default();
             let text = String::from_utf8(body.to_vec()).unwrap();
